--- a/src/core/forwarding/admission/engine_admission.ts
+++ b/src/core/forwarding/admission/engine_admission.ts
@@ -1,59 +1,73 @@
 /**
- * Share of a route's target that an answer's predicted first byte may take up. A
- * prediction that is a little short would turn the answer late, and the engine's
- * time would be lost to one that could be on time.
+ * Share of a route's target latency that the predicted time to first byte may
+ * use. A slightly optimistic prediction would make the answer late and spend
+ * engine time that another request could have used to be on time.
  */
-const TARGET_SHARE = 0.85;
+const ON_TIME_TARGET_SHARE = 0.85;
 /**
- * Share of the time until the caller leaves that the prediction of an answer
- * that is late anyhow may take up. The rest is for the error of a long
- * prediction and for the answer itself: 300 ms of two seconds.
+ * Share of the caller's remaining time that the predicted first byte of a late
+ * answer may use. The rest covers the error of a long prediction and the answer
+ * itself: 300 ms of two seconds.
  */
 export const LEFT_SHARE = 0.85;
 
 /**
- * Time that the entry itself may add to an answer that is late anyhow. Beyond it,
- * late answers would take the link from those that can be on time.
+ * Longest delay in the entry at which a late answer is still admitted. Beyond
+ * it, late answers would take link capacity from those that can be on time.
  */
-const MOST_ENTRY_FOR_LATE_MILLISECONDS = 75;
+const MAX_LATE_ENTRY_MILLISECONDS = 75;
 
 /**
- * `on_time`: the first byte comes within the target. `late`: it comes before
- * the caller leaves if it is read behind everything that can be on time.
- * `engines_full`: neither; telling the caller at once is worth more than its
- * wait. `entry_full`: another entry may still answer on time.
+ * Admission decision for a prompt:
+ *
+ * - `on_time`: the first byte is expected within the target.
+ * - `late`: the first byte is expected before the caller's deadline if the
+ *   prompt runs after everything that can be on time.
+ * - `engines_full`: neither; rejecting the request at once is more useful than
+ *   letting the caller wait.
+ * - `entry_full`: this entry is the bottleneck; another entry may still answer
+ *   on time.
  */
 export type Admission = "on_time" | "late" | "engines_full" | "entry_full";
 
+/** Predicted and elapsed times of a request that needs a prefill. */
 export interface AdmissionQuestion {
-  /** Predicted time until the prompt is read, if it is sent now. */
+  /** Predicted time until the prefill ends if the prompt is sent now. */
   readonly onTimeMilliseconds: number;
-  /** The same for a prompt that is held until an engine is nearly idle. */
+  /**
+   * Predicted time until the prefill ends if the prompt waits for an idle
+   * engine.
+   */
   readonly lateMilliseconds: number;
-  /** From the end of the prompt's reading to the first byte at the caller. */
+  /** Time from the end of the prefill to the first byte at the caller. */
   readonly handoverMilliseconds: number;
-  /** Time that the request and its answer wait in this entry. */
+  /** Queueing delay of the request and its answer in this entry. */
   readonly entryMilliseconds: number;
-  /** Time since the request's arrival. */
+  /** Time since the caller's first attempt. */
   readonly elapsedMilliseconds: number;
+  /** The route's target for the time to first byte. */
   readonly targetMilliseconds: number;
-  /** Time until the caller leaves if nothing has come by then. */
+  /** Time until the caller gives up unless the first byte arrives. */
   readonly leftMilliseconds: number;
 }
 
-/** Judges what can still come of a prompt that engines have to read. */
-export function judgeAdmission(question: AdmissionQuestion): Admission {
+/** Decides whether a prompt that needs a prefill is admitted. */
+export function judgeAdmission(input: AdmissionQuestion): Admission {
   const {
     elapsedMilliseconds,
     entryMilliseconds,
     leftMilliseconds,
     targetMilliseconds,
-  } = question;
-  const firstByte = elapsedMilliseconds + entryMilliseconds +
-    question.onTimeMilliseconds + question.handoverMilliseconds;
-  if (firstByte <= TARGET_SHARE * targetMilliseconds) return "on_time";
-  if (entryMilliseconds > MOST_ENTRY_FOR_LATE_MILLISECONDS) return "entry_full";
-  const needed = entryMilliseconds + question.lateMilliseconds +
-    question.handoverMilliseconds;
-  return needed <= LEFT_SHARE * leftMilliseconds ? "late" : "engines_full";
+  } = input;
+  const firstByteMilliseconds = elapsedMilliseconds + entryMilliseconds +
+    input.onTimeMilliseconds + input.handoverMilliseconds;
+  if (
+    firstByteMilliseconds <= ON_TIME_TARGET_SHARE * targetMilliseconds
+  ) return "on_time";
+  if (entryMilliseconds > MAX_LATE_ENTRY_MILLISECONDS) return "entry_full";
+  const lateMilliseconds = entryMilliseconds + input.lateMilliseconds +
+    input.handoverMilliseconds;
+  return lateMilliseconds <= LEFT_SHARE * leftMilliseconds
+    ? "late"
+    : "engines_full";
 }
--- a/src/core/forwarding/admission/engine_admission_test.ts
+++ b/src/core/forwarding/admission/engine_admission_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { type AdmissionQuestion, judgeAdmission } from "../mod.ts";
 
-const IDLE: AdmissionQuestion = {
+const IDLE_INPUT: AdmissionQuestion = {
   onTimeMilliseconds: 20,
   lateMilliseconds: 20,
   handoverMilliseconds: 15,
@@ -11,29 +11,29 @@
   leftMilliseconds: 2_000,
 };
 
-function judge(values: Partial<AdmissionQuestion>) {
-  return judgeAdmission({ ...IDLE, ...values });
+function decide(values: Partial<AdmissionQuestion>) {
+  return judgeAdmission({ ...IDLE_INPUT, ...values });
 }
 
 describe("judgeAdmission", () => {
-  it("lets in what comes within its target", () => {
-    expect(judge({})).to.equal("on_time");
+  it("admits a request that is expected within its target", () => {
+    expect(decide({})).to.equal("on_time");
   });
 
-  it("counts the caller's wait and the entry's own share", () => {
-    expect(judge({ elapsedMilliseconds: 120 })).to.equal("late");
-    expect(judge({ onTimeMilliseconds: 70, entryMilliseconds: 50 }))
+  it("counts the caller's elapsed time and the delay in the entry", () => {
+    expect(decide({ elapsedMilliseconds: 120 })).to.equal("late");
+    expect(decide({ onTimeMilliseconds: 70, entryMilliseconds: 50 }))
       .to.equal("late");
   });
 
-  it("refuses what engines can't read by the deadline", () => {
-    expect(judge({ onTimeMilliseconds: 900, lateMilliseconds: 1_900 }))
+  it("rejects a prompt that engines can't prefill before the deadline", () => {
+    expect(decide({ onTimeMilliseconds: 900, lateMilliseconds: 1_900 }))
       .to.equal("engines_full");
   });
 
-  // Engines have room, but the prompt would wait for the entry's link. Let in
-  // late, it keeps the next one from being on time; another entry may answer.
-  it("sends callers elsewhere where the entry itself is what is full", () => {
-    expect(judge({ entryMilliseconds: 200 })).to.equal("entry_full");
+  // Engines have capacity, but the prompt would queue for the entry's link.
+  // Admitted late, it would delay the next request, which could be on time.
+  it("rejects with entry_full where the entry is the bottleneck", () => {
+    expect(decide({ entryMilliseconds: 200 })).to.equal("entry_full");
   });
 });
--- a/src/core/forwarding/admission/held_prompts.ts
+++ b/src/core/forwarding/admission/held_prompts.ts
@@ -1,37 +1,36 @@
 import type { Subscription, TimerService } from "../../time/mod.ts";
 
-/** How often held prompts are looked at. */
-export const LOOK_MILLISECONDS = 20;
+/** Interval at which held prompts are checked for an idle engine. */
+export const POLL_MILLISECONDS = 20;
 
-/** A prompt that waits in its entry until an engine is nearly idle. */
+/** A prompt that waits in the entry until an engine is nearly idle. */
 export interface HeldPrompt<Choice> {
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
-  /** When it is no longer worth reading, on the timer's clock. */
+  /** Time at which the prompt is dropped, on the timer's clock. */
   readonly expiresAt: number;
-  /** Work that an engine will have with it. */
+  /** Predicted prefill work of the prompt. */
   readonly workMilliseconds: number;
-  /** Looks for the engine that can begin with it now; must not fail. */
+  /** Chooses an engine that can start now, if there is one; must not reject. */
   readonly choose: () => Promise<Choice | undefined>;
-  /** True once its caller has gone. */
+  /** True once the request has ended, such as by a disconnect of its caller. */
   readonly isOver: () => boolean;
 }
 
-interface Waiting<Choice> extends HeldPrompt<Choice> {
+interface WaitingPrompt<Choice> extends HeldPrompt<Choice> {
   readonly resolve: (choice: Choice | undefined) => void;
 }
 
 /**
- * Prompts whose answers are late anyhow, held back until an engine is nearly idle.
- * Engines process prompts in order of arrival, so late ones that were sent ahead
- * would delay those behind them. The most urgent goes first, then the one whose
- * caller leaves first.
+ * Priority queue of prompts whose answers will be late, held until an engine is
+ * nearly idle. Engines process prompts in order of arrival, so late prompts
+ * sent early would delay those behind them. Ordered by rank, then by expiry.
  */
 export class HeldPrompts<Choice> {
   readonly #timer: TimerService;
-  #waiting: Waiting<Choice>[] = [];
-  #look: Subscription | undefined;
-  #isLooking = false;
+  #waiting: WaitingPrompt<Choice>[] = [];
+  #nextPoll: Subscription | undefined;
+  #isPolling = false;
 
   constructor(timer: TimerService) {
     this.#timer = timer;
@@ -41,54 +40,59 @@
     return this.#waiting.length;
   }
 
-  /** Work of the prompts that go before one of this rank and expiry. */
-  workAhead(than: { readonly rank: number; readonly expiresAt: number }) {
+  /**
+   * Total work of the held prompts that run before one of this rank and expiry.
+   */
+  workAhead(prompt: { readonly rank: number; readonly expiresAt: number }) {
     return this.#waiting.reduce(
-      (sum, each) => goesBefore(each, than) ? sum + each.workMilliseconds : sum,
+      (sum, each) =>
+        isServedBefore(each, prompt) ? sum + each.workMilliseconds : sum,
       0,
     );
   }
 
-  /** Gives the engine once there is one; undefined where time has run out. */
+  /**
+   * Resolves with the chosen engine, or undefined once the prompt is dropped.
+   */
   hold(prompt: HeldPrompt<Choice>): Promise<Choice | undefined> {
     return new Promise((resolve) => {
       this.#waiting.push({ ...prompt, resolve });
       this.#waiting.sort(byUrgency);
-      if (this.#look === undefined) void this.#lookNow();
+      if (this.#nextPoll === undefined) void this.#poll();
     });
   }
 
-  #lookAfter(milliseconds: number): void {
-    this.#look ??= this.#timer.after(milliseconds, () => {
-      this.#look = undefined;
-      void this.#lookNow();
+  #pollAfter(milliseconds: number): void {
+    this.#nextPoll ??= this.#timer.after(milliseconds, () => {
+      this.#nextPoll = undefined;
+      void this.#poll();
     });
   }
 
-  async #lookNow(): Promise<void> {
-    if (this.#isLooking) return;
-    this.#dropExpired();
+  async #poll(): Promise<void> {
+    if (this.#isPolling) return;
+    this.#dropObsolete();
     const [first] = this.#waiting;
     if (first === undefined) return;
-    this.#isLooking = true;
+    this.#isPolling = true;
     const choice = await first.choose();
-    this.#isLooking = false;
-    if (choice === undefined) return this.#lookAfter(LOOK_MILLISECONDS);
-    // A more urgent one may have come meanwhile, and stands before it.
+    this.#isPolling = false;
+    if (choice === undefined) return this.#pollAfter(POLL_MILLISECONDS);
+    // A more urgent prompt may have been queued ahead of this one meanwhile.
     this.#waiting = this.#waiting.filter((each) => each !== first);
     first.resolve(choice);
-    // Its work has to stand at the engine before the next one is chosen for.
-    this.#lookAfter(0);
+    // The work of this prompt must count at its engine before the next choice.
+    this.#pollAfter(0);
   }
 
-  #dropExpired(): void {
+  #dropObsolete(): void {
     const now = this.#timer.now();
-    const isDropped = (each: Waiting<Choice>) =>
+    const isObsolete = (each: WaitingPrompt<Choice>) =>
       now >= each.expiresAt || each.isOver();
-    const dropped = this.#waiting.filter(isDropped);
-    if (dropped.length === 0) return;
-    this.#waiting = this.#waiting.filter((each) => !isDropped(each));
-    for (const each of dropped) each.resolve(undefined);
+    const obsolete = this.#waiting.filter(isObsolete);
+    if (obsolete.length === 0) return;
+    this.#waiting = this.#waiting.filter((each) => !isObsolete(each));
+    for (const each of obsolete) each.resolve(undefined);
   }
 }
 
@@ -98,6 +102,6 @@
   return one.rank - other.rank || one.expiresAt - other.expiresAt;
 }
 
-function goesBefore(one: Urgency, other: Urgency): boolean {
+function isServedBefore(one: Urgency, other: Urgency): boolean {
   return byUrgency(one, other) <= 0;
 }
--- a/src/core/forwarding/admission/held_prompts_test.ts
+++ b/src/core/forwarding/admission/held_prompts_test.ts
@@ -4,21 +4,21 @@
 
 describe("HeldPrompts", () => {
   let timer: ManualTimerService;
-  let held: HeldPrompts<string>;
-  /** Engines that are nearly idle. */
-  let idle: string[];
-  let begun: string[];
-  let refused: string[];
+  let queue: HeldPrompts<string>;
+  /** Engines that are nearly idle, in the order in which they are chosen. */
+  let idleEngines: string[];
+  let started: string[];
+  let dropped: string[];
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    held = new HeldPrompts(timer);
-    idle = [];
-    begun = [];
-    refused = [];
+    queue = new HeldPrompts(timer);
+    idleEngines = [];
+    started = [];
+    dropped = [];
   });
 
-  function hold(
+  function enqueue(
     name: string,
     values: {
       readonly rank?: number;
@@ -27,66 +27,65 @@
     } = {},
   ): void {
     const { rank = 1, expiresAt = 1_000, isOver = () => false } = values;
-    void held.hold({
+    void queue.hold({
       rank,
       expiresAt,
       workMilliseconds: 50,
-      choose: () => Promise.resolve(idle.shift()),
+      choose: () => Promise.resolve(idleEngines.shift()),
       isOver,
     }).then((engine) => {
-      if (engine === undefined) refused.push(name);
-      else begun.push(`${name} at ${engine}`);
+      if (engine === undefined) dropped.push(name);
+      else started.push(`${name} at ${engine}`);
     });
   }
 
-  it("begins at once where an engine is nearly idle", async () => {
-    idle = ["one"];
-    hold("menu");
+  it("starts at once where an engine is nearly idle", async () => {
+    idleEngines = ["one"];
+    enqueue("menu");
     await timer.advance(0);
-    expect(begun).to.deep.equal(["menu at one"]);
+    expect(started).to.deep.equal(["menu at one"]);
   });
 
-  // A burst of long letters is held when an urgent question comes that is late
-  // as well. Read in the order of their arrival, the question would wait for
-  // every letter.
-  it("takes the most urgent first, then whose caller leaves first", async () => {
-    hold("letter");
-    hold("hurried letter", { expiresAt: 500 });
-    hold("question", { rank: 0 });
-    idle = ["one", "two", "three"];
+  // An urgent late prompt arrives behind a burst of long ones that are held.
+  // In order of arrival it would wait for all of them.
+  it("starts the most urgent first, then the first to expire", async () => {
+    enqueue("letter");
+    enqueue("hurried letter", { expiresAt: 500 });
+    enqueue("question", { rank: 0 });
+    idleEngines = ["one", "two", "three"];
     await timer.advance(30);
-    expect(begun).to.deep.equal([
+    expect(started).to.deep.equal([
       "question at one",
       "hurried letter at two",
       "letter at three",
     ]);
   });
 
-  it("gives up a prompt once it is no longer worth reading", async () => {
-    hold("letter", { expiresAt: 200 });
+  it("drops a prompt at its expiry", async () => {
+    enqueue("letter", { expiresAt: 200 });
     await timer.advance(260);
-    expect(refused).to.deep.equal(["letter"]);
-    idle = ["one"];
+    expect(dropped).to.deep.equal(["letter"]);
+    idleEngines = ["one"];
     await timer.advance(100);
-    expect(begun).to.deep.equal([]);
+    expect(started).to.deep.equal([]);
   });
 
-  // The caller has hung up while its prompt was held. Chosen for it, an engine
-  // reads a prompt for nobody while others wait.
-  it("passes over a prompt whose caller has gone", async () => {
+  // The caller disconnects while its prompt is held. Starting the prompt would
+  // spend an engine on an answer that nobody reads while others wait.
+  it("skips a prompt whose caller has disconnected", async () => {
     let isOver = false;
-    hold("gone", { isOver: () => isOver });
-    hold("waiting");
+    enqueue("gone", { isOver: () => isOver });
+    enqueue("waiting");
     isOver = true;
-    idle = ["one"];
+    idleEngines = ["one"];
     await timer.advance(30);
-    expect(begun).to.deep.equal(["waiting at one"]);
+    expect(started).to.deep.equal(["waiting at one"]);
   });
 
-  it("knows the work that goes before another prompt", () => {
-    hold("letter");
-    hold("question", { rank: 0 });
-    expect(held.workAhead({ rank: 0, expiresAt: 2_000 })).to.equal(50);
-    expect(held.workAhead({ rank: 1, expiresAt: 2_000 })).to.equal(100);
+  it("sums up the work that runs before another prompt", () => {
+    enqueue("letter");
+    enqueue("question", { rank: 0 });
+    expect(queue.workAhead({ rank: 0, expiresAt: 2_000 })).to.equal(50);
+    expect(queue.workAhead({ rank: 1, expiresAt: 2_000 })).to.equal(100);
   });
 });
--- a/src/core/forwarding/admission/link_queue.ts
+++ b/src/core/forwarding/admission/link_queue.ts
@@ -1,27 +1,28 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Share of the link that requests and answers may take. The rest is for what
- * entries tell each other, for what is sent again, and for packets' heads.
+ * Share of the link's bandwidth available to requests and answers. The rest is
+ * for traffic between entries, retransmissions and packet headers.
  */
 const USABLE_SHARE = 0.8;
 const BITS_PER_BYTE = 8;
-/** Bits that a link of one megabit a second carries in a millisecond. */
+/** Bits that a link of one megabit per second carries in a millisecond. */
 const BITS_PER_MEGABIT_MILLISECOND = 1_000;
 
 /**
- * How much of what this entry sends still waits for its link. On a link of a few
- * megabits a second a burst of prompts takes longer to leave than engines take to
- * read it.
+ * Estimates the backlog of this entry's uplink. On a link of a few megabits per
+ * second, sending a burst of prompts takes longer than the engines need to
+ * prefill it.
  *
- * It is derived from what was sent, as the kernel does not report it.
+ * The estimate is derived from the bytes sent, since the kernel does not report
+ * the backlog.
  */
 export class LinkQueue {
   readonly #timer: TimerService;
   readonly #bytesPerMillisecond: number;
-  #freeAt = -Infinity;
+  #drainedAt = -Infinity;
 
-  /** Without a speed the link counts as one that never fills. */
+  /** Without a link speed, the backlog is always zero. */
   constructor(timer: TimerService, megabitsPerSecond: number | undefined) {
     this.#timer = timer;
     this.#bytesPerMillisecond = megabitsPerSecond === undefined
@@ -30,18 +31,19 @@
         BITS_PER_BYTE;
   }
 
-  /** So many bytes have been handed to the link. */
+  /** Records bytes that were handed to the link. */
   sent(bytes: number): void {
     const now = this.#timer.now();
-    this.#freeAt = Math.max(now, this.#freeAt) + this.carryMilliseconds(bytes);
+    this.#drainedAt = Math.max(now, this.#drainedAt) +
+      this.carryMilliseconds(bytes);
   }
 
-  /** Time until what was sent has left. */
+  /** Time until all bytes sent so far have left. */
   get waitMilliseconds(): number {
-    return Math.max(0, this.#freeAt - this.#timer.now());
+    return Math.max(0, this.#drainedAt - this.#timer.now());
   }
 
-  /** Time that the link needs for so many bytes. */
+  /** Time that the link needs to carry this many bytes. */
   carryMilliseconds(bytes: number): number {
     return bytes / this.#bytesPerMillisecond;
   }
--- a/src/core/forwarding/admission/link_queue_test.ts
+++ b/src/core/forwarding/admission/link_queue_test.ts
@@ -9,9 +9,9 @@
     timer = new ManualTimerService();
   });
 
-  // Eight requests of 10 KB come at once to an entry with 8 Mbit/s, of which
-  // it may use four fifths: the last one leaves 100 ms later.
-  it("adds up what was sent until it has left", async () => {
+  // Eight requests of 10 KB arrive at once at an entry with 8 Mbit/s, of which
+  // 80% are usable: the last one leaves after 100 ms.
+  it("accumulates the backlog until it has drained", async () => {
     const link = new LinkQueue(timer, 8);
     for (let count = 0; count < 8; count++) link.sent(10_000);
     expect(link.waitMilliseconds).to.equal(100);
@@ -21,14 +21,14 @@
     expect(link.waitMilliseconds).to.equal(0);
   });
 
-  it("saves up nothing while it stands idle", async () => {
+  it("accumulates no credit while the link is idle", async () => {
     const link = new LinkQueue(timer, 8);
     await timer.advance(10_000);
     link.sent(8_000);
     expect(link.waitMilliseconds).to.equal(10);
   });
 
-  it("never fills where no speed is known", () => {
+  it("has no backlog where the link speed is unknown", () => {
     const link = new LinkQueue(timer, undefined);
     link.sent(1e9);
     expect(link.waitMilliseconds).to.equal(0);
--- a/src/core/forwarding/admission/request_arrivals.ts
+++ b/src/core/forwarding/admission/request_arrivals.ts
@@ -1,96 +1,106 @@
 import type { RepeatPermit, RetryAllowance } from "./retry_allowance.ts";
 
-/** What is to be sent next of a request. */
+/** What a request is about to send. */
 export interface NextSends {
-  /** True: its prompt is read by one engine and then sent to another. */
+  /** True where a prefill engine processes the prompt before the send. */
   readonly reading: boolean;
 }
 
 /**
- * What has reached a pool of one request, counted as the pool counts it. The
- * first arrival is free, and so is the first reading of the prompt that an
- * engine accepts; a reading that is rejected, or one more that is accepted,
- * counts like any other arrival. Everything beyond needs a permit of the
- * fleet's allowance before it is sent. Load: an engine crashes with streams on
- * it, each of which has its prompt read anew and is then sent on. Harm
- * prevented: what is only noted afterwards has no limit; 225 streams that were
- * allowed one repeat each made 495 arrivals, where the fleet allowed 320.
+ * Counts how often one request has arrived at a pool, in the way the pool
+ * counts it. The first arrival is free, and so is the first prefill that an
+ * engine accepts. A rejected prefill and each further accepted one count like
+ * any other arrival. Each counted arrival beyond the first needs a permit from
+ * the fleet's retry budget before it is sent.
+ *
+ * The permit is taken before the send because retries that are counted only
+ * afterwards have no limit. When an engine crashes, every stream on it repeats
+ * its prefill and is then sent again: 225 streams with one retry each made 495
+ * arrivals where the fleet's limit was 320.
  */
 export class RequestArrivals {
-  readonly #allowance: RetryAllowance;
+  readonly #budget: RetryAllowance;
   readonly #pool: string;
-  /** Granted and not yet used. */
+  /** Permits granted and not yet consumed. */
   readonly #permits: RepeatPermit[] = [];
-  #counted = 0;
-  #hasRead = false;
-  /** True while an engine reads the prompt. */
-  #isReading = false;
-  /** What the last send has used; undefined where it was free. */
-  #used: RepeatPermit | undefined;
+  #arrivals = 0;
+  #hasPrefilled = false;
+  /** True while an engine processes the prompt. */
+  #isPrefilling = false;
+  /** Permit that the last send consumed; undefined where the send was free. */
+  #lastPermit: RepeatPermit | undefined;
 
-  constructor(allowance: RetryAllowance, pool: string) {
-    this.#allowance = allowance;
+  constructor(budget: RetryAllowance, pool: string) {
+    this.#budget = budget;
     this.#pool = pool;
   }
 
-  /** True once an engine has read the prompt. */
+  /** True once an engine has prefilled the prompt. */
   get hasRead(): boolean {
-    return this.#hasRead;
+    return this.#hasPrefilled;
   }
 
-  /** Makes sure that what is sent next is allowed; false where it is not. */
+  /**
+   * Reserves permits for the next sends; false where the budget is exhausted.
+   */
   cover({ reading }: NextSends): boolean {
-    const counting = reading && this.#hasRead ? 2 : 1;
-    const free = this.#counted === 0 ? 1 : 0;
-    while (this.#permits.length < counting - free) {
-      const permit = this.#allowance.grant(this.#pool);
+    const nextArrivals = reading && this.#hasPrefilled ? 2 : 1;
+    const freeArrivals = this.#arrivals === 0 ? 1 : 0;
+    while (this.#permits.length < nextArrivals - freeArrivals) {
+      const permit = this.#budget.grant(this.#pool);
       if (permit === undefined) return false;
       this.#permits.push(permit);
     }
     return true;
   }
 
-  /** The request is sent to an endpoint that may run it. */
+  /** Records that the request is sent to an endpoint that may run it. */
   sent(): void {
-    this.#used = undefined;
-    this.#count();
+    this.#lastPermit = undefined;
+    this.#countArrival();
   }
 
-  /** The last send has not reached the endpoint after all. */
+  /** Reverts the last send, which did not reach the endpoint. */
   notArrived(): void {
-    this.#counted -= 1;
-    this.#used?.giveBack();
-    this.#used = undefined;
+    this.#arrivals -= 1;
+    this.#lastPermit?.release();
+    this.#lastPermit = undefined;
   }
 
-  /** An engine is asked to read the prompt. */
+  /** Records that an engine is asked to prefill the prompt. */
   readingSent(): void {
-    this.#isReading = true;
+    this.#isPrefilling = true;
   }
 
+  /** Records the end of a prefill that reached its engine. */
   readingEnded({ accepted }: { readonly accepted: boolean }): void {
-    if (!this.#isReading) return;
-    this.#isReading = false;
-    const isFree = accepted && !this.#hasRead;
-    this.#hasRead ||= accepted;
-    if (!isFree) this.#count();
+    if (!this.#isPrefilling) return;
+    this.#isPrefilling = false;
+    const isFree = accepted && !this.#hasPrefilled;
+    this.#hasPrefilled ||= accepted;
+    if (!isFree) this.#countArrival();
   }
 
-  /** The reading has not reached the engine, which takes no connection. */
+  /**
+   * Records that the prefill did not reach the engine: it refused the
+   * connection.
+   */
   readingNotSent(): void {
-    this.#isReading = false;
+    this.#isPrefilling = false;
   }
 
-  /** The request is over. A reading that is given up has arrived all the same. */
+  /**
+   * Ends the request and returns unused permits. A cancelled prefill counts.
+   */
   release(): void {
     this.readingEnded({ accepted: false });
-    for (const permit of this.#permits.splice(0)) permit.giveBack();
+    for (const permit of this.#permits.splice(0)) permit.release();
   }
 
-  #count(): void {
-    this.#counted += 1;
-    if (this.#counted === 1) return;
-    this.#used = this.#permits.pop();
-    this.#used?.use();
+  #countArrival(): void {
+    this.#arrivals += 1;
+    if (this.#arrivals === 1) return;
+    this.#lastPermit = this.#permits.pop();
+    this.#lastPermit?.consume();
   }
 }
--- a/src/core/forwarding/admission/request_arrivals_test.ts
+++ b/src/core/forwarding/admission/request_arrivals_test.ts
@@ -5,125 +5,125 @@
 const POOL = "engines";
 
 describe("RequestArrivals", () => {
-  let allowance: RetryAllowance;
+  let budget: RetryAllowance;
   let arrivals: RequestArrivals;
 
   beforeEach(async () => {
-    allowance = await allowanceOf(10);
-    arrivals = new RequestArrivals(allowance, POOL);
+    budget = await createBudget(10);
+    arrivals = new RequestArrivals(budget, POOL);
   });
 
-  /** A grown allowance with so many repeats; an entry uses 0.8 of its part. */
-  async function allowanceOf(repeats: number): Promise<RetryAllowance> {
+  /** A budget of this many retries past its start-up; an entry may use 80%. */
+  async function createBudget(retries: number): Promise<RetryAllowance> {
     const timer = new ManualTimerService();
     const windowMilliseconds = 10_000;
-    const grown = new RetryAllowance({
+    const budget = new RetryAllowance({
       timer,
       ratio: 0,
       windowMilliseconds,
-      minimum: repeats / 0.8,
+      minimum: retries / 0.8,
       entries: () => 1,
     });
     await timer.advance(windowMilliseconds);
-    return grown;
+    return budget;
   }
 
-  function counted(): number {
-    return allowance.use(POOL).counted;
+  function countedRetries(): number {
+    return budget.use(POOL).counted;
   }
 
-  function read(accepted: boolean): void {
+  function prefill(accepted: boolean): void {
     arrivals.readingSent();
     arrivals.readingEnded({ accepted });
   }
 
-  // Engines of a zone that has died refuse their connections. Counted as
-  // arrivals they use up the repeats that other requests need.
-  it("cost nothing where readings found no connection", () => {
-    for (let reading = 0; reading < 3; reading++) {
+  // Engines of a failed zone refuse connections. Counted as arrivals, these
+  // attempts would use up the retries that other requests need.
+  it("cost nothing where prefills were refused a connection", () => {
+    for (let attempt = 0; attempt < 3; attempt++) {
       expect(arrivals.cover({ reading: true })).to.equal(true);
       arrivals.readingSent();
       arrivals.readingNotSent();
     }
-    read(true);
+    prefill(true);
     arrivals.sent();
     arrivals.release();
-    expect(counted()).to.equal(0);
+    expect(countedRetries()).to.equal(0);
   });
 
-  describe("without a reading", () => {
+  describe("without a prefill", () => {
     it("are free once", () => {
       expect(arrivals.cover({ reading: false })).to.equal(true);
       arrivals.sent();
-      expect(counted()).to.equal(0);
+      expect(countedRetries()).to.equal(0);
     });
 
-    it("cost a repeat from the second on", () => {
+    it("cost a retry from the second on", () => {
       for (let send = 0; send < 3; send++) {
         arrivals.cover({ reading: false });
         arrivals.sent();
       }
-      expect(counted()).to.equal(2);
+      expect(countedRetries()).to.equal(2);
     });
 
-    it("cost nothing where a send never arrived", () => {
+    it("cost nothing where a send did not reach the endpoint", () => {
       arrivals.sent();
       arrivals.cover({ reading: false });
       arrivals.sent();
       arrivals.notArrived();
-      expect(counted()).to.equal(0);
+      expect(countedRetries()).to.equal(0);
     });
   });
 
-  describe("with a reading", () => {
-    it("are free for the first one that an engine accepts", () => {
-      read(true);
+  describe("with a prefill", () => {
+    it("are free for the first prefill that an engine accepts", () => {
+      prefill(true);
       arrivals.sent();
-      expect(counted()).to.equal(0);
+      expect(countedRetries()).to.equal(0);
     });
 
-    // The engine that should read rejects the prompt. That was an arrival: the
-    // answer, which is sent after another engine has read it, is the second.
-    it("count a reading that is rejected", () => {
-      read(false);
+    // The first prefill engine rejects the prompt, which counts as an arrival.
+    // The send after another engine's prefill is the second.
+    it("count a rejected prefill", () => {
+      prefill(false);
       expect(arrivals.cover({ reading: true })).to.equal(true);
-      read(true);
+      prefill(true);
       arrivals.sent();
-      expect(counted()).to.equal(1);
+      expect(countedRetries()).to.equal(1);
     });
 
-    // An engine crashes with the answer's cache. The prompt is read once more
-    // and sent once more: two arrivals, which a single repeat does not cover.
-    it("need two repeats where the prompt is read anew", async () => {
-      allowance = await allowanceOf(1);
-      arrivals = new RequestArrivals(allowance, POOL);
-      read(true);
+    // An engine crashes and loses the answer's cache. The prompt is prefilled
+    // and sent once more: two arrivals, which a single retry does not cover.
+    it("need two retries for a repeated prefill", async () => {
+      budget = await createBudget(1);
+      arrivals = new RequestArrivals(budget, POOL);
+      prefill(true);
       arrivals.sent();
       expect(arrivals.cover({ reading: true })).to.equal(false);
-      allowance = await allowanceOf(2);
-      arrivals = new RequestArrivals(allowance, POOL);
-      read(true);
+      budget = await createBudget(2);
+      arrivals = new RequestArrivals(budget, POOL);
+      prefill(true);
       arrivals.sent();
       expect(arrivals.cover({ reading: true })).to.equal(true);
     });
 
-    // The caller leaves while its prompt is read anew. The engine has had the
-    // prompt; given back, the repeat would be made once more by another.
-    it("count a reading that is given up, and give back the rest", () => {
-      read(true);
+    // The caller disconnects during a repeated prefill. The engine has received
+    // the prompt; a returned permit would allow one retry too many.
+    it("count a cancelled prefill and return the other permits", () => {
+      prefill(true);
       arrivals.sent();
       arrivals.cover({ reading: true });
       arrivals.readingSent();
       arrivals.release();
-      expect(counted()).to.equal(1);
+      expect(countedRetries()).to.equal(1);
     });
   });
 
-  it("give back what was granted and not sent", () => {
+  it("return permits that were granted and not consumed", () => {
     arrivals.sent();
     arrivals.cover({ reading: true });
-    expect(counted()).to.equal(1);
+    expect(countedRetries()).to.equal(1);
     arrivals.release();
-    expect(counted()).to.equal(0);
+    expect(countedRetries()).to.equal(0);
   });
 });
--- a/src/core/forwarding/admission/retry_allowance.ts
+++ b/src/core/forwarding/admission/retry_allowance.ts
@@ -1,157 +1,161 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Share of its part that an entry uses. The fleet's limit counts any span of the
- * window's length, while the number of entries is known a heartbeat late.
+ * Share of its part of the budget that an entry uses. The fleet's limit applies
+ * to any span of the window's length, and a change of the number of entries is
+ * known only a heartbeat later.
  */
-const USED_SHARE = 0.8;
+const USABLE_SHARE = 0.8;
 /**
- * The same while the process is younger than a window: the process before it may
- * have used up its part. Both together stay within it; a second restart within one
- * window is not covered.
+ * Usable share while the process is younger than a window. The process before a
+ * restart may have used up its own share; the two together stay within the
+ * entry's part. A second restart within one window is not covered.
  */
-const YOUNG_USED_SHARE = 1 - USED_SHARE;
+const STARTUP_USABLE_SHARE = 1 - USABLE_SHARE;
 
-export interface RetryAllowanceOptions {
+export interface RetryBudgetOptions {
   readonly timer: TimerService;
-  /** Repeats allowed for each request in the window, by the whole fleet. */
+  /** Retries allowed per request in the window, across the fleet. */
   readonly ratio: number;
   readonly windowMilliseconds: number;
-  /** Repeats allowed in each window whatever the traffic, by the fleet. */
+  /** Retries allowed in each window at any traffic, across the fleet. */
   readonly minimum: number;
-  /** Entries that share the minimum, this one included. */
+  /** Number of entries that share the minimum, including this one. */
   readonly entries: () => number;
 }
 
-/** How far one pool's repeats have used up this entry's part. */
+/** This entry's use of its part of one pool's retry budget. */
 export interface RepeatUse {
   readonly pool: string;
-  /** Repeats that count in the window that ends now, and those to come. */
+  /** Retries sent in the current window, and those granted and not yet sent. */
   readonly counted: number;
+  /** This entry's limit in the current window. */
   readonly allowed: number;
 }
 
-/** The right to one repeat, from its grant until it is sent or given back. */
+/** Permission for one retry, counted from its grant until it is released. */
 export interface RepeatPermit {
-  /** The repeat is sent now; it counts for a window from here. */
-  use(): void;
-  /** It is not sent, or it never reached the pool. */
-  giveBack(): void;
+  /** Marks the retry as sent; it counts for a whole window from now. */
+  consume(): void;
+  /** Returns the permit of a retry that was not sent or not delivered. */
+  release(): void;
 }
 
-/** What one pool has had in the window that ends now. */
+/** Requests and retries of one pool in the current window. */
 interface PoolWindow {
-  /** Times at which requests arrived. */
+  /** Arrival times of requests. */
   readonly requests: number[];
-  /** Times at which repeats were sent. */
-  readonly repeats: number[];
-  /** Repeats that are granted and not sent yet. */
+  /** Times at which retries were sent. */
+  readonly retries: number[];
+  /** Retries granted and not yet sent. */
   granted: number;
 }
 
 /**
- * Allows arrivals beyond the first of a request, as this entry's part of a limit
- * that the whole fleet shares: retries multiply the load of a pool that fails
- * because it is overloaded. The part is the operators' ratio on the requests that
- * this entry got, and its part of their minimum.
+ * This entry's part of a retry budget shared by the fleet. Retries multiply the
+ * load of a pool that fails because it is overloaded. The limit is the
+ * configured ratio of the requests received by this entry, plus an equal part
+ * of the configured minimum.
  *
- * A repeat counts from its grant, and for a whole window from its send: a granted
- * one may wait for seconds.
+ * A retry counts from its grant, since it may wait for seconds before it is
+ * sent, and then for a whole window from its send.
  */
 export class RetryAllowance {
-  readonly #options: RetryAllowanceOptions;
+  readonly #options: RetryBudgetOptions;
   readonly #pools = new Map<string, PoolWindow>();
   readonly #startedAt: number;
 
-  constructor(options: RetryAllowanceOptions) {
+  constructor(options: RetryBudgetOptions) {
     this.#options = options;
     this.#startedAt = options.timer.now();
   }
 
+  /** Records the first arrival of a request for the pool. */
   requestArrived(pool: string): void {
-    this.#window(pool).requests.push(this.#options.timer.now());
+    this.#windowOf(pool).requests.push(this.#options.timer.now());
   }
 
-  /** Grants one repeat; undefined where the window's part is used up. */
+  /** Grants one retry; undefined where the budget is exhausted. */
   grant(pool: string): RepeatPermit | undefined {
     const { allowed, counted } = this.use(pool);
     if (allowed - counted < 1) return undefined;
-    const window = this.#window(pool);
+    const window = this.#windowOf(pool);
     window.granted += 1;
-    return new GrantedRepeat(window, this.#options.timer);
+    return new GrantedRetry(window, this.#options.timer);
   }
 
-  /** The use of every pool that has had requests. */
+  /** Budget use of each pool that has received requests. */
   uses(): RepeatUse[] {
     return [...this.#pools.keys()].map((pool) => this.use(pool));
   }
 
+  /** Budget use of one pool. */
   use(pool: string): RepeatUse {
-    const { granted, repeats } = this.#window(pool);
+    const { granted, retries } = this.#windowOf(pool);
     return {
       pool,
-      counted: repeats.length + granted,
-      allowed: this.#allowed(pool),
+      counted: retries.length + granted,
+      allowed: this.#limit(pool),
     };
   }
 
-  /** This entry's part in the window that ends now, used or not. */
-  #allowed(pool: string): number {
+  /** This entry's limit in the current window. */
+  #limit(pool: string): number {
     const { ratio, minimum, entries } = this.#options;
-    const requests = this.#window(pool).requests.length;
-    const shared = minimum / Math.max(1, entries());
-    return this.#usedShare * (ratio * requests + shared);
+    const requests = this.#windowOf(pool).requests.length;
+    const minimumShare = minimum / Math.max(1, entries());
+    return this.#usableShare * (ratio * requests + minimumShare);
   }
 
-  get #usedShare(): number {
+  get #usableShare(): number {
     const { timer, windowMilliseconds } = this.#options;
-    const isYoung = timer.now() - this.#startedAt < windowMilliseconds;
-    return isYoung ? YOUNG_USED_SHARE : USED_SHARE;
+    const isStartingUp = timer.now() - this.#startedAt < windowMilliseconds;
+    return isStartingUp ? STARTUP_USABLE_SHARE : USABLE_SHARE;
   }
 
-  #window(pool: string): PoolWindow {
+  #windowOf(pool: string): PoolWindow {
     let window = this.#pools.get(pool);
     if (window === undefined) {
-      window = { requests: [], repeats: [], granted: 0 };
+      window = { requests: [], retries: [], granted: 0 };
       this.#pools.set(pool, window);
     }
     const oldest = this.#options.timer.now() - this.#options.windowMilliseconds;
     dropBefore(window.requests, oldest);
-    dropBefore(window.repeats, oldest);
+    dropBefore(window.retries, oldest);
     return window;
   }
 }
 
-class GrantedRepeat implements RepeatPermit {
+class GrantedRetry implements RepeatPermit {
   readonly #window: PoolWindow;
   readonly #timer: TimerService;
-  #state: "granted" | "used" | "given back" = "granted";
-  #usedAt = 0;
+  #state: "granted" | "consumed" | "released" = "granted";
+  #consumedAt = 0;
 
   constructor(window: PoolWindow, timer: TimerService) {
     this.#window = window;
     this.#timer = timer;
   }
 
-  use(): void {
+  consume(): void {
     if (this.#state !== "granted") return;
-    this.#state = "used";
-    this.#usedAt = this.#timer.now();
+    this.#state = "consumed";
+    this.#consumedAt = this.#timer.now();
     this.#window.granted -= 1;
-    this.#window.repeats.push(this.#usedAt);
+    this.#window.retries.push(this.#consumedAt);
   }
 
-  giveBack(): void {
+  release(): void {
     if (this.#state === "granted") this.#window.granted -= 1;
-    if (this.#state === "used") this.#takeBackUse();
-    this.#state = "given back";
+    if (this.#state === "consumed") this.#undoConsume();
+    this.#state = "released";
   }
 
-  #takeBackUse(): void {
-    const { repeats } = this.#window;
-    const index = repeats.lastIndexOf(this.#usedAt);
-    // A use that is older than the window is no longer there.
-    if (index >= 0) repeats.splice(index, 1);
+  #undoConsume(): void {
+    const { retries } = this.#window;
+    const index = retries.lastIndexOf(this.#consumedAt);
+    // A retry older than the window has been removed already.
+    if (index >= 0) retries.splice(index, 1);
   }
 }
 
--- a/src/core/forwarding/admission/retry_allowance_test.ts
+++ b/src/core/forwarding/admission/retry_allowance_test.ts
@@ -7,12 +7,12 @@
 describe("RetryAllowance", () => {
   let timer: ManualTimerService;
   let entries: number;
-  let allowance: RetryAllowance;
+  let budget: RetryAllowance;
 
   beforeEach(async () => {
     timer = new ManualTimerService();
     entries = 5;
-    allowance = new RetryAllowance({
+    budget = new RetryAllowance({
       timer,
       ratio: 0.2,
       windowMilliseconds: WINDOW_MILLISECONDS,
@@ -22,71 +22,71 @@
     await timer.advance(WINDOW_MILLISECONDS);
   });
 
-  function takeAll(pool: string): number {
-    let taken = 0;
+  function consumeAll(pool: string): number {
+    let consumed = 0;
     for (;;) {
-      const permit = allowance.grant(pool);
-      if (permit === undefined) return taken;
-      permit.use();
-      taken += 1;
+      const permit = budget.grant(pool);
+      if (permit === undefined) return consumed;
+      permit.consume();
+      consumed += 1;
     }
   }
 
-  // Every engine fails, and five entries resend what they get. Without a
-  // common limit the engines that are left get twice the load and fail too.
-  it("keeps all entries together under the fleet's limit", () => {
+  // Every engine fails, and five entries retry their requests. Without a common
+  // limit the remaining engines would receive twice the load and fail as well.
+  it("keeps the retries of all entries within the fleet's limit", () => {
     for (let request = 0; request < 100; request++) {
-      allowance.requestArrived("engines");
+      budget.requestArrived("engines");
     }
-    const fleet = entries * takeAll("engines");
-    expect(fleet).to.be.at.most(0.2 * 500 + 50);
-    expect(fleet).to.be.at.least(0.7 * (0.2 * 500 + 50));
+    const fleetRetries = entries * consumeAll("engines");
+    expect(fleetRetries).to.be.at.most(0.2 * 500 + 50);
+    expect(fleetRetries).to.be.at.least(0.7 * (0.2 * 500 + 50));
   });
 
-  it("counts each pool by itself", () => {
-    takeAll("engines");
-    expect(allowance.grant("portal")).to.not.equal(undefined);
+  it("limits each pool separately", () => {
+    consumeAll("engines");
+    expect(budget.grant("portal")).to.not.equal(undefined);
   });
 
-  it("gives back what is older than the window", async () => {
-    const first = takeAll("engines");
+  it("grants retries again once earlier ones leave the window", async () => {
+    const first = consumeAll("engines");
     await timer.advance(10_001);
-    expect(takeAll("engines")).to.equal(first);
+    expect(consumeAll("engines")).to.equal(first);
   });
 
-  // What is granted waits for an engine. Not counted meanwhile, it would be
-  // granted to others as well, and all are sent when the engine is back.
-  it("counts a repeat from its grant on, however long it waits", async () => {
-    const before = takeAll("engines");
+  // A granted retry waits for an engine. If it did not count meanwhile, others
+  // would be granted as well and all be sent when the engine is back.
+  it("counts a retry from its grant, however long it waits", async () => {
+    const before = consumeAll("engines");
     await timer.advance(10_001);
-    const waiting = allowance.grant("engines");
+    const pending = budget.grant("engines");
     await timer.advance(10_001);
-    expect(takeAll("engines")).to.equal(before - 1);
-    waiting?.giveBack();
-    expect(allowance.grant("engines")).to.not.equal(undefined);
+    expect(consumeAll("engines")).to.equal(before - 1);
+    pending?.release();
+    expect(budget.grant("engines")).to.not.equal(undefined);
   });
 
-  // Counted from its grant alone, a repeat that has waited for nine seconds is
-  // forgotten a second after it was sent.
-  it("counts a repeat for a whole window from its sending", async () => {
-    const permit = allowance.grant("engines");
+  // Counted from its grant alone, a retry that waited for nine seconds would
+  // leave the window one second after it was sent.
+  it("counts a retry for a whole window from its send", async () => {
+    const permit = budget.grant("engines");
     await timer.advance(9_000);
-    permit?.use();
+    permit?.consume();
     await timer.advance(9_000);
-    expect(allowance.use("engines").counted).to.equal(1);
+    expect(budget.use("engines").counted).to.equal(1);
     await timer.advance(1_001);
-    expect(allowance.use("engines").counted).to.equal(0);
+    expect(budget.use("engines").counted).to.equal(0);
   });
 
-  it("takes back a repeat that has not reached its endpoint, once", () => {
+  it("returns a retry that did not reach its endpoint only once", () => {
     const [one, other] = [
-      allowance.grant("engines"),
-      allowance.grant("engines"),
+      budget.grant("engines"),
+      budget.grant("engines"),
     ];
-    one?.use();
-    other?.use();
-    one?.giveBack();
-    one?.giveBack();
-    expect(allowance.use("engines").counted).to.equal(1);
+    one?.consume();
+    other?.consume();
+    one?.release();
+    one?.release();
+    expect(budget.use("engines").counted).to.equal(1);
   });
 });
--- a/src/core/forwarding/admission/returning_callers.ts
+++ b/src/core/forwarding/admission/returning_callers.ts
@@ -1,80 +1,85 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * How long a refusal is remembered. Callers come back within a third of the
- * time they have, which is two seconds for long prompts.
+ * How long a rejection is remembered. Callers retry within a third of their
+ * deadline, which is two seconds for long prompts.
  */
-const MEMORY_MILLISECONDS = 3_000;
+const REFUSAL_RETENTION_MILLISECONDS = 3_000;
 /**
- * Refusals that are remembered. Load: a burst in which most of several hundred
- * prompts a second are refused; three seconds of it are some thousand. Harm
- * prevented: a flood of refused requests fills a thin VM's memory.
+ * Limit on remembered rejections, which bounds the memory that a flood of
+ * rejected requests takes on a small VM. An overload that rejects most of
+ * several hundred prompts per second produces about a thousand in three
+ * seconds.
  */
-const MOST_REMEMBERED = 5_000;
-/** Refusals that wait to be told to peers. */
-const MOST_UNTOLD = 500;
+const MAX_REFUSALS = 5_000;
+/** Limit on rejections queued for the next report to peers. */
+const MAX_UNREPORTED_REFUSALS = 500;
 
-/** A refusal as peers tell of it: the prompt, and its caller's wait so far. */
+/** A rejection reported to peers: the prompt and the caller's wait so far. */
 export type ToldRefusal = readonly [prompt: string, waitedMilliseconds: number];
 
 /**
- * How long callers have waited before this attempt. Targets count from the first
- * attempt, so that a caller that was refused before can often be answered late
- * only, whichever entry it comes back to.
+ * Tracks how long callers have waited since their first attempt. The target
+ * latency counts from the first attempt, so a caller that was rejected before
+ * can often be answered only late, whichever entry receives its retry.
  *
- * A caller is recognized by its own part of the prompt, which it sends again. The
- * rest of its deadline is ambiguous, since callers' deadlines differ.
+ * A caller is recognized by its own part of the prompt, which the retry
+ * repeats. The remaining deadline does not identify it, since deadlines differ
+ * between callers.
  */
 export class ReturningCallers {
   readonly #timer: TimerService;
-  /** When the caller of a refused prompt first came, the oldest first. */
+  /**
+   * First arrival of each rejected prompt's caller, ordered by last rejection.
+   */
   readonly #firstArrivals = new Map<string, number>();
-  #untold: ToldRefusal[] = [];
+  #unreported: ToldRefusal[] = [];
 
   constructor(timer: TimerService) {
     this.#timer = timer;
   }
 
-  /** Time since the first attempt with this prompt, milliseconds. */
+  /** Time since the first attempt with this prompt, in milliseconds. */
   waited(prompt: string | undefined): number {
     if (prompt === undefined) return 0;
     const firstArrival = this.#firstArrivals.get(prompt);
     const now = this.#timer.now();
     if (
-      firstArrival === undefined || now - firstArrival > MEMORY_MILLISECONDS
+      firstArrival === undefined ||
+      now - firstArrival > REFUSAL_RETENTION_MILLISECONDS
     ) {
       return 0;
     }
     return now - firstArrival;
   }
 
-  /** This entry has refused the prompt; its caller has waited so long. */
+  /** Records a rejection by this entry and the caller's wait so far. */
   refused(prompt: string, waitedMilliseconds: number): void {
     this.peerRefused([prompt, waitedMilliseconds]);
-    if (this.#untold.length >= MOST_UNTOLD) return;
-    this.#untold.push([prompt, Math.round(waitedMilliseconds)]);
+    if (this.#unreported.length >= MAX_UNREPORTED_REFUSALS) return;
+    this.#unreported.push([prompt, Math.round(waitedMilliseconds)]);
   }
 
-  /** A peer has refused the prompt. */
+  /** Records a rejection that a peer reported. */
   peerRefused([prompt, waitedMilliseconds]: ToldRefusal): void {
     this.#firstArrivals.delete(prompt);
     this.#firstArrivals.set(prompt, this.#timer.now() - waitedMilliseconds);
-    if (this.#firstArrivals.size <= MOST_REMEMBERED) return;
+    if (this.#firstArrivals.size <= MAX_REFUSALS) return;
     for (const oldest of this.#firstArrivals.keys()) {
       this.#firstArrivals.delete(oldest);
       return;
     }
   }
 
-  /** Own refusals since the last call, for the peers. */
+  /** Returns and clears this entry's rejections since the last call. */
   takeUntold(): readonly ToldRefusal[] {
-    const untold = this.#untold;
-    this.#untold = [];
-    return untold;
+    const unreported = this.#unreported;
+    this.#unreported = [];
+    return unreported;
   }
 
-  /** True where there is something to tell peers. */
+  /** True while rejections wait to be reported to peers. */
   get hasUntold(): boolean {
-    return this.#untold.length > 0;
+    return this.#unreported.length > 0;
   }
 }
--- a/src/core/forwarding/admission/returning_callers_test.ts
+++ b/src/core/forwarding/admission/returning_callers_test.ts
@@ -11,13 +11,13 @@
     callers = new ReturningCallers(timer);
   });
 
-  it("sees how long a returning caller has waited", async () => {
+  it("measures the wait of a returning caller", async () => {
     callers.refused("a", 20);
     await timer.advance(300);
     expect(callers.waited("a")).to.equal(320);
   });
 
-  it("adds up the waits of several attempts", async () => {
+  it("sums up the waits of several attempts", async () => {
     callers.refused("a", 0);
     await timer.advance(300);
     callers.refused("a", callers.waited("a"));
@@ -25,32 +25,32 @@
     expect(callers.waited("a")).to.equal(600);
   });
 
-  // Callers' time budgets differ. A caller with little time of its own passed
-  // for one that had waited, and its prompt was read behind all others.
-  it("takes nobody for returning who was not refused", () => {
+  // Deadlines differ between callers. A new caller with a short deadline that
+  // is taken for a returning one would be queued behind all others.
+  it("reports no wait for callers that were not rejected", () => {
     callers.refused("a", 0);
     expect(callers.waited("b")).to.equal(0);
     expect(callers.waited(undefined)).to.equal(0);
   });
 
-  // Returns go through the balancer, mostly to another entry.
-  it("knows callers that a peer has refused", async () => {
+  // The load balancer sends most retries to another entry.
+  it("recognizes callers that a peer has rejected", async () => {
     const peer = new ReturningCallers(timer);
     callers.refused("a", 20);
-    for (const told of callers.takeUntold()) peer.peerRefused(told);
+    for (const report of callers.takeUntold()) peer.peerRefused(report);
     await timer.advance(300);
     expect(peer.waited("a")).to.equal(320);
     expect(peer.takeUntold()).to.deep.equal([]);
     expect(callers.takeUntold()).to.deep.equal([]);
   });
 
-  it("forgets a refusal after some seconds", async () => {
+  it("forgets a rejection after its retention time", async () => {
     callers.refused("a", 0);
     await timer.advance(3_001);
     expect(callers.waited("a")).to.equal(0);
   });
 
-  it("remembers a bounded number of refusals, the newest", () => {
+  it("keeps a bounded number of the newest rejections", () => {
     for (let index = 0; index < 5_001; index++) callers.refused(`${index}`, 10);
     expect(callers.waited("0")).to.equal(0);
     expect(callers.waited("5000")).to.equal(10);
--- a/src/core/forwarding/caches/prompt_reading.ts
+++ b/src/core/forwarding/caches/prefill_plan.ts
@@ -1,5 +1,5 @@
 import type { Pool, RegisteredEndpoint } from "../configuration.ts";
-import type { ReadingSpeed } from "../estimates/mod.ts";
+import type { PrefillSpeed } from "../estimates/mod.ts";
 import { type PrefixSource, transferMilliseconds } from "./prefix_sources.ts";
 import type { Prompt } from "../requests.ts";
 
@@ -9,10 +9,10 @@
  * prevented: an engine reads again for 20 ms what a link carries in 2 to 4 ms.
  * Limit: a fetch of 1,000 tokens saves 3 ms and costs a wait on both links.
  */
-const LEAST_FETCHED_TOKENS = 1_000;
+const MIN_FETCHED_TOKENS = 1_000;
 
 /** How an engine reads a prompt. */
-export interface PromptReading {
+export interface PrefillPlan {
   /**
    * Work that the engine has to do for it, without the time of the call: calls
    * to one engine overlap. Counted with each prompt that stands before it, they
@@ -25,10 +25,10 @@
   readonly fetchFrom?: RegisteredEndpoint;
 }
 
-export interface PromptReadingOptions {
+export interface PrefillPlanOptions {
   readonly endpoint: RegisteredEndpoint;
   readonly pool: Pool;
-  readonly reading: ReadingSpeed;
+  readonly speed: PrefillSpeed;
   /** Tokens at the prompt's start that the engine itself keeps. */
   readonly keptTokens: number;
   /** Engines that keep the start of the prompt as well. */
@@ -36,37 +36,44 @@
 }
 
 /** The quickest way: with what the engine keeps itself, or fetching more. */
-export function quickestReading(
+export function fastestPrefillPlan(
   prompt: Prompt,
-  options: PromptReadingOptions,
-): PromptReading {
-  const { keptTokens, reading, sources } = options;
-  const alone: PromptReading = {
-    workMilliseconds: reading.freshMilliseconds(prompt.inputTokens, keptTokens),
+  options: PrefillPlanOptions,
+): PrefillPlan {
+  const { keptTokens, speed: speed, sources } = options;
+  const withoutFetch: PrefillPlan = {
+    workMilliseconds: speed.predictWorkMilliseconds(
+      prompt.inputTokens,
+      keptTokens,
+    ),
     keptTokens,
   };
   return sources
-    .flatMap((source) => readingThrough(source, prompt, options))
+    .flatMap((source) => plansFetchingFrom(source, prompt, options))
     .reduce(
       (one, other) =>
         other.workMilliseconds < one.workMilliseconds ? other : one,
-      alone,
+      withoutFetch,
     );
 }
 
 /** Nothing where a fetch from the source does not pay. */
-function readingThrough(
+function plansFetchingFrom(
   source: PrefixSource,
   prompt: Prompt,
-  options: PromptReadingOptions,
-): PromptReading[] {
-  const { endpoint, keptTokens, pool: { engine }, reading } = options;
-  const fetched = source.keptTokens - keptTokens;
-  if (engine === undefined || fetched < LEAST_FETCHED_TOKENS) return [];
-  const isFar = source.endpoint.availabilityZone !== endpoint.availabilityZone;
+  options: PrefillPlanOptions,
+): PrefillPlan[] {
+  const { endpoint, keptTokens, pool: { engine }, speed: speed } = options;
+  const fetchedTokens = source.keptTokens - keptTokens;
+  if (engine === undefined || fetchedTokens < MIN_FETCHED_TOKENS) return [];
+  const isCrossZone =
+    source.endpoint.availabilityZone !== endpoint.availabilityZone;
   return [{
-    workMilliseconds: transferMilliseconds(fetched, { engine, isFar }) +
-      reading.freshMilliseconds(prompt.inputTokens, source.keptTokens),
+    workMilliseconds: transferMilliseconds(fetchedTokens, {
+      engine,
+      isCrossZone: isCrossZone,
+    }) +
+      speed.predictWorkMilliseconds(prompt.inputTokens, source.keptTokens),
     keptTokens: source.keptTokens,
     fetchFrom: source.endpoint,
   }];
--- a/src/core/forwarding/caches/prefix_directory.ts
+++ b/src/core/forwarding/caches/prefix_directory.ts
@@ -25,10 +25,10 @@
  * Most prompts that wait for the next report to peers. An entry without peers would
  * collect them without end; a dropped one costs a part that is read twice.
  */
-const MOST_UNTOLD = 200;
+const MAX_UNREPORTED_PROMPTS = 200;
 
 /** The parts that one engine is taken to keep, the oldest first. */
-class EngineParts {
+class CachedParts {
   readonly #parts = new Map<string, number>();
   #tokens = 0;
 
@@ -36,18 +36,18 @@
     return this.#parts.has(id);
   }
 
-  touch(part: PromptPart, mostTokens: number): void {
-    const known = this.#parts.get(part.id);
-    if (known !== undefined) {
+  touch(part: PromptPart, maxTokens: number): void {
+    const previousTokens = this.#parts.get(part.id);
+    if (previousTokens !== undefined) {
       this.#parts.delete(part.id);
-      this.#tokens -= known;
+      this.#tokens -= previousTokens;
     }
     this.#parts.set(part.id, part.tokens);
     this.#tokens += part.tokens;
-    while (this.#tokens > mostTokens) this.#dropOldest();
+    while (this.#tokens > maxTokens) this.#evictOldest();
   }
 
-  #dropOldest(): void {
+  #evictOldest(): void {
     for (const [id, tokens] of this.#parts) {
       this.#parts.delete(id);
       this.#tokens -= tokens;
@@ -62,16 +62,16 @@
  * the part.
  */
 export class PrefixDirectory {
-  readonly #engines = new Map<EndpointId, EngineParts>();
-  #untold: ReadPrompt[] = [];
+  readonly #engines = new Map<EndpointId, CachedParts>();
+  #unreported: ReadPrompt[] = [];
 
   /** Tokens at the prompt's start that the engine need not read again. */
   keptTokens(engine: EndpointId, parts: readonly PromptPart[]): number {
-    const kept = this.#engines.get(engine);
-    if (kept === undefined) return 0;
+    const cached = this.#engines.get(engine);
+    if (cached === undefined) return 0;
     let tokens = 0;
     for (const part of parts) {
-      if (!kept.has(part.id)) return tokens;
+      if (!cached.has(part.id)) return tokens;
       tokens += part.tokens;
     }
     return tokens;
@@ -80,7 +80,9 @@
   /** An engine has read a prompt of this entry. */
   read(prompt: ReadPrompt): void {
     this.peerRead(prompt);
-    if (this.#untold.length < MOST_UNTOLD) this.#untold.push(prompt);
+    if (this.#unreported.length < MAX_UNREPORTED_PROMPTS) {
+      this.#unreported.push(prompt);
+    }
   }
 
   /**
@@ -88,21 +90,21 @@
    * of shared ones although it is seldom asked for again.
    */
   peerRead({ engine, parts, memoryTokens }: ReadPrompt): void {
-    let kept = this.#engines.get(engine);
-    if (kept === undefined) {
-      kept = new EngineParts();
-      this.#engines.set(engine, kept);
+    let cached = this.#engines.get(engine);
+    if (cached === undefined) {
+      cached = new CachedParts();
+      this.#engines.set(engine, cached);
     }
     for (const part of parts) {
-      kept.touch(part, CACHE_SHARE * memoryTokens);
+      cached.touch(part, CACHE_SHARE * memoryTokens);
     }
   }
 
   /** What was read for this entry since the last call, for its peers. */
   takeUntold(): readonly ReadPrompt[] {
-    const untold = this.#untold;
-    this.#untold = [];
-    return untold;
+    const unreported = this.#unreported;
+    this.#unreported = [];
+    return unreported;
   }
 
   /** The engine has ended or lost its memory. */
--- a/src/core/forwarding/caches/prefix_directory_test.ts
+++ b/src/core/forwarding/caches/prefix_directory_test.ts
@@ -11,13 +11,13 @@
     prefixes = new PrefixDirectory();
   });
 
-  function send(subject: string, memoryTokens = 100_000): void {
+  function recordPrompt(subject: string, memoryTokens = 100_000): void {
     const { parts } = makePrompt(subject);
     prefixes.read({ engine, parts, memoryTokens });
   }
 
   it("knows the parts that two prompts share", () => {
-    send("river");
+    recordPrompt("river");
     const again = [...makePrompt("river").parts.slice(0, 2), {
       id: "new",
       tokens: 3_000,
@@ -28,7 +28,7 @@
   });
 
   it("counts nothing behind a part that is missing", () => {
-    send("river");
+    recordPrompt("river");
     const [, subject, own] = makePrompt("river").parts;
     const parts = [{ id: "other", tokens: 3_000 }, subject, own];
     expect(prefixes.keptTokens(engine, parts)).to.equal(0);
@@ -37,7 +37,9 @@
   // An engine's memory holds some tens of subjects. Without a bound the entry
   // would send prompts after parts that the engine dropped long ago.
   it("forgets the part that was used longest ago", () => {
-    for (const subject of ["one", "two", "three"]) send(subject, 20_000);
+    for (const subject of ["one", "two", "three"]) {
+      recordPrompt(subject, 20_000);
+    }
     expect(prefixes.keptTokens(engine, makePrompt("one").parts))
       .to.equal(3_000);
     expect(prefixes.keptTokens(engine, makePrompt("three").parts))
@@ -45,7 +47,7 @@
   });
 
   it("tells each prompt of its own once, and none of its peers'", () => {
-    send("river");
+    recordPrompt("river");
     prefixes.peerRead({
       engine,
       parts: makePrompt("hill").parts,
--- a/src/core/forwarding/caches/prefix_sources.ts
+++ b/src/core/forwarding/caches/prefix_sources.ts
@@ -3,7 +3,7 @@
 import type { PrefixDirectory, PromptPart } from "./prefix_directory.ts";
 
 /** A transfer to another availability zone takes so many times as long. */
-const OTHER_ZONE_SLOWDOWN = 2;
+const CROSS_ZONE_SLOWDOWN = 2;
 const BITS_PER_BYTE = 8;
 /** Bits that a link of one megabit a second carries in a millisecond. */
 const BITS_PER_MEGABIT_MILLISECOND = 1_000;
@@ -25,8 +25,8 @@
   const byZone = new Map<AvailabilityZoneId, PrefixSource>();
   for (const endpoint of options.engines) {
     const keptTokens = options.prefixes.keptTokens(endpoint.id, parts);
-    const known = byZone.get(endpoint.availabilityZone)?.keptTokens ?? 0;
-    if (keptTokens <= known) continue;
+    const bestTokens = byZone.get(endpoint.availabilityZone)?.keptTokens ?? 0;
+    if (keptTokens <= bestTokens) continue;
     byZone.set(endpoint.availabilityZone, { endpoint, keptTokens });
   }
   return [...byZone.values()];
@@ -35,12 +35,14 @@
 /** Time in which an idle link carries the cache of so many tokens. */
 export function transferMilliseconds(
   tokens: number,
-  options: { readonly engine: EngineLimits; readonly isFar: boolean },
+  options: { readonly engine: EngineLimits; readonly isCrossZone: boolean },
 ): number {
   const { cacheTokenBytes, linkMegabitsPerSecond } = options.engine;
   if (linkMegabitsPerSecond <= 0) return Infinity;
   const bits = tokens * cacheTokenBytes * BITS_PER_BYTE;
   const milliseconds = bits /
     (linkMegabitsPerSecond * BITS_PER_MEGABIT_MILLISECOND);
-  return options.isFar ? OTHER_ZONE_SLOWDOWN * milliseconds : milliseconds;
+  return options.isCrossZone
+    ? CROSS_ZONE_SLOWDOWN * milliseconds
+    : milliseconds;
 }
--- a/src/core/forwarding/estimates/engine_slowness_test.ts
+++ b/src/core/forwarding/estimates/engine_slowness_test.ts
@@ -17,7 +17,7 @@
     }
   });
 
-  function read(ratio: number, times: number): void {
+  function recordPrefills(ratio: number, times: number): void {
     for (let count = 0; count < times; count++) {
       slowness.took(engine, { milliseconds: 100 * ratio, predicted: 100 });
     }
@@ -26,7 +26,7 @@
   // An engine takes five times as long for some seconds. Reckoned at the speed
   // of its kind it gets its full share of the prompts, and each of them late.
   it("tells an engine that has turned slow within a few readings", () => {
-    read(5, 4);
+    recordPrefills(5, 4);
     expect(slowness.factor(engine)).to.be.within(2.5, 5.5);
   });
 
@@ -35,7 +35,7 @@
   // full and callers are refused beside engines that have room.
   it("takes no engine for slow where all take as much longer", () => {
     for (let count = 0; count < 10; count++) {
-      read(3, 1);
+      recordPrefills(3, 1);
       for (const other of others) {
         slowness.took(other, { milliseconds: 300, predicted: 100 });
       }
@@ -45,19 +45,19 @@
 
   it("leaves ordinary errors of prediction alone", () => {
     for (let count = 0; count < 30; count++) {
-      read(count % 3 === 0 ? 1.9 : 0.9, 1);
+      recordPrefills(count % 3 === 0 ? 1.9 : 0.9, 1);
     }
     expect(slowness.factor(engine)).to.equal(1);
   });
 
   it("gives an engine another chance that nothing is seen of", async () => {
-    read(5, 6);
+    recordPrefills(5, 6);
     await timer.advance(4_000);
     expect(slowness.factor(engine)).to.equal(1);
   });
 
   it("knows nothing of an engine that has started anew", () => {
-    read(5, 6);
+    recordPrefills(5, 6);
     slowness.forget({ id: engine });
     expect(slowness.factor(engine)).to.equal(1);
   });
--- a/src/core/forwarding/estimates/handover_time.ts
+++ b/src/core/forwarding/estimates/handover_time.ts
@@ -5,14 +5,14 @@
 const PRIOR_MILLISECONDS = 15;
 const PRIOR_DEVIATION_MILLISECONDS = 5;
 /** Weight of one answer: about the last thirty count. */
-const ANSWER_WEIGHT = 0.03;
+const MIN_SAMPLE_WEIGHT = 0.03;
 /** The first answers weigh as much as all before them together. */
-const FIRST_ANSWERS = 1 / ANSWER_WEIGHT;
+const WARM_UP_ANSWERS = 1 / MIN_SAMPLE_WEIGHT;
 /**
  * One answer moves the mean as if it had taken at most so many times as long.
  * An engine that has gone dark answers after seconds, and tells of itself only.
  */
-const MOST_RATIO = 4;
+const MAX_RATIO_TO_MEAN = 4;
 
 /**
  * How long engines take from a prompt that was read elsewhere to the first byte of
@@ -29,19 +29,19 @@
   }
 
   /** The same for most answers, not only for half of them. */
-  get cautiousMilliseconds(): number {
+  get conservativeMilliseconds(): number {
     return this.#mean + this.#deviation;
   }
 
   /** An answer's first byte came so long after its send. */
-  took(milliseconds: number, transferMilliseconds: number): void {
+  record(milliseconds: number, transferMilliseconds: number): void {
     this.#answers += 1;
-    const weight = Math.max(ANSWER_WEIGHT, 1 / this.#answers);
-    const most = this.#answers <= FIRST_ANSWERS
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / this.#answers);
+    const maxMilliseconds = this.#answers <= WARM_UP_ANSWERS
       ? Infinity
-      : MOST_RATIO * this.#mean;
-    const beyond = Math.max(0, milliseconds - transferMilliseconds);
-    const error = Math.min(beyond, most) - this.#mean;
+      : MAX_RATIO_TO_MEAN * this.#mean;
+    const netMilliseconds = Math.max(0, milliseconds - transferMilliseconds);
+    const error = Math.min(netMilliseconds, maxMilliseconds) - this.#mean;
     this.#mean += weight * error;
     this.#deviation += weight * (Math.abs(error) - this.#deviation);
   }
--- a/src/core/forwarding/estimates/handover_time_test.ts
+++ b/src/core/forwarding/estimates/handover_time_test.ts
@@ -8,7 +8,7 @@
     it(`learns that engines take ${milliseconds} ms`, () => {
       const handover = new HandoverTime();
       for (let count = 0; count < 40; count++) {
-        handover.took(milliseconds + 20, 20);
+        handover.record(milliseconds + 20, 20);
       }
       expect(handover.meanMilliseconds)
         .to.be.closeTo(milliseconds, 0.1 * milliseconds + 0.5);
@@ -17,17 +17,17 @@
 
   it("is moved little by an engine that has gone dark", () => {
     const handover = new HandoverTime();
-    for (let count = 0; count < 60; count++) handover.took(20, 0);
-    for (let count = 0; count < 3; count++) handover.took(3_000, 0);
-    expect(handover.cautiousMilliseconds).to.be.below(35);
+    for (let count = 0; count < 60; count++) handover.record(20, 0);
+    for (let count = 0; count < 3; count++) handover.record(3_000, 0);
+    expect(handover.conservativeMilliseconds).to.be.below(35);
   });
 
   it("allows for answers that differ", () => {
     const handover = new HandoverTime();
     for (let count = 0; count < 100; count++) {
-      handover.took(count % 2 === 0 ? 10 : 30, 0);
+      handover.record(count % 2 === 0 ? 10 : 30, 0);
     }
     expect(handover.meanMilliseconds).to.be.closeTo(20, 3);
-    expect(handover.cautiousMilliseconds).to.be.closeTo(30, 5);
+    expect(handover.conservativeMilliseconds).to.be.closeTo(30, 5);
   });
 });
--- a/src/core/forwarding/estimates/mod.ts
+++ b/src/core/forwarding/estimates/mod.ts
@@ -7,7 +7,7 @@
 export { EngineSlowness } from "./engine_slowness.ts";
 export { WorkRate } from "./work_rate.ts";
 export {
-  type ReadingCosts,
-  type ReadingSample,
-  ReadingSpeed,
-} from "./reading_speed.ts";
+  type PrefillCosts,
+  type PrefillSample,
+  PrefillSpeed,
+} from "./prefill_speed.ts";
--- a/src/core/forwarding/estimates/pool_estimates.ts
+++ b/src/core/forwarding/estimates/pool_estimates.ts
@@ -1,10 +1,10 @@
 import type { ServiceName } from "../../identity/mod.ts";
 import { HandoverTime } from "./handover_time.ts";
-import { ReadingSpeed } from "./reading_speed.ts";
+import { PrefillSpeed } from "./prefill_speed.ts";
 
 /** What is learned of the engines of one pool, which are of one kind. */
 export interface PoolEstimates {
-  readonly reading: ReadingSpeed;
+  readonly reading: PrefillSpeed;
   readonly handover: HandoverTime;
 }
 
@@ -16,25 +16,25 @@
   millisecondsPerToken: number,
   millisecondsPerMillionPairs: number,
 ];
-const TOLD_VALUES = 5;
+const SPEED_REPORT_LENGTH = 5;
 
 /** What is learned of engines, by pool. */
 export class EngineEstimates {
   readonly #pools = new Map<string, PoolEstimates>();
 
   of(pool: ServiceName): PoolEstimates {
-    let known = this.#pools.get(pool);
-    if (known === undefined) {
-      known = { reading: new ReadingSpeed(), handover: new HandoverTime() };
-      this.#pools.set(pool, known);
+    let estimates = this.#pools.get(pool);
+    if (estimates === undefined) {
+      estimates = { reading: new PrefillSpeed(), handover: new HandoverTime() };
+      this.#pools.set(pool, estimates);
     }
-    return known;
+    return estimates;
   }
 
   /** What was learned here, for peers. */
   tell(): ToldSpeed[] {
     return [...this.#pools].flatMap(([pool, { reading }]) => {
-      const costs = reading.learned;
+      const costs = reading.ownCosts;
       if (costs === undefined) return [];
       return [
         [
@@ -42,26 +42,28 @@
           reading.sampleCount,
           costs.callMilliseconds,
           costs.millisecondsPerToken,
-          costs.millisecondsPerMillionPairs,
+          costs.millisecondsPerMillionAttentionPairs,
         ] as const,
       ];
     });
   }
 
   /** Takes what a peer has learned; what is malformed is passed over. */
-  peerTold(told: unknown): void {
-    if (!isToldSpeed(told)) return;
-    const [pool, samples, call, token, pairs] = told;
-    this.of(pool as ServiceName).reading.peerLearned({
+  peerTold(report: unknown): void {
+    if (!isSpeedReport(report)) return;
+    const [pool, samples, call, token, pairs] = report;
+    this.of(pool as ServiceName).reading.recordPeerCosts({
       callMilliseconds: call,
       millisecondsPerToken: token,
-      millisecondsPerMillionPairs: pairs,
+      millisecondsPerMillionAttentionPairs: pairs,
     }, samples);
   }
 }
 
-function isToldSpeed(value: unknown): value is ToldSpeed {
-  if (!Array.isArray(value) || value.length !== TOLD_VALUES) return false;
+function isSpeedReport(value: unknown): value is ToldSpeed {
+  if (!Array.isArray(value) || value.length !== SPEED_REPORT_LENGTH) {
+    return false;
+  }
   const [pool, ...figures] = value;
   return typeof pool === "string" &&
     figures.every((figure) => Number.isFinite(figure) && figure >= 0);
--- a/src/core/forwarding/estimates/reading_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -2,14 +2,14 @@
  * What an engine needs to read a prompt: a time for each token, one for each
  * pair of tokens that attend to each other, and a fixed one for the call.
  */
-export interface ReadingCosts {
+export interface PrefillCosts {
   readonly callMilliseconds: number;
   readonly millisecondsPerToken: number;
-  readonly millisecondsPerMillionPairs: number;
+  readonly millisecondsPerMillionAttentionPairs: number;
 }
 
 /** A prompt that an engine read with nothing else before it. */
-export interface ReadingSample {
+export interface PrefillSample {
   readonly promptTokens: number;
   /** Tokens at its start that the engine kept already. */
   readonly keptTokens: number;
@@ -21,20 +21,20 @@
  * engines that read 20 to 1,000 tokens a millisecond. They decide for the
  * first few prompts of a fleet that has just been started, and no longer.
  */
-const PRIOR: ReadingCosts = {
+const PRIOR_COSTS: PrefillCosts = {
   callMilliseconds: 3,
   millisecondsPerToken: 1 / 140,
-  millisecondsPerMillionPairs: 0.2,
+  millisecondsPerMillionAttentionPairs: 0.2,
 };
 /**
  * Samples that the costs are fitted to, the newest. An engine's speed does not
  * change from minute to minute, and a single slow engine is told apart
  * elsewhere; what is old leaves as the mix of prompts changes.
  */
-const MOST_SAMPLES = 96;
+const MAX_SAMPLES = 96;
 /** The costs are fitted anew after so many samples, and with each at first. */
-const FIT_EACH = 8;
-const FIRST_SAMPLES = 24;
+const SAMPLES_PER_FIT = 8;
+const WARM_UP_SAMPLES = 24;
 /** Rounds of reweighting; the fit moves by less than 0.01 after six. */
 const FIT_ROUNDS = 6;
 /**
@@ -43,18 +43,21 @@
  * or a peer's prompt came first: weights fall with the error, so that the
  * majority decides and not the mean.
  */
-const LEAST_ERROR = 0.05;
+const MIN_RELATIVE_ERROR = 0.05;
 /** How much the prior weighs, in samples. */
-const PRIOR_WEIGHT = 0.1;
+const PRIOR_WEIGHT_SAMPLES = 0.1;
 const MILLION = 1e6;
 
 /** Pairs of tokens that attend to each other while a prompt is read, millions. */
-function millionPairs(promptTokens: number, keptTokens: number): number {
-  const fresh = freshTokens(promptTokens, keptTokens);
-  return fresh * (promptTokens - fresh / 2) / MILLION;
+function millionAttentionPairs(
+  promptTokens: number,
+  keptTokens: number,
+): number {
+  const uncached = uncachedTokens(promptTokens, keptTokens);
+  return uncached * (promptTokens - uncached / 2) / MILLION;
 }
 
-function freshTokens(promptTokens: number, keptTokens: number): number {
+function uncachedTokens(promptTokens: number, keptTokens: number): number {
   return Math.max(0, promptTokens - keptTokens);
 }
 
@@ -62,31 +65,38 @@
  * How fast the engines of a pool read prompts, learned from their answers: engines
  * differ widely, and no registration states their speed.
  */
-export class ReadingSpeed {
-  readonly #samples: ReadingSample[] = [];
-  #taken = 0;
-  #costs = PRIOR;
+export class PrefillSpeed {
+  readonly #samples: PrefillSample[] = [];
+  #recordedSamples = 0;
+  #costs = PRIOR_COSTS;
   /** What peers have learned; used until enough was seen here. */
-  #told: { readonly costs: ReadingCosts; readonly samples: number } | undefined;
+  #peerEstimate:
+    | { readonly costs: PrefillCosts; readonly samples: number }
+    | undefined;
 
   /** Time in which an idle engine reads a prompt, milliseconds. */
-  readMilliseconds(promptTokens: number, keptTokens: number): number {
+  predictMilliseconds(promptTokens: number, keptTokens: number): number {
     return this.costs.callMilliseconds +
-      this.freshMilliseconds(promptTokens, keptTokens);
+      this.predictWorkMilliseconds(promptTokens, keptTokens);
   }
 
   /** The same without what the call itself takes. */
-  freshMilliseconds(promptTokens: number, keptTokens: number): number {
-    const { millisecondsPerMillionPairs, millisecondsPerToken } = this.costs;
-    return millisecondsPerToken * freshTokens(promptTokens, keptTokens) +
-      millisecondsPerMillionPairs * millionPairs(promptTokens, keptTokens);
+  predictWorkMilliseconds(promptTokens: number, keptTokens: number): number {
+    const {
+      millisecondsPerMillionAttentionPairs: millisecondsPerMillionPairs,
+      millisecondsPerToken,
+    } = this.costs;
+    return millisecondsPerToken * uncachedTokens(promptTokens, keptTokens) +
+      millisecondsPerMillionPairs *
+        millionAttentionPairs(promptTokens, keptTokens);
   }
 
   /** The costs in use: those of whoever has seen more, up to a full window. */
-  get costs(): ReadingCosts {
-    const told = this.#told;
-    return told !== undefined && told.samples > this.#samples.length
-      ? told.costs
+  get costs(): PrefillCosts {
+    const peerEstimate = this.#peerEstimate;
+    return peerEstimate !== undefined &&
+        peerEstimate.samples > this.#samples.length
+      ? peerEstimate.costs
       : this.#costs;
   }
 
@@ -96,45 +106,45 @@
   }
 
   /** Own costs, for peers; undefined while nothing has been seen. */
-  get learned(): ReadingCosts | undefined {
+  get ownCosts(): PrefillCosts | undefined {
     return this.#samples.length > 0 ? this.#costs : undefined;
   }
 
   /** A peer has learned these costs from so many samples. */
-  peerLearned(costs: ReadingCosts, samples: number): void {
-    if (samples < (this.#told?.samples ?? 0)) return;
-    this.#told = { costs, samples: Math.min(samples, MOST_SAMPLES) };
+  recordPeerCosts(costs: PrefillCosts, samples: number): void {
+    if (samples < (this.#peerEstimate?.samples ?? 0)) return;
+    this.#peerEstimate = { costs, samples: Math.min(samples, MAX_SAMPLES) };
   }
 
   /** An engine has read a prompt, with nothing else before it. */
-  took(sample: ReadingSample): void {
+  took(sample: PrefillSample): void {
     const isUsable = sample.milliseconds > 0 &&
-      freshTokens(sample.promptTokens, sample.keptTokens) > 0;
+      uncachedTokens(sample.promptTokens, sample.keptTokens) > 0;
     if (!isUsable) return;
     this.#samples.push(sample);
-    if (this.#samples.length > MOST_SAMPLES) this.#samples.shift();
-    this.#taken += 1;
-    const isDue = this.#samples.length <= FIRST_SAMPLES ||
-      this.#taken % FIT_EACH === 0;
+    if (this.#samples.length > MAX_SAMPLES) this.#samples.shift();
+    this.#recordedSamples += 1;
+    const isDue = this.#samples.length <= WARM_UP_SAMPLES ||
+      this.#recordedSamples % SAMPLES_PER_FIT === 0;
     if (isDue) this.#costs = fit(this.#samples, this.#costs);
   }
 }
 
 /** A row of the fit: what each cost is multiplied with, and what came out. */
-interface Row {
+interface FitRow {
   readonly factors: readonly [number, number, number];
   readonly milliseconds: number;
 }
 
 function fit(
-  samples: readonly ReadingSample[],
-  start: ReadingCosts,
-): ReadingCosts {
+  samples: readonly PrefillSample[],
+  start: PrefillCosts,
+): PrefillCosts {
   const rows = samples.map(({ promptTokens, keptTokens, milliseconds }) => ({
     factors: [
       1,
-      freshTokens(promptTokens, keptTokens),
-      millionPairs(promptTokens, keptTokens),
+      uncachedTokens(promptTokens, keptTokens),
+      millionAttentionPairs(promptTokens, keptTokens),
     ] as const,
     milliseconds,
   }));
@@ -149,16 +159,22 @@
  * Least squares of the relative errors, with the prior as further rows: one
  * for each cost, so that a cost that the samples say nothing of stays there.
  */
-function weightedFit(rows: readonly Row[], costs: ReadingCosts): ReadingCosts {
-  const known = vectorOf(costs);
-  const prior = vectorOf(PRIOR);
+function weightedFit(
+  rows: readonly FitRow[],
+  costs: PrefillCosts,
+): PrefillCosts {
+  const current = costsToVector(costs);
+  const prior = costsToVector(PRIOR_COSTS);
   const matrix = prior.map((value, index) =>
-    prior.map((_, column) => column === index ? PRIOR_WEIGHT / value ** 2 : 0)
+    prior.map((_, column) =>
+      column === index ? PRIOR_WEIGHT_SAMPLES / value ** 2 : 0
+    )
   );
-  const right = prior.map((value) => PRIOR_WEIGHT / value);
+  const right = prior.map((value) => PRIOR_WEIGHT_SAMPLES / value);
   for (const { factors, milliseconds } of rows) {
-    const error = Math.abs(dot(known, factors) / milliseconds - 1);
-    const weight = 1 / (milliseconds ** 2 * Math.max(LEAST_ERROR, error));
+    const error = Math.abs(dotProduct(current, factors) / milliseconds - 1);
+    const weight = 1 /
+      (milliseconds ** 2 * Math.max(MIN_RELATIVE_ERROR, error));
     for (let row = 0; row < factors.length; row++) {
       right[row] += weight * factors[row] * milliseconds;
       for (let column = 0; column < factors.length; column++) {
@@ -166,39 +182,39 @@
       }
     }
   }
-  return costsOf(solve(matrix, right), known);
+  return vectorToCosts(solveLinearSystem(matrix, right), current);
 }
 
-function vectorOf(costs: ReadingCosts): number[] {
+function costsToVector(costs: PrefillCosts): number[] {
   return [
     costs.callMilliseconds,
     costs.millisecondsPerToken,
-    costs.millisecondsPerMillionPairs,
+    costs.millisecondsPerMillionAttentionPairs,
   ];
 }
 
 /** Smallest share of its prior that a cost may fall to; none is negative. */
-const LEAST_PRIOR_SHARE = 0.02;
+const MIN_SHARE_OF_PRIOR = 0.02;
 
-function costsOf(values: readonly number[], known: readonly number[]) {
+function vectorToCosts(values: readonly number[], current: readonly number[]) {
   const [call, token, pairs] = values.map((value, index) =>
     Number.isFinite(value)
-      ? Math.max(LEAST_PRIOR_SHARE * vectorOf(PRIOR)[index], value)
-      : known[index]
+      ? Math.max(MIN_SHARE_OF_PRIOR * costsToVector(PRIOR_COSTS)[index], value)
+      : current[index]
   );
   return {
     callMilliseconds: call,
     millisecondsPerToken: token,
-    millisecondsPerMillionPairs: pairs,
+    millisecondsPerMillionAttentionPairs: pairs,
   };
 }
 
-function dot(one: readonly number[], other: readonly number[]): number {
+function dotProduct(one: readonly number[], other: readonly number[]): number {
   return one.reduce((sum, value, index) => sum + value * other[index], 0);
 }
 
 /** Solves a small system of linear equations by elimination. */
-function solve(
+function solveLinearSystem(
   matrix: readonly (readonly number[])[],
   right: readonly number[],
 ): number[] {
--- a/src/core/forwarding/estimates/reading_speed_test.ts
+++ b/src/core/forwarding/estimates/prefill_speed_test.ts
@@ -1,30 +1,30 @@
 import { expect } from "chai";
 import { type Random, seededRandom } from "../../random/mod.ts";
-import { ReadingSpeed } from "./reading_speed.ts";
+import { PrefillSpeed } from "./prefill_speed.ts";
 
 const PROMPTS = 200;
-const MOST_MEDIAN_ERROR = 0.15;
+const MAX_MEDIAN_ERROR = 0.15;
 const PAIRS_PER_TOKEN_COST = 30;
 
 /** An engine as it is; the estimate has to find its figures. */
-interface PlayedEngine {
+interface SimulatedEngine {
   readonly tokensPerMillisecond: number;
   readonly callMilliseconds: number;
 }
 
-function truth(
-  engine: PlayedEngine,
+function actualMilliseconds(
+  engine: SimulatedEngine,
   promptTokens: number,
   keptTokens: number,
 ): number {
-  const fresh = promptTokens - keptTokens;
-  const pairs = fresh * (promptTokens - fresh / 2) / 1e6;
-  return engine.callMilliseconds + fresh / engine.tokensPerMillisecond +
+  const uncached = promptTokens - keptTokens;
+  const pairs = uncached * (promptTokens - uncached / 2) / 1e6;
+  return engine.callMilliseconds + uncached / engine.tokensPerMillisecond +
     PAIRS_PER_TOKEN_COST * pairs / engine.tokensPerMillisecond;
 }
 
 /** Prompts of three kinds, with shared parts that are mostly kept. */
-function drawPrompt(random: Random): { promptTokens: number; kept: number } {
+function randomPrompt(random: Random): { promptTokens: number; kept: number } {
   const [shared, own] = [[13_300, 3_700], [6_300, 2_900], [350, 1_100]][
     Math.floor(random() * 3)
   ];
@@ -36,30 +36,30 @@
 }
 
 function medianError(
-  speed: ReadingSpeed,
-  engine: PlayedEngine,
+  speed: PrefillSpeed,
+  engine: SimulatedEngine,
   random: Random,
 ): number {
   const errors = Array.from({ length: 201 }, () => {
-    const { promptTokens, kept } = drawPrompt(random);
-    const right = truth(engine, promptTokens, kept);
-    return Math.abs(speed.readMilliseconds(promptTokens, kept) / right - 1);
+    const { promptTokens, kept } = randomPrompt(random);
+    const actual = actualMilliseconds(engine, promptTokens, kept);
+    return Math.abs(speed.predictMilliseconds(promptTokens, kept) / actual - 1);
   });
   return errors.sort((one, other) => one - other)[100];
 }
 
 function learn(
-  engine: PlayedEngine,
+  engine: SimulatedEngine,
   distort: (milliseconds: number) => number,
   random: Random,
-): ReadingSpeed {
-  const speed = new ReadingSpeed();
+): PrefillSpeed {
+  const speed = new PrefillSpeed();
   for (let count = 0; count < PROMPTS; count++) {
-    const { promptTokens, kept } = drawPrompt(random);
+    const { promptTokens, kept } = randomPrompt(random);
     speed.took({
       promptTokens,
       keptTokens: kept,
-      milliseconds: distort(truth(engine, promptTokens, kept)),
+      milliseconds: distort(actualMilliseconds(engine, promptTokens, kept)),
     });
   }
   return speed;
@@ -87,7 +87,7 @@
           time * (random() < 0.2 ? 2 + 6 * random() : 0.9 + 0.25 * random());
         const speed = learn(engine, distort, random);
         expect(medianError(speed, engine, random))
-          .to.be.below(MOST_MEDIAN_ERROR);
+          .to.be.below(MAX_MEDIAN_ERROR);
       });
     });
   }
@@ -95,22 +95,22 @@
   it("is near after a dozen prompts", () => {
     const random = seededRandom(303);
     const engine = { tokensPerMillisecond: 20, callMilliseconds: 4 };
-    const speed = new ReadingSpeed();
+    const speed = new PrefillSpeed();
     for (let count = 0; count < 12; count++) {
-      const { promptTokens, kept } = drawPrompt(random);
-      const milliseconds = truth(engine, promptTokens, kept);
+      const { promptTokens, kept } = randomPrompt(random);
+      const milliseconds = actualMilliseconds(engine, promptTokens, kept);
       speed.took({ promptTokens, keptTokens: kept, milliseconds });
     }
-    expect(medianError(speed, engine, random)).to.be.below(MOST_MEDIAN_ERROR);
+    expect(medianError(speed, engine, random)).to.be.below(MAX_MEDIAN_ERROR);
   });
 
   it("never predicts nothing, or less", () => {
-    const speed = new ReadingSpeed();
+    const speed = new PrefillSpeed();
     for (let count = 0; count < 50; count++) {
       speed.took({ promptTokens: 1_000, keptTokens: 0, milliseconds: 0.01 });
     }
-    expect(speed.readMilliseconds(20_000, 0)).to.be.above(0);
-    expect(speed.readMilliseconds(20_000, 19_999)).to.be.above(0);
+    expect(speed.predictMilliseconds(20_000, 0)).to.be.above(0);
+    expect(speed.predictMilliseconds(20_000, 19_999)).to.be.above(0);
   });
 
   // An entry that has just been started would promise by the prior while its
@@ -119,14 +119,14 @@
     const costs = {
       callMilliseconds: 2,
       millisecondsPerToken: 1 / 20,
-      millisecondsPerMillionPairs: 1,
+      millisecondsPerMillionAttentionPairs: 1,
     };
-    const speed = new ReadingSpeed();
-    speed.peerLearned(costs, 40);
+    const speed = new PrefillSpeed();
+    speed.recordPeerCosts(costs, 40);
     expect(speed.costs).to.equal(costs);
     const random = seededRandom(404);
     for (let count = 0; count < 41; count++) {
-      const { promptTokens, kept } = drawPrompt(random);
+      const { promptTokens, kept } = randomPrompt(random);
       speed.took({ promptTokens, keptTokens: kept, milliseconds: 100 });
     }
     expect(speed.costs).to.not.equal(costs);
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -1,11 +1,11 @@
 import type { AvailabilityZoneId } from "../../identity/mod.ts";
 import type { Random } from "../../random/mod.ts";
 import type { Pool, RegisteredEndpoint } from "../configuration.ts";
-import { hasRoom } from "./decode_room.ts";
-import { sampleDecoders, sampleReaders } from "./engine_sample.ts";
+import { hasCapacity } from "./decode_capacity.ts";
+import { sampleDecodeEngines, samplePrefillEngines } from "./engine_sample.ts";
 import type { EndpointOutcomes } from "../endpoints/endpoint_outcomes.ts";
 import type { EngineEstimates, EngineSlowness } from "../estimates/mod.ts";
-import { LOOK_MILLISECONDS } from "../admission/held_prompts.ts";
+import { POLL_MILLISECONDS } from "../admission/held_prompts.ts";
 import type { LoadPicture, PromptWork } from "../endpoints/load_picture.ts";
 import type { PrefixDirectory } from "../caches/prefix_directory.ts";
 import {
@@ -14,82 +14,85 @@
   transferMilliseconds,
 } from "../caches/prefix_sources.ts";
 import {
-  type PromptReading,
-  quickestReading,
-} from "../caches/prompt_reading.ts";
+  fastestPrefillPlan,
+  type PrefillPlan,
+} from "../caches/prefill_plan.ts";
 import type { Prompt } from "../requests.ts";
 
 /**
- * What a millisecond of an engine's own work counts against one of waiting. The
- * soonest engine often has to read shared parts again, which takes capacity from
- * the prompts behind.
+ * Cost of a millisecond of prefill work relative to one of backlog. The engine
+ * that would finish first often has to recompute shared parts, which takes
+ * capacity from the prompts behind it.
  */
-const WORK_WEIGHT = 4;
+const WORK_TO_BACKLOG_WEIGHT = 4;
 /**
- * What a hand-over to another availability zone counts for, in slots: the
- * cache travels twice as long there.
+ * Cost of a handover to another availability zone, in slots. The transfer of
+ * the cache takes twice as long there.
  */
-const OTHER_ZONE_SLOTS = 1;
-/** Equal candidates differ by up to so much at random, in slots. */
-const TIE_BREAK_SLOTS = 0.5;
+const CROSS_ZONE_HANDOVER_SLOTS = 1;
+/** Range of the random term that breaks ties between engines, in slots. */
+const TIE_BREAK_JITTER_SLOTS = 0.5;
 
 /**
- * Work before a prompt at an engine that is nearly idle: what is done by the
- * time the next look at the held prompts could bring it another. More would
- * stand before the next prompt that can be on time, less would leave the engine
- * idle between two looks.
+ * Largest backlog of a nearly idle engine, the work done by the time of the
+ * next check of the held prompts. A larger backlog would delay the next prompt
+ * that can be on time; a smaller one would leave the engine idle between two
+ * checks.
  */
-const NEARLY_IDLE_MILLISECONDS = 2 * LOOK_MILLISECONDS;
+const NEARLY_IDLE_BACKLOG_MILLISECONDS = 2 * POLL_MILLISECONDS;
 
 /**
- * What an engine in another availability zone than the entry's counts for: the
- * round trip. It is less than a kept part saves, so that parts are not read once
- * in each zone.
+ * Cost of an engine in another availability zone than the entry's: the round
+ * trip. It is less than a cached part saves, so that shared parts are not
+ * computed once in each zone.
  */
-const OTHER_ZONE_MILLISECONDS = 3;
+const CROSS_ZONE_MILLISECONDS = 3;
 
 /**
- * An engine that decodes reads prompts at half the speed, between the tokens of
- * its streams; the platform tells so of every kind of engine.
+ * A decode engine prefills at half the speed, between the tokens of its
+ * streams. The platform specifies this factor for all kinds of engines.
  */
-const DECODE_ENGINE_SLOWDOWN = 2;
+const DECODE_ENGINE_PREFILL_SLOWDOWN = 2;
 
 /**
- * Share of its target that a prompt's reading may take at an engine that decodes.
- * A longer prompt would be read in many chunks between the tokens of the engine's
- * streams; for a shorter one a hand-over takes as long as the reading.
+ * Share of the target latency that a prefill on a decode engine may take. A
+ * longer prompt would be processed in many chunks between the tokens of the
+ * engine's streams; for a shorter one the handover takes as long as the
+ * prefill.
  */
-const INLINE_TARGET_SHARE = 0.1;
+const MAX_INLINE_PREFILL_TARGET_SHARE = 0.1;
 
-/** Where a prompt is to be read. */
-export interface PrefillChoice extends PromptReading {
+/** A prefill engine for a prompt, and the predicted cost there. */
+export interface PrefillChoice extends PrefillPlan {
   readonly endpoint: RegisteredEndpoint;
-  /** Work that stands before it there. */
+  /** Prefill work ahead of the prompt on this engine. */
   readonly backlogMilliseconds: number;
-  /** Time until it is read: what stands before it, its own, and the call's. */
+  /** Time until the prefill ends: the backlog, the work and the call itself. */
   readonly predictedMilliseconds: number;
-  /** How many times as long the engine takes as its kind. */
+  /** Measured slowdown of the engine relative to its pool; 1 is normal. */
   readonly slowness: number;
-  /** Requests that all entries have open there. */
+  /** Open requests of all entries at the engine. */
   readonly openRequests: number;
 }
 
-/** Where a request is to decode. */
+/** A decode engine for a request, and the work that the request adds there. */
 export interface DecodeChoice {
   readonly endpoint: RegisteredEndpoint;
   readonly work: PromptWork;
 }
 
-/** Engines of one pool that a prompt may go to. */
+/** Engines of one pool that are considered for a prompt. */
 export interface PrefillCandidates {
   readonly engines: readonly RegisteredEndpoint[];
   readonly pool: Pool;
-  /** Of these, the ones that may read it; all where it is left out. */
+  /**
+   * Subset of `engines` that may prefill the prompt; all of them by default.
+   */
   readonly readers?: readonly RegisteredEndpoint[];
 }
 
 export interface EnginePlacementOptions {
-  /** Zone of the entry that places. */
+  /** Zone of this entry. */
   readonly availabilityZone: AvailabilityZoneId;
   readonly load: LoadPicture;
   readonly prefixes: PrefixDirectory;
@@ -99,7 +102,7 @@
   readonly random: Random;
 }
 
-/** Chooses engines for prompts and for answers. */
+/** Chooses prefill engines for prompts and decode engines for answers. */
 export class EnginePlacement {
   readonly #options: EnginePlacementOptions;
 
@@ -107,7 +110,7 @@
     this.#options = options;
   }
 
-  /** True where the prompt is long enough for an engine that only reads. */
+  /** True where the prompt is long enough for a separate prefill engine. */
   wantsHandover(
     prompt: Prompt,
     { pool, targetMilliseconds }: {
@@ -116,76 +119,85 @@
     },
   ): boolean {
     const { reading } = this.#options.estimates.of(pool.name);
-    const inline = DECODE_ENGINE_SLOWDOWN *
-      reading.freshMilliseconds(prompt.inputTokens, 0);
-    return inline > INLINE_TARGET_SHARE * targetMilliseconds;
+    const inlineMilliseconds = DECODE_ENGINE_PREFILL_SLOWDOWN *
+      reading.predictWorkMilliseconds(prompt.inputTokens, 0);
+    return inlineMilliseconds >
+      MAX_INLINE_PREFILL_TARGET_SHARE * targetMilliseconds;
   }
 
-  /** From the end of the prompt's reading to the first byte, for most. */
+  /** Conservative time from the end of the prefill to the first byte. */
   handoverMilliseconds(prompt: Prompt, pool: Pool): number {
     const { handover } = this.#options.estimates.of(pool.name);
-    return handover.cautiousMilliseconds +
-      handoverTransfer(prompt, pool);
+    return handover.conservativeMilliseconds +
+      handoverTransferMilliseconds(prompt, pool);
   }
 
-  /** An answer came so long after it was asked for behind a hand-over. */
+  /** Records the time to first byte of an answer after a handover. */
   handedOver(prompt: Prompt, pool: Pool, milliseconds: number): void {
     const { handover } = this.#options.estimates.of(pool.name);
-    handover.took(milliseconds, handoverTransfer(prompt, pool));
+    handover.record(milliseconds, handoverTransferMilliseconds(prompt, pool));
   }
 
-  /** Engines whose load is to be known before the prompt is placed. */
+  /** Prefill engines whose load is refreshed before the prompt is placed. */
   readersToAsk(
     prompt: Prompt,
     engines: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
-    const readers = this.#options.outcomes.wellAmong(engines.filter(isReader));
-    return sampleReaders(prompt, { ...this.#options, readers });
+    const prefillEngines = this.#options.outcomes.wellAmong(
+      engines.filter(isPrefillEngine),
+    );
+    return samplePrefillEngines(prompt, {
+      ...this.#options,
+      prefillEngines,
+    });
   }
 
-  /** The same before an answer is placed; `keptIn`: where its cache is. */
+  /**
+   * Decode engines whose load is refreshed before an answer is placed. `keptIn`
+   * is the zone of the prompt's cache.
+   */
   decodersToAsk(
     engines: readonly RegisteredEndpoint[],
     { keptIn }: { readonly keptIn?: AvailabilityZoneId },
   ): readonly RegisteredEndpoint[] {
     const { availabilityZone, outcomes, random } = this.#options;
-    return sampleDecoders(outcomes.wellAmong(engines), {
+    return sampleDecodeEngines(outcomes.wellAmong(engines), {
       random,
       availabilityZone: keptIn ?? availabilityZone,
     });
   }
 
-  /** The prefill engine that is best behind all its work. */
+  /** The prefill engine with the lowest cost of backlog, work and distance. */
   choosePrefill(
     prompt: Prompt,
-    among: PrefillCandidates,
+    candidates: PrefillCandidates,
   ): PrefillChoice | undefined {
-    return this.#fastest(prompt, among);
+    return this.#cheapestPrefill(prompt, candidates);
   }
 
-  /** The best prefill engine of those that have next to nothing to do. */
+  /** The same among the prefill engines that are nearly idle. */
   chooseIdlePrefill(
     prompt: Prompt,
-    among: PrefillCandidates,
+    candidates: PrefillCandidates,
   ): PrefillChoice | undefined {
     const { load } = this.#options;
-    return this.#fastest(prompt, {
-      ...among,
-      isWanted: ({ id }) =>
-        load.total(id).prefillMilliseconds <= NEARLY_IDLE_MILLISECONDS,
+    return this.#cheapestPrefill(prompt, {
+      ...candidates,
+      isEligible: ({ id }) =>
+        load.total(id).prefillMilliseconds <= NEARLY_IDLE_BACKLOG_MILLISECONDS,
     });
   }
 
-  #fastest(
+  #cheapestPrefill(
     prompt: Prompt,
     options: PrefillCandidates & {
-      readonly isWanted?: (engine: RegisteredEndpoint) => boolean;
+      readonly isEligible?: (engine: RegisteredEndpoint) => boolean;
     },
   ): PrefillChoice | undefined {
-    const { engines, isWanted = () => true, pool } = options;
+    const { engines, isEligible = () => true, pool } = options;
     const { availabilityZone, outcomes, prefixes } = this.#options;
-    const readers = (options.readers ?? engines).filter((each) =>
-      isReader(each) && isWanted(each)
+    const prefillEngines = (options.readers ?? engines).filter((each) =>
+      isPrefillEngine(each) && isEligible(each)
     );
     const sources = bestSources(prompt.parts, {
       engines: outcomes.wellAmong(engines),
@@ -193,12 +205,12 @@
     });
     let best: PrefillChoice | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.wellAmong(readers)) {
-      const choice = this.#prefillAt(endpoint, { prompt, pool, sources });
-      const isFar = endpoint.availabilityZone !== availabilityZone;
+    for (const endpoint of outcomes.wellAmong(prefillEngines)) {
+      const choice = this.#prefillChoiceAt(endpoint, { prompt, pool, sources });
+      const isOtherZone = endpoint.availabilityZone !== availabilityZone;
       const cost = choice.backlogMilliseconds +
-        WORK_WEIGHT * choice.workMilliseconds +
-        (isFar ? OTHER_ZONE_MILLISECONDS : 0);
+        WORK_TO_BACKLOG_WEIGHT * choice.workMilliseconds +
+        (isOtherZone ? CROSS_ZONE_MILLISECONDS : 0);
       if (cost >= bestCost) continue;
       bestCost = cost;
       best = choice;
@@ -206,7 +218,7 @@
     return best;
   }
 
-  #prefillAt(
+  #prefillChoiceAt(
     endpoint: RegisteredEndpoint,
     options: {
       readonly prompt: Prompt;
@@ -216,55 +228,56 @@
   ): PrefillChoice {
     const { estimates, load, prefixes, slowness } = this.#options;
     const { pool, prompt, sources } = options;
-    const slow = slowness.factor(endpoint.id);
+    const slowdown = slowness.factor(endpoint.id);
     const { reading } = estimates.of(pool.name);
     const keptTokens = prefixes.keptTokens(endpoint.id, prompt.parts);
-    const open = load.total(endpoint.id);
-    const quickest = quickestReading(prompt, {
+    const openWork = load.total(endpoint.id);
+    const plan = fastestPrefillPlan(prompt, {
       endpoint,
       pool,
-      reading,
+      speed: reading,
       keptTokens,
       sources,
     });
-    const workMilliseconds = slow * quickest.workMilliseconds;
-    const backlogMilliseconds = slow * open.prefillMilliseconds;
+    const workMilliseconds = slowdown * plan.workMilliseconds;
+    const backlogMilliseconds = slowdown * openWork.prefillMilliseconds;
     return {
       endpoint,
-      ...quickest,
+      ...plan,
       workMilliseconds,
       backlogMilliseconds,
       predictedMilliseconds: backlogMilliseconds + workMilliseconds +
         reading.costs.callMilliseconds,
-      slowness: slow,
-      openRequests: open.requests,
+      slowness: slowdown,
+      openRequests: openWork.requests,
     };
   }
 
-  /** The decoding engine with the fewest open requests for its slots. */
+  /** The decode engine with the fewest open requests, weighted by distance. */
   chooseDecode(
     engines: readonly RegisteredEndpoint[],
     options: {
       readonly prompt: Prompt;
       readonly pool: Pool;
-      /** Where the prompt's cache is, after a hand-over. */
+      /** Zone of the prompt's cache after a handover. */
       readonly keptIn?: AvailabilityZoneId;
-      /** True: only an engine that has room for it now. */
+      /** True: considers only engines that have capacity now. */
       readonly withRoom?: boolean;
     },
   ): DecodeChoice | undefined {
     const { estimates, load, outcomes, prefixes, random } = this.#options;
     const { keptIn, pool, prompt, withRoom = false } = options;
-    const makers = engines.filter((engine) => engine.role !== "prefill");
+    const decodeEngines = engines.filter((engine) => engine.role !== "prefill");
     const tokens = prompt.inputTokens + prompt.mostOutputTokens;
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.wellAmong(makers)) {
-      if (withRoom && !hasRoom(endpoint, { load, pool, tokens })) continue;
-      const isFar = keptIn !== undefined &&
+    for (const endpoint of outcomes.wellAmong(decodeEngines)) {
+      if (withRoom && !hasCapacity(endpoint, { load, pool, tokens })) continue;
+      const isOtherZone = keptIn !== undefined &&
         endpoint.availabilityZone !== keptIn;
       const cost = load.total(endpoint.id).requests +
-        (isFar ? OTHER_ZONE_SLOTS : 0) + TIE_BREAK_SLOTS * random();
+        (isOtherZone ? CROSS_ZONE_HANDOVER_SLOTS : 0) +
+        TIE_BREAK_JITTER_SLOTS * random();
       if (cost >= bestCost) continue;
       bestCost = cost;
       best = endpoint;
@@ -274,27 +287,36 @@
     return {
       endpoint: best,
       work: {
-        milliseconds: keptIn !== undefined ? 0 : DECODE_ENGINE_SLOWDOWN *
-          estimates.of(pool.name).reading.freshMilliseconds(
-            prompt.inputTokens,
-            keptTokens,
-          ),
+        milliseconds: keptIn !== undefined
+          ? 0
+          : DECODE_ENGINE_PREFILL_SLOWDOWN *
+            estimates.of(pool.name).reading.predictWorkMilliseconds(
+              prompt.inputTokens,
+              keptTokens,
+            ),
         tokens,
       },
     };
   }
 }
 
-function isReader({ role }: RegisteredEndpoint): boolean {
+function isPrefillEngine({ role }: RegisteredEndpoint): boolean {
   return role === "prefill";
 }
 
 /**
- * Engines that decode are few, so that most prompts cross zones. Where nobody
- * has told the links' speed, the transfer is part of what is learned: taken for
- * endless, every long prompt would be refused.
+ * Predicted transfer time of the prompt's cache. Decode engines are few, so
+ * most transfers cross zones. With an unknown link speed the transfer counts as
+ * zero and becomes part of the learned handover time; taken as infinite, it
+ * would cause every long prompt to be rejected.
  */
-function handoverTransfer(prompt: Prompt, { engine }: Pool): number {
+function handoverTransferMilliseconds(
+  prompt: Prompt,
+  { engine }: Pool,
+): number {
   if (engine === undefined || engine.linkMegabitsPerSecond <= 0) return 0;
-  return transferMilliseconds(prompt.inputTokens, { engine, isFar: true });
+  return transferMilliseconds(prompt.inputTokens, {
+    engine,
+    isCrossZone: true,
+  });
 }
--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -42,21 +42,20 @@
     engines = ["one", "two"].map((id) => makeEngine(id, "prefill"));
   });
 
-  function keep(engine: RegisteredEndpoint, parts = SHARED): void {
+  function cachePrefix(engine: RegisteredEndpoint, parts = SHARED): void {
     prefixes.read({ engine: engine.id, parts, memoryTokens: 200_000 });
   }
 
-  function keepBusy(engine: RegisteredEndpoint, milliseconds: number): void {
+  function addBacklog(engine: RegisteredEndpoint, milliseconds: number): void {
     load.started(engine.id, { milliseconds, tokens: 0 });
   }
 
-  const choose = () =>
+  const choosePrefill = () =>
     placement.choosePrefill(PROMPT, { engines, pool: ENGINE_POOL });
 
-  // Operators name no speed of the engines' links. Taken for endless, the
-  // hand-over is never in time and every caller with a long prompt is refused
-  // while all engines stand idle.
-  it("predicts a hand-over where no link speed is told", () => {
+  // The link speed of the engines is not configured. If the transfer counted as
+  // infinite, every long prompt would be rejected while all engines are idle.
+  it("predicts a finite handover where the link speed is unknown", () => {
     const { engine } = ENGINE_POOL;
     const pool = makePool({
       ...ENGINE_POOL,
@@ -65,55 +64,58 @@
     expect(placement.handoverMilliseconds(PROMPT, pool)).to.be.within(1, 100);
   });
 
-  describe("of engines that decode", () => {
-    const maker = makeEngine("maker", "decode", { slots: 4 });
+  describe("choosing a decode engine", () => {
+    const decodeEngine = makeEngine("maker", "decode", { slots: 4 });
 
-    function fill(requests: number, tokens: number): void {
+    function openRequests(requests: number, tokens: number): void {
       for (let count = 0; count < requests; count++) {
-        load.started(maker.id, { milliseconds: 0, tokens });
+        load.started(decodeEngine.id, { milliseconds: 0, tokens });
       }
     }
 
-    const chooseMaker = (pool = ENGINE_POOL, withRoom = true) =>
-      placement.chooseDecode([maker], { prompt: PROMPT, pool, withRoom });
+    const chooseDecode = (pool = ENGINE_POOL, withRoom = true) =>
+      placement.chooseDecode([decodeEngine], {
+        prompt: PROMPT,
+        pool,
+        withRoom,
+      });
 
-    // An engine queues a few requests itself and takes them up at once as
-    // others end. Held back here an urgent answer would wait for the next look.
-    it("sends on what has not waited, whatever the engine has open", () => {
-      fill(9, 100_000);
-      expect(chooseMaker(ENGINE_POOL, false)?.endpoint.id).to.equal("maker");
+    // An engine queues a few requests itself and starts them as others end.
+    // Held back in the entry, an urgent answer would wait for the next check.
+    it("ignores the capacity for requests that have not waited", () => {
+      openRequests(9, 100_000);
+      expect(chooseDecode(ENGINE_POOL, false)?.endpoint.id).to.equal("maker");
     });
 
-    // All engines that decode were down and one is back while a hundred read
-    // prompts wait. Sent at once they find no memory and their callers are
-    // refused.
+    // All decode engines were down, and one recovers while a hundred prefilled
+    // prompts wait. Sent at once, they would exceed its memory and be rejected.
     it("gives no engine more than its slots and memory hold", () => {
-      fill(3, 1_000);
-      expect(chooseMaker()?.endpoint.id).to.equal("maker");
-      fill(1, 1_000);
-      expect(chooseMaker()).to.equal(undefined);
+      openRequests(3, 1_000);
+      expect(chooseDecode()?.endpoint.id).to.equal("maker");
+      openRequests(1, 1_000);
+      expect(chooseDecode()).to.equal(undefined);
     });
 
-    it("counts the memory that open requests take", () => {
-      fill(1, 175_000);
-      expect(chooseMaker()).to.equal(undefined);
+    it("counts the memory that open requests use", () => {
+      openRequests(1, 175_000);
+      expect(chooseDecode()).to.equal(undefined);
     });
 
-    it("goes by slots where nobody has told the memory", () => {
+    it("is limited by slots alone where the memory size is unknown", () => {
       const { engine } = ENGINE_POOL;
-      fill(2, 175_000);
+      openRequests(2, 175_000);
       const pool = makePool({
         ...ENGINE_POOL,
         engine: engine && { ...engine, memoryTokens: 0 },
       });
-      expect(chooseMaker(pool)?.endpoint.id).to.equal("maker");
+      expect(chooseDecode(pool)?.endpoint.id).to.equal("maker");
     });
   });
 
-  describe("where the parts are kept by an engine that is free", () => {
-    it("has that engine read the rest, and fetches nothing", () => {
-      keep(engines[1]);
-      const choice = choose();
+  describe("where a free engine has the shared parts cached", () => {
+    it("chooses that engine and fetches nothing", () => {
+      cachePrefix(engines[1]);
+      const choice = choosePrefill();
       expect(choice?.endpoint.id).to.equal("two");
       expect(choice?.keptTokens).to.equal(6_000);
       expect(choice?.fetchFrom).to.equal(undefined);
@@ -121,65 +123,65 @@
   });
 
   describe("where engines are in other availability zones", () => {
-    const elsewhere = identifier<AvailabilityZoneId>("zone-2");
+    const otherZone = identifier<AvailabilityZoneId>("zone-2");
 
-    it("prefers one of the entry's own zone to one that is as free", () => {
+    it("prefers the entry's own zone between equally free engines", () => {
       engines = [
-        makeEngine("far", "prefill", { availabilityZone: elsewhere }),
+        makeEngine("far", "prefill", { availabilityZone: otherZone }),
         makeEngine("near", "prefill"),
       ];
-      expect(choose()?.endpoint.id).to.equal("near");
+      expect(choosePrefill()?.endpoint.id).to.equal("near");
     });
 
-    it("has parts read where they are kept all the same", () => {
+    it("prefers cached parts to the entry's own zone", () => {
       engines = [
-        makeEngine("far", "prefill", { availabilityZone: elsewhere }),
+        makeEngine("far", "prefill", { availabilityZone: otherZone }),
         makeEngine("near", "prefill"),
       ];
-      keep(engines[0]);
-      expect(choose()?.endpoint.id).to.equal("far");
-      expect(choose()?.fetchFrom).to.equal(undefined);
+      cachePrefix(engines[0]);
+      expect(choosePrefill()?.endpoint.id).to.equal("far");
+      expect(choosePrefill()?.fetchFrom).to.equal(undefined);
     });
   });
 
-  // A subject is asked for by many callers at once. The engine that keeps its
-  // parts has a queue; another one would read them again for 20 ms a prompt,
-  // and the callers behind hear nothing in time.
-  describe("where the engine that keeps the parts is busy", () => {
-    it("has another one fetch them and read the rest", () => {
-      keep(engines[1]);
-      keepBusy(engines[1], 60);
-      const choice = choose();
+  // Many callers ask for one subject at once, and the engine with its parts has
+  // a queue. Another engine would need 20 ms per prompt to recompute them,
+  // which makes the answers behind late.
+  describe("where the engine with the cached parts is busy", () => {
+    it("chooses another one that fetches them and computes the rest", () => {
+      cachePrefix(engines[1]);
+      addBacklog(engines[1], 60);
+      const choice = choosePrefill();
       expect(choice?.endpoint.id).to.equal("one");
       expect(choice?.fetchFrom?.id).to.equal("two");
       expect(choice?.keptTokens).to.equal(6_000);
       expect(choice?.workMilliseconds).to.be.below(15);
     });
 
-    it("fetches from an engine that decodes, which keeps what it took over", () => {
-      const decoder = makeEngine("decoder", "decode");
-      engines.push(decoder);
-      keep(decoder);
-      const choice = choose();
+    it("fetches from a decode engine that cached the parts earlier", () => {
+      const decodeEngine = makeEngine("decoder", "decode");
+      engines.push(decodeEngine);
+      cachePrefix(decodeEngine);
+      const choice = choosePrefill();
       expect(choice?.endpoint.role).to.equal("prefill");
       expect(choice?.fetchFrom?.id).to.equal("decoder");
     });
 
-    it("prefers the engine of its own availability zone as the source", () => {
+    it("prefers a source in the engine's own availability zone", () => {
       const near = makeEngine("near", "decode");
       const far = makeEngine("far", "decode", {
         availabilityZone: identifier<AvailabilityZoneId>("zone-2"),
       });
       engines.push(far, near);
-      keep(far);
-      keep(near);
-      expect(choose()?.fetchFrom?.id).to.equal("near");
+      cachePrefix(far);
+      cachePrefix(near);
+      expect(choosePrefill()?.fetchFrom?.id).to.equal("near");
     });
 
-    it("reads a small part again, which costs less than to wait for a link", () => {
+    it("recomputes a small part, which is cheaper than a fetch", () => {
       const prompt = makePrompt("subject", { shared: 900 });
-      keep(engines[1], prompt.parts.slice(0, 2));
-      keepBusy(engines[1], 60);
+      cachePrefix(engines[1], prompt.parts.slice(0, 2));
+      addBacklog(engines[1], 60);
       const choice = placement.choosePrefill(prompt, {
         engines,
         pool: ENGINE_POOL,
@@ -188,9 +190,9 @@
       expect(choice?.fetchFrom).to.equal(undefined);
     });
 
-    it("fetches nothing where the engines have no link that is known", () => {
-      keep(engines[1]);
-      keepBusy(engines[1], 60);
+    it("fetches nothing where the link speed is unknown", () => {
+      cachePrefix(engines[1]);
+      addBacklog(engines[1], 60);
       const pool = makePool({
         engine: {
           memoryTokens: 200_000,
--- a/src/core/forwarding/placement/engine_sample.ts
+++ b/src/core/forwarding/placement/engine_sample.ts
@@ -1,4 +1,4 @@
-/** Which engines are looked at before something is placed. */
+/** Samples the engines whose load is compared before a placement. */
 import type { AvailabilityZoneId } from "../../identity/mod.ts";
 import { rendezvousFirst } from "../../membership/mod.ts";
 import type { Random } from "../../random/mod.ts";
@@ -6,86 +6,109 @@
 import type { Prompt } from "../requests.ts";
 
 /**
- * Engines on which a shared part of prompts is gathered: kept everywhere, each part
- * would evict others. The second is for when the first is busy.
+ * Number of engines on which a shared part of prompts is cached. Cached on
+ * every engine, each part would evict others. The second is for a busy first
+ * one.
  */
-const HOME_ENGINES = 2;
-/** Engines looked at beside the homes, for when these are busy. */
-const OTHER_READERS = 3;
+const AFFINITY_ENGINES = 2;
+/** Engines sampled besides those with affinity, in case these are busy. */
+const RANDOM_PREFILL_ENGINES = 3;
 /**
- * Engines looked at where the cache is, as a transfer within a zone takes half
- * the time, and elsewhere.
+ * Engines sampled in the zone of the cache, where a transfer takes half as
+ * long, and in other zones.
  */
-const NEAR_DECODERS = 3;
-const OTHER_DECODERS = 3;
+const SAME_ZONE_DECODE_ENGINES = 3;
+const OTHER_ZONE_DECODE_ENGINES = 3;
 
 export interface SampleOptions {
   readonly random: Random;
-  /** Zone in which an engine is best. */
+  /** Preferred zone. */
   readonly availabilityZone: AvailabilityZoneId;
 }
 
 /**
- * Engines that a prompt may be read by: the homes of its shared parts first,
- * the others at random, one of them from the zone. A few are enough: the least
- * busy of five is nearly as free as the least busy of all, and entries that look
- * at different ones don't all follow the same picture to one engine.
+ * Prefill engines to compare for a prompt: first those with affinity to its
+ * shared parts, then random ones, with at least one of the preferred zone. A
+ * few are enough: the least busy of five is nearly as free as the least busy of
+ * all. Entries that sample different engines don't all choose the same one from
+ * the same load data.
  */
-export function sampleReaders(
+export function samplePrefillEngines(
   prompt: Prompt,
-  options: SampleOptions & { readonly readers: readonly RegisteredEndpoint[] },
+  options: SampleOptions & {
+    readonly prefillEngines: readonly RegisteredEndpoint[];
+  },
 ): readonly RegisteredEndpoint[] {
-  const { readers } = options;
-  const homes = homesOf(prompt, readers);
-  const others = readers.filter((each) => !homes.includes(each));
-  return [...homes, ...sampleNear(others, OTHER_READERS, options)];
+  const { prefillEngines } = options;
+  const preferred = affinityEngines(prompt, prefillEngines);
+  const others = prefillEngines.filter((each) => !preferred.includes(each));
+  return [
+    ...preferred,
+    ...sampleWithSameZone(others, RANDOM_PREFILL_ENGINES, options),
+  ];
 }
 
-/** Engines that an answer may be made by, those of the zone first. */
-export function sampleDecoders(
-  makers: readonly RegisteredEndpoint[],
+/**
+ * Decode engines to compare for an answer, those of the preferred zone first.
+ */
+export function sampleDecodeEngines(
+  decodeEngines: readonly RegisteredEndpoint[],
   options: SampleOptions,
 ): readonly RegisteredEndpoint[] {
-  const isNear = (each: RegisteredEndpoint) =>
+  const isSameZone = (each: RegisteredEndpoint) =>
     each.availabilityZone === options.availabilityZone;
-  const near = shuffled(makers.filter(isNear), options.random);
-  const far = shuffled(makers.filter((each) => !isNear(each)), options.random);
-  const nearest = near.slice(0, NEAR_DECODERS);
+  const sameZone = shuffled(decodeEngines.filter(isSameZone), options.random);
+  const otherZones = shuffled(
+    decodeEngines.filter((each) => !isSameZone(each)),
+    options.random,
+  );
+  const sameZoneSample = sameZone.slice(0, SAME_ZONE_DECODE_ENGINES);
   return [
-    ...nearest,
-    ...far.slice(0, NEAR_DECODERS + OTHER_DECODERS - nearest.length),
+    ...sameZoneSample,
+    ...otherZones.slice(
+      0,
+      SAME_ZONE_DECODE_ENGINES + OTHER_ZONE_DECODE_ENGINES -
+        sameZoneSample.length,
+    ),
   ];
 }
 
-/** The engines that the prompt's shared parts are gathered on. */
-function homesOf(
+/**
+ * Engines with affinity to the prompt's shared parts, by rendezvous hashing.
+ */
+function affinityEngines(
   prompt: Prompt,
-  readers: readonly RegisteredEndpoint[],
+  prefillEngines: readonly RegisteredEndpoint[],
 ): readonly RegisteredEndpoint[] {
-  // The last part is the request's own.
+  // The last part is specific to the request.
   const shared = prompt.parts.at(-2);
   if (shared === undefined) return [];
-  return rendezvousFirst(readers, { picker: shared.id, count: HOME_ENGINES });
+  return rendezvousFirst(prefillEngines, {
+    picker: shared.id,
+    count: AFFINITY_ENGINES,
+  });
 }
 
-/** So many at random, one of them from the zone where there is one. */
-function sampleNear(
+/** Random engines, one of them from the preferred zone where there is one. */
+function sampleWithSameZone(
   engines: readonly RegisteredEndpoint[],
   count: number,
   { availabilityZone, random }: SampleOptions,
 ): readonly RegisteredEndpoint[] {
-  const mixed = shuffled(engines, random);
-  const near = mixed.find((each) => each.availabilityZone === availabilityZone);
-  if (near === undefined) return mixed.slice(0, count);
-  const others = mixed.filter((each) => each !== near);
-  return [near, ...others.slice(0, count - 1)];
+  const candidates = shuffled(engines, random);
+  const sameZoneEngine = candidates.find((each) =>
+    each.availabilityZone === availabilityZone
+  );
+  if (sameZoneEngine === undefined) return candidates.slice(0, count);
+  const others = candidates.filter((each) => each !== sameZoneEngine);
+  return [sameZoneEngine, ...others.slice(0, count - 1)];
 }
 
 function shuffled<Item>(items: readonly Item[], random: Random): Item[] {
-  const mixed = [...items];
-  for (let last = mixed.length - 1; last > 0; last--) {
+  const result = [...items];
+  for (let last = result.length - 1; last > 0; last--) {
     const other = Math.floor(random() * (last + 1));
-    [mixed[last], mixed[other]] = [mixed[other], mixed[last]];
+    [result[last], result[other]] = [result[other], result[last]];
   }
-  return mixed;
+  return result;
 }
--- a/src/core/forwarding/placement/engine_sample_test.ts
+++ b/src/core/forwarding/placement/engine_sample_test.ts
@@ -5,7 +5,7 @@
 } from "../../../../test/support/forwarding_values.ts";
 import { type AvailabilityZoneId, identifier } from "../../identity/mod.ts";
 import { seededRandom } from "../../random/mod.ts";
-import { sampleDecoders, sampleReaders } from "./engine_sample.ts";
+import { sampleDecodeEngines, samplePrefillEngines } from "./engine_sample.ts";
 
 const ZONE = identifier<AvailabilityZoneId>("zone-1");
 
@@ -19,20 +19,21 @@
   );
 }
 
-describe("sampleReaders", () => {
-  const readers = engines(24, "prefill");
+describe("samplePrefillEngines", () => {
+  const prefillEngines = engines(24, "prefill");
 
   function sample(subject: string, random = seededRandom(1)) {
-    return sampleReaders(makePrompt(subject), {
-      readers,
+    return samplePrefillEngines(makePrompt(subject), {
+      prefillEngines,
       availabilityZone: ZONE,
       random,
     }).map(({ id }) => id);
   }
 
-  // Every entry looks at its own engines for a part that none of them knows to
-  // be kept. Without a home the part is read at as many engines as entries ask.
-  it("looks at the same two for a shared part, whoever asks", () => {
+  // Entries sample different engines for a part that none of them has cached
+  // yet. Without affinity the part would be computed on an engine for each
+  // entry.
+  it("includes the same two engines for a shared part on every entry", () => {
     const [one, other] = [
       sample("bylaw", seededRandom(1)),
       sample("bylaw", seededRandom(2)),
@@ -41,25 +42,25 @@
     expect(sample("verdict").slice(0, 2)).to.not.deep.equal(one.slice(0, 2));
   });
 
-  it("looks at each once, and at few of many", () => {
+  it("samples few of many engines, each once", () => {
     const seen = sample("bylaw");
     expect(new Set(seen).size).to.equal(seen.length);
     expect(seen.length).to.equal(5);
   });
 
-  it("looks at any of them in the end", () => {
+  it("samples any of the engines eventually", () => {
     const seen = new Set<string>();
     const random = seededRandom(1);
     for (let round = 0; round < 200; round++) {
       for (const id of sample("bylaw", random)) seen.add(id);
     }
-    expect(seen.size).to.equal(readers.length);
+    expect(seen.size).to.equal(prefillEngines.length);
   });
 
-  it("takes what there is", () => {
-    const two = readers.slice(0, 2);
-    const seen = sampleReaders(makePrompt("bylaw"), {
-      readers: two,
+  it("samples all engines where there are few", () => {
+    const two = prefillEngines.slice(0, 2);
+    const seen = samplePrefillEngines(makePrompt("bylaw"), {
+      prefillEngines: two,
       availabilityZone: ZONE,
       random: seededRandom(1),
     });
@@ -67,16 +68,16 @@
   });
 });
 
-describe("sampleDecoders", () => {
-  it("looks first where the cache is", () => {
-    const seen = sampleDecoders(engines(10, "decode"), {
+describe("sampleDecodeEngines", () => {
+  it("prefers the zone of the cache", () => {
+    const seen = sampleDecodeEngines(engines(10, "decode"), {
       availabilityZone: ZONE,
       random: seededRandom(1),
     });
-    const near = seen.filter(({ availabilityZone }) =>
+    const sameZone = seen.filter(({ availabilityZone }) =>
       availabilityZone === ZONE
     );
-    expect(near).to.have.length(2);
+    expect(sameZone).to.have.length(2);
     expect(new Set(seen).size).to.equal(6);
   });
 });
--- a/src/core/forwarding/placement/service_placement.ts
+++ b/src/core/forwarding/placement/service_placement.ts
@@ -4,24 +4,24 @@
 import type { LoadPicture } from "../endpoints/load_picture.ts";
 
 /**
- * What another availability zone counts for, in busy slots: less than one
- * request more, so that a free replica elsewhere is taken before one waits.
+ * Cost of another availability zone, in busy slots. It is less than one
+ * request, so that a free replica in another zone is preferred to queueing.
  */
-const OTHER_ZONE_SLOTS = 0.4;
-/** Equal candidates differ by up to so much at random, in slots. */
-const TIE_BREAK_SLOTS = 0.3;
+const CROSS_ZONE_SLOTS = 0.4;
+/** Range of the random term that breaks ties between replicas, in slots. */
+const TIE_BREAK_JITTER_SLOTS = 0.3;
 
 export interface ServicePlacementOptions {
   readonly load: LoadPicture;
   readonly random: Random;
-  /** Zone of the entry that asks. */
+  /** Zone of this entry. */
   readonly availabilityZone: AvailabilityZoneId;
 }
 
 /**
- * The replica of a plain service with the fewest open requests of all
- * entries for its slots. Load: short calls that come in bursts at several
- * entries; each would else wait behind another's at the same replica.
+ * Chooses the replica of a plain service with the fewest open requests of all
+ * entries relative to its slots. Short calls arrive in bursts at several
+ * entries and would otherwise queue behind each other at the same replica.
  */
 export function chooseService(
   candidates: readonly RegisteredEndpoint[],
@@ -31,10 +31,10 @@
   let best: RegisteredEndpoint | undefined;
   let bestCost = Infinity;
   for (const endpoint of candidates) {
-    const isFar = endpoint.availabilityZone !== availabilityZone;
-    const busy = load.total(endpoint.id).requests +
-      (isFar ? OTHER_ZONE_SLOTS : 0) + TIE_BREAK_SLOTS * random();
-    const cost = busy / Math.max(1, endpoint.slots);
+    const isOtherZone = endpoint.availabilityZone !== availabilityZone;
+    const weightedRequests = load.total(endpoint.id).requests +
+      (isOtherZone ? CROSS_ZONE_SLOTS : 0) + TIE_BREAK_JITTER_SLOTS * random();
+    const cost = weightedRequests / Math.max(1, endpoint.slots);
     if (cost >= bestCost) continue;
     bestCost = cost;
     best = endpoint;
--- a/src/core/forwarding/roles/role_demand.ts
+++ b/src/core/forwarding/roles/role_demand.ts
@@ -1,11 +1,11 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /** Span that covers several swings of the mix between prompts and answers. */
-const SPAN_MILLISECONDS = 30_000;
+const WINDOW_MILLISECONDS = 30_000;
 /** Samples below which nothing is concluded. */
-const FEWEST_SAMPLES = 12;
+const MIN_SAMPLES = 12;
 /** Share of the samples in which no more answers are open than concluded. */
-const ANSWERS_QUANTILE = 0.9;
+const OPEN_ANSWERS_QUANTILE = 0.9;
 
 /** What the engines of a pool have to do at one moment. */
 export interface RoleSample {
@@ -26,7 +26,7 @@
 
   note(sample: RoleSample): void {
     const at = this.#timer.now();
-    const oldest = at - SPAN_MILLISECONDS;
+    const oldest = at - WINDOW_MILLISECONDS;
     this.#samples = this.#samples.filter((each) => each.at > oldest);
     this.#samples.push({ ...sample, at });
   }
@@ -38,13 +38,17 @@
    */
   get usual(): RoleSample | undefined {
     const samples = this.#samples;
-    if (samples.length < FEWEST_SAMPLES) return undefined;
+    if (samples.length < MIN_SAMPLES) return undefined;
     const answers = samples.map((sample) => sample.answers)
       .sort((one, other) => one - other);
-    const busy = samples.reduce((sum, { busyReaders }) => sum + busyReaders, 0);
+    const busyReadersSum = samples.reduce(
+      (sum, { busyReaders }) => sum + busyReaders,
+      0,
+    );
     return {
-      answers: answers[Math.floor(ANSWERS_QUANTILE * (answers.length - 1))],
-      busyReaders: busy / samples.length,
+      answers:
+        answers[Math.floor(OPEN_ANSWERS_QUANTILE * (answers.length - 1))],
+      busyReaders: busyReadersSum / samples.length,
     };
   }
 }
--- a/src/core/forwarding/roles/role_demand_test.ts
+++ b/src/core/forwarding/roles/role_demand_test.ts
@@ -22,11 +22,14 @@
   });
 
   /** Prompts and answers that take turns, `swing` milliseconds each. */
-  async function turn(swing: number, milliseconds: number): Promise<void> {
+  async function alternate(
+    phaseMilliseconds: number,
+    milliseconds: number,
+  ): Promise<void> {
     for (let at = 0; at < milliseconds; at += SAMPLE_MILLISECONDS) {
-      const isForPrompts = Math.floor(at / swing) % 2 === 0;
+      const isPrefillPhase = Math.floor(at / phaseMilliseconds) % 2 === 0;
       demand.note(
-        isForPrompts
+        isPrefillPhase
           ? { answers: 60, busyReaders: 18 }
           : { answers: 260, busyReaders: 2 },
       );
@@ -35,15 +38,15 @@
   }
 
   it("concludes nothing from a few samples", async () => {
-    await turn(3_000, 2_000);
+    await alternate(3_000, 2_000);
     expect(demand.usual).to.equal(undefined);
   });
 
-  for (const swing of [3_000, 15_000]) {
-    it(`does not follow a mix that turns each ${swing} ms`, async () => {
-      await turn(swing, 30_000);
+  for (const phaseMilliseconds of [3_000, 15_000]) {
+    it(`does not follow a mix that turns each ${phaseMilliseconds} ms`, async () => {
+      await alternate(phaseMilliseconds, 30_000);
       const first = demand.usual;
-      await turn(swing, swing);
+      await alternate(phaseMilliseconds, phaseMilliseconds);
       expect(first).to.deep.include({ answers: 260 });
       expect(demand.usual?.answers).to.equal(260);
       expect(demand.usual?.busyReaders)
@@ -52,7 +55,7 @@
   }
 
   it("forgets what was asked for more than half a minute ago", async () => {
-    await turn(15_000, 30_000);
+    await alternate(15_000, 30_000);
     for (let at = 0; at < 31_000; at += SAMPLE_MILLISECONDS) {
       demand.note({ answers: 20, busyReaders: 5 });
       await timer.advance(SAMPLE_MILLISECONDS);
--- a/src/core/forwarding/roles/role_plan.ts
+++ b/src/core/forwarding/roles/role_plan.ts
@@ -3,35 +3,35 @@
 import type { RoleSample } from "./role_demand.ts";
 
 /** Share of a pool's engines that read prompts, where each has many slots. */
-const MOST_PREFILL_SHARE = 0.7;
+const MAX_PREFILL_SHARE = 0.7;
 /** Slots of an engine from which on that share fits. */
-const MANY_SLOTS = 64;
+const SLOTS_FOR_MAX_PREFILL_SHARE = 64;
 /**
  * Share of the engines that go from reading to answers each time that their
  * slots are half as many: answers that find no slot wait for seconds.
  */
-const SHARE_FOR_HALF_THE_SLOTS = 0.1;
+const PREFILL_SHARE_PER_SLOT_HALVING = 0.1;
 /**
  * Share that goes on reading, however few slots the engines have: how the work
  * is mixed is not known beforehand, and a burst of prompts needs them.
  */
-const LEAST_SHARE_BY_SLOTS = 0.6;
+const MIN_PREFILL_SHARE_BY_SLOTS = 0.6;
 /** The same where the work was seen. */
-const LEAST_PREFILL_SHARE = 0.5;
+const MIN_PREFILL_SHARE = 0.5;
 
 /** Share of the engines that are to read prompts, by their slots. */
 export function prefillShareOf(engines: readonly RegisteredEndpoint[]): number {
   const sum = engines.reduce((slots, engine) => slots + engine.slots, 0);
   const slots = Math.max(1, sum / engines.length);
-  const halvings = Math.max(0, Math.log2(MANY_SLOTS / slots));
+  const halvings = Math.max(0, Math.log2(SLOTS_FOR_MAX_PREFILL_SHARE / slots));
   return Math.max(
-    LEAST_SHARE_BY_SLOTS,
-    MOST_PREFILL_SHARE - SHARE_FOR_HALF_THE_SLOTS * halvings,
+    MIN_PREFILL_SHARE_BY_SLOTS,
+    MAX_PREFILL_SHARE - PREFILL_SHARE_PER_SLOT_HALVING * halvings,
   );
 }
 
 /** Share of the time for which engines that read may be busy on average. */
-const MOST_BUSY_READERS = 0.6;
+const MAX_PREFILL_UTILIZATION = 0.6;
 
 /**
  * The share for what the engines had to do: those that decode have slots to
@@ -39,16 +39,18 @@
  */
 export function prefillShareFor(
   engines: readonly RegisteredEndpoint[],
-  usual: RoleSample | undefined,
+  demand: RoleSample | undefined,
 ): number {
   const bySlots = prefillShareOf(engines);
-  if (usual === undefined || engines.length === 0) return bySlots;
+  if (demand === undefined || engines.length === 0) return bySlots;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
-  const leftByAnswers = 1 - usual.answers / (MOST_TAKEN_SLOTS * slots);
-  const needed = usual.busyReaders / (MOST_BUSY_READERS * engines.length);
+  const shareSparedByAnswers = 1 -
+    demand.answers / (MAX_DECODE_SLOT_UTILIZATION * slots);
+  const shareNeededForPrefill = demand.busyReaders /
+    (MAX_PREFILL_UTILIZATION * engines.length);
   return Math.min(
     bySlots,
-    Math.max(LEAST_PREFILL_SHARE, leftByAnswers, needed),
+    Math.max(MIN_PREFILL_SHARE, shareSparedByAnswers, shareNeededForPrefill),
   );
 }
 
@@ -56,11 +58,11 @@
  * How far the engines of a role may be from their share. An engine that crashes is
  * back within seconds; replacing it would take two changes of role.
  */
-const TOLERATED_ENGINES = 0.75;
+const TOLERATED_DEVIATION_ENGINES = 0.75;
 /**
  * Share of the slots that answers may take on the engines that decode.
  */
-const MOST_TAKEN_SLOTS = 0.6;
+const MAX_DECODE_SLOT_UTILIZATION = 0.6;
 
 /** A change of one engine's role. */
 export interface RoleChange {
@@ -89,16 +91,19 @@
   const roleOf = (engine: RegisteredEndpoint) =>
     changing.get(engine.id) ?? engine.role;
   const share = options.prefillShare ?? prefillShareOf(engines);
-  const exact = share * engines.length;
-  const wanted = Math.min(
+  const exactTarget = share * engines.length;
+  const target = Math.min(
     engines.length - 1,
     Math.max(1, Math.round(share * engines.length)),
   );
-  const readers = engines.filter((engine) => roleOf(engine) === "prefill");
-  const missing = wanted - readers.length;
-  const isNear = Math.abs(exact - readers.length) <= TOLERATED_ENGINES &&
-    readers.length > 0 && readers.length < engines.length;
-  if (isNear) return [];
+  const prefillEngines = engines.filter((engine) =>
+    roleOf(engine) === "prefill"
+  );
+  const missing = target - prefillEngines.length;
+  const isWithinTolerance = Math.abs(exactTarget - prefillEngines.length) <=
+      TOLERATED_DEVIATION_ENGINES &&
+    prefillEngines.length > 0 && prefillEngines.length < engines.length;
+  if (isWithinTolerance) return [];
   const role = missing > 0 ? "prefill" : "decode";
   const candidates = engines.filter((engine) =>
     roleOf(engine) !== role && !changing.has(engine.id)
@@ -106,23 +111,28 @@
   return spreadOverZones(candidates, { engines, role, roleOf, openRequests })
     .slice(
       0,
-      role === "decode" ? -missing : Math.min(missing, spareMakers(options)),
+      role === "decode"
+        ? -missing
+        : Math.min(missing, spareDecodeEngines(options)),
     )
     .map((endpoint) => ({ endpoint, role }));
 }
 
 /** How many engines fewer still have slots for the answers that are open. */
-function spareMakers(options: RolePlanOptions): number {
+function spareDecodeEngines(options: RolePlanOptions): number {
   const { changing, engines, openRequests } = options;
-  const makers = engines.filter((engine) =>
+  const decodeEngines = engines.filter((engine) =>
     (changing.get(engine.id) ?? engine.role) !== "prefill"
   );
-  const open = makers.reduce((sum, maker) => sum + openRequests(maker.id), 0);
-  let slots = makers.reduce((sum, maker) => sum + maker.slots, 0);
+  const openAnswers = decodeEngines.reduce(
+    (sum, maker) => sum + openRequests(maker.id),
+    0,
+  );
+  let slots = decodeEngines.reduce((sum, maker) => sum + maker.slots, 0);
   let spare = 0;
-  for (const maker of makers) {
-    slots -= maker.slots;
-    if (open > MOST_TAKEN_SLOTS * slots) break;
+  for (const engine of decodeEngines) {
+    slots -= engine.slots;
+    if (openAnswers > MAX_DECODE_SLOT_UTILIZATION * slots) break;
     spare += 1;
   }
   return spare;
@@ -147,12 +157,12 @@
   const ordered: RegisteredEndpoint[] = [];
   while (zones.length > 0) {
     const next = zones.reduce((best, zone) =>
-      goesBefore(zone, best) ? zone : best
+      isPickedBefore(zone, best) ? zone : best
     );
-    ordered.push(next.waiting[next.taken].endpoint);
-    next.taken += 1;
+    ordered.push(next.candidates[next.picked].endpoint);
+    next.picked += 1;
     next.ofRole += 1;
-    if (next.taken === next.waiting.length) {
+    if (next.picked === next.candidates.length) {
       zones.splice(zones.indexOf(next), 1);
     }
   }
@@ -161,14 +171,14 @@
 
 interface Candidate {
   readonly endpoint: RegisteredEndpoint;
-  readonly open: number;
+  readonly openRequests: number;
 }
 
 /** Candidates of a zone, the least busy first. */
 interface ZoneCandidates {
-  readonly waiting: readonly Candidate[];
+  readonly candidates: readonly Candidate[];
   /** How many of them are ordered already. */
-  taken: number;
+  picked: number;
   /** Engines that have the role, those included. */
   ofRole: number;
 }
@@ -180,7 +190,7 @@
   const byZone = new Map<AvailabilityZoneId, Candidate[]>();
   for (const endpoint of candidates) {
     const zone = byZone.get(endpoint.availabilityZone) ?? [];
-    zone.push({ endpoint, open: openRequests(endpoint.id) });
+    zone.push({ endpoint, openRequests: openRequests(endpoint.id) });
     byZone.set(endpoint.availabilityZone, zone);
   }
   const ofRole = new Map<AvailabilityZoneId, number>();
@@ -189,19 +199,22 @@
     const zone = engine.availabilityZone;
     ofRole.set(zone, (ofRole.get(zone) ?? 0) + 1);
   }
-  return [...byZone].map(([zone, waiting]) => ({
-    waiting: waiting.sort(byBusiness),
-    taken: 0,
+  return [...byZone].map(([zone, candidates]) => ({
+    candidates: candidates.sort(byOpenRequests),
+    picked: 0,
     ofRole: ofRole.get(zone) ?? 0,
   }));
 }
 
-function goesBefore(zone: ZoneCandidates, other: ZoneCandidates): boolean {
+function isPickedBefore(zone: ZoneCandidates, other: ZoneCandidates): boolean {
   if (zone.ofRole !== other.ofRole) return zone.ofRole < other.ofRole;
-  return byBusiness(zone.waiting[zone.taken], other.waiting[other.taken]) < 0;
+  return byOpenRequests(
+    zone.candidates[zone.picked],
+    other.candidates[other.picked],
+  ) < 0;
 }
 
-function byBusiness(one: Candidate, other: Candidate): number {
-  return one.open - other.open ||
+function byOpenRequests(one: Candidate, other: Candidate): number {
+  return one.openRequests - other.openRequests ||
     (one.endpoint.id < other.endpoint.id ? -1 : 1);
 }
--- a/src/core/forwarding/roles/role_plan_test.ts
+++ b/src/core/forwarding/roles/role_plan_test.ts
@@ -4,42 +4,44 @@
 import { planRoles, type RegisteredEndpoint } from "../mod.ts";
 import { prefillShareOf } from "./role_plan.ts";
 
-const NOTHING_CHANGES = new Map();
-const IDLE = () => 0;
+const NO_CHANGES = new Map();
+const NO_OPEN_REQUESTS = () => 0;
 
-function zoned(id: string, role: "prefill" | "decode", zone: string) {
+function engineInZone(id: string, role: "prefill" | "decode", zone: string) {
   return makeEngine(id, role, {
     availabilityZone: identifier<AvailabilityZoneId>(zone),
   });
 }
 
-function roles(engines: readonly RegisteredEndpoint[]) {
+function planHalfPrefill(engines: readonly RegisteredEndpoint[]) {
   return planRoles({
     engines,
-    openRequests: IDLE,
-    changing: NOTHING_CHANGES,
+    openRequests: NO_OPEN_REQUESTS,
+    changing: NO_CHANGES,
     prefillShare: 0.5,
   });
 }
 
 describe("planRoles", () => {
   it("changes nothing while the count fits", () => {
-    expect(roles([makeEngine("a", "prefill"), makeEngine("b", "decode")]))
+    expect(
+      planHalfPrefill([makeEngine("a", "prefill"), makeEngine("b", "decode")]),
+    )
       .to.deep.equal([]);
   });
 
   it("leaves the only engine alone", () => {
-    expect(roles([makeEngine("a", "decode")])).to.deep.equal([]);
+    expect(planHalfPrefill([makeEngine("a", "decode")])).to.deep.equal([]);
   });
 
   // All engines that read prompts stand in one zone. When that zone is lost,
   // every long prompt is refused until roles have changed.
   it("takes engines of the zone that has none of the role", () => {
-    const changes = roles([
-      zoned("a", "prefill", "one"),
-      zoned("b", "decode", "one"),
-      zoned("c", "decode", "two"),
-      zoned("d", "decode", "two"),
+    const changes = planHalfPrefill([
+      engineInZone("a", "prefill", "one"),
+      engineInZone("b", "decode", "one"),
+      engineInZone("c", "decode", "two"),
+      engineInZone("d", "decode", "two"),
     ]);
     expect(changes.map(({ endpoint, role }) => [endpoint.id, role]))
       .to.deep.equal([["c", "prefill"]]);
@@ -48,27 +50,27 @@
   it("looks at each of 3,000 engines once to order them by zone", () => {
     const engines = Array.from(
       { length: 3_000 },
-      (_, index) => zoned(`i-${index}`, "decode", `zone-${index % 5}`),
+      (_, index) => engineInZone(`i-${index}`, "decode", `zone-${index % 5}`),
     );
-    let looks = 0;
+    let lookups = 0;
     const changes = planRoles({
       engines,
       openRequests: () => {
-        looks += 1;
+        lookups += 1;
         return 0;
       },
-      changing: NOTHING_CHANGES,
+      changing: NO_CHANGES,
       prefillShare: 0.5,
     });
     expect(changes).to.have.length(1_500);
-    expect(looks).to.be.at.most(2 * engines.length);
+    expect(lookups).to.be.at.most(2 * engines.length);
   });
 
   it("counts engines whose change is under way by their new role", () => {
     const engines = ["a", "b", "c", "d"].map((id) => makeEngine(id, "decode"));
     const changes = planRoles({
       engines,
-      openRequests: IDLE,
+      openRequests: NO_OPEN_REQUESTS,
       changing: new Map([[engines[0].id, "prefill"], [
         engines[1].id,
         "prefill",
@@ -83,7 +85,7 @@
     const [change] = planRoles({
       engines,
       openRequests: (id) => id === "a" ? 9 : 1,
-      changing: NOTHING_CHANGES,
+      changing: NO_CHANGES,
       prefillShare: 0.5,
     });
     expect(change.endpoint.id).to.equal("b");
@@ -101,8 +103,8 @@
     ];
     const changes = planRoles({
       engines,
-      openRequests: IDLE,
-      changing: NOTHING_CHANGES,
+      openRequests: NO_OPEN_REQUESTS,
+      changing: NO_CHANGES,
       prefillShare: 0.7,
     });
     expect(changes).to.deep.equal([]);
@@ -114,8 +116,8 @@
     const engines = ["d", "e"].map((id) => makeEngine(id, "decode"));
     const changes = planRoles({
       engines,
-      openRequests: IDLE,
-      changing: NOTHING_CHANGES,
+      openRequests: NO_OPEN_REQUESTS,
+      changing: NO_CHANGES,
       prefillShare: 0.7,
     });
     expect(changes).to.have.length(1);
@@ -126,7 +128,7 @@
     const changes = planRoles({
       engines,
       openRequests: () => 20,
-      changing: NOTHING_CHANGES,
+      changing: NO_CHANGES,
       prefillShare: 0.7,
     });
     expect(changes).to.deep.equal([]);
@@ -161,11 +163,11 @@
   });
 
   it("falls with the slots, and leaves half to prompts", () => {
-    let before = 0;
+    let previousShare = 0;
     for (const slots of [1, 4, 8, 16, 24, 32, 64]) {
       const share = prefillShareOf(engines(34, slots));
-      expect(share).to.be.within(Math.max(0.6, before), 0.7);
-      before = share;
+      expect(share).to.be.within(Math.max(0.6, previousShare), 0.7);
+      previousShare = share;
     }
   });
 });
