--- a/src/core/forwarding/roles/role_demand.ts
+++ b/src/core/forwarding/roles/role_demand.ts
@@ -1,21 +1,23 @@
 import type { TimerService } from "../../time/mod.ts";
 
-/** Span that covers several swings of the mix between prompts and answers. */
+/**
+ * Length of the window; it covers several swings between prompts and answers.
+ */
 const WINDOW_MILLISECONDS = 30_000;
-/** Samples below which nothing is concluded. */
+/** Number of samples below which the demand is unknown. */
 const MIN_SAMPLES = 12;
-/** Share of the samples in which no more answers are open than concluded. */
+/** Quantile of the open answers for which decode engines need slots. */
 const OPEN_ANSWERS_QUANTILE = 0.9;
 
-/** What the engines of a pool have to do at one moment. */
+/** Load of a pool's engines at one moment. */
 export interface RoleSample {
-  /** Answers that are open at engines that decode. */
+  /** Answers open at decode engines. */
   readonly answers: number;
-  /** Engines that read a prompt. */
+  /** Prefill engines with work. */
   readonly busyReaders: number;
 }
 
-/** What the engines of a pool had to do over the last half minute. */
+/** Load of a pool's engines over the last half minute. */
 export class RoleDemand {
   readonly #timer: TimerService;
   #samples: (RoleSample & { readonly at: number })[] = [];
@@ -24,6 +26,7 @@
     this.#timer = timer;
   }
 
+  /** Records a sample of the current load. */
   note(sample: RoleSample): void {
     const at = this.#timer.now();
     const oldest = at - WINDOW_MILLISECONDS;
@@ -32,9 +35,9 @@
   }
 
   /**
-   * The answers that are open at most times, and the readers that are busy on
-   * average: prompts can wait for each other, an answer needs a slot while it
-   * runs. Undefined while too little was seen.
+   * A high quantile of the open answers and the mean of the busy prefill
+   * engines: prompts can queue for each other, while an answer needs a slot as
+   * long as it runs. Undefined while there are too few samples.
    */
   get usual(): RoleSample | undefined {
     const samples = this.#samples;
--- a/src/core/forwarding/roles/role_demand_test.ts
+++ b/src/core/forwarding/roles/role_demand_test.ts
@@ -21,7 +21,7 @@
     demand = new RoleDemand(timer);
   });
 
-  /** Prompts and answers that take turns, `swing` milliseconds each. */
+  /** Records phases of prompts and of answers in turn. */
   async function alternate(
     phaseMilliseconds: number,
     milliseconds: number,
@@ -37,13 +37,13 @@
     }
   }
 
-  it("concludes nothing from a few samples", async () => {
+  it("is unknown after a few samples", async () => {
     await alternate(3_000, 2_000);
     expect(demand.usual).to.equal(undefined);
   });
 
   for (const phaseMilliseconds of [3_000, 15_000]) {
-    it(`does not follow a mix that turns each ${phaseMilliseconds} ms`, async () => {
+    it(`does not follow a mix that alternates every ${phaseMilliseconds} ms`, async () => {
       await alternate(phaseMilliseconds, 30_000);
       const first = demand.usual;
       await alternate(phaseMilliseconds, phaseMilliseconds);
@@ -54,7 +54,7 @@
     });
   }
 
-  it("forgets what was asked for more than half a minute ago", async () => {
+  it("forgets samples older than half a minute", async () => {
     await alternate(15_000, 30_000);
     for (let at = 0; at < 31_000; at += SAMPLE_MILLISECONDS) {
       demand.note({ answers: 20, busyReaders: 5 });
@@ -65,12 +65,12 @@
 });
 
 describe("prefillShareFor", () => {
-  it("goes by the slots while nothing was seen", () => {
+  it("depends on the slots alone while the demand is unknown", () => {
     expect(prefillShareFor(engines(29), undefined))
       .to.equal(prefillShareOf(engines(29)));
   });
 
-  it("gives answers the engines that readers can spare", () => {
+  it("gives answers the engines that prefill can spare", () => {
     const share = prefillShareFor(engines(29), {
       answers: 260,
       busyReaders: 9,
@@ -78,12 +78,12 @@
     expect(Math.round((1 - share) * 29) * 32).to.be.at.least(400);
   });
 
-  it("takes no reader away where they are busy", () => {
+  it("takes no engine from a busy prefill role", () => {
     const usual = { answers: 160, busyReaders: 5 };
     expect(prefillShareFor(engines(8, 64), usual)).to.equal(0.7);
   });
 
-  it("leaves half to prompts and no more than the slots allow", () => {
+  it("gives prompts at least half and at most the share by slots", () => {
     for (const answers of [0, 100, 1_000, 100_000]) {
       const usual = { answers, busyReaders: 0 };
       expect(prefillShareFor(engines(10), usual)).to.be.within(0.5, 0.7);
--- a/src/core/forwarding/roles/role_plan.ts
+++ b/src/core/forwarding/roles/role_plan.ts
@@ -2,24 +2,24 @@
 import type { RegisteredEndpoint } from "../configuration.ts";
 import type { RoleSample } from "./role_demand.ts";
 
-/** Share of a pool's engines that read prompts, where each has many slots. */
+/** Share of a pool's engines that prefill, where each engine has many slots. */
 const MAX_PREFILL_SHARE = 0.7;
-/** Slots of an engine from which on that share fits. */
+/** Slots per engine from which the full prefill share applies. */
 const SLOTS_FOR_MAX_PREFILL_SHARE = 64;
 /**
- * Share of the engines that go from reading to answers each time that their
- * slots are half as many: answers that find no slot wait for seconds.
+ * Share of the engines that moves from prefill to decode each time the slots
+ * per engine halve. Answers that find no free slot wait for seconds.
  */
 const PREFILL_SHARE_PER_SLOT_HALVING = 0.1;
 /**
- * Share that goes on reading, however few slots the engines have: how the work
- * is mixed is not known beforehand, and a burst of prompts needs them.
+ * Lower bound of the prefill share by slots. It leaves engines for a burst of
+ * prompts while the mix of the work is unknown.
  */
 const MIN_PREFILL_SHARE_BY_SLOTS = 0.6;
-/** The same where the work was seen. */
+/** Lower bound of the prefill share where the demand is known. */
 const MIN_PREFILL_SHARE = 0.5;
 
-/** Share of the engines that are to read prompts, by their slots. */
+/** Share of the engines that should prefill, by their slots alone. */
 export function prefillShareOf(engines: readonly RegisteredEndpoint[]): number {
   const sum = engines.reduce((slots, engine) => slots + engine.slots, 0);
   const slots = Math.max(1, sum / engines.length);
@@ -30,12 +30,13 @@
   );
 }
 
-/** Share of the time for which engines that read may be busy on average. */
+/** Target for the mean utilization of prefill engines. */
 const MAX_PREFILL_UTILIZATION = 0.6;
 
 /**
- * The share for what the engines had to do: those that decode have slots to
- * spare for the answers, as far as the others can be spared from reading.
+ * Share of the engines that should prefill, by the measured demand. Decode
+ * engines get spare slots for the answers as far as prefill can do without the
+ * engines.
  */
 export function prefillShareFor(
   engines: readonly RegisteredEndpoint[],
@@ -55,13 +56,11 @@
 }
 
 /**
- * How far the engines of a role may be from their share. An engine that crashes is
- * back within seconds; replacing it would take two changes of role.
+ * Tolerated difference between the engines of a role and their share. A crashed
+ * engine is back within seconds; replacing it would take two role changes.
  */
 const TOLERATED_DEVIATION_ENGINES = 0.75;
-/**
- * Share of the slots that answers may take on the engines that decode.
- */
+/** Target for the share of decode slots that answers use. */
 const MAX_DECODE_SLOT_UTILIZATION = 0.6;
 
 /** A change of one engine's role. */
@@ -71,19 +70,21 @@
 }
 
 export interface RolePlanOptions {
-  /** Engines of one pool that may get work. */
+  /** Engines of one pool that accept work. */
   readonly engines: readonly RegisteredEndpoint[];
-  /** Requests that all entries have open at the engine. */
+  /** Open requests of all entries at the engine. */
   readonly openRequests: (endpoint: EndpointId) => number;
-  /** Engines whose change is under way, with the role they will have. */
+  /** Engines whose role change is in progress, with their new roles. */
   readonly changing: ReadonlyMap<EndpointId, "prefill" | "decode">;
-  /** Share of the engines that are to read prompts; absent: what is known. */
+  /**
+   * Share of the engines that should prefill; by default it follows the slots.
+   */
   readonly prefillShare?: number;
 }
 
 /**
- * Which engines are to change their role. Few changes: each takes an engine
- * away for seconds, so nothing is changed while the count fits.
+ * Plans role changes for a pool. Each change takes an engine out of service for
+ * seconds, so nothing changes while the counts are within tolerance.
  */
 export function planRoles(options: RolePlanOptions): RoleChange[] {
   const { engines, openRequests, changing } = options;
@@ -118,17 +119,17 @@
     .map((endpoint) => ({ endpoint, role }));
 }
 
-/** How many engines fewer still have slots for the answers that are open. */
+/** Number of decode engines that the open answers can do without. */
 function spareDecodeEngines(options: RolePlanOptions): number {
   const { changing, engines, openRequests } = options;
   const decodeEngines = engines.filter((engine) =>
     (changing.get(engine.id) ?? engine.role) !== "prefill"
   );
   const openAnswers = decodeEngines.reduce(
-    (sum, maker) => sum + openRequests(maker.id),
+    (sum, engine) => sum + openRequests(engine.id),
     0,
   );
-  let slots = decodeEngines.reduce((sum, maker) => sum + maker.slots, 0);
+  let slots = decodeEngines.reduce((sum, engine) => sum + engine.slots, 0);
   let spare = 0;
   for (const engine of decodeEngines) {
     slots -= engine.slots;
@@ -146,8 +147,9 @@
 }
 
 /**
- * Orders the candidates: zones with the fewest engines of the role first, so
- * that the loss of a zone does not take all of them, then the least busy.
+ * Orders the candidates by zone, those with the fewest engines of the role
+ * first, so that the loss of a zone does not remove the whole role. Within a
+ * zone the least busy engine comes first.
  */
 function spreadOverZones(
   candidates: readonly RegisteredEndpoint[],
@@ -174,12 +176,12 @@
   readonly openRequests: number;
 }
 
-/** Candidates of a zone, the least busy first. */
+/** Candidates of a zone, ordered by open requests. */
 interface ZoneCandidates {
   readonly candidates: readonly Candidate[];
-  /** How many of them are ordered already. */
+  /** Number of candidates picked so far. */
   picked: number;
-  /** Engines that have the role, those included. */
+  /** Engines with the role, including the picked candidates. */
   ofRole: number;
 }
 
--- a/src/core/forwarding/roles/role_plan_test.ts
+++ b/src/core/forwarding/roles/role_plan_test.ts
@@ -23,20 +23,20 @@
 }
 
 describe("planRoles", () => {
-  it("changes nothing while the count fits", () => {
+  it("changes nothing while the counts are within tolerance", () => {
     expect(
       planHalfPrefill([makeEngine("a", "prefill"), makeEngine("b", "decode")]),
     )
       .to.deep.equal([]);
   });
 
-  it("leaves the only engine alone", () => {
+  it("leaves a single engine unchanged", () => {
     expect(planHalfPrefill([makeEngine("a", "decode")])).to.deep.equal([]);
   });
 
-  // All engines that read prompts stand in one zone. When that zone is lost,
-  // every long prompt is refused until roles have changed.
-  it("takes engines of the zone that has none of the role", () => {
+  // All prefill engines are in one zone. When that zone fails, every long
+  // prompt would be rejected until roles have changed.
+  it("picks engines of the zone that has none of the role", () => {
     const changes = planHalfPrefill([
       engineInZone("a", "prefill", "one"),
       engineInZone("b", "decode", "one"),
@@ -47,7 +47,7 @@
       .to.deep.equal([["c", "prefill"]]);
   });
 
-  it("looks at each of 3,000 engines once to order them by zone", () => {
+  it("orders 3,000 engines by zone with at most two lookups for each", () => {
     const engines = Array.from(
       { length: 3_000 },
       (_, index) => engineInZone(`i-${index}`, "decode", `zone-${index % 5}`),
@@ -66,7 +66,7 @@
     expect(lookups).to.be.at.most(2 * engines.length);
   });
 
-  it("counts engines whose change is under way by their new role", () => {
+  it("counts engines whose change is in progress by their new role", () => {
     const engines = ["a", "b", "c", "d"].map((id) => makeEngine(id, "decode"));
     const changes = planRoles({
       engines,
@@ -80,7 +80,7 @@
     expect(changes).to.deep.equal([]);
   });
 
-  it("takes the least busy engine, which drains soonest", () => {
+  it("picks the least busy engine, which drains first", () => {
     const engines = ["a", "b"].map((id) => makeEngine(id, "decode"));
     const [change] = planRoles({
       engines,
@@ -93,10 +93,10 @@
 });
 
 describe("planRoles after a loss", () => {
-  // One of six engines crashes for five seconds. Another one was told to
-  // change its role, and urgent streams waited for slots on the one that was
-  // left to decode.
-  it("leaves the others as they are", () => {
+  // One of six engines crashes for five seconds. If another one changed its
+  // role, urgent streams would wait for slots on the only remaining decode
+  // engine.
+  it("leaves the other engines unchanged", () => {
     const engines = [
       ...["a", "b", "c"].map((id) => makeEngine(id, "prefill")),
       ...["d", "e"].map((id) => makeEngine(id, "decode")),
@@ -110,8 +110,8 @@
     expect(changes).to.deep.equal([]);
   });
 
-  // Every engine that reads prompts is lost. Without a change each long
-  // prompt would be refused until they are back.
+  // Every prefill engine is lost. Without a change each long prompt would be
+  // rejected until they are back.
   it("replaces a role that has no engine left", () => {
     const engines = ["d", "e"].map((id) => makeEngine(id, "decode"));
     const changes = planRoles({
@@ -143,26 +143,26 @@
     );
   }
 
-  it("leaves seven of ten to prompts where slots are many", () => {
+  it("gives prompts 70% of the engines where slots are many", () => {
     expect(prefillShareOf(engines(8, 64))).to.equal(0.7);
     expect(prefillShareOf(engines(8, 128))).to.equal(0.7);
   });
 
-  // Forty-two answers a second of three seconds each, three times as many in
-  // a burst: with nine of 29 engines for them they wait for slots.
-  it("gives four of ten to answers at 32 slots", () => {
+  // 42 answers per second take three seconds each, with three times as many in
+  // a burst. On nine of 29 engines they would wait for slots.
+  it("gives answers 40% of the engines at 32 slots", () => {
     expect(prefillShareOf(engines(29, 32))).to.be.closeTo(0.6, 0.001);
   });
 
-  // Engines make eight answers at once, and ninety urgent ones of three seconds
-  // each are open. With three of ten engines for them urgent callers wait for a
-  // second, while the engines that read stand idle for four fifths of theirs.
-  it("gives answers more engines where each makes few at once", () => {
+  // Engines run eight answers at once, and 90 urgent ones of three seconds each
+  // are open. On three of ten engines urgent callers would wait for a second,
+  // while the prefill engines are idle for 80% of the time.
+  it("gives answers more engines where each has few slots", () => {
     const share = prefillShareOf(engines(34, 8));
     expect(Math.round((1 - share) * 34) * 8).to.be.at.least(100);
   });
 
-  it("falls with the slots, and leaves half to prompts", () => {
+  it("falls with the slots, but not below 60%", () => {
     let previousShare = 0;
     for (const slots of [1, 4, 8, 16, 24, 32, 64]) {
       const share = prefillShareOf(engines(34, slots));
