--- a/src/core/forwarding/caches/prefill_plan.ts
+++ b/src/core/forwarding/caches/prefill_plan.ts
@@ -4,43 +4,46 @@
 import type { Prompt } from "../requests.ts";
 
 /**
- * Tokens from which on a part is fetched from the engine that keeps it. Load:
- * several hundred shared parts, more than one engine's memory holds. Harm
- * prevented: an engine reads again for 20 ms what a link carries in 2 to 4 ms.
- * Limit: a fetch of 1,000 tokens saves 3 ms and costs a wait on both links.
+ * Smallest number of tokens that is fetched from another engine. Fetching pays
+ * where hundreds of shared parts exceed one engine's memory: computing a part
+ * again takes 20 ms, and a link transfers it in 2 to 4 ms. A fetch of 1,000
+ * tokens saves only 3 ms and waits for both links.
  */
 const MIN_FETCHED_TOKENS = 1_000;
 
-/** How an engine reads a prompt. */
+/** How an engine prefills a prompt. */
 export interface PrefillPlan {
   /**
-   * Work that the engine has to do for it, without the time of the call: calls
-   * to one engine overlap. Counted with each prompt that stands before it, they
-   * had 84 ms predicted at the median where 65 were taken.
+   * Prefill work at the engine, without the time of the call, since calls to
+   * one engine overlap. When the call counted for each queued prompt, the
+   * median prediction was 84 ms for a measured 65 ms.
    */
   readonly workMilliseconds: number;
-  /** Tokens at its start that the engine need not read. */
+  /** Tokens at the prompt's start that the engine need not compute. */
   readonly keptTokens: number;
-  /** The engine that more of the prompt is fetched from first. */
+  /** Engine from which a longer cached prefix is fetched first. */
   readonly fetchFrom?: RegisteredEndpoint;
 }
 
+/** Engine, speed and cached prefixes for a prefill plan. */
 export interface PrefillPlanOptions {
   readonly endpoint: RegisteredEndpoint;
   readonly pool: Pool;
   readonly speed: PrefillSpeed;
-  /** Tokens at the prompt's start that the engine itself keeps. */
+  /** Tokens at the prompt's start that the engine itself has cached. */
   readonly keptTokens: number;
-  /** Engines that keep the start of the prompt as well. */
+  /** Other engines that have a prefix of the prompt cached. */
   readonly sources: readonly PrefixSource[];
 }
 
-/** The quickest way: with what the engine keeps itself, or fetching more. */
+/**
+ * The plan with the least work, with the engine's own cache or with a fetch.
+ */
 export function fastestPrefillPlan(
   prompt: Prompt,
   options: PrefillPlanOptions,
 ): PrefillPlan {
-  const { keptTokens, speed: speed, sources } = options;
+  const { keptTokens, speed, sources } = options;
   const withoutFetch: PrefillPlan = {
     workMilliseconds: speed.predictWorkMilliseconds(
       prompt.inputTokens,
@@ -57,13 +60,13 @@
     );
 }
 
-/** Nothing where a fetch from the source does not pay. */
+/** A plan that fetches from the source; empty where too little is gained. */
 function plansFetchingFrom(
   source: PrefixSource,
   prompt: Prompt,
   options: PrefillPlanOptions,
 ): PrefillPlan[] {
-  const { endpoint, keptTokens, pool: { engine }, speed: speed } = options;
+  const { endpoint, keptTokens, pool: { engine }, speed } = options;
   const fetchedTokens = source.keptTokens - keptTokens;
   if (engine === undefined || fetchedTokens < MIN_FETCHED_TOKENS) return [];
   const isCrossZone =
@@ -71,7 +74,7 @@
   return [{
     workMilliseconds: transferMilliseconds(fetchedTokens, {
       engine,
-      isCrossZone: isCrossZone,
+      isCrossZone,
     }) +
       speed.predictWorkMilliseconds(prompt.inputTokens, source.keptTokens),
     keptTokens: source.keptTokens,
--- a/src/core/forwarding/caches/prefix_directory.ts
+++ b/src/core/forwarding/caches/prefix_directory.ts
@@ -1,33 +1,36 @@
 import type { EndpointId, ReplicaStart } from "../../identity/mod.ts";
 
-/** One part of a prompt; requests that share it name the same id. */
+/**
+ * One part of a prompt; prompts that share the part have the same id for it.
+ */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
 /**
- * Share of an engine's memory that is taken to hold parts. Running requests
- * and caches that wait for their hand-over need the rest.
+ * Share of an engine's memory that is assumed to cache parts. Running requests
+ * and caches that wait for their handover need the rest.
  */
 const CACHE_SHARE = 0.8;
 
-/** A prompt that an engine has read, as peers tell of it. */
+/** A prompt whose parts an engine has cached, as reported to peers. */
 export interface ReadPrompt {
   readonly engine: EndpointId;
-  /** Run of the engine that has read it; absent where it tells none. */
+  /** Start of the engine's run; absent where the engine does not report it. */
   readonly engineStartedAt?: ReplicaStart;
   readonly parts: readonly PromptPart[];
   readonly memoryTokens: number;
 }
 
 /**
- * Most prompts that wait for the next report to peers. An entry without peers would
- * collect them without end; a dropped one costs a part that is read twice.
+ * Limit on prompts queued for the next report to peers; without peers the queue
+ * would grow without bound. A dropped report costs one repeated prefill of a
+ * part.
  */
 const MAX_UNREPORTED_PROMPTS = 200;
 
-/** The parts that one engine is taken to keep, the oldest first. */
+/** Parts that one engine is assumed to cache, least recently used first. */
 class CachedParts {
   readonly #parts = new Map<string, number>();
   #tokens = 0;
@@ -36,6 +39,10 @@
     return this.#parts.has(id);
   }
 
+  /**
+   * Marks the part as most recently used and evicts the oldest beyond the
+   * limit.
+   */
   touch(part: PromptPart, maxTokens: number): void {
     const previousTokens = this.#parts.get(part.id);
     if (previousTokens !== undefined) {
@@ -57,15 +64,15 @@
 }
 
 /**
- * Which shared parts of prompts each engine has read lately, from what this entry
- * and its peers have sent there. It is an estimate: a wrong entry costs one read of
- * the part.
+ * Shared parts of prompts that each engine has likely cached, derived from the
+ * prefills of this entry and its peers. It is an estimate: a wrong record costs
+ * one repeated prefill of the part.
  */
 export class PrefixDirectory {
   readonly #engines = new Map<EndpointId, CachedParts>();
   #unreported: ReadPrompt[] = [];
 
-  /** Tokens at the prompt's start that the engine need not read again. */
+  /** Tokens of the cached prefix of the prompt at the engine. */
   keptTokens(engine: EndpointId, parts: readonly PromptPart[]): number {
     const cached = this.#engines.get(engine);
     if (cached === undefined) return 0;
@@ -77,7 +84,7 @@
     return tokens;
   }
 
-  /** An engine has read a prompt of this entry. */
+  /** Records a cached prompt of this entry and queues it for the peers. */
   read(prompt: ReadPrompt): void {
     this.peerRead(prompt);
     if (this.#unreported.length < MAX_UNREPORTED_PROMPTS) {
@@ -86,8 +93,8 @@
   }
 
   /**
-   * An engine has read a prompt of a peer. Its own part counts as well: it takes the place
-   * of shared ones although it is seldom asked for again.
+   * Records a cached prompt of a peer. The prompt's own part counts as well: it
+   * takes the space of shared parts although it is seldom requested again.
    */
   peerRead({ engine, parts, memoryTokens }: ReadPrompt): void {
     let cached = this.#engines.get(engine);
@@ -100,14 +107,14 @@
     }
   }
 
-  /** What was read for this entry since the last call, for its peers. */
+  /** Returns and clears this entry's prompts since the last call. */
   takeUntold(): readonly ReadPrompt[] {
     const unreported = this.#unreported;
     this.#unreported = [];
     return unreported;
   }
 
-  /** The engine has ended or lost its memory. */
+  /** Forgets an engine that has ended or lost its memory. */
   forget({ id }: { readonly id: EndpointId }): void {
     this.#engines.delete(id);
   }
--- a/src/core/forwarding/caches/prefix_directory_test.ts
+++ b/src/core/forwarding/caches/prefix_directory_test.ts
@@ -16,7 +16,7 @@
     prefixes.read({ engine, parts, memoryTokens });
   }
 
-  it("knows the parts that two prompts share", () => {
+  it("finds the prefix that two prompts share", () => {
     recordPrompt("river");
     const again = [...makePrompt("river").parts.slice(0, 2), {
       id: "new",
@@ -27,7 +27,7 @@
       .to.equal(3_000);
   });
 
-  it("counts nothing behind a part that is missing", () => {
+  it("counts nothing after a missing part", () => {
     recordPrompt("river");
     const [, subject, own] = makePrompt("river").parts;
     const parts = [{ id: "other", tokens: 3_000 }, subject, own];
@@ -35,8 +35,8 @@
   });
 
   // An engine's memory holds some tens of subjects. Without a bound the entry
-  // would send prompts after parts that the engine dropped long ago.
-  it("forgets the part that was used longest ago", () => {
+  // would send prompts to engines that evicted their parts long ago.
+  it("evicts the least recently used part", () => {
     for (const subject of ["one", "two", "three"]) {
       recordPrompt(subject, 20_000);
     }
@@ -46,7 +46,7 @@
       .to.equal(9_000);
   });
 
-  it("tells each prompt of its own once, and none of its peers'", () => {
+  it("reports each prompt of its own once, and none of its peers", () => {
     recordPrompt("river");
     prefixes.peerRead({
       engine,
--- a/src/core/forwarding/caches/prefix_sources.ts
+++ b/src/core/forwarding/caches/prefix_sources.ts
@@ -2,19 +2,19 @@
 import type { EngineLimits, RegisteredEndpoint } from "../configuration.ts";
 import type { PrefixDirectory, PromptPart } from "./prefix_directory.ts";
 
-/** A transfer to another availability zone takes so many times as long. */
+/** Factor of a transfer's duration to another availability zone. */
 const CROSS_ZONE_SLOWDOWN = 2;
 const BITS_PER_BYTE = 8;
-/** Bits that a link of one megabit a second carries in a millisecond. */
+/** Bits that a link of one megabit per second carries in a millisecond. */
 const BITS_PER_MEGABIT_MILLISECOND = 1_000;
 
-/** An engine that keeps the start of a prompt. */
+/** An engine that has a prefix of a prompt cached. */
 export interface PrefixSource {
   readonly endpoint: RegisteredEndpoint;
   readonly keptTokens: number;
 }
 
-/** The engine of each availability zone that keeps most of a prompt's start. */
+/** The engine with the longest cached prefix of a prompt in each zone. */
 export function bestSources(
   parts: readonly PromptPart[],
   options: {
@@ -32,7 +32,7 @@
   return [...byZone.values()];
 }
 
-/** Time in which an idle link carries the cache of so many tokens. */
+/** Time for the transfer of the cache of these tokens over an idle link. */
 export function transferMilliseconds(
   tokens: number,
   options: { readonly engine: EngineLimits; readonly isCrossZone: boolean },
