--- a/src/core/forwarding/estimates/engine_slowness.ts
+++ b/src/core/forwarding/estimates/engine_slowness.ts
@@ -1,35 +1,37 @@
 import type { EndpointId } from "../../identity/mod.ts";
 import type { TimerService } from "../../time/mod.ts";
 
-/** Weight of one reading in an engine's mean. */
+/** Weight of one prefill in an engine's mean. */
 const SAMPLE_WEIGHT = 0.3;
 /**
- * Bounds of one reading's ratio. What is slower than the upper one is as bad
- * for placing; without it a single silence would count for dozens of readings.
+ * Bounds of one prefill's ratio. A higher ratio makes no difference to
+ * placement, and without the bound one stall would outweigh dozens of prefills.
  */
 const MIN_RATIO = 0.5;
 const MAX_RATIO = 8;
 /**
- * Ratio up to which an engine passes for one of its kind: predictions are out
- * by as much from one prompt to the next. Engines that turn slow do so by a
- * factor of four or more.
+ * Ratio up to which an engine counts as normal, since predictions vary by as
+ * much between prompts. Engines that become slow do so by a factor of four or
+ * more.
  */
 const MAX_ORDINARY_RATIO = 1.6;
 /**
- * Time in which what was seen of an engine counts for half. An engine that is
- * avoided shows nothing new, and has to be tried again at some point.
+ * Half-life of an engine's measurements. An engine that is avoided yields no
+ * new ones and has to be tried again eventually.
  */
 const HALF_LIFE_MILLISECONDS = 2_000;
 
 interface SlownessMean {
-  /** Mean of the logarithms of measured by predicted time. */
+  /** Decayed mean of the logarithm of measured to predicted time. */
   logarithm: number;
+  /** Time of the last measurement. */
   at: number;
 }
 
 /**
- * Engines that read slower than their kind. Their open work is estimated at the
- * pool's speed, so that a slow engine would look as free as the others.
+ * Detects engines that prefill more slowly than their pool. Open work is
+ * estimated at the pool's speed, so a slow engine would otherwise look as free
+ * as others.
  */
 export class EngineSlowness {
   readonly #timer: TimerService;
@@ -39,15 +41,15 @@
     this.#timer = timer;
   }
 
-  /** What to multiply the time of work at the engine with; 1 for most. */
+  /** Factor of the engine's work relative to its pool; 1 for normal engines. */
   factor(engine: EndpointId): number {
-    const own = this.#logarithm(engine);
+    const own = this.#decayedLogarithm(engine);
     if (own <= Math.log(MAX_ORDINARY_RATIO)) return 1;
     const ratio = Math.exp(own - this.#medianLogarithm());
     return ratio > MAX_ORDINARY_RATIO ? ratio : 1;
   }
 
-  /** A reading took so long, against what the engine's kind would take. */
+  /** Records a prefill's measured time and the time predicted for the pool. */
   took(
     engine: EndpointId,
     times: { readonly milliseconds: number; readonly predicted: number },
@@ -56,32 +58,32 @@
       MAX_RATIO,
       Math.max(MIN_RATIO, times.milliseconds / times.predicted),
     );
-    const previous = this.#logarithm(engine);
-    const decayedLogarithm = previous +
-      SAMPLE_WEIGHT * (Math.log(ratio) - previous);
-    this.#means.set(engine, {
-      logarithm: decayedLogarithm,
-      at: this.#timer.now(),
-    });
+    const previous = this.#decayedLogarithm(engine);
+    const logarithm = previous + SAMPLE_WEIGHT * (Math.log(ratio) - previous);
+    this.#means.set(engine, { logarithm, at: this.#timer.now() });
   }
 
+  /** Forgets an engine whose run has ended. */
   forget({ id }: { readonly id: EndpointId }): void {
     this.#means.delete(id);
   }
 
   /**
-   * The engine in the middle. Predictions may be out for all engines alike, as
-   * where parts that are taken for kept have been dropped: that makes none of
-   * them slow. Taken so, callers are refused beside engines that have room:
-   * worth of a calm day 0.288, and 0.460 by the engine in the middle.
+   * Median over the engines. Predictions may be wrong for all of them alike,
+   * for example after parts assumed to be cached were evicted; that makes none
+   * of them slow. Without the median, callers were rejected while engines had
+   * capacity: the benchmark value of a day without faults was 0.288, and 0.460
+   * with it.
    */
   #medianLogarithm(): number {
-    const all = [...this.#means.keys()].map((each) => this.#logarithm(each));
+    const all = [...this.#means.keys()].map((each) =>
+      this.#decayedLogarithm(each)
+    );
     all.sort((one, other) => one - other);
     return Math.max(0, all[(all.length - 1) >> 1] ?? 0);
   }
 
-  #logarithm(engine: EndpointId): number {
+  #decayedLogarithm(engine: EndpointId): number {
     const mean = this.#means.get(engine);
     if (mean === undefined) return 0;
     const age = this.#timer.now() - mean.at;
--- a/src/core/forwarding/estimates/engine_slowness_test.ts
+++ b/src/core/forwarding/estimates/engine_slowness_test.ts
@@ -23,17 +23,18 @@
     }
   }
 
-  // An engine takes five times as long for some seconds. Reckoned at the speed
-  // of its kind it gets its full share of the prompts, and each of them late.
-  it("tells an engine that has turned slow within a few readings", () => {
+  // An engine takes five times as long for some seconds. Predicted at the speed
+  // of its pool it would get its full share of the prompts, and all of them be
+  // late.
+  it("detects a slow engine within a few prefills", () => {
     recordPrefills(5, 4);
     expect(slowness.factor(engine)).to.be.within(2.5, 5.5);
   });
 
-  // Engines drop the parts of prompts that are taken for kept, and every reading
-  // takes three times as long as predicted. Taken for slow, all of them seem
-  // full and callers are refused beside engines that have room.
-  it("takes no engine for slow where all take as much longer", () => {
+  // Engines evict parts that are assumed to be cached, and every prefill takes
+  // three times as long as predicted. Counted as slow, all engines would look
+  // full, and callers would be rejected while engines have capacity.
+  it("detects no slow engine where all take equally longer", () => {
     for (let count = 0; count < 10; count++) {
       recordPrefills(3, 1);
       for (const other of others) {
@@ -43,20 +44,20 @@
     expect(slowness.factor(engine)).to.equal(1);
   });
 
-  it("leaves ordinary errors of prediction alone", () => {
+  it("ignores ordinary prediction errors", () => {
     for (let count = 0; count < 30; count++) {
       recordPrefills(count % 3 === 0 ? 1.9 : 0.9, 1);
     }
     expect(slowness.factor(engine)).to.equal(1);
   });
 
-  it("gives an engine another chance that nothing is seen of", async () => {
+  it("retries a slow engine after a time without measurements", async () => {
     recordPrefills(5, 6);
     await timer.advance(4_000);
     expect(slowness.factor(engine)).to.equal(1);
   });
 
-  it("knows nothing of an engine that has started anew", () => {
+  it("forgets an engine that has restarted", () => {
     recordPrefills(5, 6);
     slowness.forget({ id: engine });
     expect(slowness.factor(engine)).to.equal(1);
--- a/src/core/forwarding/estimates/handover_time.ts
+++ b/src/core/forwarding/estimates/handover_time.ts
@@ -1,39 +1,43 @@
 /**
- * From a prompt's end to the answer's first byte, beyond the transfer of its
- * cache, before anything was seen: a call to the engine and some tokens' time.
+ * Initial estimate of the time from the end of the prefill to the first byte of
+ * the answer, without the transfer of the cache: a call to the engine and a few
+ * tokens.
  */
 const PRIOR_MILLISECONDS = 15;
 const PRIOR_DEVIATION_MILLISECONDS = 5;
-/** Weight of one answer: about the last thirty count. */
+/** Weight of one answer, so that about the last thirty count. */
 const MIN_SAMPLE_WEIGHT = 0.03;
-/** The first answers weigh as much as all before them together. */
+/** Answers over which the estimate is a plain mean without an outlier limit. */
 const WARM_UP_ANSWERS = 1 / MIN_SAMPLE_WEIGHT;
 /**
- * One answer moves the mean as if it had taken at most so many times as long.
- * An engine that has gone dark answers after seconds, and tells of itself only.
+ * Limit on one answer's time relative to the mean. An unresponsive engine
+ * answers after seconds, which says nothing of the other engines.
  */
 const MAX_RATIO_TO_MEAN = 4;
 
 /**
- * How long engines take from a prompt that was read elsewhere to the first byte of
- * its answer. It depends on the engines' step time, so it is learned.
+ * Learns the time that engines take from a prompt prefilled elsewhere to the
+ * first byte of its answer. It depends on the duration of the engines' decode
+ * steps.
  */
 export class HandoverTime {
   #mean = PRIOR_MILLISECONDS;
   #deviation = PRIOR_DEVIATION_MILLISECONDS;
   #answers = 1;
 
-  /** Time to the first byte beyond the transfer, milliseconds. */
+  /** Mean time to the first byte without the transfer, in milliseconds. */
   get meanMilliseconds(): number {
     return this.#mean;
   }
 
-  /** The same for most answers, not only for half of them. */
+  /** The mean plus the mean deviation, which most answers stay below. */
   get conservativeMilliseconds(): number {
     return this.#mean + this.#deviation;
   }
 
-  /** An answer's first byte came so long after its send. */
+  /**
+   * Records an answer's time from send to first byte, including the transfer.
+   */
   record(milliseconds: number, transferMilliseconds: number): void {
     this.#answers += 1;
     const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / this.#answers);
--- a/src/core/forwarding/estimates/handover_time_test.ts
+++ b/src/core/forwarding/estimates/handover_time_test.ts
@@ -2,8 +2,8 @@
 import { HandoverTime } from "./handover_time.ts";
 
 describe("HandoverTime", () => {
-  // Engines with long steps answer 60 ms after the prompt is read. Promised by
-  // the time of faster ones, every answer near its target is late.
+  // Engines with long decode steps answer 60 ms after the prefill. Predicted at
+  // the speed of faster ones, every answer near its target would be late.
   for (const milliseconds of [2, 15, 60]) {
     it(`learns that engines take ${milliseconds} ms`, () => {
       const handover = new HandoverTime();
@@ -15,14 +15,14 @@
     });
   }
 
-  it("is moved little by an engine that has gone dark", () => {
+  it("changes little with an engine that is unresponsive", () => {
     const handover = new HandoverTime();
     for (let count = 0; count < 60; count++) handover.record(20, 0);
     for (let count = 0; count < 3; count++) handover.record(3_000, 0);
     expect(handover.conservativeMilliseconds).to.be.below(35);
   });
 
-  it("allows for answers that differ", () => {
+  it("allows for the deviation of answers", () => {
     const handover = new HandoverTime();
     for (let count = 0; count < 100; count++) {
       handover.record(count % 2 === 0 ? 10 : 30, 0);
--- a/src/core/forwarding/estimates/mod.ts
+++ b/src/core/forwarding/estimates/mod.ts
@@ -1,4 +1,4 @@
-/** What is learned of engines from their answers. */
+/** Estimates of engines' speed, learned from their answers. */
 export {
   EngineEstimates,
   type PoolEstimates,
--- a/src/core/forwarding/estimates/pool_estimates.ts
+++ b/src/core/forwarding/estimates/pool_estimates.ts
@@ -2,26 +2,27 @@
 import { HandoverTime } from "./handover_time.ts";
 import { PrefillSpeed } from "./prefill_speed.ts";
 
-/** What is learned of the engines of one pool, which are of one kind. */
+/** Estimates for the engines of one pool, which are of one kind. */
 export interface PoolEstimates {
   readonly reading: PrefillSpeed;
   readonly handover: HandoverTime;
 }
 
-/** What peers are told of a pool's engines: samples, then the three costs. */
+/** Report of a pool's prefill costs to peers: sample count, then the costs. */
 export type ToldSpeed = readonly [
   pool: string,
   samples: number,
   callMilliseconds: number,
   millisecondsPerToken: number,
-  millisecondsPerMillionPairs: number,
+  millisecondsPerMillionAttentionPairs: number,
 ];
 const SPEED_REPORT_LENGTH = 5;
 
-/** What is learned of engines, by pool. */
+/** Estimates by pool. */
 export class EngineEstimates {
   readonly #pools = new Map<string, PoolEstimates>();
 
+  /** The pool's estimates, created on first use. */
   of(pool: ServiceName): PoolEstimates {
     let estimates = this.#pools.get(pool);
     if (estimates === undefined) {
@@ -31,7 +32,7 @@
     return estimates;
   }
 
-  /** What was learned here, for peers. */
+  /** This entry's own costs, for its peers. */
   tell(): ToldSpeed[] {
     return [...this.#pools].flatMap(([pool, { reading }]) => {
       const costs = reading.ownCosts;
@@ -48,7 +49,7 @@
     });
   }
 
-  /** Takes what a peer has learned; what is malformed is passed over. */
+  /** Records a peer's costs; a malformed report is ignored. */
   peerTold(report: unknown): void {
     if (!isSpeedReport(report)) return;
     const [pool, samples, call, token, pairs] = report;
--- a/src/core/forwarding/estimates/prefill_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -1,6 +1,6 @@
 /**
- * What an engine needs to read a prompt: a time for each token, one for each
- * pair of tokens that attend to each other, and a fixed one for the call.
+ * Prefill costs of an engine: per token, per pair of tokens that attend to each
+ * other, and a fixed cost per call.
  */
 export interface PrefillCosts {
   readonly callMilliseconds: number;
@@ -8,18 +8,18 @@
   readonly millisecondsPerMillionAttentionPairs: number;
 }
 
-/** A prompt that an engine read with nothing else before it. */
+/** A prefill measured on an engine that had no other work. */
 export interface PrefillSample {
   readonly promptTokens: number;
-  /** Tokens at its start that the engine kept already. */
+  /** Tokens at the prompt's start that the engine had cached. */
   readonly keptTokens: number;
   readonly milliseconds: number;
 }
 
 /**
- * Costs before anything was seen: the middle, on a logarithmic scale, of
- * engines that read 20 to 1,000 tokens a millisecond. They decide for the
- * first few prompts of a fleet that has just been started, and no longer.
+ * Initial costs, the logarithmic middle of engines that prefill 20 to 1,000
+ * tokens per millisecond. They matter only for the first prompts of a new
+ * fleet.
  */
 const PRIOR_COSTS: PrefillCosts = {
   callMilliseconds: 3,
@@ -27,28 +27,28 @@
   millisecondsPerMillionAttentionPairs: 0.2,
 };
 /**
- * Samples that the costs are fitted to, the newest. An engine's speed does not
- * change from minute to minute, and a single slow engine is told apart
- * elsewhere; what is old leaves as the mix of prompts changes.
+ * Number of newest samples that the costs are fitted to. An engine's speed does
+ * not change from minute to minute, and single slow engines are detected
+ * elsewhere; old samples are dropped as the mix of prompts changes.
  */
 const MAX_SAMPLES = 96;
-/** The costs are fitted anew after so many samples, and with each at first. */
+/** Samples between fits; during warm-up each sample triggers a fit. */
 const SAMPLES_PER_FIT = 8;
 const WARM_UP_SAMPLES = 24;
-/** Rounds of reweighting; the fit moves by less than 0.01 after six. */
+/** Rounds of reweighting; after six the fit changes by less than 0.01. */
 const FIT_ROUNDS = 6;
 /**
- * Smallest relative error that a sample's weight is taken from. A share of the
- * samples is far out, since an engine had lost a part that was taken for kept
- * or a peer's prompt came first: weights fall with the error, so that the
- * majority decides and not the mean.
+ * Lower bound of the relative error in a sample's weight. Some samples are
+ * outliers because an engine evicted a part that was assumed to be cached, or
+ * because a peer's prompt ran first. Weights fall with the error, so that the
+ * majority of the samples decides rather than their mean.
  */
 const MIN_RELATIVE_ERROR = 0.05;
-/** How much the prior weighs, in samples. */
+/** Weight of the prior, in samples. */
 const PRIOR_WEIGHT_SAMPLES = 0.1;
 const MILLION = 1e6;
 
-/** Pairs of tokens that attend to each other while a prompt is read, millions. */
+/** Pairs of tokens that attend to each other during a prefill, in millions. */
 function millionAttentionPairs(
   promptTokens: number,
   keptTokens: number,
@@ -62,36 +62,34 @@
 }
 
 /**
- * How fast the engines of a pool read prompts, learned from their answers: engines
- * differ widely, and no registration states their speed.
+ * Learns how fast the engines of a pool prefill. Engines differ widely, and
+ * their registrations don't state a speed.
  */
 export class PrefillSpeed {
   readonly #samples: PrefillSample[] = [];
   #recordedSamples = 0;
   #costs = PRIOR_COSTS;
-  /** What peers have learned; used until enough was seen here. */
+  /** Costs reported by peers, used while they rest on more samples. */
   #peerEstimate:
     | { readonly costs: PrefillCosts; readonly samples: number }
     | undefined;
 
-  /** Time in which an idle engine reads a prompt, milliseconds. */
+  /** Predicted time of a prefill on an idle engine, in milliseconds. */
   predictMilliseconds(promptTokens: number, keptTokens: number): number {
     return this.costs.callMilliseconds +
       this.predictWorkMilliseconds(promptTokens, keptTokens);
   }
 
-  /** The same without what the call itself takes. */
+  /** The same without the fixed time of the call. */
   predictWorkMilliseconds(promptTokens: number, keptTokens: number): number {
-    const {
-      millisecondsPerMillionAttentionPairs: millisecondsPerMillionPairs,
-      millisecondsPerToken,
-    } = this.costs;
+    const { millisecondsPerMillionAttentionPairs, millisecondsPerToken } =
+      this.costs;
     return millisecondsPerToken * uncachedTokens(promptTokens, keptTokens) +
-      millisecondsPerMillionPairs *
+      millisecondsPerMillionAttentionPairs *
         millionAttentionPairs(promptTokens, keptTokens);
   }
 
-  /** The costs in use: those of whoever has seen more, up to a full window. */
+  /** Costs in use: own or reported, whichever rest on more samples. */
   get costs(): PrefillCosts {
     const peerEstimate = this.#peerEstimate;
     return peerEstimate !== undefined &&
@@ -100,23 +98,23 @@
       : this.#costs;
   }
 
-  /** Samples behind this entry's own costs. */
+  /** Number of samples behind this entry's own costs. */
   get sampleCount(): number {
     return this.#samples.length;
   }
 
-  /** Own costs, for peers; undefined while nothing has been seen. */
+  /** This entry's own costs; undefined without samples. */
   get ownCosts(): PrefillCosts | undefined {
     return this.#samples.length > 0 ? this.#costs : undefined;
   }
 
-  /** A peer has learned these costs from so many samples. */
+  /** Records costs that a peer learned from this many samples. */
   recordPeerCosts(costs: PrefillCosts, samples: number): void {
     if (samples < (this.#peerEstimate?.samples ?? 0)) return;
     this.#peerEstimate = { costs, samples: Math.min(samples, MAX_SAMPLES) };
   }
 
-  /** An engine has read a prompt, with nothing else before it. */
+  /** Records a prefill on an engine that had no other work. */
   took(sample: PrefillSample): void {
     const isUsable = sample.milliseconds > 0 &&
       uncachedTokens(sample.promptTokens, sample.keptTokens) > 0;
@@ -130,12 +128,13 @@
   }
 }
 
-/** A row of the fit: what each cost is multiplied with, and what came out. */
+/** Row of the fit: the factor of each cost and the measured time. */
 interface FitRow {
   readonly factors: readonly [number, number, number];
   readonly milliseconds: number;
 }
 
+/** Fits the costs by iteratively reweighted least squares. */
 function fit(
   samples: readonly PrefillSample[],
   start: PrefillCosts,
@@ -156,8 +155,8 @@
 }
 
 /**
- * Least squares of the relative errors, with the prior as further rows: one
- * for each cost, so that a cost that the samples say nothing of stays there.
+ * Least squares of the relative errors. The prior adds one row for each cost,
+ * so that a cost without evidence in the samples stays at its prior.
  */
 function weightedFit(
   rows: readonly FitRow[],
@@ -193,7 +192,7 @@
   ];
 }
 
-/** Smallest share of its prior that a cost may fall to; none is negative. */
+/** Lower bound of a cost relative to its prior, which keeps costs positive. */
 const MIN_SHARE_OF_PRIOR = 0.02;
 
 function vectorToCosts(values: readonly number[], current: readonly number[]) {
@@ -213,7 +212,7 @@
   return one.reduce((sum, value, index) => sum + value * other[index], 0);
 }
 
-/** Solves a small system of linear equations by elimination. */
+/** Solves a small system of linear equations by Gauss-Jordan elimination. */
 function solveLinearSystem(
   matrix: readonly (readonly number[])[],
   right: readonly number[],
--- a/src/core/forwarding/estimates/prefill_speed_test.ts
+++ b/src/core/forwarding/estimates/prefill_speed_test.ts
@@ -6,7 +6,7 @@
 const MAX_MEDIAN_ERROR = 0.15;
 const PAIRS_PER_TOKEN_COST = 30;
 
-/** An engine as it is; the estimate has to find its figures. */
+/** Actual costs of a simulated engine, which the estimate has to find. */
 interface SimulatedEngine {
   readonly tokensPerMillisecond: number;
   readonly callMilliseconds: number;
@@ -23,7 +23,7 @@
     PAIRS_PER_TOKEN_COST * pairs / engine.tokensPerMillisecond;
 }
 
-/** Prompts of three kinds, with shared parts that are mostly kept. */
+/** Random prompts of three kinds, most with their shared parts cached. */
 function randomPrompt(random: Random): { promptTokens: number; kept: number } {
   const [shared, own] = [[13_300, 3_700], [6_300, 2_900], [350, 1_100]][
     Math.floor(random() * 3)
@@ -65,23 +65,22 @@
   return speed;
 }
 
-describe("ReadingSpeed", () => {
-  // Engines of a kind that nobody has told of. With the speed of another kind
-  // every caller is promised an answer on time and gets it late, or is refused
-  // while engines stand idle.
+describe("PrefillSpeed", () => {
+  // Engines of an unknown kind. Predicted at the speed of another kind, answers
+  // would be late, or callers rejected while engines are idle.
   for (const tokensPerMillisecond of [20, 61, 140, 310, 1_000]) {
     const engine = { tokensPerMillisecond, callMilliseconds: 4 };
 
-    describe(`engines that read ${tokensPerMillisecond} tokens a ms`, () => {
-      it("are predicted from what was seen", () => {
+    describe(`engines that prefill ${tokensPerMillisecond} tokens per ms`, () => {
+      it("are predicted from their samples", () => {
         const random = seededRandom(101);
         const speed = learn(engine, (time) => time, random);
         expect(medianError(speed, engine, random)).to.be.below(0.05);
       });
 
-      // Some answers wait behind a peer's prompt, and some parts that are taken
-      // for kept have been dropped and are read again.
-      it("are predicted where a fifth of the answers took far longer", () => {
+      // Some answers wait for a peer's prompt, and some parts that are assumed
+      // to be cached have been evicted and are computed again.
+      it("are predicted where a fifth of the samples took far longer", () => {
         const random = seededRandom(202);
         const distort = (time: number) =>
           time * (random() < 0.2 ? 2 + 6 * random() : 0.9 + 0.25 * random());
@@ -92,7 +91,7 @@
     });
   }
 
-  it("is near after a dozen prompts", () => {
+  it("is close after a dozen prompts", () => {
     const random = seededRandom(303);
     const engine = { tokensPerMillisecond: 20, callMilliseconds: 4 };
     const speed = new PrefillSpeed();
@@ -104,7 +103,7 @@
     expect(medianError(speed, engine, random)).to.be.below(MAX_MEDIAN_ERROR);
   });
 
-  it("never predicts nothing, or less", () => {
+  it("always predicts a positive time", () => {
     const speed = new PrefillSpeed();
     for (let count = 0; count < 50; count++) {
       speed.took({ promptTokens: 1_000, keptTokens: 0, milliseconds: 0.01 });
@@ -113,9 +112,9 @@
     expect(speed.predictMilliseconds(20_000, 19_999)).to.be.above(0);
   });
 
-  // An entry that has just been started would promise by the prior while its
-  // peers know the engines.
-  it("goes by what peers have learned until it has seen as much", () => {
+  // An entry that has just started would otherwise predict from the prior while
+  // its peers have learned the costs.
+  it("uses the costs of peers until it has more samples", () => {
     const costs = {
       callMilliseconds: 2,
       millisecondsPerToken: 1 / 20,
--- a/src/core/forwarding/estimates/work_rate.ts
+++ b/src/core/forwarding/estimates/work_rate.ts
@@ -1,12 +1,12 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Time in which what was counted fades to a third. A burst has to show early:
- * prompts would be held that nothing will be left for.
+ * Time constant of the decay. It is short so that a burst shows before prompts
+ * are held for which no engine time will be left.
  */
 const DECAY_MILLISECONDS = 150;
 
-/** How much work is begun per millisecond, of late. */
+/** Recent rate at which prefill work is started. */
 export class WorkRate {
   readonly #timer: TimerService;
   #decayedWork = 0;
@@ -17,13 +17,13 @@
     this.#decayedAt = timer.now();
   }
 
-  /** Work that was just begun, milliseconds of an engine. */
+  /** Records started work, in milliseconds of one engine. */
   begun(milliseconds: number): void {
     this.#decay();
     this.#decayedWork += milliseconds;
   }
 
-  /** Engines that the work of late keeps busy. */
+  /** Number of engines that the recent work keeps busy. */
   get busyEngines(): number {
     this.#decay();
     return this.#decayedWork / DECAY_MILLISECONDS;
