--- a/src/core/forwarding/caches/prefix_directory.ts
+++ b/src/core/forwarding/caches/prefix_directory.ts
@@ -28,7 +28,7 @@
  * would grow without bound. A dropped report costs one repeated prefill of a
  * part.
  */
-const MAX_UNREPORTED_PROMPTS = 200;
+const MAX_UNREPORTED = 200;
 
 /** Parts that one engine is assumed to cache, least recently used first. */
 class CachedParts {
@@ -87,9 +87,7 @@
   /** Records a cached prompt of this entry and queues it for the peers. */
   read(prompt: ReadPrompt): void {
     this.peerRead(prompt);
-    if (this.#unreported.length < MAX_UNREPORTED_PROMPTS) {
-      this.#unreported.push(prompt);
-    }
+    if (this.#unreported.length < MAX_UNREPORTED) this.#unreported.push(prompt);
   }
 
   /**
--- a/src/core/forwarding/caches/prefix_directory_test.ts
+++ b/src/core/forwarding/caches/prefix_directory_test.ts
@@ -11,13 +11,13 @@
     prefixes = new PrefixDirectory();
   });
 
-  function recordPrompt(subject: string, memoryTokens = 100_000): void {
+  function record(subject: string, memoryTokens = 100_000): void {
     const { parts } = makePrompt(subject);
     prefixes.read({ engine, parts, memoryTokens });
   }
 
   it("finds the prefix that two prompts share", () => {
-    recordPrompt("river");
+    record("river");
     const again = [...makePrompt("river").parts.slice(0, 2), {
       id: "new",
       tokens: 3_000,
@@ -28,7 +28,7 @@
   });
 
   it("counts nothing after a missing part", () => {
-    recordPrompt("river");
+    record("river");
     const [, subject, own] = makePrompt("river").parts;
     const parts = [{ id: "other", tokens: 3_000 }, subject, own];
     expect(prefixes.keptTokens(engine, parts)).to.equal(0);
@@ -37,9 +37,7 @@
   // An engine's memory holds some tens of subjects. Without a bound the entry
   // would send prompts to engines that evicted their parts long ago.
   it("evicts the least recently used part", () => {
-    for (const subject of ["one", "two", "three"]) {
-      recordPrompt(subject, 20_000);
-    }
+    for (const subject of ["one", "two", "three"]) record(subject, 20_000);
     expect(prefixes.keptTokens(engine, makePrompt("one").parts))
       .to.equal(3_000);
     expect(prefixes.keptTokens(engine, makePrompt("three").parts))
@@ -47,7 +45,7 @@
   });
 
   it("reports each prompt of its own once, and none of its peers", () => {
-    recordPrompt("river");
+    record("river");
     prefixes.peerRead({
       engine,
       parts: makePrompt("hill").parts,
--- a/src/core/forwarding/estimates/pool_estimates.ts
+++ b/src/core/forwarding/estimates/pool_estimates.ts
@@ -16,7 +16,7 @@
   millisecondsPerToken: number,
   millisecondsPerMillionAttentionPairs: number,
 ];
-const SPEED_REPORT_LENGTH = 5;
+const REPORT_LENGTH = 5;
 
 /** Estimates by pool. */
 export class EngineEstimates {
@@ -62,9 +62,7 @@
 }
 
 function isSpeedReport(value: unknown): value is ToldSpeed {
-  if (!Array.isArray(value) || value.length !== SPEED_REPORT_LENGTH) {
-    return false;
-  }
+  if (!Array.isArray(value) || value.length !== REPORT_LENGTH) return false;
   const [pool, ...figures] = value;
   return typeof pool === "string" &&
     figures.every((figure) => Number.isFinite(figure) && figure >= 0);
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -148,7 +148,7 @@
     );
     return samplePrefillEngines(prompt, {
       ...this.#options,
-      prefillEngines,
+      engines: prefillEngines,
     });
   }
 
--- a/src/core/forwarding/placement/engine_sample.ts
+++ b/src/core/forwarding/placement/engine_sample.ts
@@ -35,13 +35,11 @@
  */
 export function samplePrefillEngines(
   prompt: Prompt,
-  options: SampleOptions & {
-    readonly prefillEngines: readonly RegisteredEndpoint[];
-  },
+  options: SampleOptions & { readonly engines: readonly RegisteredEndpoint[] },
 ): readonly RegisteredEndpoint[] {
-  const { prefillEngines } = options;
-  const preferred = affinityEngines(prompt, prefillEngines);
-  const others = prefillEngines.filter((each) => !preferred.includes(each));
+  const { engines } = options;
+  const preferred = affinityEngines(prompt, engines);
+  const others = engines.filter((each) => !preferred.includes(each));
   return [
     ...preferred,
     ...sampleWithSameZone(others, RANDOM_PREFILL_ENGINES, options),
--- a/src/core/forwarding/placement/engine_sample_test.ts
+++ b/src/core/forwarding/placement/engine_sample_test.ts
@@ -24,7 +24,7 @@
 
   function sample(subject: string, random = seededRandom(1)) {
     return samplePrefillEngines(makePrompt(subject), {
-      prefillEngines,
+      engines: prefillEngines,
       availabilityZone: ZONE,
       random,
     }).map(({ id }) => id);
@@ -60,7 +60,7 @@
   it("samples all engines where there are few", () => {
     const two = prefillEngines.slice(0, 2);
     const seen = samplePrefillEngines(makePrompt("bylaw"), {
-      prefillEngines: two,
+      engines: two,
       availabilityZone: ZONE,
       random: seededRandom(1),
     });
