--- a/src/core/forwarding/estimates/prefill_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -70,9 +70,7 @@
   #recordedSamples = 0;
   #costs = PRIOR_COSTS;
   /** Costs reported by peers, used while they rest on more samples. */
-  #peerEstimate:
-    | { readonly costs: PrefillCosts; readonly samples: number }
-    | undefined;
+  #peer: { readonly costs: PrefillCosts; readonly samples: number } | undefined;
 
   /** Predicted time of a prefill on an idle engine, in milliseconds. */
   predictMilliseconds(promptTokens: number, keptTokens: number): number {
@@ -91,10 +89,10 @@
 
   /** Costs in use: own or reported, whichever rest on more samples. */
   get costs(): PrefillCosts {
-    const peerEstimate = this.#peerEstimate;
-    return peerEstimate !== undefined &&
-        peerEstimate.samples > this.#samples.length
-      ? peerEstimate.costs
+    const peer = this.#peer;
+    return peer !== undefined &&
+        peer.samples > this.#samples.length
+      ? peer.costs
       : this.#costs;
   }
 
@@ -110,8 +108,8 @@
 
   /** Records costs that a peer learned from this many samples. */
   recordPeerCosts(costs: PrefillCosts, samples: number): void {
-    if (samples < (this.#peerEstimate?.samples ?? 0)) return;
-    this.#peerEstimate = { costs, samples: Math.min(samples, MAX_SAMPLES) };
+    if (samples < (this.#peer?.samples ?? 0)) return;
+    this.#peer = { costs, samples: Math.min(samples, MAX_SAMPLES) };
   }
 
   /** Records a prefill on an engine that had no other work. */
