--- a/src/core/forwarding/admission/retry_allowance_test.ts
+++ b/src/core/forwarding/admission/retry_allowance_test.ts
@@ -78,7 +78,7 @@
     expect(budget.use("engines").counted).to.equal(0);
   });
 
-  it("returns a retry that did not reach its endpoint only once", () => {
+  it("returns a retry that was not delivered, and only once", () => {
     const [one, other] = [
       budget.grant("engines"),
       budget.grant("engines"),
--- a/src/core/forwarding/admission/returning_callers.ts
+++ b/src/core/forwarding/admission/returning_callers.ts
@@ -8,8 +8,8 @@
 /**
  * Limit on remembered rejections, which bounds the memory that a flood of
  * rejected requests takes on a small VM. An overload that rejects most of
- * several hundred prompts per second produces about a thousand in three
- * seconds.
+ * several hundred prompts per second produces on the order of a thousand in
+ * three seconds.
  */
 const MAX_REFUSALS = 5_000;
 /** Limit on rejections queued for the next report to peers. */
--- a/src/core/forwarding/estimates/prefill_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -90,8 +90,7 @@
   /** Costs in use: own or reported, whichever rest on more samples. */
   get costs(): PrefillCosts {
     const peer = this.#peer;
-    return peer !== undefined &&
-        peer.samples > this.#samples.length
+    return peer !== undefined && peer.samples > this.#samples.length
       ? peer.costs
       : this.#costs;
   }
