--- a/src/core/forwarding/admission/retry_allowance.ts
+++ b/src/core/forwarding/admission/retry_allowance.ts
@@ -33,7 +33,7 @@
   readonly allowed: number;
 }
 
-/** Permission for one retry, valid from its grant until consumed or released. */
+/** Permission for one retry, valid until consumed or released. */
 export interface RepeatPermit {
   /** Marks the retry as sent; it counts for a whole window from now. */
   consume(): void;
