--- a/src/core/forwarding/caches/prefix_directory_test.ts
+++ b/src/core/forwarding/caches/prefix_directory_test.ts
@@ -11,13 +11,13 @@
     prefixes = new PrefixDirectory();
   });
 
-  function send(subject: string, memoryTokens = 100_000): void {
+  function record(subject: string, memoryTokens = 100_000): void {
     const { parts } = makePrompt(subject);
     prefixes.read({ engine, parts, memoryTokens });
   }
 
-  it("knows the parts that two prompts share", () => {
-    send("river");
+  it("finds the prefix that two prompts share", () => {
+    record("river");
     const again = [...makePrompt("river").parts.slice(0, 2), {
       id: "new",
       tokens: 3_000,
@@ -27,25 +27,25 @@
       .to.equal(3_000);
   });
 
-  it("counts nothing behind a part that is missing", () => {
-    send("river");
+  it("counts nothing after a missing part", () => {
+    record("river");
     const [, subject, own] = makePrompt("river").parts;
     const parts = [{ id: "other", tokens: 3_000 }, subject, own];
     expect(prefixes.keptTokens(engine, parts)).to.equal(0);
   });
 
   // An engine's memory holds some tens of subjects. Without a bound the entry
-  // would send prompts after parts that the engine dropped long ago.
-  it("forgets the part that was used longest ago", () => {
-    for (const subject of ["one", "two", "three"]) send(subject, 20_000);
+  // would send prompts to engines that evicted their parts long ago.
+  it("evicts the least recently used part", () => {
+    for (const subject of ["one", "two", "three"]) record(subject, 20_000);
     expect(prefixes.keptTokens(engine, makePrompt("one").parts))
       .to.equal(3_000);
     expect(prefixes.keptTokens(engine, makePrompt("three").parts))
       .to.equal(9_000);
   });
 
-  it("tells each prompt of its own once, and none of its peers'", () => {
-    send("river");
+  it("reports each prompt of its own once, and none of its peers", () => {
+    record("river");
     prefixes.peerRead({
       engine,
       parts: makePrompt("hill").parts,
--- a/src/core/forwarding/estimates/mod.ts
+++ b/src/core/forwarding/estimates/mod.ts
@@ -1,4 +1,4 @@
-/** What is learned of engines from their answers. */
+/** Estimates of engines' speed, learned from their answers. */
 export {
   EngineEstimates,
   type PoolEstimates,
@@ -7,7 +7,7 @@
 export { EngineSlowness } from "./engine_slowness.ts";
 export { WorkRate } from "./work_rate.ts";
 export {
-  type ReadingCosts,
-  type ReadingSample,
-  ReadingSpeed,
-} from "./reading_speed.ts";
+  type PrefillCosts,
+  type PrefillSample,
+  PrefillSpeed,
+} from "./prefill_speed.ts";
