--- a/src/core/admission/class_thinning.ts
+++ b/src/core/admission/class_thinning.ts
@@ -1,42 +1,45 @@
-/** Weight of the older requests: about the last fifty count. */
-const REQUEST_DECAY = 0.98;
-/** Served share from which a class is not thinned at all. */
-const FULLY_SERVED = 0.98;
+/** Decay of the counts for each request; about the last 50 requests count. */
+const DECAY_PER_REQUEST = 0.98;
+/** Served share from which all requests of a class are admitted. */
+const FULL_SERVICE_SHARE = 0.98;
 
-interface Tally {
+interface ClassCounts {
   offered: number;
   admitted: number;
 }
 
 /**
- * Lets in of each class only the share that the pool can serve beside the
- * rest. Load: more long prompts than the fleet can read. Harm prevented: the
- * class that takes most for each answer fills the queue, and every other class
- * behind it is late as well, so that fewer answers are given in all. Limit:
- * the share that the division of the work among the roles leaves to the class.
+ * Admits of each class only the share that the pool can serve along with the
+ * other classes. If long prompts exceed what the fleet can process, the class
+ * with the highest cost per answer would otherwise fill the queue, the requests
+ * of all other classes would be late as well, and fewer answers would be
+ * completed in total. The share follows from how the work is divided among the
+ * engine roles.
  */
 export class ClassThinning {
-  readonly #tallies = new Map<string, Tally>();
+  readonly #countsByClass = new Map<string, ClassCounts>();
 
-  /** Notes a request that has come, and tells whether it goes over the share. */
+  /**
+   * Counts an offered request and returns whether it exceeds the class's share.
+   */
   isOver(className: string, servedShare: number): boolean {
-    const tally = this.#of(className);
-    tally.offered = tally.offered * REQUEST_DECAY + 1;
-    tally.admitted *= REQUEST_DECAY;
-    if (servedShare >= FULLY_SERVED) return false;
-    return tally.admitted >= servedShare * tally.offered;
+    const counts = this.#countsOf(className);
+    counts.offered = counts.offered * DECAY_PER_REQUEST + 1;
+    counts.admitted *= DECAY_PER_REQUEST;
+    if (servedShare >= FULL_SERVICE_SHARE) return false;
+    return counts.admitted >= servedShare * counts.offered;
   }
 
   admitted(className: string): void {
-    this.#of(className).admitted += 1;
+    this.#countsOf(className).admitted += 1;
   }
 
-  #of(className: string): Tally {
-    let tally = this.#tallies.get(className);
-    if (tally === undefined) {
-      tally = { offered: 0, admitted: 0 };
-      this.#tallies.set(className, tally);
+  #countsOf(className: string): ClassCounts {
+    let counts = this.#countsByClass.get(className);
+    if (counts === undefined) {
+      counts = { offered: 0, admitted: 0 };
+      this.#countsByClass.set(className, counts);
     }
-    return tally;
+    return counts;
   }
 }
--- a/src/core/admission/drain_meter.ts
+++ b/src/core/admission/drain_meter.ts
@@ -1,32 +1,36 @@
-/** Time over which rates are averaged, milliseconds. */
-const WINDOW_MILLISECONDS = 6_000;
-/** Start and least value of the drain, as a share of what is expected. */
-const LEAST_SHARE = 0.1;
+/** Averaging window of the rates, milliseconds. */
+const AVERAGING_WINDOW_MILLISECONDS = 6_000;
+/** Lower bound of the drain rate, as a share of the expected rate. */
+const MIN_DRAIN_SHARE = 0.1;
 
-interface Rate {
+interface DecayingRate {
   value: number;
   at: number;
 }
 
 /**
- * How fast the queue before a pool drains, in engine time per time, and how
- * fast more urgent work arrives that overtakes what waits. Load: a mix whose
- * bottleneck is now prompts, now outputs. Harm prevented: a wait predicted
- * from slots while prompts are what the pool lacks, or the other way round.
+ * Estimates how fast the queue of a pool drains, in engine time per unit of
+ * time, and how fast more urgent work arrives, which overtakes what is queued.
+ * The bottleneck alternates between prompts and outputs, so a wait predicted
+ * from free slots alone is wrong when prompts are the bottleneck, and the
+ * reverse.
  */
 export class DrainMeter {
-  readonly #arrivals: Rate[] = [];
-  readonly #drain: Rate = { value: 0, at: 0 };
+  readonly #arrivals: DecayingRate[] = [];
+  readonly #drain: DecayingRate = { value: 0, at: 0 };
   #busySince: number | undefined;
 
-  /** Work of a class (rank 0 is the most urgent) has been let in. */
+  /** Records admitted work of a class; rank 0 is the most urgent. */
   admitted(rank: number, work: { cost: number; now: number }): void {
     const rate = this.#arrivals[rank] ?? { value: 0, at: work.now };
     this.#arrivals[rank] = rate;
-    add(rate, work);
+    addWork(rate, work);
   }
 
-  /** Work has left the queue for an endpoint while other work waited. */
+  /**
+   * Records work that was dispatched to an endpoint; `othersWait` is true if
+   * other work was queued at the time.
+   */
   dispatched(work: { cost: number; now: number; othersWait: boolean }): void {
     if (!work.othersWait) {
       this.#busySince = undefined;
@@ -36,40 +40,50 @@
       this.#busySince = work.now;
       this.#drain.at = work.now;
     }
-    add(this.#drain, work);
+    addWork(this.#drain, work);
   }
 
   /**
-   * Rate at which work of the rank drains; `expected` is what the pool should
-   * do, used as far as too little has been measured.
+   * Rate at which work of the rank drains. `expected` is the pool's nominal
+   * rate; it is used to the extent that measurements are missing.
    */
   ratePerMillisecond(
     rank: number,
     options: { expected: number; now: number },
   ): number {
     const { expected, now } = options;
-    const busy = this.#busySince === undefined ? 0 : now - this.#busySince;
-    const trust = Math.min(1, busy / WINDOW_MILLISECONDS);
-    const measured = read(this.#drain, now) / Math.max(0.1, settled(busy));
-    let rate = trust * measured + (1 - trust) * expected;
-    for (let other = 0; other < rank; other++) {
-      const arrivals = this.#arrivals[other];
-      if (arrivals !== undefined) rate -= read(arrivals, now);
+    const busyMilliseconds = this.#busySince === undefined
+      ? 0
+      : now - this.#busySince;
+    const measuredWeight = Math.min(
+      1,
+      busyMilliseconds / AVERAGING_WINDOW_MILLISECONDS,
+    );
+    const measured = decayedValue(this.#drain, now) /
+      Math.max(0.1, convergedShare(busyMilliseconds));
+    let rate = measuredWeight * measured + (1 - measuredWeight) * expected;
+    for (let moreUrgentRank = 0; moreUrgentRank < rank; moreUrgentRank++) {
+      const arrivals = this.#arrivals[moreUrgentRank];
+      if (arrivals !== undefined) rate -= decayedValue(arrivals, now);
     }
-    return Math.max(LEAST_SHARE * expected, rate);
+    return Math.max(MIN_DRAIN_SHARE * expected, rate);
   }
 }
 
-/** Share of a steady rate that the average shows after this long. */
-function settled(milliseconds: number): number {
-  return 1 - Math.exp(-milliseconds / WINDOW_MILLISECONDS);
+/** Share of a constant rate that the average has reached after this time. */
+function convergedShare(milliseconds: number): number {
+  return 1 - Math.exp(-milliseconds / AVERAGING_WINDOW_MILLISECONDS);
 }
 
-function add(rate: Rate, work: { cost: number; now: number }): void {
-  rate.value = read(rate, work.now) + work.cost / WINDOW_MILLISECONDS;
+function addWork(
+  rate: DecayingRate,
+  work: { cost: number; now: number },
+): void {
+  rate.value = decayedValue(rate, work.now) +
+    work.cost / AVERAGING_WINDOW_MILLISECONDS;
   rate.at = work.now;
 }
 
-function read(rate: Rate, now: number): number {
-  return rate.value * Math.exp((rate.at - now) / WINDOW_MILLISECONDS);
+function decayedValue(rate: DecayingRate, now: number): number {
+  return rate.value * Math.exp((rate.at - now) / AVERAGING_WINDOW_MILLISECONDS);
 }
--- a/src/core/admission/loop_guard.ts
+++ b/src/core/admission/loop_guard.ts
@@ -1,25 +1,29 @@
-/** Weight of one measurement of the loop's delay. */
-const MEASUREMENT_WEIGHT = 0.3;
+/** Smoothing factor of the measured event loop delay. */
+const SMOOTHING_FACTOR = 0.3;
 /**
- * Delay at which the least urgent class is refused, and each further step at
- * which one more class is. Load: an entry whose loop can't keep up with its
- * callers. Harm prevented: it stalls as a whole, the balancer takes it for
- * dead, and its urgent requests go with it. Limit: 40 ms is felt as part of a
- * first token in 310 ms; the balancer's usual patience is a second or more.
+ * Event loop delay at which the least urgent class is refused; each further
+ * step refuses one more class. An entry whose event loop cannot keep up stalls
+ * as a whole and fails the load balancer's health check, which loses its urgent
+ * requests too. 40 ms is noticeable within a time to first token of 310 ms; a
+ * load balancer usually waits a second or more.
  */
-const STEP_MILLISECONDS = 40;
+const SHED_STEP_MILLISECONDS = 40;
 
-/** Sheds the least urgent classes while the entry's own loop lags. */
+/** Sheds the least urgent classes while the entry's event loop is delayed. */
 export class LoopGuard {
-  #delay = 0;
+  #averageDelay = 0;
 
   measured(milliseconds: number): void {
-    this.#delay += MEASUREMENT_WEIGHT * (milliseconds - this.#delay);
+    this.#averageDelay += SMOOTHING_FACTOR *
+      (milliseconds - this.#averageDelay);
   }
 
-  /** True: the class of this rank (0 is the most urgent) is refused now. */
-  sheds(rank: number, ranks: number): boolean {
-    const steps = Math.floor(this.#delay / STEP_MILLISECONDS);
-    return ranks - rank <= Math.min(steps, ranks - 1);
+  /**
+   * Returns whether requests of this rank are refused; rank 0 is the most
+   * urgent.
+   */
+  sheds(rank: number, rankCount: number): boolean {
+    const steps = Math.floor(this.#averageDelay / SHED_STEP_MILLISECONDS);
+    return rankCount - rank <= Math.min(steps, rankCount - 1);
   }
 }
--- a/src/core/admission/mod.ts
+++ b/src/core/admission/mod.ts
@@ -1,4 +1,4 @@
-/** Which requests are let in, by whether their answer can be on time. */
+/** Admission control: predicts which requests can be answered on time. */
 export { ClassThinning } from "./class_thinning.ts";
 export { DrainMeter } from "./drain_meter.ts";
 export { LoopGuard } from "./loop_guard.ts";
--- a/src/core/admission/output_lengths.ts
+++ b/src/core/admission/output_lengths.ts
@@ -1,33 +1,37 @@
-/** Weight of one answer in the running means: the last fifty count most. */
-const ANSWER_WEIGHT = 0.02;
+/** Smoothing factor of the running means; the last 50 answers weigh most. */
+const SMOOTHING_FACTOR = 0.02;
 /** Expected output of a class without a rule or a history, tokens. */
-const UNKNOWN_OUTPUT_TOKENS = 200;
+const DEFAULT_OUTPUT_TOKENS = 200;
 
 /**
- * Expected output per class, learned from complete answers. Callers state a
- * maximum far above what they get; admission that reckoned with it would
- * refuse most of what can be on time.
+ * Expected output tokens per class, learned from complete answers. Callers
+ * request a maximum far above what they receive; admission by that maximum
+ * would refuse most requests that can be answered on time.
  */
 export class OutputLengths {
-  readonly #means = new Map<string, number>();
+  readonly #meanTokensByClass = new Map<string, number>();
 
-  /** Starting point of a class; what has been learned is kept. */
+  /** Sets the initial value of a class; a learned value is kept. */
   expectInitially(className: string, tokens?: number): void {
-    if (this.#means.has(className)) return;
-    this.#means.set(className, tokens ?? UNKNOWN_OUTPUT_TOKENS);
+    if (this.#meanTokensByClass.has(className)) return;
+    this.#meanTokensByClass.set(className, tokens ?? DEFAULT_OUTPUT_TOKENS);
   }
 
   learn(className: string, tokens: number): void {
-    const mean = this.#means.get(className) ?? tokens;
-    this.#means.set(className, mean + ANSWER_WEIGHT * (tokens - mean));
+    const mean = this.#meanTokensByClass.get(className) ?? tokens;
+    this.#meanTokensByClass.set(
+      className,
+      mean + SMOOTHING_FACTOR * (tokens - mean),
+    );
   }
 
-  /** Tokens still to come, bounded by the caller's maximum. */
+  /** Tokens that are still expected, bounded by the caller's maximum. */
   expected(
     className: string,
     bounds: { most: number; delivered: number },
   ): number {
-    const mean = this.#means.get(className) ?? UNKNOWN_OUTPUT_TOKENS;
+    const mean = this.#meanTokensByClass.get(className) ??
+      DEFAULT_OUTPUT_TOKENS;
     return Math.max(1, Math.min(mean, bounds.most) - bounds.delivered);
   }
 }
--- a/src/core/admission/prediction_error.ts
+++ b/src/core/admission/prediction_error.ts
@@ -1,46 +1,49 @@
-/** Weight of one answer in the running means. */
-const ANSWER_WEIGHT = 0.03;
-/** One answer moves the means as if it had been at most this far out. */
-const MOST_RATIO = 4;
-/** Spread before anything has been learned. */
-const FIRST_DEVIATION = 0.2;
+/** Smoothing factor of the running means. */
+const SMOOTHING_FACTOR = 0.03;
+/** Upper bound of the ratio that one answer contributes. */
+const MAX_RATIO = 4;
+/** Mean deviation before any answer is recorded. */
+const INITIAL_DEVIATION = 0.2;
 
-interface Spread {
+interface RatioStatistics {
   mean: number;
   deviation: number;
 }
 
 /**
- * How far predicted finishes have been out, per class: mean and mean
+ * Error of the predicted completion times per class: the mean and the mean
  * deviation of observed over predicted time. Admission multiplies its
- * prediction by this, so that an error of the model (a wrong rate in the asset
- * register, a mix it does not know) corrects itself within some dozens of
- * answers and does not end in a stream of late ones.
+ * prediction by this factor, so that an error of the model (a wrong rate in the
+ * asset register, an unknown mix) is corrected within some dozens of answers
+ * and does not make all further answers late.
  */
 export class PredictionError {
-  readonly #spreads = new Map<string, Spread>();
+  readonly #statisticsByClass = new Map<string, RatioStatistics>();
 
   learn(className: string, ratio: number): void {
-    const spread = this.#of(className);
-    const bounded = Math.min(MOST_RATIO, ratio);
-    const error = bounded - spread.mean;
-    spread.mean += ANSWER_WEIGHT * error;
-    spread.deviation += ANSWER_WEIGHT *
-      (Math.abs(error) - spread.deviation);
+    const statistics = this.#statisticsOf(className);
+    const bounded = Math.min(MAX_RATIO, ratio);
+    const error = bounded - statistics.mean;
+    statistics.mean += SMOOTHING_FACTOR * error;
+    statistics.deviation += SMOOTHING_FACTOR *
+      (Math.abs(error) - statistics.deviation);
   }
 
-  /** Factor on a prediction; more deviations make it more cautious. */
+  /**
+   * Factor for a prediction; a higher number of deviations is more
+   * conservative.
+   */
   factor(className: string, deviations: number): number {
-    const { mean, deviation } = this.#of(className);
+    const { mean, deviation } = this.#statisticsOf(className);
     return Math.max(0.1, mean + deviations * deviation);
   }
 
-  #of(className: string): Spread {
-    let spread = this.#spreads.get(className);
-    if (spread === undefined) {
-      spread = { mean: 1, deviation: FIRST_DEVIATION };
-      this.#spreads.set(className, spread);
+  #statisticsOf(className: string): RatioStatistics {
+    let statistics = this.#statisticsByClass.get(className);
+    if (statistics === undefined) {
+      statistics = { mean: 1, deviation: INITIAL_DEVIATION };
+      this.#statisticsByClass.set(className, statistics);
     }
-    return spread;
+    return statistics;
   }
 }
--- a/src/core/admission/refusals.ts
+++ b/src/core/admission/refusals.ts
@@ -1,6 +1,6 @@
 import type { Refusal, RefusalReason } from "../requests/mod.ts";
 
-const DETAILS: Readonly<Partial<Record<RefusalReason, string>>> = {
+const DETAIL_BY_REASON: Readonly<Partial<Record<RefusalReason, string>>> = {
   saturated: "The endpoints can't finish this class of work in time now",
   share_exhausted: "The workspace already has its share of what may wait",
   impossible_deadline: "No endpoint can give the answer within the deadline",
@@ -10,7 +10,7 @@
   late: "The deadline can't be met any more",
 };
 
-/** A refusal before anything has run. */
+/** Creates a refusal of a request that has not run. */
 export function refusal(
   reason: RefusalReason,
   retryAfterMilliseconds?: number,
@@ -18,7 +18,7 @@
   return {
     kind: "not_run",
     reason,
-    detail: DETAILS[reason] ?? "The request was not run",
+    detail: DETAIL_BY_REASON[reason] ?? "The request was not run",
     retryAfterMilliseconds,
   };
 }
--- a/src/core/forwarding/store/topic_reader.ts
+++ b/src/core/forwarding/store/topic_reader.ts
@@ -178,8 +178,8 @@
       FIRST_RETRY_MILLISECONDS +
         backoffMilliseconds(this.#failures, {
           random,
-          firstMilliseconds: FIRST_RETRY_MILLISECONDS,
-          longestMilliseconds: LONGEST_RETRY_MILLISECONDS,
+          initialMilliseconds: FIRST_RETRY_MILLISECONDS,
+          maxMilliseconds: LONGEST_RETRY_MILLISECONDS,
         }),
     );
   }
--- a/src/core/limits/errors.ts
+++ b/src/core/limits/errors.ts
@@ -5,12 +5,14 @@
     name: "saturated",
     title: "Endpoint is saturated",
     message: ({ running, limit }) =>
-      `${running} attempts run with a limit of ${limit}, and the waiting room is full`,
+      `${running} attempts are running with a limit of ${limit}, and the wait queue is full`,
     hint: "Place the request at another endpoint",
   },
 );
 
-export const LateError = defineError<{ waitedMilliseconds: number }>()({
+export const DeadlineExceededError = defineError<
+  { waitedMilliseconds: number }
+>()({
   name: "late",
   title: "Deadline has passed",
   message: ({ waitedMilliseconds }) =>
--- a/src/core/limits/mod.ts
+++ b/src/core/limits/mod.ts
@@ -1,8 +1,8 @@
-/** How much an endpoint is allowed to do at once, decided beside it. */
+/** Concurrency limits of an endpoint, enforced next to it. */
 export { SideLimiter } from "./side_limiter.ts";
 export type {
-  EnterOptions,
-  EnterRefusal,
+  AcquireOptions,
+  AcquireRefusal,
   SideLimiterOptions,
   Slot,
 } from "./side_limiter.ts";
--- a/src/core/limits/side_limiter.ts
+++ b/src/core/limits/side_limiter.ts
@@ -3,34 +3,37 @@
 import type { Subscription, TimerService } from "../time/mod.ts";
 import type { EndpointLoad } from "../../generated/messages.ts";
 import { AdaptiveLimit } from "./adaptive_limit.ts";
-import { LateError, SaturatedError } from "./errors.ts";
+import { DeadlineExceededError, SaturatedError } from "./errors.ts";
 
-export type EnterRefusal = Failure<"saturated" | "late">;
+export type AcquireRefusal = Failure<"saturated" | "late">;
 
 export interface SideLimiterOptions {
   readonly timer: TimerService;
   readonly mostRunning: number;
   readonly mostWaiting: number;
   /**
-   * Attempts without a first token that are let in beyond the limit. Engines
-   * process prompts one after the other, and a prompt that waits takes no place
-   * of the batch; without any, the batch runs short while a prompt is read.
+   * Attempts without a first token that are admitted beyond the limit. Engines
+   * process prompts sequentially, and a waiting prompt occupies no place in the
+   * batch; without extra prompts, the batch is not full while one is processed.
    */
   readonly mostBeforeFirstToken?: number;
-  /** Aim for the time between tokens; without it the limit finds its own. */
+  /**
+   * Target interval between tokens; if absent, it follows from the best one
+   * observed.
+   */
   readonly targetMillisecondsBetweenTokens?: number;
   readonly toleratedSlowdown?: number;
 }
 
-export interface EnterOptions {
-  /** Smaller comes first. */
+export interface AcquireOptions {
+  /** Lower values are admitted first. */
   readonly priority: number;
   readonly className: string;
-  /** Time that is left until the answer has to be complete. */
+  /** Time until the answer has to be complete. */
   readonly deadlineMilliseconds: number;
   /** The attempt may be paused while more urgent work waits. */
   readonly mayPause?: boolean;
-  /** Names the attempt in `toPause` and `toResume`. */
+  /** Identifies the attempt in `toPause` and `toResume`. */
   readonly attemptId?: string;
   /** Tokens of the prompt, counted as backlog until the first token. */
   readonly promptTokens?: number;
@@ -40,53 +43,54 @@
 export interface Slot {
   readonly attemptId?: string;
   readonly priority: number;
-  /** A token has come from the endpoint. */
+  /** Records a token from the endpoint. */
   token(): void;
-  /** The attempt stands still; its place is free for others meanwhile. */
+  /** The attempt is paused; its place is available to others. */
   pause(): void;
-  /** The attempt goes on; its place is taken again. */
+  /** The attempt is resumed; it occupies its place again. */
   resume(): void;
-  /** Gives the slot back; a second call does nothing. */
+  /** Releases the slot; further calls do nothing. */
   release(): void;
 }
 
 interface Waiter {
   readonly order: number;
-  readonly options: EnterOptions;
+  readonly options: AcquireOptions;
   readonly enteredAt: number;
-  readonly settle: (result: Result<Slot, EnterRefusal>) => void;
-  alarm?: Subscription;
+  readonly resolve: (result: Result<Slot, AcquireRefusal>) => void;
+  deadlineTimer?: Subscription;
 }
 
-interface Held {
-  readonly options: EnterOptions;
+interface ActiveAttempt {
+  readonly options: AcquireOptions;
   readonly slot: Slot;
   lastTokenAt?: number;
   paused: boolean;
-  hasToken: boolean;
+  hasFirstToken: boolean;
   backlogTokens: number;
 }
 
 /**
- * Door to one endpoint. Load: several entries that place work on old reports.
- * Harm prevented: a batch larger than the endpoint carries in time, and an
- * urgent attempt behind bulk. It lets in up to an adaptive limit, the most
- * urgent first; a few wait, the rest is sent back as not run.
+ * Admission control of one endpoint. Several entries place work based on
+ * outdated load reports, so a batch could exceed what the endpoint completes in
+ * time, and an urgent attempt could wait behind bulk work. Attempts are
+ * admitted up to an adaptive limit, the most urgent first; a bounded number
+ * waits, and the rest is refused as not run.
  */
 export class SideLimiter {
   readonly #timer: TimerService;
   readonly #mostWaiting: number;
   readonly #mostBeforeFirstToken: number;
   readonly #limit: AdaptiveLimit;
-  readonly #held = new Set<Held>();
-  /** Sorted, most urgent first; short by its bound. */
+  readonly #active = new Set<ActiveAttempt>();
+  /** Sorted, most urgent first; the length is bounded by `mostWaiting`. */
   readonly #waiting: Waiter[] = [];
-  /** Held and not paused. */
+  /** Active attempts that are not paused. */
   #running = 0;
-  /** Of those, without a first token. */
+  /** Running attempts without a first token. */
   #beforeFirstToken = 0;
   #paused = 0;
-  #order = 0;
+  #nextOrder = 0;
 
   constructor(options: SideLimiterOptions) {
     this.#timer = options.timer;
@@ -100,58 +104,63 @@
   }
 
   /**
-   * Asks for a slot. The result settles at once where there is room, or where
-   * the attempt is sent back; else when a slot is free or the deadline passes.
+   * Requests a slot. The result resolves immediately if there is capacity or if
+   * the attempt is refused, else when a slot is free or the deadline passes.
    */
-  enter(options: EnterOptions): Promise<Result<Slot, EnterRefusal>> {
+  enter(options: AcquireOptions): Promise<Result<Slot, AcquireRefusal>> {
     if (options.deadlineMilliseconds <= 0) {
       return Promise.resolve(
-        err(failure(LateError, { waitedMilliseconds: 0 })),
+        err(failure(DeadlineExceededError, { waitedMilliseconds: 0 })),
       );
     }
-    if (this.#waiting.length === 0 && this.#hasPlaceFor(options.priority)) {
-      return Promise.resolve(ok(this.#hold(options)));
+    if (this.#waiting.length === 0 && this.#hasCapacityFor(options.priority)) {
+      return Promise.resolve(ok(this.#admit(options)));
     }
-    if (!this.#makeRoomFor(options)) {
-      return Promise.resolve(err(this.#saturated()));
+    if (!this.#ensureQueueSpaceFor(options)) {
+      return Promise.resolve(err(this.#saturatedRefusal()));
     }
-    return new Promise((settle) => this.#wait(options, settle));
+    return new Promise((resolve) => this.#enqueue(options, resolve));
   }
 
-  /** Takes a new ceiling, such as the slots of the engine's new role. */
+  /** Sets a new upper bound, such as the slots of the engine's new role. */
   useCeiling(mostRunning: number): void {
-    this.#limit.useCeiling(mostRunning);
-    this.#letIn();
+    this.#limit.setCeiling(mostRunning);
+    this.#admitWaiting();
   }
 
-  /** One observed time between tokens, where no slot tells its tokens. */
+  /**
+   * Records one interval between tokens that is not reported through a slot.
+   */
   observeBetweenTokens(milliseconds: number): void {
     this.#limit.observe(milliseconds);
     this.#limit.adjust(this.#timer.now(), this.#running);
   }
 
   /**
-   * Running attempt that should yield: the least urgent one that may pause,
+   * Running attempt that should yield: the least urgent one that may be paused,
    * while a more urgent one waits. The caller pauses it at the endpoint and
-   * then calls the slot's `pause`.
+   * then calls `pause` of the slot.
    */
   toPause(): Slot | undefined {
     const first = this.#waiting[0];
     if (first === undefined) return undefined;
-    let chosen: Held | undefined;
-    for (const held of this.#held) {
-      if (held.paused || !held.options.mayPause) continue;
-      if (held.options.priority <= first.options.priority) continue;
-      if (!chosen || held.options.priority >= chosen.options.priority) {
-        chosen = held;
+    let chosen: ActiveAttempt | undefined;
+    for (const attempt of this.#active) {
+      if (attempt.paused || !attempt.options.mayPause) continue;
+      if (attempt.options.priority <= first.options.priority) continue;
+      if (!chosen || attempt.options.priority >= chosen.options.priority) {
+        chosen = attempt;
       }
     }
     return chosen?.slot;
   }
 
-  /** Paused attempt that may go on, because there is room and nobody waits. */
+  /**
+   * Paused attempt that may be resumed: there is capacity, and no more urgent
+   * attempt waits.
+   */
   toResume(): Slot | undefined {
-    if (!this.#hasPlace) return undefined;
+    if (!this.#hasCapacity) return undefined;
     const chosen = this.#mostUrgentPaused();
     if (chosen === undefined) return undefined;
     const first = this.#waiting[0];
@@ -163,12 +172,12 @@
 
   load(): EndpointLoad {
     let backlog = 0;
-    for (const held of this.#held) backlog += held.backlogTokens;
+    for (const attempt of this.#active) backlog += attempt.backlogTokens;
     for (const waiter of this.#waiting) {
       backlog += waiter.options.promptTokens ?? 0;
     }
     return {
-      running: this.#held.size,
+      running: this.#active.size,
       waiting: this.#waiting.length,
       limit: this.#limit.limit + this.#mostBeforeFirstToken,
       millisecondsBetweenTokens: this.#limit.millisecondsBetweenTokens,
@@ -176,137 +185,144 @@
     };
   }
 
-  #hold(options: EnterOptions): Slot {
-    const held: Held = {
+  #admit(options: AcquireOptions): Slot {
+    const attempt: ActiveAttempt = {
       options,
       paused: false,
-      hasToken: false,
+      hasFirstToken: false,
       backlogTokens: options.promptTokens ?? 0,
       slot: {
         attemptId: options.attemptId,
         priority: options.priority,
-        token: () => this.#token(held),
-        pause: () => this.#setPaused(held, true),
-        resume: () => this.#setPaused(held, false),
-        release: () => this.#release(held),
+        token: () => this.#recordToken(attempt),
+        pause: () => this.#setPaused(attempt, true),
+        resume: () => this.#setPaused(attempt, false),
+        release: () => this.#release(attempt),
       },
     };
-    this.#held.add(held);
-    this.#count(held, 1);
+    this.#active.add(attempt);
+    this.#countRunning(attempt, 1);
     this.#limit.adjust(this.#timer.now(), this.#running);
-    return held.slot;
+    return attempt.slot;
   }
 
-  #token(held: Held): void {
+  #recordToken(attempt: ActiveAttempt): void {
     const now = this.#timer.now();
-    if (held.lastTokenAt !== undefined) {
-      this.observeBetweenTokens(now - held.lastTokenAt);
+    if (attempt.lastTokenAt !== undefined) {
+      this.observeBetweenTokens(now - attempt.lastTokenAt);
     }
-    held.lastTokenAt = now;
-    if (held.hasToken || !this.#held.has(held)) return;
-    held.backlogTokens = 0;
-    held.hasToken = true;
-    if (held.paused) return;
+    attempt.lastTokenAt = now;
+    if (attempt.hasFirstToken || !this.#active.has(attempt)) return;
+    attempt.backlogTokens = 0;
+    attempt.hasFirstToken = true;
+    if (attempt.paused) return;
     this.#beforeFirstToken -= 1;
-    this.#letIn();
+    this.#admitWaiting();
   }
 
-  #count(held: Held, change: 1 | -1): void {
+  #countRunning(attempt: ActiveAttempt, change: 1 | -1): void {
     this.#running += change;
-    if (!held.hasToken) this.#beforeFirstToken += change;
+    if (!attempt.hasFirstToken) this.#beforeFirstToken += change;
   }
 
-  #setPaused(held: Held, paused: boolean): void {
-    if (!this.#held.has(held) || held.paused === paused) return;
-    held.paused = paused;
-    held.lastTokenAt = undefined;
-    this.#count(held, paused ? -1 : 1);
+  #setPaused(attempt: ActiveAttempt, paused: boolean): void {
+    if (!this.#active.has(attempt) || attempt.paused === paused) return;
+    attempt.paused = paused;
+    attempt.lastTokenAt = undefined;
+    this.#countRunning(attempt, paused ? -1 : 1);
     this.#paused += paused ? 1 : -1;
-    this.#letIn();
+    this.#admitWaiting();
   }
 
-  #release(held: Held): void {
-    if (!this.#held.delete(held)) return;
-    if (held.paused) this.#paused -= 1;
-    else this.#count(held, -1);
+  #release(attempt: ActiveAttempt): void {
+    if (!this.#active.delete(attempt)) return;
+    if (attempt.paused) this.#paused -= 1;
+    else this.#countRunning(attempt, -1);
     this.#limit.adjust(this.#timer.now(), this.#running);
-    this.#letIn();
+    this.#admitWaiting();
   }
 
-  get #hasPlace(): boolean {
+  get #hasCapacity(): boolean {
     const extra = Math.min(this.#beforeFirstToken, this.#mostBeforeFirstToken);
     return this.#running - extra < this.#limit.limit;
   }
 
-  /** A paused attempt goes on before anything that is not more urgent. */
-  #hasPlaceFor(priority: number): boolean {
-    if (!this.#hasPlace) return false;
+  /** A paused attempt is resumed before new ones that are not more urgent. */
+  #hasCapacityFor(priority: number): boolean {
+    if (!this.#hasCapacity) return false;
     const paused = this.#mostUrgentPaused();
     return paused === undefined || priority < paused.options.priority;
   }
 
-  #mostUrgentPaused(): Held | undefined {
+  #mostUrgentPaused(): ActiveAttempt | undefined {
     if (this.#paused === 0) return undefined;
-    let chosen: Held | undefined;
-    for (const held of this.#held) {
-      if (!held.paused) continue;
-      if (!chosen || held.options.priority < chosen.options.priority) {
-        chosen = held;
+    let chosen: ActiveAttempt | undefined;
+    for (const attempt of this.#active) {
+      if (!attempt.paused) continue;
+      if (!chosen || attempt.options.priority < chosen.options.priority) {
+        chosen = attempt;
       }
     }
     return chosen;
   }
 
-  #letIn(): void {
+  #admitWaiting(): void {
     for (;;) {
       const waiter = this.#waiting[0];
       if (waiter === undefined) return;
-      if (!this.#hasPlaceFor(waiter.options.priority)) return;
+      if (!this.#hasCapacityFor(waiter.options.priority)) return;
       this.#waiting.shift();
-      waiter.alarm?.cancel();
-      waiter.settle(ok(this.#hold(waiter.options)));
+      waiter.deadlineTimer?.cancel();
+      waiter.resolve(ok(this.#admit(waiter.options)));
     }
   }
 
-  /** False: the waiting room is full of work that is at least as urgent. */
-  #makeRoomFor(options: EnterOptions): boolean {
+  /**
+   * Returns false if the wait queue is full of work that is at least as urgent.
+   */
+  #ensureQueueSpaceFor(options: AcquireOptions): boolean {
     if (this.#waiting.length < this.#mostWaiting) return true;
     const last = this.#waiting[this.#waiting.length - 1];
     if (last === undefined || last.options.priority <= options.priority) {
       return false;
     }
     this.#waiting.pop();
-    last.alarm?.cancel();
-    last.settle(err(this.#saturated()));
+    last.deadlineTimer?.cancel();
+    last.resolve(err(this.#saturatedRefusal()));
     return true;
   }
 
-  #wait(
-    options: EnterOptions,
-    settle: (result: Result<Slot, EnterRefusal>) => void,
+  #enqueue(
+    options: AcquireOptions,
+    resolve: (result: Result<Slot, AcquireRefusal>) => void,
   ): void {
     const enteredAt = this.#timer.now();
-    const waiter: Waiter = { order: this.#order++, options, enteredAt, settle };
+    const waiter: Waiter = {
+      order: this.#nextOrder++,
+      options,
+      enteredAt,
+      resolve,
+    };
     const index = this.#waiting.findIndex((other) =>
       other.options.priority > options.priority
     );
     if (index === -1) this.#waiting.push(waiter);
     else this.#waiting.splice(index, 0, waiter);
-    waiter.alarm = this.#timer.after(
+    waiter.deadlineTimer = this.#timer.after(
       options.deadlineMilliseconds,
-      () => this.#giveUp(waiter),
+      () => this.#expire(waiter),
     );
   }
 
-  #giveUp(waiter: Waiter): void {
+  #expire(waiter: Waiter): void {
     const index = this.#waiting.indexOf(waiter);
     if (index === -1) return;
     this.#waiting.splice(index, 1);
     const waitedMilliseconds = this.#timer.now() - waiter.enteredAt;
-    waiter.settle(err(failure(LateError, { waitedMilliseconds })));
+    waiter.resolve(err(failure(DeadlineExceededError, { waitedMilliseconds })));
   }
 
-  #saturated(): EnterRefusal {
+  #saturatedRefusal(): AcquireRefusal {
     return failure(SaturatedError, {
       running: this.#running,
       limit: this.#limit.limit,
--- a/src/core/limits/side_limiter_test.ts
+++ b/src/core/limits/side_limiter_test.ts
@@ -1,21 +1,21 @@
 import { expect } from "chai";
 import { describe, it } from "mocha";
 import { ManualTimerService } from "../time/mod.ts";
-import { AdaptiveLimit, type EnterOptions, SideLimiter } from "./mod.ts";
+import { type AcquireOptions, AdaptiveLimit, SideLimiter } from "./mod.ts";
 
-const BULK: EnterOptions = {
+const BULK: AcquireOptions = {
   priority: 9,
   className: "bulk",
   deadlineMilliseconds: 60_000,
   mayPause: true,
 };
-const URGENT: EnterOptions = {
+const URGENT: AcquireOptions = {
   priority: 0,
   className: "urgent",
   deadlineMilliseconds: 5_000,
 };
 
-function limiterOf(mostRunning: number, mostWaiting = 2) {
+function makeLimiter(mostRunning: number, mostWaiting = 2) {
   const timer = new ManualTimerService();
   return {
     timer,
@@ -24,16 +24,16 @@
 }
 
 describe("SideLimiter", () => {
-  it("sends back what neither runs nor may wait", async () => {
-    const { limiter } = limiterOf(1, 1);
+  it("refuses attempts beyond the limit and the wait queue", async () => {
+    const { limiter } = makeLimiter(1, 1);
     await limiter.enter(BULK);
     void limiter.enter(BULK);
     const third = await limiter.enter(BULK);
     expect(third._unsafeUnwrapErr().name).to.equal("saturated");
   });
 
-  it("gives up a waiting attempt at its deadline", async () => {
-    const { limiter, timer } = limiterOf(1);
+  it("refuses a waiting attempt at its deadline", async () => {
+    const { limiter, timer } = makeLimiter(1);
     await limiter.enter(BULK);
     const waiting = limiter.enter(URGENT);
     await timer.advance(5_000);
@@ -41,8 +41,8 @@
     expect(limiter.load().waiting).to.equal(0);
   });
 
-  it("lets urgent work take the place of waiting bulk", async () => {
-    const { limiter } = limiterOf(1, 1);
+  it("evicts waiting bulk work for urgent work", async () => {
+    const { limiter } = makeLimiter(1, 1);
     const running = (await limiter.enter(BULK))._unsafeUnwrap();
     const bulk = limiter.enter(BULK);
     const urgent = limiter.enter(URGENT);
@@ -52,10 +52,11 @@
   });
 
   // A long summary runs when an alert arrives, and more summaries follow.
-  // Without the pause the alert waits for the summary's end; if new bulk went
-  // before the paused one, its caller would never get the rest.
+  // Without the pause, the alert waits until the summary ends; if new bulk work
+  // were admitted before the paused attempt, its caller would never receive the
+  // rest.
   it("pauses bulk for urgent work and resumes it before new bulk", async () => {
-    const { limiter } = limiterOf(1, 4);
+    const { limiter } = makeLimiter(1, 4);
     const bulk = (await limiter.enter({ ...BULK, attemptId: "first" }))
       ._unsafeUnwrap();
     const urgent = limiter.enter(URGENT);
@@ -73,7 +74,7 @@
   });
 
   it("counts a released slot once", async () => {
-    const { limiter } = limiterOf(2);
+    const { limiter } = makeLimiter(2);
     const slot = (await limiter.enter(BULK))._unsafeUnwrap();
     slot.release();
     slot.release();
@@ -82,10 +83,10 @@
 });
 
 describe("AdaptiveLimit", () => {
-  // Two tokens arrive in one read, so the first interval is next to nothing.
-  // Taken for the engine's best time it cuts a steady engine down to a single
-  // attempt, and everybody else waits beside an idle batch.
-  it("is not misled by an interval of next to nothing", () => {
+  // Two tokens arrive in one read, so the first interval is nearly zero. If it
+  // became the best interval, the limit of a steady engine would drop to one
+  // attempt, and others would wait while the batch is idle.
+  it("ignores a single interval of nearly zero", () => {
     const limit = new AdaptiveLimit({ mostRunning: 64 });
     limit.observe(0.01);
     for (let second = 1; second <= 60; second++) {
@@ -95,9 +96,9 @@
     expect(limit.limit).to.equal(64);
   });
 
-  // The batch has grown until every stream is three times slower. Each of them
-  // would miss its deadline together with the others.
-  it("goes down while tokens come too slowly, and up again", () => {
+  // The batch has grown until every stream is three times slower, so that all
+  // of them miss their deadlines.
+  it("decreases while tokens are too slow, and increases again", () => {
     const limit = new AdaptiveLimit({
       mostRunning: 16,
       targetMilliseconds: 40,
--- a/src/core/queueing/class_queue.ts
+++ b/src/core/queueing/class_queue.ts
@@ -4,21 +4,21 @@
 interface WorkspaceQueue {
   readonly workspace: string;
   readonly items: Heap<QueuedItem>;
-  /** Service received, in the class's virtual time. */
+  /** Service received, in the virtual time of the class. */
   virtualTime: number;
-  live: number;
+  pending: number;
 }
 
 /**
- * Requests of one class that wait, fair among workspaces (start-time fair
- * queueing). Load: one workspace sends a hundred times what the others send.
- * Harm prevented: the others wait behind its burst. Within a workspace the
- * request with the least slack comes first. Cost of a step: logarithmic in the
- * workspaces and requests that wait.
+ * Queue of one class, fair among workspaces (start-time fair queueing), so that
+ * the burst of a workspace that sends a hundred times as many requests as
+ * others does not delay theirs. Within a workspace, the request with the least
+ * slack is first. Each operation is logarithmic in the number of queued
+ * workspaces and requests.
  */
 export class ClassQueue {
   readonly #workspaces = new Map<string, WorkspaceQueue>();
-  readonly #turn = new Heap<WorkspaceQueue>((one, other) =>
+  readonly #byVirtualTime = new Heap<WorkspaceQueue>((one, other) =>
     one.virtualTime < other.virtualTime
   );
   #virtualTime = 0;
@@ -29,67 +29,70 @@
     return this.#size;
   }
 
-  /** Sum of the costs of what waits. */
+  /** Sum of the costs of the queued requests. */
   get cost(): number {
     return this.#cost;
   }
 
-  waitingOf(workspace: string): number {
-    return this.#workspaces.get(workspace)?.live ?? 0;
+  countFor(workspace: string): number {
+    return this.#workspaces.get(workspace)?.pending ?? 0;
   }
 
   push(item: QueuedItem): void {
-    const known = this.#workspaces.get(item.workspace);
-    const queue = known ?? this.#startWorkspace(item.workspace);
+    const existing = this.#workspaces.get(item.workspace);
+    const queue = existing ?? this.#addWorkspace(item.workspace);
     queue.items.push(item);
-    queue.live += 1;
+    queue.pending += 1;
     this.#size += 1;
     this.#cost += item.cost;
   }
 
-  /** Next request, or nothing where none waits. */
+  /** Removes and returns the next request; undefined if the queue is empty. */
   pop(): QueuedItem | undefined {
     for (;;) {
-      const queue = this.#turn.peek();
+      const queue = this.#byVirtualTime.peek();
       if (queue === undefined) return undefined;
       const item = queue.items.pop();
       if (item !== undefined && item.removed) continue;
-      this.#turn.pop();
+      this.#byVirtualTime.pop();
       if (item === undefined) {
         this.#workspaces.delete(queue.workspace);
         continue;
       }
       this.#virtualTime = queue.virtualTime;
       queue.virtualTime += item.cost;
-      this.#turn.push(queue);
-      this.#account(queue, item);
+      this.#byVirtualTime.push(queue);
+      this.#recordRemoval(queue, item);
       return item;
     }
   }
 
-  /** Takes a request out that will not be served; its place stays free. */
+  /**
+   * Removes a request without serving it; it stays in the heap until `pop`
+   * skips it.
+   */
   remove(item: QueuedItem): void {
     const queue = this.#workspaces.get(item.workspace);
     if (queue === undefined || item.removed) return;
     item.removed = true;
-    this.#account(queue, item);
+    this.#recordRemoval(queue, item);
   }
 
-  #account(queue: WorkspaceQueue, item: QueuedItem): void {
-    queue.live -= 1;
+  #recordRemoval(queue: WorkspaceQueue, item: QueuedItem): void {
+    queue.pending -= 1;
     this.#size -= 1;
     this.#cost = this.#size === 0 ? 0 : this.#cost - item.cost;
   }
 
-  #startWorkspace(workspace: string): WorkspaceQueue {
+  #addWorkspace(workspace: string): WorkspaceQueue {
     const queue: WorkspaceQueue = {
       workspace,
       items: new Heap((one, other) => one.latestStart < other.latestStart),
       virtualTime: this.#virtualTime,
-      live: 0,
+      pending: 0,
     };
     this.#workspaces.set(workspace, queue);
-    this.#turn.push(queue);
+    this.#byVirtualTime.push(queue);
     return queue;
   }
 }
--- a/src/core/queueing/heap.ts
+++ b/src/core/queueing/heap.ts
@@ -1,4 +1,4 @@
-/** A binary heap whose order is given by a function. */
+/** A binary heap that is ordered by a comparison function. */
 export class Heap<Item> {
   readonly #items: Item[] = [];
   readonly #isBefore: (one: Item, other: Item) => boolean;
@@ -32,11 +32,11 @@
     const last = items.pop();
     if (items.length === 0 || last === undefined) return first;
     items[0] = last;
-    this.#sink(0);
+    this.#siftDown(0);
     return first;
   }
 
-  #sink(start: number): void {
+  #siftDown(start: number): void {
     const items = this.#items;
     let index = start;
     for (;;) {
@@ -56,8 +56,8 @@
   }
 
   #swap(one: number, other: number): void {
-    const kept = this.#items[one];
+    const previous = this.#items[one];
     this.#items[one] = this.#items[other];
-    this.#items[other] = kept;
+    this.#items[other] = previous;
   }
 }
--- a/src/core/queueing/mod.ts
+++ b/src/core/queueing/mod.ts
@@ -1,4 +1,4 @@
-/** The order in which waiting requests are served. */
+/** Queues that order waiting requests by class, fair share and slack. */
 export { Heap } from "./heap.ts";
 export { RequestQueue } from "./request_queue.ts";
 export type {
--- a/src/core/queueing/request_queue.ts
+++ b/src/core/queueing/request_queue.ts
@@ -1,17 +1,17 @@
 import type { WorkClass } from "../../generated/rules.ts";
 import { ClassQueue } from "./class_queue.ts";
 
-/** What `p-queue` runs when a request's turn has come. */
+/** Function that `p-queue` calls when a request is dequeued. */
 export type RunFunction = () => Promise<unknown>;
 
-/** Facts of a request that its place in the queue depends on. */
+/** Properties of a request that determine its position in the queue. */
 export interface QueueOptions {
   readonly id?: string;
   readonly className: string;
   readonly workspace: string;
-  /** Time by which the request has to start, timer time in milliseconds. */
+  /** Latest time at which the request has to start, in timer milliseconds. */
   readonly latestStart: number;
-  /** Expected service, milliseconds of a slot. */
+  /** Expected service time, in milliseconds of one slot. */
   readonly cost: number;
 }
 
@@ -19,52 +19,64 @@
 export interface QueuedItem extends QueueOptions {
   readonly run: RunFunction;
   readonly order: number;
-  /** True: it has left the queue without having been served. */
+  /** True if it left the queue without being served. */
   removed: boolean;
 }
 
-/** What the queue needs to know of the pool that it stands before. */
+/** Options of a request queue; they describe the pool that it serves. */
 export interface RequestQueueOptions {
   readonly classes: readonly WorkClass[];
-  /** True where a request of the class could be placed now. */
+  /** Returns whether a request of the class can be placed now. */
   readonly hasRoom: (workClass: WorkClass) => boolean;
-  /** Share of the dispatched service kept for a class whose rule names none. */
+  /**
+   * Share of the dispatched service that is reserved for a class without a
+   * `share`.
+   */
   readonly defaultShare: number;
 }
 
 interface ClassState {
   readonly workClass: WorkClass;
   readonly queue: ClassQueue;
-  /** Service owed to the class while it waited, milliseconds of a slot. */
+  /**
+   * Service owed to the class since it began to wait, in milliseconds of one
+   * slot.
+   */
   credit: number;
 }
 
-/** Credit is kept up to this; a class that waited long gets no long burst. */
-const MOST_CREDIT_MILLISECONDS = 20_000;
+/**
+ * Upper bound of the credit, so that a class that waited long gets no long
+ * burst.
+ */
+const MAX_CREDIT_MILLISECONDS = 20_000;
 
 /**
- * Queue before one pool, for `p-queue`'s `queueClass`. Load: urgent and bulk
- * work for the same engines. The most urgent class goes first, except that a
- * class which has waited while others took more than its share is served from
- * that share: so urgent work never waits behind bulk by more than one
- * dispatch, and bulk still moves while urgent work fills the fleet.
+ * Queue of one pool, used as the `queueClass` of `p-queue`. The most urgent
+ * class is served first, unless a waiting class has received less than its
+ * share; that class is then served up to its share. Urgent work thus waits
+ * behind bulk work for one dispatch at most, and bulk work still proceeds while
+ * urgent work saturates the fleet.
  *
- * `size` counts only what could be placed now, because `p-queue` runs whatever
- * `dequeue` gives it: bulk without room must not hide urgent work with room.
+ * `size` counts only requests that can be placed now, because `p-queue` runs
+ * whatever `dequeue` returns: a bulk request without capacity must not block an
+ * urgent request with capacity.
  */
 export class RequestQueue {
   readonly #options: RequestQueueOptions;
   #states: readonly ClassState[] = [];
   #byName: ReadonlyMap<string, ClassState> = new Map();
   readonly #byId = new Map<string, QueuedItem>();
-  #order = 0;
+  #nextOrder = 0;
 
   constructor(options: RequestQueueOptions) {
     this.#options = options;
     this.useClasses(options.classes);
   }
 
-  /** Takes the classes of new rules; what waits keeps its place in its class. */
+  /**
+   * Replaces the classes; queued requests stay in the class of the same name.
+   */
   useClasses(classes: readonly WorkClass[]): void {
     this.#states = [...classes]
       .sort((one, other) => one.priority - other.priority)
@@ -90,13 +102,13 @@
     return size;
   }
 
-  /** All that waits, with room or without. */
+  /** Number of queued requests, whether or not they can be placed now. */
   get waiting(): number {
     return this.#byId.size;
   }
 
   enqueue(run: RunFunction, options?: Partial<QueueOptions>): void {
-    const order = this.#order++;
+    const order = this.#nextOrder++;
     const item: QueuedItem = {
       id: options?.id ?? String(order),
       className: options?.className ?? "",
@@ -112,17 +124,17 @@
   }
 
   dequeue(): RunFunction | undefined {
-    const first = this.#mostUrgent();
-    const state = first === undefined ? undefined : this.#owedAfter(first);
+    const first = this.#mostUrgentServable();
+    const state = first === undefined ? undefined : this.#selectClass(first);
     const item = state?.queue.pop();
     if (state === undefined || item === undefined) return undefined;
     this.#byId.delete(item.id as string);
-    if (state === first) this.#owe(state, item.cost);
+    if (state === first) this.#creditOthers(state, item.cost);
     else state.credit -= item.cost;
     return item.run;
   }
 
-  /** Takes a request out of the queue; false where it isn't there any more. */
+  /** Removes a request from the queue; returns false if it is not queued. */
   remove(id: string): boolean {
     const item = this.#byId.get(id);
     if (item === undefined) return false;
@@ -137,10 +149,10 @@
       .map((item) => item.run);
   }
 
-  /** The order comes from class, share and slack; it can't be set by hand. */
+  /** Does nothing: the order follows from class, share and slack. */
   setPriority(): void {}
 
-  /** Expected service of what goes before a new request of the class. */
+  /** Expected service time that is ahead of a new request of the class. */
   costBefore(className: string): number {
     const own = this.#stateOf(className).workClass.priority;
     let cost = 0;
@@ -156,11 +168,11 @@
 
   waitingOf(workspace: string): number {
     let waiting = 0;
-    for (const { queue } of this.#states) waiting += queue.waitingOf(workspace);
+    for (const { queue } of this.#states) waiting += queue.countFor(workspace);
     return waiting;
   }
 
-  /** Identity of a request of a class less urgent than this one, if any waits. */
+  /** Id of a queued request of a less urgent class, if there is one. */
   lessUrgentThan(priority: number): string | undefined {
     for (let index = this.#states.length - 1; index >= 0; index--) {
       const { workClass, queue } = this.#states[index];
@@ -177,12 +189,14 @@
     return this.#byName.get(className) ?? this.#states[this.#states.length - 1];
   }
 
-  #mostUrgent(): ClassState | undefined {
+  #mostUrgentServable(): ClassState | undefined {
     return this.#states.find((state) => this.#canServe(state));
   }
 
-  /** A class that is owed service goes before the most urgent one. */
-  #owedAfter(first: ClassState): ClassState {
+  /**
+   * Returns a class with credit if there is one, else the most urgent class.
+   */
+  #selectClass(first: ClassState): ClassState {
     const owed = this.#states.find((state) =>
       state !== first && state.credit > 0 && this.#canServe(state)
     );
@@ -193,13 +207,16 @@
     return state.queue.size > 0 && this.#options.hasRoom(state.workClass);
   }
 
-  /** Every other class that waits is owed its share of what was dispatched. */
-  #owe(served: ClassState, cost: number): void {
+  /**
+   * Credits all other waiting classes with their share of the dispatched
+   * service.
+   */
+  #creditOthers(served: ClassState, cost: number): void {
     for (const state of this.#states) {
       if (state === served || state.queue.size === 0) continue;
       const share = state.workClass.share ?? this.#options.defaultShare;
       state.credit = Math.min(
-        MOST_CREDIT_MILLISECONDS,
+        MAX_CREDIT_MILLISECONDS,
         state.credit + share * cost,
       );
     }
--- a/src/core/queueing/request_queue_test.ts
+++ b/src/core/queueing/request_queue_test.ts
@@ -8,12 +8,12 @@
   { name: "urgent", priority: 0, deadlineSeconds: 5 },
 ];
 
-interface Named extends Partial<QueueOptions> {
+interface TestItem extends Partial<QueueOptions> {
   readonly id: string;
 }
 
 function queueWith(
-  items: readonly Named[],
+  items: readonly TestItem[],
   hasRoom: (workClass: WorkClass) => boolean = () => true,
 ) {
   const served: string[] = [];
@@ -41,7 +41,7 @@
   return { queue, serve };
 }
 
-function many(count: number, options: Named): Named[] {
+function repeated(count: number, options: TestItem): TestItem[] {
   return Array.from({ length: count }, (_, index) => ({
     ...options,
     id: `${options.id}-${index}`,
@@ -49,7 +49,7 @@
 }
 
 describe("RequestQueue", () => {
-  it("serves the most urgent class first, then by slack", () => {
+  it("serves the most urgent class first, ordered by slack", () => {
     const { serve } = queueWith([
       { id: "late", latestStart: 900 },
       { id: "soon", latestStart: 100 },
@@ -58,9 +58,10 @@
     expect(serve(3)).to.deep.equal(["alert", "soon", "late"]);
   });
 
-  // Bulk has waited at the head while its places were all taken. If the queue
-  // offered it first, the urgent request behind it would wait for nothing.
-  it("does not let work without room hide work with room", () => {
+  // A bulk request is first in the queue and has no capacity. If the queue
+  // returned it first, the urgent request behind it would wait although it has
+  // capacity.
+  it("does not let work without capacity block work with capacity", () => {
     const { queue, serve } = queueWith(
       [{ id: "bulk" }, { id: "alert", className: "urgent" }],
       (workClass) => workClass.name === "urgent",
@@ -70,36 +71,36 @@
     expect(serve(2)).to.deep.equal(["alert"]);
   });
 
-  // Urgent work alone fills the fleet for minutes. Without its share bulk
-  // would wait until all of it is late.
-  it("keeps a share for bulk while urgent work never ends", () => {
+  // Urgent work alone saturates the fleet for minutes. Without a share, bulk
+  // work would wait until all of it is late.
+  it("reserves a share for bulk under continuous urgent work", () => {
     const { serve } = queueWith([
-      ...many(100, { id: "alert", className: "urgent" }),
-      ...many(100, { id: "bulk" }),
+      ...repeated(100, { id: "alert", className: "urgent" }),
+      ...repeated(100, { id: "bulk" }),
     ]);
     const bulk = serve(100).filter((id) => id.startsWith("bulk")).length;
     expect(bulk).to.be.within(10, 25);
   });
 
-  // One workspace has a hundred requests in the queue before another sends its
-  // first. In plain order that one would wait behind all of them.
+  // One workspace has queued a hundred requests before another one sends its
+  // first. In order of arrival, that request would wait behind all of them.
   it("is fair among workspaces", () => {
     const { serve } = queueWith([
-      ...many(100, { id: "flood", workspace: "flood" }),
-      ...many(5, { id: "other", workspace: "other" }),
+      ...repeated(100, { id: "flood", workspace: "flood" }),
+      ...repeated(5, { id: "other", workspace: "other" }),
     ]);
     const others = serve(12).filter((id) => id.startsWith("other")).length;
     expect(others).to.equal(5);
   });
 
-  it("forgets what has been removed", () => {
+  it("does not serve removed requests", () => {
     const { queue, serve } = queueWith([{ id: "gone" }, { id: "kept" }]);
     expect(queue.remove("gone")).to.equal(true);
     expect(queue.remove("gone")).to.equal(false);
     expect(serve(2)).to.deep.equal(["kept"]);
   });
 
-  it("keeps what waits when the classes change", () => {
+  it("keeps queued requests when the classes change", () => {
     const { queue, serve } = queueWith([{ id: "kept" }]);
     queue.useClasses([{ name: "other", priority: 1, deadlineSeconds: 1 }]);
     expect(queue.size).to.equal(1);
--- a/src/core/random/mod.ts
+++ b/src/core/random/mod.ts
@@ -1,17 +1,23 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Draws a number in [0, 1). Parts take it as an argument. */
+/** Returns a random number in [0, 1). Components receive it as an argument. */
 export type Random = () => number;
 
 const TWO_TO_THE_32 = 2 ** 32;
 
-/** A repeatable source of random numbers for a seed (a 32-bit integer). */
+/**
+ * Creates a deterministic random number generator from a seed (a 32-bit
+ * integer).
+ */
 export function seededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / TWO_TO_THE_32;
 }
 
-/** Adds up to `share` of the value, at random, so that many waits end apart. */
+/**
+ * Adds a random amount of up to `share` of the value, so that concurrent timers
+ * do not expire together.
+ */
 export function withJitter(
   value: number,
   options: { random: Random; share: number },
--- a/src/core/retry/retry_budget.ts
+++ b/src/core/retry/retry_budget.ts
@@ -1,46 +1,46 @@
 /**
- * Retries that one success pays for. Load: an endpoint VM of ten fails, so one
- * request in ten needs a second try. Harm prevented: retries that multiply the
- * load of a fleet which is failing because it is overloaded. Limit: 0.2 covers
- * the loss of one replica of ten twice over, and adds at most a fifth of load.
+ * Retries earned by each success. 0.2 covers twice the retries needed when one
+ * endpoint VM of ten fails, and adds at most a fifth to the load, so that
+ * retries cannot multiply the load of a fleet that fails because it is
+ * overloaded.
  */
 const RETRIES_PER_SUCCESS = 0.2;
 /**
- * Retries that may be saved up, and that a start begins with. Limit: covers
+ * Maximum number of saved retries, and the number available at start. It covers
  * the requests in flight on one engine that crashes.
  */
-const MOST_SAVED_RETRIES = 32;
+const MAX_SAVED_RETRIES = 32;
 
 export interface RetryBudgetOptions {
   readonly retriesPerSuccess?: number;
-  readonly mostSaved?: number;
+  readonly maxSaved?: number;
 }
 
-/** Allows retries as a share of recent successes. */
+/** Limits retries to a share of the recent successes. */
 export class RetryBudget {
   readonly #retriesPerSuccess: number;
-  readonly #mostSaved: number;
+  readonly #maxSaved: number;
   #saved: number;
 
   constructor(options: RetryBudgetOptions = {}) {
     this.#retriesPerSuccess = options.retriesPerSuccess ?? RETRIES_PER_SUCCESS;
-    this.#mostSaved = options.mostSaved ?? MOST_SAVED_RETRIES;
-    this.#saved = this.#mostSaved;
+    this.#maxSaved = options.maxSaved ?? MAX_SAVED_RETRIES;
+    this.#saved = this.#maxSaved;
   }
 
-  /** Retries that could be made at once. */
-  get left(): number {
+  /** Number of retries that are available now. */
+  get available(): number {
     return Math.floor(this.#saved);
   }
 
   succeeded(): void {
     this.#saved = Math.min(
-      this.#mostSaved,
+      this.#maxSaved,
       this.#saved + this.#retriesPerSuccess,
     );
   }
 
-  /** Takes one retry; false where none is left. */
+  /** Consumes one retry; returns false if none is available. */
   take(): boolean {
     if (this.#saved < 1) return false;
     this.#saved -= 1;
--- a/src/core/retry/retry_test.ts
+++ b/src/core/retry/retry_test.ts
@@ -8,26 +8,26 @@
 } from "./mod.ts";
 
 describe("RetryBudget", () => {
-  // Every attempt fails. Without a budget each request would be sent again and
-  // again, and the failing fleet would get several times its load.
+  // Every attempt fails. Without a budget each request would be retried
+  // repeatedly, which multiplies the load of the failing fleet.
   it("stops retries while nothing succeeds", () => {
-    const budget = new RetryBudget({ mostSaved: 3 });
+    const budget = new RetryBudget({ maxSaved: 3 });
     const taken = Array.from({ length: 10 }, () => budget.take());
-    expect(taken.filter((one) => one).length).to.equal(3);
+    expect(taken.filter((isAllowed) => isAllowed).length).to.equal(3);
   });
 
-  it("is refilled by successes, up to its ceiling", () => {
-    const budget = new RetryBudget({ mostSaved: 2, retriesPerSuccess: 0.5 });
+  it("is refilled by successes, up to its maximum", () => {
+    const budget = new RetryBudget({ maxSaved: 2, retriesPerSuccess: 0.5 });
     while (budget.take());
     for (let index = 0; index < 100; index++) budget.succeeded();
-    expect(budget.left).to.equal(2);
+    expect(budget.available).to.equal(2);
   });
 });
 
 describe("retryAfterMilliseconds", () => {
-  // Five hundred callers are refused in the same instant. If all were told the
-  // same time, they would come back as the same burst and be refused again.
-  it("spreads a herd of refused callers", () => {
+  // 500 callers are refused at the same instant. With identical retry times
+  // they would return as the same burst and be refused again.
+  it("spreads the retries of callers that are refused at once", () => {
     const random = seededRandom(3);
     const perSecond = new Map<number, number>();
     for (let index = 0; index < 500; index++) {
@@ -39,7 +39,7 @@
     expect(Math.max(...perSecond.values())).to.be.lessThan(80);
   });
 
-  it("stays within bounds while nothing drains", () => {
+  it("stays within its bounds while the drain rate is zero", () => {
     const random = seededRandom(3);
     const wait = retryAfterMilliseconds(10, { random, drainPerSecond: 0 });
     expect(wait).to.be.within(60_000, 120_000);
@@ -47,10 +47,10 @@
 });
 
 describe("backoffMilliseconds", () => {
-  it("doubles up to a ceiling, fully jittered", () => {
-    const highest = () => 1;
+  it("doubles up to a maximum, with full jitter", () => {
+    const alwaysOne = () => 1;
     const waits = [1, 2, 3, 20].map((attempt) =>
-      backoffMilliseconds(attempt, { random: highest })
+      backoffMilliseconds(attempt, { random: alwaysOne })
     );
     expect(waits).to.deep.equal([20, 40, 80, 2_000]);
   });
--- a/src/core/rules/classify_test.ts
+++ b/src/core/rules/classify_test.ts
@@ -44,11 +44,11 @@
 const inKlang = { workspace: identifier<WorkspaceId>("klang") };
 
 describe("classify", () => {
-  it("gives the default class where nothing matches", () => {
+  it("returns the default class if nothing matches", () => {
     expect(classify(request(), RULES).name).to.equal("normal");
   });
 
-  it("takes the first of several matches", () => {
+  it("uses the first of several matches", () => {
     const alert = request({ ...inKlang, headers: { "x-alert": "1" } });
     expect(classify(alert, RULES).name).to.equal("urgent");
     expect(classify(request(inKlang), RULES).name).to.equal("bulk");
@@ -79,20 +79,20 @@
     expect(name("/reports-of-others")).to.equal("normal");
   });
 
-  // A caller calls all its requests urgent. If that were taken at its word,
-  // every caller would do so and the alerts would wait behind them.
-  it("lets a caller ask for a less urgent class only", () => {
-    const wish = (className: string) =>
+  // A caller requests the urgent class for all of its requests. If that were
+  // granted, every caller would do so, and the alerts would wait behind them.
+  it("lets a caller request less urgent classes only", () => {
+    const classFor = (className: string) =>
       classify(
         request({ className: identifier<WorkClassName>(className) }),
         RULES,
       ).name;
-    expect(wish("urgent")).to.equal("normal");
-    expect(wish("bulk")).to.equal("bulk");
-    expect(wish("unknown")).to.equal("normal");
+    expect(classFor("urgent")).to.equal("normal");
+    expect(classFor("bulk")).to.equal("bulk");
+    expect(classFor("unknown")).to.equal("normal");
   });
 
-  it("gives the same class compiled as by walking through the matches", () => {
+  it("returns the same class with and without precompiled rules", () => {
     const compiled = new CompiledRules(RULES);
     for (const one of [request(), request(inKlang)]) {
       expect(classify(one, RULES, { compiled })).to.equal(
--- a/src/core/rules/compiled_rules.ts
+++ b/src/core/rules/compiled_rules.ts
@@ -1,25 +1,24 @@
 import type { CallerRequest } from "../requests/mod.ts";
 import type { ClassMatch, Rules, WorkClass } from "../../generated/rules.ts";
 
-/** One combination of fields that matches of the rules look at. */
+/** A combination of fields that matches of the rules compare. */
 interface MatchShape {
   readonly workspace: boolean;
   readonly model: boolean;
   readonly route: boolean;
   readonly headerName?: string;
   readonly headerValue: boolean;
-  /** First match, by its place in the rules, for each combination of values. */
+  /** Index of the first match in the rules for each combination of values. */
   readonly firstByValues: Map<string, number>;
 }
 
 const SEPARATOR = "\u0000";
 
 /**
- * Rules in a form in which a request's class is found without walking through
- * the matches. Load: 3,400 workspaces with a match each, asked for every
- * request. Harm prevented: a decision whose cost grows with the rules. Matches
- * with the same combination of fields share one table, and there are only as
- * many tables as combinations in use.
+ * Rules indexed for lookup, so that the cost of classifying a request does not
+ * grow with the number of matches; a fleet may have 3,400 workspaces with one
+ * match each. Matches on the same combination of fields share one table, and
+ * there are only as many tables as combinations in use.
  */
 export class CompiledRules {
   readonly classes: ReadonlyMap<string, WorkClass>;
@@ -35,7 +34,7 @@
     this.#shapes = shapesOf(this.#matches);
   }
 
-  /** Class of the first match, or the default class where nothing matches. */
+  /** Class of the first match, or the default class if nothing matches. */
   classOf(request: CallerRequest): WorkClass {
     let first = Infinity;
     for (const shape of this.#shapes) {
@@ -52,11 +51,11 @@
     const shape = shapeOf(match);
     const { firstByValues: _, ...fields } = shape;
     const key = JSON.stringify(fields);
-    const known = shapes.get(key) ?? shape;
-    shapes.set(key, known);
+    const existing = shapes.get(key) ?? shape;
+    shapes.set(key, existing);
     const values = valuesOf(match);
-    if (!known.firstByValues.has(values)) {
-      known.firstByValues.set(values, index);
+    if (!existing.firstByValues.has(values)) {
+      existing.firstByValues.set(values, index);
     }
   }
   return [...shapes.values()];
@@ -99,7 +98,7 @@
   return first;
 }
 
-/** Header's part of the key; absent where the request lacks the header. */
+/** Header part of the key; undefined if the request lacks the header. */
 function headerValueFor(
   shape: MatchShape,
   request: CallerRequest,
@@ -112,11 +111,11 @@
 
 /** `/a/b?c` → `/a/b`, `/a`, and the empty prefix that matches all paths. */
 function prefixesOf(path: string): string[] {
-  let rest = withoutTrailingSlash(path.split("?", 1)[0]);
-  const prefixes = [rest];
-  while (rest !== "") {
-    rest = rest.slice(0, Math.max(0, rest.lastIndexOf("/")));
-    prefixes.push(rest);
+  let prefix = withoutTrailingSlash(path.split("?", 1)[0]);
+  const prefixes = [prefix];
+  while (prefix !== "") {
+    prefix = prefix.slice(0, Math.max(0, prefix.lastIndexOf("/")));
+    prefixes.push(prefix);
   }
   return prefixes;
 }
--- a/src/core/rules/mod.ts
+++ b/src/core/rules/mod.ts
@@ -1,4 +1,4 @@
-/** Which class of work a request belongs to, by the operators' rules. */
+/** Assigns requests to classes of work by the operators' rules. */
 import type { CallerRequest } from "../requests/mod.ts";
 import type { Rules, WorkClass } from "../../generated/rules.ts";
 import { CompiledRules } from "./compiled_rules.ts";
@@ -6,14 +6,14 @@
 export { CompiledRules };
 
 export interface ClassifyOptions {
-  /** The same rules, compiled; without it they are compiled for this call. */
+  /** The same rules, compiled; if absent, they are compiled for this call. */
   readonly compiled?: CompiledRules;
 }
 
 /**
- * Class of a request: the first match of the rules, else the default class.
- * A caller may ask for a less urgent class than the rules give it, never for a
- * more urgent one: otherwise every caller would call itself urgent, and the
+ * Class of a request: that of the first match, or the default class. A caller
+ * may request a less urgent class than the rules assign, but not a more urgent
+ * one; otherwise every caller would request the most urgent class, and the
  * alerts would wait behind them.
  */
 export function classify(
@@ -22,9 +22,11 @@
   options: ClassifyOptions = {},
 ): WorkClass {
   const compiled = options.compiled ?? new CompiledRules(rules);
-  const given = compiled.classOf(request);
-  if (request.className === undefined) return given;
-  const wanted = compiled.classes.get(request.className);
-  if (wanted === undefined || wanted.priority < given.priority) return given;
-  return wanted;
+  const assigned = compiled.classOf(request);
+  if (request.className === undefined) return assigned;
+  const requested = compiled.classes.get(request.className);
+  if (requested === undefined || requested.priority < assigned.priority) {
+    return assigned;
+  }
+  return requested;
 }
--- a/src/core/time/deadline.ts
+++ b/src/core/time/deadline.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from "./timer_service.ts";
 
-/** Settles after `milliseconds` of the timer's time. */
+/** Resolves after `milliseconds` on the given timer service. */
 export function pause(
   timer: TimerService,
   milliseconds: number,
@@ -15,18 +15,21 @@
   readonly milliseconds: number;
 }
 
-/** The promise's value, or `undefined` where it has not come in time. */
+/**
+ * Resolves with the value of the promise, or with `undefined` if it does not
+ * settle within `milliseconds`.
+ */
 export function beforeDeadline<Value>(
   promise: Promise<Value>,
   options: DeadlineOptions,
 ): Promise<Value | undefined> {
   return new Promise((resolve, reject) => {
-    const alarm = options.timer.after(
+    const timeout = options.timer.after(
       options.milliseconds,
       () => resolve(undefined),
     );
     promise.then((value) => {
-      alarm.cancel();
+      timeout.cancel();
       resolve(value);
     }, reject);
   });
--- a/src/core/time/manual_timer_service.ts
+++ b/src/core/time/manual_timer_service.ts
@@ -1,24 +1,27 @@
 import type { Subscription, TimerService } from "./timer_service.ts";
 
-interface Alarm {
-  readonly due: number;
-  readonly order: number;
+interface ScheduledTimer {
+  readonly dueAt: number;
+  readonly sequence: number;
   readonly listener: () => void;
   cancelled: boolean;
 }
 
 /**
- * Virtual time for tests and embedders: time stands still until `advance`.
- * Alarms fire in the order of their due times, equal times in the order of
- * subscription, so a run with the same seed repeats exactly.
+ * Virtual clock for tests and embedders; time only moves on `advance`. Timers
+ * fire in the order of their due times, and in the order of their creation if
+ * these are equal, so a run with the same seed is deterministic.
  */
 export class ManualTimerService implements TimerService {
   readonly #wallClockStart: number;
-  readonly #heap: Alarm[] = [];
+  readonly #heap: ScheduledTimer[] = [];
   #now = 0;
-  #order = 0;
+  #nextSequence = 0;
 
-  /** `wallClockStart` is the time of day at virtual time 0, in milliseconds. */
+  /**
+   * `wallClockStart` is the wall clock at virtual time 0, in milliseconds since
+   * 1970.
+   */
   constructor(wallClockStart = Date.UTC(2026, 0, 1)) {
     this.#wallClockStart = wallClockStart;
   }
@@ -32,16 +35,16 @@
   }
 
   after(delayMilliseconds: number, listener: () => void): Subscription {
-    const alarm: Alarm = {
-      due: this.#now + Math.max(0, delayMilliseconds),
-      order: this.#order++,
+    const timer: ScheduledTimer = {
+      dueAt: this.#now + Math.max(0, delayMilliseconds),
+      sequence: this.#nextSequence++,
       listener,
       cancelled: false,
     };
-    this.#push(alarm);
+    this.#push(timer);
     return {
       cancel() {
-        alarm.cancelled = true;
+        timer.cancelled = true;
       },
     };
   }
@@ -64,27 +67,27 @@
   }
 
   /**
-   * Moves time on by `milliseconds`, firing what falls due. Promises settled
-   * by one alarm run before the next alarm fires.
+   * Advances the clock by `milliseconds` and fires all timers that fall due.
+   * Promise callbacks that one timer triggers run before the next timer fires.
    */
   async advance(milliseconds: number): Promise<void> {
     const end = this.#now + milliseconds;
-    await settlePromises();
+    await flushPromises();
     for (;;) {
-      const alarm = this.#heap[0];
-      if (alarm === undefined || alarm.due > end) break;
+      const timer = this.#heap[0];
+      if (timer === undefined || timer.dueAt > end) break;
       this.#pop();
-      if (alarm.cancelled) continue;
-      this.#now = Math.max(this.#now, alarm.due);
-      alarm.listener();
-      await settlePromises();
+      if (timer.cancelled) continue;
+      this.#now = Math.max(this.#now, timer.dueAt);
+      timer.listener();
+      await flushPromises();
     }
     this.#now = end;
   }
 
-  #push(alarm: Alarm): void {
+  #push(timer: ScheduledTimer): void {
     const heap = this.#heap;
-    let index = heap.push(alarm) - 1;
+    let index = heap.push(timer) - 1;
     while (index > 0) {
       const parent = (index - 1) >> 1;
       if (!isBefore(heap[index], heap[parent])) return;
@@ -95,7 +98,7 @@
 
   #pop(): void {
     const heap = this.#heap;
-    const last = heap.pop() as Alarm;
+    const last = heap.pop() as ScheduledTimer;
     if (heap.length === 0) return;
     heap[0] = last;
     let index = 0;
@@ -116,18 +119,21 @@
   }
 }
 
-function isBefore(one: Alarm, other: Alarm): boolean {
-  return one.due < other.due ||
-    (one.due === other.due && one.order < other.order);
+function isBefore(left: ScheduledTimer, right: ScheduledTimer): boolean {
+  return left.dueAt < right.dueAt ||
+    (left.dueAt === right.dueAt && left.sequence < right.sequence);
 }
 
-function swap(heap: Alarm[], one: number, other: number): void {
-  const kept = heap[one];
-  heap[one] = heap[other];
-  heap[other] = kept;
+function swap(heap: ScheduledTimer[], first: number, second: number): void {
+  const previous = heap[first];
+  heap[first] = heap[second];
+  heap[second] = previous;
 }
 
-/** A turn of the event loop runs every promise callback that is ready. */
-function settlePromises(): Promise<void> {
+/**
+ * Resolves after one turn of the event loop, in which all pending promise
+ * callbacks run.
+ */
+function flushPromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/core/time/manual_timer_service_test.ts
+++ b/src/core/time/manual_timer_service_test.ts
@@ -3,7 +3,7 @@
 
 describe("ManualTimerService", () => {
   describe("advance", () => {
-    it("fires alarms in the order of their due times", async () => {
+    it("fires timers in the order of their due times", async () => {
       const timer = new ManualTimerService();
       const fired: string[] = [];
       timer.after(20, () => fired.push("late"));
@@ -13,7 +13,7 @@
       expect(fired).to.deep.equal(["early", "early, second", "late"]);
     });
 
-    it("leaves out what was cancelled", async () => {
+    it("does not fire cancelled timers", async () => {
       const timer = new ManualTimerService();
       let fired = 0;
       const subscription = timer.every(5, () => fired++);
--- a/src/core/time/mod.ts
+++ b/src/core/time/mod.ts
@@ -1,4 +1,6 @@
-/** The one timer service that every part subscribes to. */
+/**
+ * The timer service interface, its virtual implementation and timeout helpers.
+ */
 export type { Subscription, TimerService } from "./timer_service.ts";
 export { ManualTimerService } from "./manual_timer_service.ts";
 export { beforeDeadline, pause } from "./deadline.ts";
