--- a/src/core/forwarding/callers/authentication.ts
+++ b/src/core/forwarding/callers/authentication.ts
@@ -3,27 +3,29 @@
 import type { KeyDirectory, Workspace } from "./key_directory.ts";
 
 /**
- * What a request says of its caller. `unusable`: it names a key in a way that
- * can't be read, or several.
+ * Credentials of a request. `unusable`: the request has several keys, or a key
+ * that cannot be parsed.
  */
 export type Credentials =
   | { readonly kind: "none" }
   | { readonly kind: "unusable" }
   | { readonly kind: "key"; readonly digest: KeyDigest };
 
-/** Why a caller is not let in. */
+/** Why authentication failed. */
 export type AuthenticationFailure = "no_key" | "unusable_key" | "unknown_key";
 
-export interface AuthenticationQuestion {
+export interface AuthenticateOptions {
   readonly credentials: Credentials;
-  /** True: the route is open to everyone, with or without a key. */
+  /** True if the route admits everyone, with or without a key. */
   readonly isPublic: boolean;
 }
 
-/** Gives the caller's workspace; undefined for everyone on a public route. */
+/**
+ * Returns the caller's workspace; undefined for any caller on a public route.
+ */
 export function authenticate(
   directory: KeyDirectory,
-  { credentials, isPublic }: AuthenticationQuestion,
+  { credentials, isPublic }: AuthenticateOptions,
 ): Result<Workspace | undefined, AuthenticationFailure> {
   if (isPublic) return ok(undefined);
   if (credentials.kind === "none") return err("no_key");
--- a/src/core/forwarding/callers/authentication_test.ts
+++ b/src/core/forwarding/callers/authentication_test.ts
@@ -31,7 +31,7 @@
         .to.deep.equal(ok(plain));
     });
 
-    it("tells a missing, an unusable and an unknown key apart", () => {
+    it("distinguishes missing, unusable and unknown keys", () => {
       const failures = [
         [{ kind: "none" }, "no_key"],
         [{ kind: "unusable" }, "unusable_key"],
@@ -44,7 +44,7 @@
     });
   });
 
-  it("lets everyone in on a public route, as nobody's workspace", () => {
+  it("admits everyone on a public route, without a workspace", () => {
     const all: Credentials[] = [
       { kind: "none" },
       { kind: "unusable" },
--- a/src/core/forwarding/callers/key_directory.ts
+++ b/src/core/forwarding/callers/key_directory.ts
@@ -3,16 +3,19 @@
 /** A customer's workspace. */
 export interface Workspace {
   readonly id: WorkspaceId;
-  /** Rank of its requests in place of their route's; 0 is the most urgent. */
+  /**
+   * Rank of its requests, which overrides that of the route; 0 is the most
+   * urgent.
+   */
   readonly rank?: number;
 }
 
-/** A workspace and the digests of the keys that its callers may use. */
+/** A workspace and the digests of its callers' keys. */
 export interface WorkspaceKeys extends Workspace {
   readonly keys: readonly KeyDigest[];
 }
 
-/** Finds the workspace that a caller's key belongs to. */
+/** Finds the workspace of a caller's key. */
 export class KeyDirectory {
   readonly #byKey = new Map<KeyDigest, Workspace>();
 
--- a/src/core/forwarding/claims/exclusive_claim.ts
+++ b/src/core/forwarding/claims/exclusive_claim.ts
@@ -1,88 +1,98 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * How long after its append a claim may be used. A holder that was slow or
- * frozen would otherwise act after another has taken over, and not every
- * receiver checks fencing tokens.
+ * Time after its append during which a claim may be used. A holder that was
+ * slow or suspended could otherwise act after another one has taken over, and
+ * not every receiver checks fencing tokens.
  */
-const USABLE_MILLISECONDS = 1_500;
-/** Spare time beyond the lease before a claim of another is replaced. */
+const CLAIM_VALIDITY_MILLISECONDS = 1_500;
+/** Margin added to the lease before another holder's claim may be replaced. */
 const TAKEOVER_MARGIN_MILLISECONDS = 1_000;
 
-/** The newest claim on what only one holder at a time may do. */
+/** The newest claim on a duty that only one holder at a time may perform. */
 export interface StandingClaim {
   readonly holder: string;
-  /** Offset of its record in the store: the fencing token of its calls. */
+  /** Offset of its record in the store, used as the fencing token. */
   readonly offset: number;
 }
 
 export interface ExclusiveClaimOptions {
   readonly timer: TimerService;
-  /** Name of this run of this process. */
+  /** Identifies this run of this process. */
   readonly self: string;
-  /** Time that has to lie between the calls of two holders. */
+  /** Minimum time between the calls of two holders. */
   readonly leaseMilliseconds: number;
 }
 
 /**
- * Whose turn it is to do what only one holder at a time may do. A claim is a
- * record that is appended only if the log still ends where the claimant last
- * saw its end; its offset is the fencing token. Each round has a claim of its
- * own, so that a call of an earlier round that is carried out late is refused
- * for its lower token.
+ * Mutual exclusion for duties that only one holder at a time may perform. A
+ * claim is a record that is appended only if the end of the log has not moved
+ * since the claimant read it; its offset is the fencing token. Each round
+ * appends its own claim, so that a delayed call of an earlier round is refused
+ * because of its lower token.
  */
 export class ExclusiveClaim {
   readonly #options: ExclusiveClaimOptions;
-  #standing: StandingClaim | undefined;
-  #seenAt = -Infinity;
-  #usableUntil = -Infinity;
+  #current: StandingClaim | undefined;
+  #lastSeenAt = -Infinity;
+  #validUntil = -Infinity;
 
   constructor(options: ExclusiveClaimOptions) {
     this.#options = options;
   }
 
-  /** The store or a peer has shown its newest claim. */
+  /** Records the newest claim as seen by the store or a peer. */
   saw(claim: StandingClaim): void {
-    if (claim.offset <= (this.#standing?.offset ?? -1)) return;
-    this.#standing = claim;
-    this.#seenAt = this.#options.timer.now();
-    if (claim.holder !== this.#options.self) this.#usableUntil = -Infinity;
+    if (claim.offset <= (this.#current?.offset ?? -1)) return;
+    this.#current = claim;
+    this.#lastSeenAt = this.#options.timer.now();
+    if (claim.holder !== this.#options.self) this.#validUntil = -Infinity;
   }
 
-  /** True where an append of an own claim breaks into nobody's lease. */
+  /**
+   * Returns whether a claim may be appended without violating another holder's
+   * lease.
+   */
   mayClaim(): boolean {
     const { leaseMilliseconds, self, timer } = this.#options;
-    const standing = this.#standing;
-    if (standing === undefined || standing.holder === self) return true;
-    const wait = leaseMilliseconds + USABLE_MILLISECONDS +
+    const current = this.#current;
+    if (current === undefined || current.holder === self) return true;
+    const takeoverDelay = leaseMilliseconds + CLAIM_VALIDITY_MILLISECONDS +
       TAKEOVER_MARGIN_MILLISECONDS;
-    return timer.now() - this.#seenAt >= wait;
+    return timer.now() - this.#lastSeenAt >= takeoverDelay;
   }
 
-  /** The own claim stands; `sentAt` is the time before its append. */
+  /**
+   * Records an own claim that was appended; `sentAt` is the time before the
+   * append.
+   */
   gained(offset: number, sentAt: number): void {
-    this.#standing = { holder: this.#options.self, offset };
-    this.#seenAt = this.#options.timer.now();
-    this.#usableUntil = sentAt + USABLE_MILLISECONDS;
+    this.#current = { holder: this.#options.self, offset };
+    this.#lastSeenAt = this.#options.timer.now();
+    this.#validUntil = sentAt + CLAIM_VALIDITY_MILLISECONDS;
   }
 
-  /** A receiver has seen a higher token: somebody else holds the claim. */
+  /**
+   * Records that a receiver has seen a higher token: there is another holder.
+   */
   refused(): void {
-    this.#usableUntil = -Infinity;
-    this.#seenAt = this.#options.timer.now();
-    if (this.#standing?.holder === this.#options.self) {
-      this.#standing = { holder: "", offset: this.#standing.offset };
+    this.#validUntil = -Infinity;
+    this.#lastSeenAt = this.#options.timer.now();
+    if (this.#current?.holder === this.#options.self) {
+      this.#current = { holder: "", offset: this.#current.offset };
     }
   }
 
-  /** Fencing token for a call that is sent now. */
+  /**
+   * Fencing token for a call that is sent now; undefined without a valid claim.
+   */
   get fencing(): number | undefined {
-    const isUsable = this.#options.timer.now() < this.#usableUntil;
-    return isUsable ? this.#standing?.offset : undefined;
+    const isValid = this.#options.timer.now() < this.#validUntil;
+    return isValid ? this.#current?.offset : undefined;
   }
 
-  /** Who had the claim when it was last seen. */
+  /** Holder of the newest known claim. */
   get holder(): string | undefined {
-    return this.#standing?.holder;
+    return this.#current?.holder;
   }
 }
--- a/src/core/forwarding/claims/exclusive_claim_test.ts
+++ b/src/core/forwarding/claims/exclusive_claim_test.ts
@@ -11,13 +11,13 @@
     claim = new ExclusiveClaim({ timer, self: "me", leaseMilliseconds: 3_000 });
   });
 
-  it("may be had where nobody has claimed", () => {
+  it("may be claimed if there is no other claim", () => {
     expect(claim.mayClaim()).to.equal(true);
   });
 
-  // Another entry has just given orders. Orders from two holders within the
-  // lease contradict each other at engines that don't check numbers.
-  it("waits out the lease of another holder", async () => {
+  // Another entry has just sent orders. Orders from two holders within the
+  // lease conflict at engines that do not check fencing tokens.
+  it("waits until the lease of another holder has expired", async () => {
     claim.saw({ holder: "other", offset: 4 });
     await timer.advance(4_000);
     expect(claim.mayClaim()).to.equal(false);
@@ -25,14 +25,14 @@
     expect(claim.mayClaim()).to.equal(true);
   });
 
-  it("gives the offset of its record as the number of its orders", () => {
+  it("uses the offset of its record as the fencing token", () => {
     claim.gained(7, timer.now());
     expect(claim.fencing).to.equal(7);
   });
 
-  // The append took long, or the process stood still behind it. Meanwhile
-  // another entry may have waited out the lease and given orders.
-  it("gives no number once the claim is old", async () => {
+  // The append was slow, or the process was suspended after it. Meanwhile
+  // another entry may have waited for the lease to expire and sent orders.
+  it("returns no fencing token once the claim has expired", async () => {
     const sentAt = timer.now();
     await timer.advance(1_400);
     claim.gained(7, sentAt);
@@ -41,16 +41,16 @@
     expect(claim.fencing).to.equal(undefined);
   });
 
-  it("gives no number once another's claim stands behind its own", () => {
+  it("returns no fencing token once another holder has a newer claim", () => {
     claim.gained(7, timer.now());
     claim.saw({ holder: "other", offset: 9 });
     expect(claim.fencing).to.equal(undefined);
     expect(claim.mayClaim()).to.equal(false);
   });
 
-  // An engine answers that it has seen a higher number. Going on with the old
-  // one would repeat an order that has lost its authority.
-  it("gives up at once when an engine refuses its number", () => {
+  // An engine reports that it has seen a higher token. Continuing with the old
+  // one would repeat an order that is no longer authorized.
+  it("invalidates the claim when an engine refuses its fencing token", () => {
     claim.gained(7, timer.now());
     claim.refused();
     expect(claim.fencing).to.equal(undefined);
--- a/src/core/forwarding/configuration.ts
+++ b/src/core/forwarding/configuration.ts
@@ -1,4 +1,4 @@
-/** What operators have put in force for forwarded requests. */
+/** The operators' configuration of forwarded requests. */
 import type {
   AvailabilityZoneId,
   EndpointId,
@@ -8,9 +8,9 @@
 import type { WorkspaceKeys } from "./callers/key_directory.ts";
 
 /**
- * What may be repeated. `idempotent`: any number of runs. `once`: one run at
- * most for each attempt of the caller. `stream`: one run, and where the route
- * is resumable a further run may go on behind the last event.
+ * How often a request may run. `idempotent`: any number of times. `once`: at
+ * most once for each attempt of the caller. `stream`: once; on a resumable
+ * route, a further run may continue after the last event.
  */
 export type RepeatRule = "idempotent" | "once" | "stream";
 
@@ -20,51 +20,56 @@
   readonly weight: number;
 }
 
-/** Where requests of a host and path go, and within which limits. */
+/** Maps requests by host and path to pools, and sets their limits. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  /** True: callers need no key. */
+  /** True if callers need no key. */
   readonly isPublic?: boolean;
   readonly repeat: RepeatRule;
   readonly resumable: boolean;
-  /** Longest time that a caller is kept waiting, milliseconds. */
+  /** Maximum time a caller is kept waiting, milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** Within this an answer (a stream's first event) is on time. */
+  /**
+   * Time within which an answer (of a stream, its first event) is on time,
+   * milliseconds.
+   */
   readonly targetMilliseconds: number;
   /**
-   * Silence after which callers leave a stream, before its first byte too,
-   * milliseconds; absent where they wait for their deadline.
+   * Silence after which callers abandon a stream, also before its first byte,
+   * milliseconds; absent if they wait until their deadline.
    */
   readonly patienceMilliseconds?: number;
   /** 0 is the most urgent. */
   readonly rank: number;
-  /** Most endpoints that may run one attempt of a caller. */
+  /** Maximum number of endpoints that may run one attempt of a caller. */
   readonly mostAttempts: number;
   readonly shares: readonly PoolShare[];
 }
 
-/** What an engine can do; absent on pools of plain services. */
+/** Capacity of an engine; absent on pools of plain services. */
 export interface EngineLimits {
-  /** Tokens that an engine's memory holds. */
+  /** Tokens that fit the memory of an engine. */
   readonly memoryTokens: number;
-  /** Size of one token's cache, bytes. */
+  /** Size of the key-value cache of one token, bytes. */
   readonly cacheTokenBytes: number;
-  /** Speed of the link over which engines hand caches over. */
+  /** Bandwidth of the link over which engines transfer caches. */
   readonly linkMegabitsPerSecond: number;
 }
 
 /** Replicas that serve the same work. */
 export interface Pool {
   readonly name: ServiceName;
-  /** Connections that one replica takes from all processes together. */
+  /**
+   * Maximum number of connections to one replica, from all processes together.
+   */
   readonly mostConnections: number;
   readonly engine?: EngineLimits;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on a caller's requests and connections. */
 export interface CallerLimits {
   readonly mostHeaderBytes: number;
   readonly mostBodyBytes: number;
@@ -72,27 +77,33 @@
   readonly idleMilliseconds: number;
 }
 
-/** One version of the operators' configuration, whole. */
+/** One complete version of the operators' configuration. */
 export interface ForwardingConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly pools: ReadonlyMap<ServiceName, Pool>;
   readonly limits: CallerLimits;
-  /** Whose callers are let in; absent: everyone is, and keys mean nothing. */
+  /**
+   * Workspaces whose callers are admitted; if absent, everyone is admitted and
+   * keys are ignored.
+   */
   readonly workspaces?: readonly WorkspaceKeys[];
 }
 
-/** The part of a model engine's work that it takes. */
+/** Phases of a model's work that an engine handles. */
 export type EngineRole = "prefill" | "decode" | "mixed";
 
-/** A replica as it has registered itself. */
+/** A replica as registered by itself. */
 export interface RegisteredEndpoint {
-  /** May be the same after a restart of the replica. */
+  /** May stay the same when the replica restarts. */
   readonly id: EndpointId;
-  /** Tells one run of the replica from the next; absent where it tells none. */
+  /**
+   * Identifies the run of the replica; absent if the replica does not report
+   * it.
+   */
   readonly startedAt?: ReplicaStart;
   readonly pool: ServiceName;
-  /** `host:port`; may belong to another replica later. */
+  /** `host:port`; may be reused by another replica. */
   readonly address: string;
   readonly availabilityZone: AvailabilityZoneId;
   readonly slots: number;
--- a/src/core/forwarding/crashes/crash_suspects.ts
+++ b/src/core/forwarding/crashes/crash_suspects.ts
@@ -11,20 +11,29 @@
   runOfLoss,
 } from "./reported_loss.ts";
 
-/** Crashes under a request, one after another, before it is blocked. */
+/** Number of successive crashes after which a request is blocked. */
 const CRASHES_UNTIL_BLOCKED = 3;
-/** How long a request is blocked after the last crash under it. */
+/** Time that a request is blocked after its last crash. */
 const BLOCK_MILLISECONDS = 10 * 60_000;
-/** Behind its block a request has one trial: a further crash blocks it again. */
-const MEMORY_MILLISECONDS = 2 * BLOCK_MILLISECONDS;
-/** An endpoint that answers sooner than any process starts has not crashed. */
-const ALIVE_MILLISECONDS = 1_000;
-/** Suspects that are remembered. */
-const MOST_SUSPECTS = 4_096;
-/** Suspects reported to an entry that has just started. */
-const MOST_BLOCKED_REPORTED = 16;
+/**
+ * Time that a suspect is kept after its last crash. After the block ends, the
+ * request may run once more; a further crash blocks it again.
+ */
+const RETENTION_MILLISECONDS = 2 * BLOCK_MILLISECONDS;
+/**
+ * No process restarts faster than this, so an endpoint that answers sooner
+ * after a loss has not crashed.
+ */
+const MIN_RESTART_MILLISECONDS = 1_000;
+/** Maximum number of suspects. */
+const MAX_SUSPECTS = 4_096;
+/**
+ * Maximum number of blocked requests reported to an entry that has just
+ * started.
+ */
+const MAX_BLOCKED_REPORTED = 16;
 
-/** A request that is refused because endpoints crash under it. */
+/** A request that is refused because endpoints crash when they run it. */
 export interface BlockedRequest {
   readonly digest: RequestDigest;
   readonly losses: readonly ReportedLoss[];
@@ -32,40 +41,44 @@
 
 export interface CrashSuspectsOptions {
   readonly timer: TimerService;
-  /** A request is refused from now on; `isOwn`: also for losses seen here. */
+  /**
+   * Called when a request becomes blocked; `isOwn` is true if this entry has
+   * observed one of the losses.
+   */
   readonly onBlocked?: (
     blocked: BlockedRequest,
     options: { readonly isOwn: boolean },
   ) => void;
-  /** An endpoint has run a request to its end here that was blocked. */
+  /** Called when an endpoint has completed a request here that was blocked. */
   readonly onCleared?: (digest: RequestDigest) => void;
 }
 
 interface Suspect {
-  /** Losses by the run of the endpoint that they came with. */
+  /** Losses by the run of the endpoint. */
   readonly losses: Map<string, ReportedLoss>;
   lastLossAt: number;
-  /** True where this entry has seen one of the losses. */
+  /** True if this entry has observed one of the losses. */
   isOwn: boolean;
-  /** True once it has been blocked. */
+  /** True once the request has been blocked. */
   wasBlocked: boolean;
 }
 
 interface LostRun {
-  readonly at: number;
+  readonly lostAt: number;
   readonly digests: Set<RequestDigest>;
 }
 
 /**
- * Requests under which endpoints have crashed, of all entries. A request is
- * known by its digest, as each retry has a new id. One in flight with it when
- * an endpoint crashed is a suspect too, until it is answered elsewhere.
+ * Tracks requests that endpoints of all entries have crashed on. A request is
+ * identified by its digest, as each retry has a new id. A request that was in
+ * flight when an endpoint crashed is a suspect until another endpoint completes
+ * it.
  */
 export class CrashSuspects implements EndpointMemory {
   readonly #options: CrashSuspectsOptions;
-  /** The longest without a loss first. */
+  /** Ordered by the time of the last loss, the oldest first. */
   readonly #suspects = new Map<RequestDigest, Suspect>();
-  /** Runs lost so lately that they may turn out to be alive. */
+  /** Recently lost runs, which may turn out to be alive. */
   readonly #lostRuns = new Map<string, LostRun>();
   /** Pending reports to peers. */
   readonly reports: CrashReports;
@@ -75,12 +88,12 @@
     this.reports = new CrashReports(options.timer);
   }
 
-  /** Digests need not be computed where this is 0. */
+  /** Number of suspects; digests are only needed if it is not 0. */
   get size(): number {
     return this.#suspects.size;
   }
 
-  /** Requests that are refused now. */
+  /** Number of requests that are blocked now. */
   get blocked(): number {
     let count = 0;
     for (const suspect of this.#suspects.values()) {
@@ -90,8 +103,9 @@
   }
 
   /**
-   * A run has broken off with the request on it. `knownBefore` is what
-   * `crashesUnder` gave when the request was sent there.
+   * Records that the connection to a run broke with the request on it.
+   * `knownBefore` is the value of `crashesUnder` when the request was sent
+   * there.
    */
   lost(
     run: EndpointRun,
@@ -106,28 +120,30 @@
       run.startedAt ?? null,
       knownBefore + 1,
     ];
-    if (this.#take(loss, { isOwn: true })) this.reports.addOwn(loss);
+    if (this.#record(loss, { isOwn: true })) this.reports.addOwn(loss);
   }
 
-  /** Crashes under the request, one after another; 0 where none is known. */
+  /** Number of successive crashes under the request; 0 if none is known. */
   crashesUnder(digest: RequestDigest): number {
     const suspect = this.#suspects.get(digest);
-    return suspect === undefined ? 0 : crashesIn(suspect);
+    return suspect === undefined ? 0 : crashCountOf(suspect);
   }
 
-  /** A peer has lost a request with a run of an endpoint. */
+  /** Records a loss that a peer has observed. */
   peerLost(loss: ReportedLoss): void {
     const suspect = this.#suspects.get(digestOfLoss(loss));
     const wasBlocked = suspect !== undefined &&
       this.#blockedMilliseconds(suspect) > 0;
-    const isNew = this.#take(loss, { isOwn: false });
-    // The peer has sent on what is blocked here: it does not know all of it.
+    const isNew = this.#record(loss, { isOwn: false });
+    // The peer has sent a request that is blocked here, so it does not know all
+    // losses.
     if (isNew && wasBlocked) this.reports.add(suspect.losses.values());
   }
 
   /**
-   * Takes what an entry has kept that may not run any more, blocked so long
-   * ago. False where its block is over.
+   * Restores the losses of a request that was blocked `ageMilliseconds` ago, as
+   * stored by an entry that may no longer run. Returns false if the block is
+   * over.
    */
   restore(
     losses: readonly ReportedLoss[],
@@ -138,29 +154,35 @@
     return true;
   }
 
-  /** The run has answered a request that was sent to it then. */
+  /**
+   * Records that the run has answered a request sent at `sentAt`; this retracts
+   * recent losses with the run.
+   */
   answered(run: EndpointRun, sentAt: number): void {
     if (this.#lostRuns.size === 0) return;
     const key = keyOfRun(run);
     const lostRun = this.#lostRuns.get(key);
-    if (lostRun === undefined || sentAt < lostRun.at) return;
+    if (lostRun === undefined || sentAt < lostRun.lostAt) return;
     this.#lostRuns.delete(key);
     const now = this.#options.timer.now();
-    if (now - lostRun.at > ALIVE_MILLISECONDS) return;
-    for (const digest of lostRun.digests) this.#withdraw(digest, key);
+    if (now - lostRun.lostAt > MIN_RESTART_MILLISECONDS) return;
+    for (const digest of lostRun.digests) this.#retract(digest, key);
   }
 
-  /** The run takes no connections: it has ended, whatever answers later. */
+  /**
+   * Records that the run refuses connections: it has ended, and later answers
+   * at its address do not show that it is alive.
+   */
   refusedConnection(run: EndpointRun): void {
     this.#lostRuns.delete(keyOfRun(run));
   }
 
-  /** The run is over. */
+  /** Records that the run is over. */
   forget(endpoint: RegisteredEndpoint): void {
     this.#lostRuns.delete(keyOfRun(endpoint));
   }
 
-  /** An endpoint has run the request to its end and lives. */
+  /** Records that an endpoint has completed the request without a crash. */
   completed(digest: RequestDigest): void {
     const suspect = this.#suspects.get(digest);
     if (suspect === undefined) return;
@@ -169,28 +191,31 @@
     if (suspect.wasBlocked) this.#options.onCleared?.(digest);
   }
 
-  /** The same, at a peer. */
+  /** Records the same for a peer's endpoint. */
   peerCompleted(digest: RequestDigest): void {
     this.#suspects.delete(digest);
-    this.reports.drop(digest);
+    this.reports.discard(digest);
   }
 
-  /** How long the request is still refused, milliseconds; 0: it is not. */
+  /**
+   * Remaining time of the block in milliseconds; 0 if the request is not
+   * blocked.
+   */
   blockedMilliseconds(digest: RequestDigest): number {
     const suspect = this.#suspects.get(digest);
     return suspect === undefined ? 0 : this.#blockedMilliseconds(suspect);
   }
 
-  /** What a peer has to know that has just started. */
+  /** Losses of the blocked requests, for a peer that has just started. */
   lossesOfBlocked(): readonly ReportedLoss[] {
     return [...this.#suspects.values()]
       .filter((suspect) => this.#blockedMilliseconds(suspect) > 0)
-      .slice(-MOST_BLOCKED_REPORTED)
+      .slice(-MAX_BLOCKED_REPORTED)
       .flatMap(({ losses }) => [...losses.values()]);
   }
 
-  /** False where the loss was known. */
-  #take(loss: ReportedLoss, { isOwn }: { readonly isOwn: boolean }): boolean {
+  /** Returns false if the loss was already known. */
+  #record(loss: ReportedLoss, { isOwn }: { readonly isOwn: boolean }): boolean {
     const digest = digestOfLoss(loss);
     const key = keyOfRun(runOfLoss(loss));
     const at = this.#options.timer.now();
@@ -203,8 +228,8 @@
     suspect.lastLossAt = at;
     this.#suspects.delete(digest);
     this.#suspects.set(digest, suspect);
-    this.#noteRun(key, { at, digest });
-    this.#dropOld(at);
+    this.#recordLostRun(key, { at, digest });
+    this.#evict(at);
     const isBlockedNow = !suspect.wasBlocked &&
       this.#blockedMilliseconds(suspect) > 0;
     if (isBlockedNow) {
@@ -215,30 +240,30 @@
     return true;
   }
 
-  #noteRun(
+  #recordLostRun(
     key: string,
     { at, digest }: { readonly at: number; readonly digest: RequestDigest },
   ): void {
-    const run = this.#lostRuns.get(key) ?? { at, digests: new Set() };
+    const run = this.#lostRuns.get(key) ?? { lostAt: at, digests: new Set() };
     this.#lostRuns.set(key, run);
     run.digests.add(digest);
   }
 
-  #dropOld(now: number): void {
-    for (const [key, { at }] of this.#lostRuns) {
-      if (now - at <= ALIVE_MILLISECONDS) break;
+  #evict(now: number): void {
+    for (const [key, { lostAt }] of this.#lostRuns) {
+      if (now - lostAt <= MIN_RESTART_MILLISECONDS) break;
       this.#lostRuns.delete(key);
     }
     for (const [digest, suspect] of this.#suspects) {
-      const isOld = now - suspect.lastLossAt > MEMORY_MILLISECONDS;
-      const isTooMany = this.#suspects.size > MOST_SUSPECTS;
-      if (!isOld && !isTooMany) return;
+      const isExpired = now - suspect.lastLossAt > RETENTION_MILLISECONDS;
+      const isOverLimit = this.#suspects.size > MAX_SUSPECTS;
+      if (!isExpired && !isOverLimit) return;
       const isBlocked = this.#blockedMilliseconds(suspect) > 0;
-      if (isOld || !isBlocked) this.#suspects.delete(digest);
+      if (isExpired || !isBlocked) this.#suspects.delete(digest);
     }
   }
 
-  #withdraw(digest: RequestDigest, key: string): void {
+  #retract(digest: RequestDigest, key: string): void {
     const suspect = this.#suspects.get(digest);
     if (suspect === undefined) return;
     suspect.losses.delete(key);
@@ -246,17 +271,20 @@
   }
 
   #blockedMilliseconds(suspect: Suspect): number {
-    if (crashesIn(suspect) < CRASHES_UNTIL_BLOCKED) return 0;
+    if (crashCountOf(suspect) < CRASHES_UNTIL_BLOCKED) return 0;
     if (this.#isExplained(suspect)) return 0;
     const until = suspect.lastLossAt + BLOCK_MILLISECONDS;
     return Math.max(0, until - this.#options.timer.now());
   }
 
-  /** True where another crashing request was on all these runs, and on more. */
+  /**
+   * Returns whether another crashing request was on all these runs, and on
+   * more.
+   */
   #isExplained({ losses }: Suspect): boolean {
     for (const other of this.#suspects.values()) {
       const mayExplain = other.losses.size > losses.size &&
-        crashesIn(other) >= CRASHES_UNTIL_BLOCKED;
+        crashCountOf(other) >= CRASHES_UNTIL_BLOCKED;
       if (!mayExplain) continue;
       const keys = [...losses.keys()];
       if (keys.every((key) => other.losses.has(key))) return true;
@@ -265,8 +293,8 @@
   }
 }
 
-/** No more than the runs that are known, whatever a peer has counted. */
-function crashesIn({ losses }: Suspect): number {
+/** At most the number of known runs, whatever crash number a peer reports. */
+function crashCountOf({ losses }: Suspect): number {
   let last = 0;
   for (const [, , , crash] of losses.values()) last = Math.max(last, crash);
   return Math.min(last, losses.size);
--- a/src/core/forwarding/crashes/crash_suspects_test.ts
+++ b/src/core/forwarding/crashes/crash_suspects_test.ts
@@ -18,22 +18,24 @@
   let timer: ManualTimerService;
   let suspects: CrashSuspects;
   let blocked: string[];
-  let kept: string[];
+  let ownBlocked: string[];
 
   beforeEach(() => {
     timer = new ManualTimerService();
     blocked = [];
-    kept = [];
+    ownBlocked = [];
     suspects = new CrashSuspects({
       timer,
       onBlocked: ({ digest }, { isOwn }) => {
         blocked.push(digest);
-        if (isOwn) kept.push(digest);
+        if (isOwn) ownBlocked.push(digest);
       },
     });
   });
 
-  /** The request is sent to the endpoint and lost with it; gives its crashes. */
+  /**
+   * Sends the request to the endpoint and loses it; returns its crash count.
+   */
   function lose(
     endpoint: string,
     digest: RequestDigest,
@@ -44,7 +46,7 @@
     return suspects.crashesUnder(digest);
   }
 
-  /** The endpoint crashes with these requests on it. */
+  /** Crashes the endpoint with these requests on it. */
   function crash(endpoint: string, ...digests: RequestDigest[]): void {
     for (const digest of digests) lose(endpoint, digest);
     suspects.forget(makeEndpoint(endpoint));
@@ -55,7 +57,7 @@
   }
 
   describe("lost", () => {
-    it("blocks a request with the third endpoint that crashes", () => {
+    it("blocks a request after the third endpoint that crashes", () => {
       crash("a", CRASHING);
       crash("b", CRASHING);
       expect(isBlocked(CRASHING)).to.equal(false);
@@ -65,12 +67,12 @@
       expect(suspects.blocked).to.equal(1);
     });
 
-    it("counts one crash once, however many copies ran there", () => {
+    it("counts one crash once, however many copies of the request ran there", () => {
       for (let copy = 0; copy < 5; copy++) crash("a", CRASHING);
       expect(suspects.crashesUnder(CRASHING)).to.equal(1);
     });
 
-    it("counts endpoints that die together once", () => {
+    it("counts endpoints that crash at the same time once", () => {
       for (const endpoint of ["a", "b", "c", "d"]) {
         suspects.lost(makeEndpoint(endpoint), {
           digest: BYSTANDER,
@@ -88,7 +90,7 @@
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
-    it("keeps few suspects where every request is new", () => {
+    it("bounds the number of suspects", () => {
       for (let index = 0; index < 10_000; index++) {
         const digest = identifier<RequestDigest>(`request-${index}`);
         lose(`endpoint-${index}`, digest);
@@ -96,7 +98,7 @@
       expect(suspects.size).to.equal(4_096);
     });
 
-    it("does not drop a blocked request for new suspects", () => {
+    it("does not evict a blocked request for new suspects", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
       for (let index = 0; index < 10_000; index++) {
         const digest = identifier<RequestDigest>(`request-${index}`);
@@ -106,7 +108,7 @@
     });
   });
 
-  describe("a request that was beside the crashing one", () => {
+  describe("a request in flight with the crashing one", () => {
     it("is not blocked for crashes that the other explains", () => {
       crash("a", CRASHING);
       for (const endpoint of ["b", "c", "d"]) {
@@ -117,8 +119,9 @@
       expect(blocked).to.deep.equal([CRASHING]);
     });
 
-    it("does not hide the crashing one behind its own losses", () => {
-      // Long answers that began before the first crash and end with the last.
+    it("does not hide the crashing one with its own losses", () => {
+      // Long answers that began before the first crash and end with the last
+      // one.
       for (const endpoint of ["a", "b", "c", "d"]) {
         suspects.lost(makeEndpoint(endpoint), {
           digest: BYSTANDER,
@@ -130,7 +133,7 @@
       expect(isBlocked(BYSTANDER)).to.equal(false);
     });
 
-    it("is cleared when an endpoint has run it to its end", () => {
+    it("is cleared when an endpoint has completed it", () => {
       crash("a", CRASHING, BYSTANDER);
       crash("b", CRASHING, BYSTANDER);
       suspects.completed(BYSTANDER);
@@ -141,7 +144,7 @@
   });
 
   describe("answered", () => {
-    it("takes back a loss at an endpoint that answers right after it", async () => {
+    it("retracts a loss at an endpoint that answers right after it", async () => {
       for (const endpoint of ["a", "b", "c"]) lose(endpoint, CRASHING);
       await timer.advance(200);
       suspects.answered(makeEndpoint("a"), timer.now() - 20);
@@ -149,7 +152,7 @@
       expect(lose("d", CRASHING)).to.equal(3);
     });
 
-    it("takes nothing back for an answer to an earlier request", async () => {
+    it("retracts nothing for an answer to an earlier request", async () => {
       const sentAt = timer.now();
       await timer.advance(10);
       lose("a", CRASHING);
@@ -157,14 +160,14 @@
       expect(lose("b", CRASHING)).to.equal(2);
     });
 
-    it("takes nothing back once the endpoint had time to start again", async () => {
+    it("retracts nothing once the endpoint had time to restart", async () => {
       lose("a", CRASHING);
       await timer.advance(1_500);
       suspects.answered(makeEndpoint("a"), timer.now());
       expect(lose("b", CRASHING)).to.equal(2);
     });
 
-    it("takes nothing back once the endpoint has refused connections", async () => {
+    it("retracts nothing once the endpoint has refused connections", async () => {
       lose("a", CRASHING);
       await timer.advance(50);
       suspects.refusedConnection(makeEndpoint("a"));
@@ -186,13 +189,13 @@
       expect(isBlocked(CRASHING)).to.equal(false);
     });
 
-    it("begins anew with one further crash", async () => {
+    it("starts again after one further crash", async () => {
       await timer.advance(11 * MINUTE_MILLISECONDS);
       crash("d", CRASHING);
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
-    it("is over for good once the request has been answered", async () => {
+    it("ends permanently once the request has been completed", async () => {
       await timer.advance(11 * MINUTE_MILLISECONDS);
       suspects.completed(CRASHING);
       crash("d", CRASHING);
@@ -210,7 +213,7 @@
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
-    it("takes nothing whose block is over", () => {
+    it("ignores requests whose block is over", () => {
       const losses = [[CRASHING, "a", null, 1]] as const;
       const age = 10 * MINUTE_MILLISECONDS;
       expect(suspects.restore(losses, { ageMilliseconds: age }))
@@ -219,8 +222,8 @@
     });
   });
 
-  describe("what peers are told", () => {
-    it("is each loss once", () => {
+  describe("reports to peers", () => {
+    it("contain each loss once", () => {
       let calls = 0;
       suspects.reports.onNews(() => calls += 1);
       crash("a", CRASHING);
@@ -232,7 +235,7 @@
       expect(suspects.reports.take()).to.equal(undefined);
     });
 
-    it("is each own loss again for some seconds", async () => {
+    it("repeat own losses for some seconds", async () => {
       crash("a", CRASHING);
       suspects.peerLost([CRASHING, "b", null, 2]);
       expect(suspects.reports.recentLosses()).to.have.length(1);
@@ -240,7 +243,7 @@
       expect(suspects.reports.recentLosses()).to.deep.equal([]);
     });
 
-    it("is that a request was answered, and nothing more of its losses", () => {
+    it("contain a completed request, and no more of its losses", () => {
       crash("a", BYSTANDER);
       suspects.reports.take();
       suspects.completed(BYSTANDER);
@@ -253,14 +256,14 @@
       expect(suspects.reports.take()).to.equal(undefined);
     });
 
-    it("ends a block with a peer's answer", () => {
+    it("end a block when a peer has completed the request", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, BYSTANDER);
       suspects.peerCompleted(BYSTANDER);
       expect(isBlocked(BYSTANDER)).to.equal(false);
       expect(suspects.reports.recentLosses()).to.deep.equal([]);
     });
 
-    it("adds up with what this entry has seen", () => {
+    it("add to the losses observed by this entry", () => {
       crash("a", CRASHING);
       suspects.peerLost([CRASHING, "b", 5, 2]);
       suspects.peerLost([CRASHING, "b", 5, 2]);
@@ -269,7 +272,7 @@
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
-    it("leaves keeping a block to those who have seen a loss", () => {
+    it("mark a block as own only where a loss was observed", () => {
       const peerLost = (digest: RequestDigest) => {
         suspects.peerLost([digest, "b", null, 2]);
         suspects.peerLost([digest, "c", null, 3]);
@@ -279,24 +282,24 @@
       suspects.peerLost([BYSTANDER, "d", null, 1]);
       peerLost(BYSTANDER);
       expect(blocked).to.deep.equal([CRASHING, BYSTANDER]);
-      expect(kept).to.deep.equal([CRASHING]);
+      expect(ownBlocked).to.deep.equal([CRASHING]);
     });
 
-    it("is all that is known of a request that a peer still sends", () => {
+    it("contain all losses of a blocked request that a peer still sends", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
       suspects.reports.take();
       suspects.peerLost([CRASHING, "d", null, 1]);
       expect(suspects.reports.take()?.losses).to.have.length(4);
     });
 
-    it("names what is blocked to one that has just started", () => {
+    it("contain the blocked requests for a peer that has just started", () => {
       crash("a", BYSTANDER);
       expect(suspects.lossesOfBlocked()).to.deep.equal([]);
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
       expect(suspects.lossesOfBlocked()).to.have.length(3);
     });
 
-    it("fits a datagram after many losses", () => {
+    it("fit a datagram after many losses", () => {
       for (let index = 0; index < 200; index++) {
         crash("a", identifier<RequestDigest>(`request-${index}`));
       }
--- a/src/core/forwarding/crashes/reported_loss.ts
+++ b/src/core/forwarding/crashes/reported_loss.ts
@@ -8,9 +8,10 @@
 import type { EndpointRun } from "../endpoints/endpoint_runs.ts";
 
 /**
- * A request that was lost with a run of an endpoint, as peers report it. What
- * has the same `crash` number was lost at once: nobody who sent it knew of the
- * others. Endpoints that die together do not count as often as they are many.
+ * A request that was lost with a run of an endpoint, as reported to peers.
+ * Losses with the same `crash` number count as one crash: none of the senders
+ * knew of the others. Endpoints that crash at the same time are thus counted
+ * once.
  */
 export type ReportedLoss = readonly [
   digest: string,
@@ -19,7 +20,7 @@
   crash: number,
 ];
 
-/** True where a peer's value is a loss. */
+/** Returns whether a value received from a peer is a loss. */
 export function isReportedLoss(value: unknown): value is ReportedLoss {
   if (!Array.isArray(value)) return false;
   const [digest, endpoint, startedAt, crash] = value;
@@ -41,7 +42,7 @@
   };
 }
 
-/** Names one run of an endpoint. */
+/** Key that identifies one run of an endpoint. */
 export function keyOfRun({ id, startedAt }: EndpointRun): string {
   return `${id}@${startedAt ?? ""}`;
 }
--- a/src/core/forwarding/event_splitter.ts
+++ b/src/core/forwarding/event_splitter.ts
@@ -1,46 +1,50 @@
 /**
- * Cuts a stream of server-sent events into whole events. An engine may crash in
- * the middle of one, and another engine's bytes must not follow half an event.
+ * Splits a stream of server-sent events into complete events. An engine may
+ * crash in the middle of an event, and another engine's bytes must not follow a
+ * partial one.
  */
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
-/** Longest event that is kept waiting for its end, bytes. */
-const MOST_EVENT_BYTES = 1024 * 1024;
+/** Maximum size of an event that is buffered until it is complete, bytes. */
+const MAX_EVENT_BYTES = 1024 * 1024;
 
-/** Whole events and the id of the last of them. */
-export interface WholeEvents {
+/** Complete events and the id of the last one. */
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastEventId: string | undefined;
 }
 
-/** Holds back the bytes of an event until it is whole. */
+/** Buffers the bytes of an event until it is complete. */
 export class EventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #buffered: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event whose end has not come. */
+  /** Bytes of the incomplete event. */
   get pending(): Buffer {
-    return this.#rest;
+    return this.#buffered;
   }
 
-  /** Gives the events that are whole now; undefined where none is. */
-  push(piece: Buffer): WholeEvents | undefined {
-    const bytes = this.#rest.length === 0
-      ? piece
-      : Buffer.concat([this.#rest, piece]);
+  /**
+   * Returns the events that are now complete; undefined if there are none. A
+   * larger event than the maximum is passed on incomplete.
+   */
+  push(chunk: Buffer): CompleteEvents | undefined {
+    const bytes = this.#buffered.length === 0
+      ? chunk
+      : Buffer.concat([this.#buffered, chunk]);
     const end = endOfLastEvent(bytes);
     if (end === 0) {
-      this.#rest = bytes;
-      if (bytes.length <= MOST_EVENT_BYTES) return undefined;
-      this.#rest = Buffer.alloc(0);
+      this.#buffered = bytes;
+      if (bytes.length <= MAX_EVENT_BYTES) return undefined;
+      this.#buffered = Buffer.alloc(0);
       return { bytes, lastEventId: undefined };
     }
-    const whole = bytes.subarray(0, end);
-    this.#rest = bytes.subarray(end);
-    return { bytes: whole, lastEventId: lastIdIn(whole) };
+    const complete = bytes.subarray(0, end);
+    this.#buffered = bytes.subarray(end);
+    return { bytes: complete, lastEventId: lastEventIdIn(complete) };
   }
 }
 
-/** Offset behind the last empty line, 0 where there is none. */
+/** Offset after the last empty line; 0 if there is none. */
 function endOfLastEvent(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== LINE_FEED) continue;
@@ -53,7 +57,7 @@
   return 0;
 }
 
-function lastIdIn(events: Buffer): string | undefined {
+function lastEventIdIn(events: Buffer): string | undefined {
   const matches = events.toString("latin1").matchAll(
     /(?:^|\n)id: ?([^\r\n]*)/g,
   );
--- a/src/core/forwarding/event_splitter_test.ts
+++ b/src/core/forwarding/event_splitter_test.ts
@@ -7,9 +7,9 @@
 }
 
 describe("EventSplitter", () => {
-  // An engine crashes in the middle of an event and another one goes on. If
-  // half an event had been passed on, the caller would read one garbled event.
-  it("passes on whole events only, however the bytes are split", () => {
+  // An engine crashes in the middle of an event and another one continues. If a
+  // partial event had been passed on, the caller would read a garbled event.
+  it("passes on complete events only, however the bytes are split", () => {
     fastCheck.assert(fastCheck.property(
       fastCheck.integer({ min: 1, max: 6 }),
       fastCheck.constantFrom("\n", "\r\n"),
@@ -20,21 +20,21 @@
           (_, index) => eventText(index + 1, lineEnd),
         );
         const bytes = Buffer.from(events.join("") + "id: 99\ndata: ha");
-        const places = [...new Set(cuts.map((cut) => cut % bytes.length))]
+        const cutOffsets = [...new Set(cuts.map((cut) => cut % bytes.length))]
           .sort((one, other) => one - other);
         const splitter = new EventSplitter();
         let passed = "";
         let lastId: string | undefined;
         let from = 0;
-        for (const to of [...places, bytes.length]) {
-          const whole = splitter.push(bytes.subarray(from, to));
+        for (const to of [...cutOffsets, bytes.length]) {
+          const complete = splitter.push(bytes.subarray(from, to));
           from = to;
-          passed += whole?.bytes.toString() ?? "";
-          lastId = whole?.lastEventId ?? lastId;
-          const isWhole = events.some((_, index) =>
+          passed += complete?.bytes.toString() ?? "";
+          lastId = complete?.lastEventId ?? lastId;
+          const isComplete = events.some((_, index) =>
             passed === events.slice(0, index + 1).join("")
           );
-          expect(passed === "" || isWhole).to.equal(true);
+          expect(passed === "" || isComplete).to.equal(true);
         }
         expect(passed).to.equal(events.join(""));
         expect(lastId).to.equal(String(count));
@@ -43,7 +43,7 @@
     ));
   });
 
-  it("gives up on an event without an end before it fills the memory", () => {
+  it("bounds the memory used by an event that never ends", () => {
     const splitter = new EventSplitter();
     const passed = splitter.push(Buffer.alloc(2 * 1024 * 1024, "x"));
     expect(passed?.bytes.length).to.equal(2 * 1024 * 1024);
--- a/src/core/forwarding/mod.ts
+++ b/src/core/forwarding/mod.ts
@@ -1,4 +1,4 @@
-/** Decisions on requests that are forwarded byte by byte. */
+/** Decisions on requests whose bodies are forwarded unchanged. */
 export type * from "./configuration.ts";
 export type * from "./requests.ts";
 export { drawPool, RouteTable } from "./route_table.ts";
--- a/src/core/forwarding/requests.ts
+++ b/src/core/forwarding/requests.ts
@@ -1,4 +1,4 @@
-/** A request as the forwarding path sees it. */
+/** Requests and answer heads on the forwarding path. */
 import type {
   EndpointId,
   ModelName,
@@ -9,76 +9,76 @@
 import type { Credentials } from "./callers/authentication.ts";
 import type { PromptPart } from "./caches/prefix_directory.ts";
 
-/** What a request for a model says of its prompt. */
+/** The prompt of a request for a model. */
 export interface Prompt {
   readonly model: ModelName;
   readonly inputTokens: number;
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens in the answer. */
   readonly mostOutputTokens: number;
   readonly parts: readonly PromptPart[];
 }
 
-/** A caller's request; the body is never looked into. */
+/** A caller's request; its body is not parsed. */
 export interface ForwardedRequest {
   readonly id: RequestId;
   readonly method: string;
   readonly target: string;
   readonly host: string;
-  /** Names and values in turn, as they came; only those to pass on. */
+  /** Alternating names and values as received; only headers to be forwarded. */
   readonly headers: readonly string[];
   /**
-   * The headers by which the caller names itself, as they came; passed on only
-   * where the system itself lets everyone in.
+   * Headers that identify the caller, as received; forwarded only if this
+   * system admits everyone itself.
    */
   readonly identityHeaders: readonly string[];
   readonly credentials: Credentials;
   readonly body: Buffer;
-  /** How long the caller waits, milliseconds from its arrival. */
+  /** Time that the caller waits, milliseconds from the request's arrival. */
   readonly deadlineMilliseconds: number | undefined;
   readonly lastEventId: string | undefined;
   readonly prompt: Prompt | undefined;
 }
 
-/** A cache of a prompt that an engine keeps for a hand-over. */
+/** Key-value cache of a prompt that an engine keeps for a hand-over. */
 export interface KeptPrompt {
   readonly engine: EndpointId;
-  /** Run of the engine that keeps it; a later one has nothing of it. */
+  /** Run of the engine that keeps the cache; a later run does not have it. */
   readonly engineStartedAt?: ReplicaStart;
   /** `host:port` of the engine. */
   readonly address: string;
   readonly handle: string;
 }
 
-/** What is added to a request when it is sent to an endpoint. */
+/** Options of one attempt, which are added to the forwarded request. */
 export interface AttemptOptions {
   readonly endpoint: EndpointId;
-  /** Whose key the caller has; absent where callers need none. */
+  /** Workspace of the caller's key; absent if callers need no key. */
   readonly workspace?: WorkspaceId;
   readonly deadlineMilliseconds: number;
   /** 0 is admitted first, 9 last. */
   readonly priority?: number;
-  /** Only read the prompt and keep its cache for a hand-over. */
+  /** Process only the prompt and keep its cache for a hand-over. */
   readonly prefillOnly?: boolean;
   readonly keptPrompt?: KeptPrompt;
-  /** `host:port` of an engine from which kept parts are fetched first. */
+  /** `host:port` of an engine from which cached parts are fetched first. */
   readonly fetchFrom?: string;
   readonly lastEventId?: string;
 }
 
-/** The head of an endpoint's answer, decoded. */
+/** The decoded head of an endpoint's answer. */
 export interface AnswerHead {
   readonly status: number;
-  /** Names and values in turn, without those of one connection only. */
+  /** Alternating names and values, without hop-by-hop headers. */
   readonly headers: readonly string[];
-  /** Id of the request that it answers, where it tells. */
+  /** Id of the request that it answers, if present. */
   readonly requestId: string | undefined;
-  /** The endpoint vouches that it did not run the request, and never will. */
+  /** The endpoint guarantees that it did not run the request and never will. */
   readonly notRun: boolean;
-  /** The endpoint says that it leaves. */
+  /** The endpoint announces that it is leaving. */
   readonly leaving?: boolean;
   /**
-   * The endpoint is overloaded and wants nothing from this process for so
-   * long, milliseconds.
+   * The endpoint is overloaded and accepts nothing from this process for this
+   * time, milliseconds.
    */
   readonly retryAfterMilliseconds?: number;
 }
--- a/src/core/forwarding/route_table.ts
+++ b/src/core/forwarding/route_table.ts
@@ -4,14 +4,14 @@
 import type { ForwardingConfiguration, Route } from "./configuration.ts";
 
 /**
- * What a configuration says of callers: the route of a request, by the longest
- * matching prefix of its host, and whose key is whose.
+ * Lookup of routes, by host and longest matching path prefix, and of callers'
+ * keys in one version of the configuration.
  */
 export class RouteTable {
   readonly configuration: ForwardingConfiguration;
-  /** Undefined where callers need no keys. */
+  /** Undefined if callers need no keys. */
   readonly keys: KeyDirectory | undefined;
-  /** By host, the longest prefix first. */
+  /** Routes by host, the longest prefix first. */
   readonly #byHost = new Map<string, Route[]>();
 
   constructor(configuration: ForwardingConfiguration) {
@@ -31,7 +31,9 @@
     }
   }
 
-  /** `host` may carry a port, `target` a query. */
+  /**
+   * Finds the route of a request; `host` may include a port, `target` a query.
+   */
   find(host: string, target: string): Route | undefined {
     const path = pathOf(target);
     const name = host.toLowerCase().replace(/:\d+$/, "");
@@ -46,16 +48,16 @@
   return query < 0 ? target : target.slice(0, query);
 }
 
-/** Draws the pool of a request by the weights of its route. */
+/** Selects a pool at random by the weights of the route. */
 export function drawPool(
   route: Route,
   random: Random,
 ): ServiceName | undefined {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
-  let rest = random() * total;
+  let remaining = random() * total;
   for (const share of route.shares) {
-    rest -= share.weight;
-    if (rest < 0) return share.pool;
+    remaining -= share.weight;
+    if (remaining < 0) return share.pool;
   }
   return route.shares.at(-1)?.pool;
 }
--- a/src/core/forwarding/route_table_test.ts
+++ b/src/core/forwarding/route_table_test.ts
@@ -15,17 +15,17 @@
     ],
   }));
 
-  it("takes the longest prefix of the host", () => {
+  it("uses the longest prefix of the host", () => {
     expect(table.find("one.example", "/a/b/c")?.name).to.equal("long");
     expect(table.find("one.example", "/a/x")?.name).to.equal("short");
   });
 
-  it("looks at neither port, case nor query", () => {
+  it("ignores port, case and query", () => {
     expect(table.find("ONE.example:80", "/a/x?to=/a/b/")?.name)
       .to.equal("short");
   });
 
-  it("finds nothing beside the prefixes", () => {
+  it("finds nothing outside the prefixes", () => {
     expect(table.find("one.example", "/ab")).to.equal(undefined);
     expect(table.find("three.example", "/a/")).to.equal(undefined);
   });
@@ -44,7 +44,7 @@
     expect(drawPool(route, () => 0.91)).to.equal("few");
   });
 
-  it("names no pool where the route has none", () => {
+  it("returns undefined for a route without pools", () => {
     expect(drawPool(makeRoute({ shares: [] }), () => 0)).to.equal(undefined);
   });
 });
