--- a/src/core/forwarding/endpoints/endpoint_outcomes.ts
+++ b/src/core/forwarding/endpoints/endpoint_outcomes.ts
@@ -3,11 +3,11 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Limits of the ejection by outcomes. A replica may fail part of its requests
- * while its health check passes; well ones fail some of their work too, so that
- * the share is well above theirs.
+ * Limits of the ejection by outcomes. A replica may fail some of its requests
+ * while its health check passes. Healthy replicas fail some requests too, so
+ * the maximum share is well above theirs.
  */
-const LIMITS: HealthLimits = {
+const HEALTH_LIMITS: HealthLimits = {
   mostFailureShare: 0.3,
   fewestAttempts: 8,
   mostSlowness: 4,
@@ -15,50 +15,55 @@
   longestEjectionMilliseconds: 8_000,
 };
 /**
- * Connections refused in a row after which an endpoint is unreachable, and how
- * often one request may probe whether it is back. Without the pause every
- * request tries each endpoint of a pool that has crashed.
+ * Number of successive refused connections after which an endpoint is
+ * unreachable, and the interval at which one request may probe it. Without the
+ * interval, every request tries each endpoint of a pool that has crashed.
  */
 const REFUSALS_UNTIL_UNREACHABLE = 2;
-const REACH_MILLISECONDS = 200;
+const PROBE_INTERVAL_MILLISECONDS = 200;
 /**
- * Silence with work open after which an endpoint gets no new work: its machine
- * may have gone dark.
+ * Silence with open attempts after which an endpoint gets no new work; its
+ * machine may have failed without closing connections.
  */
-const SILENCE_MILLISECONDS = 600;
-/** Share of a pool that may be passed over at a time. */
-const MOST_EJECTED_SHARE = 0.5;
+const RESPONSE_TIMEOUT_MILLISECONDS = 600;
+/** Maximum share of a pool that may be ejected at a time. */
+const MAX_EJECTED_SHARE = 0.5;
 /**
- * Rejections in a row after which an endpoint is skipped. The wait doubles with
- * each further one; otherwise every request tries it first and uses up a retry
- * of the whole fleet.
+ * Number of successive rejections after which an endpoint is skipped. The delay
+ * doubles with each further rejection; otherwise every request tries the
+ * endpoint first and uses up a retry of the whole fleet.
  */
-const REJECTIONS_UNTIL_CLOSED = 2;
-const FIRST_CLOSED_MILLISECONDS = 250;
-const LONGEST_CLOSED_MILLISECONDS = 2_000;
+const REJECTIONS_UNTIL_SKIPPED = 2;
+const INITIAL_SKIP_MILLISECONDS = 250;
+const MAX_SKIP_MILLISECONDS = 2_000;
 
-/** An attempt whose time says nothing of the endpoint's speed. */
-const UNJUDGED_TIMES = { overExpected: 1, overRated: 1 };
+/** Times of an attempt that do not affect the endpoint's slowness. */
+const NEUTRAL_TIMES = { overExpected: 1, overRated: 1 };
 
-interface Known {
+interface EndpointState {
   readonly health: EndpointHealth;
-  /** Connections refused in a row. */
+  /** Number of successive refused connections. */
   refusals: number;
-  /** When a request may next find out whether it takes connections. */
-  reachableFrom: number;
-  /** Requests turned away in a row. */
+  /** Earliest time at which a request may probe an unreachable endpoint. */
+  nextProbeAt: number;
+  /** Number of successive rejected requests. */
   rejections: number;
-  closedUntil: number;
-  open: number;
-  /** Since when work is open and nothing has been heard. */
+  skippedUntil: number;
+  openAttempts: number;
+  /** Last response, or the start of the first open attempt if that is later. */
   silentSince: number;
 }
 
-/** Passes over endpoints that fail, refuse connections or say nothing. */
+/**
+ * Tracks the outcomes of attempts, and skips endpoints that fail, refuse
+ * connections, reject requests or do not respond.
+ */
 export class EndpointOutcomes {
   readonly #timer: TimerService;
-  readonly #known = new Map<EndpointId, Known>();
-  /** Until when endpoints want nothing that have said so. */
+  readonly #states = new Map<EndpointId, EndpointState>();
+  /**
+   * Time until which an endpoint accepts no requests, as announced by itself.
+   */
   readonly #overloadedUntil = new Map<EndpointId, number>();
 
   constructor(timer: TimerService) {
@@ -66,103 +71,111 @@
   }
 
   /**
-   * Of the candidates those that look well; all that can be reached where too
-   * few do.
+   * Returns the healthy endpoints, or all reachable ones if too few are
+   * healthy.
    */
   wellAmong<Endpoint extends { readonly id: EndpointId }>(
     endpoints: readonly Endpoint[],
   ): readonly Endpoint[] {
-    // Most endpoints of a large pool have never been sent anything from here.
-    const isAnyKnown = endpoints.some(({ id }) => this.#known.has(id));
+    // Most endpoints of a large pool have received no request from this entry.
+    const isAnyKnown = endpoints.some(({ id }) => this.#states.has(id));
     if (!isAnyKnown) return endpoints;
     const reachable = endpoints.filter(({ id }) => !this.#isUnreachable(id));
-    const open = reachable.filter(({ id }) => !this.#isClosed(id));
-    const candidates = open.length > 0 ? open : reachable;
-    const well = candidates.filter((endpoint) => this.#isWell(endpoint.id));
-    const fewest = candidates.length * (1 - MOST_EJECTED_SHARE);
-    return well.length >= fewest ? well : candidates;
+    const accepting = reachable.filter(({ id }) => !this.#isSkipped(id));
+    const candidates = accepting.length > 0 ? accepting : reachable;
+    const healthy = candidates.filter((endpoint) =>
+      this.#isHealthy(endpoint.id)
+    );
+    const minimum = candidates.length * (1 - MAX_EJECTED_SHARE);
+    return healthy.length >= minimum ? healthy : candidates;
   }
 
-  /** Of the candidates those that don't turn away whatever is sent to them. */
+  /** Returns the endpoints that are not skipped because of rejections. */
   openAmong<Endpoint extends { readonly id: EndpointId }>(
     endpoints: readonly Endpoint[],
   ): readonly Endpoint[] {
-    return endpoints.filter(({ id }) => !this.#isClosed(id));
+    return endpoints.filter(({ id }) => !this.#isSkipped(id));
   }
 
   started(id: EndpointId): void {
-    const known = this.#of(id);
-    if (known.open === 0) known.silentSince = this.#timer.now();
-    known.open += 1;
-    known.reachableFrom = this.#timer.now() + REACH_MILLISECONDS;
-    if (known.health.mayProbe(this.#timer.now())) known.health.probeStarted();
+    const state = this.#stateOf(id);
+    if (state.openAttempts === 0) state.silentSince = this.#timer.now();
+    state.openAttempts += 1;
+    state.nextProbeAt = this.#timer.now() + PROBE_INTERVAL_MILLISECONDS;
+    if (state.health.mayProbe(this.#timer.now())) state.health.probeStarted();
   }
 
-  /** Anything came from the endpoint. */
+  /** Records a response from the endpoint. */
   heard(id: EndpointId): void {
-    const known = this.#of(id);
-    known.silentSince = this.#timer.now();
-    known.refusals = 0;
+    const state = this.#stateOf(id);
+    state.silentSince = this.#timer.now();
+    state.refusals = 0;
   }
 
-  /** The attempt is over, however it went. */
+  /** Records the end of an attempt, whatever its outcome. */
   ended(id: EndpointId): void {
-    const known = this.#of(id);
-    known.open = Math.max(0, known.open - 1);
+    const state = this.#stateOf(id);
+    state.openAttempts = Math.max(0, state.openAttempts - 1);
   }
 
   succeeded(id: EndpointId): void {
-    this.#of(id).rejections = 0;
-    this.#of(id).health.succeeded(UNJUDGED_TIMES, this.#timer.now());
+    this.#stateOf(id).rejections = 0;
+    this.#stateOf(id).health.succeeded(NEUTRAL_TIMES, this.#timer.now());
   }
 
   failed(id: EndpointId): void {
-    const { health } = this.#of(id);
+    const { health } = this.#stateOf(id);
     const now = this.#timer.now();
     health.failed(now);
     if (health.isBad(1)) health.eject(now);
   }
 
   refusedConnection(id: EndpointId): void {
-    const known = this.#of(id);
-    known.refusals += 1;
-    known.reachableFrom = this.#timer.now() + REACH_MILLISECONDS;
+    const state = this.#stateOf(id);
+    state.refusals += 1;
+    state.nextProbeAt = this.#timer.now() + PROBE_INTERVAL_MILLISECONDS;
   }
 
   /**
-   * Another replica has its address, or it has another role by now. Its
-   * registration tells so within seconds; until then every request that is
-   * sent there is turned away and counts as a repeat.
+   * Records that another replica uses the address, or that the endpoint has
+   * changed its role. Its registration shows this within seconds; until then
+   * every request sent there would be rejected and count as a repeat.
    */
   misdirected(id: EndpointId): void {
-    this.#of(id).closedUntil = this.#timer.now() + LONGEST_CLOSED_MILLISECONDS;
+    this.#stateOf(id).skippedUntil = this.#timer.now() + MAX_SKIP_MILLISECONDS;
   }
 
-  /** The endpoint vouches that it did not run the attempt. */
+  /** Records that the endpoint guarantees not to have run the attempt. */
   rejected(id: EndpointId): void {
-    const known = this.#of(id);
-    known.health.untold();
-    known.rejections += 1;
-    const beyond = known.rejections - REJECTIONS_UNTIL_CLOSED;
-    if (beyond < 0) return;
-    const wait = Math.min(
-      LONGEST_CLOSED_MILLISECONDS,
-      FIRST_CLOSED_MILLISECONDS * 2 ** beyond,
+    const state = this.#stateOf(id);
+    state.health.untold();
+    state.rejections += 1;
+    const excess = state.rejections - REJECTIONS_UNTIL_SKIPPED;
+    if (excess < 0) return;
+    const skipMilliseconds = Math.min(
+      MAX_SKIP_MILLISECONDS,
+      INITIAL_SKIP_MILLISECONDS * 2 ** excess,
     );
-    known.closedUntil = this.#timer.now() + wait;
+    state.skippedUntil = this.#timer.now() + skipMilliseconds;
   }
 
-  /** The endpoint wants nothing for so long, and has said so. */
+  /**
+   * Records that the endpoint accepts no requests for this time, as announced
+   * by itself.
+   */
   overloaded(id: EndpointId, milliseconds: number): void {
-    const known = this.#of(id);
-    known.health.untold();
-    known.rejections = 0;
+    const state = this.#stateOf(id);
+    state.health.untold();
+    state.rejections = 0;
     const until = this.#timer.now() + milliseconds;
     const before = this.#overloadedUntil.get(id) ?? -Infinity;
     this.#overloadedUntil.set(id, Math.max(before, until));
   }
 
-  /** How long the endpoint still wants nothing, milliseconds; 0: it does. */
+  /**
+   * Remaining time in which the endpoint accepts no requests, milliseconds; 0
+   * if it accepts them.
+   */
   overloadMilliseconds(id: EndpointId): number {
     const until = this.#overloadedUntil.get(id);
     if (until === undefined) return 0;
@@ -171,53 +184,53 @@
     return Math.max(0, left);
   }
 
-  /** The attempt was given up; it tells nothing of the endpoint. */
+  /** Records an abandoned attempt, which does not count as an outcome. */
   untold(id: EndpointId): void {
-    this.#of(id).health.untold();
+    this.#stateOf(id).health.untold();
   }
 
   forget({ id }: { readonly id: EndpointId }): void {
-    this.#known.delete(id);
+    this.#states.delete(id);
     this.#overloadedUntil.delete(id);
   }
 
   #isUnreachable(id: EndpointId): boolean {
-    const known = this.#known.get(id);
-    return known !== undefined &&
-      known.refusals >= REFUSALS_UNTIL_UNREACHABLE &&
-      this.#timer.now() < known.reachableFrom;
+    const state = this.#states.get(id);
+    return state !== undefined &&
+      state.refusals >= REFUSALS_UNTIL_UNREACHABLE &&
+      this.#timer.now() < state.nextProbeAt;
   }
 
-  #isClosed(id: EndpointId): boolean {
-    const known = this.#known.get(id);
-    return known !== undefined && this.#timer.now() < known.closedUntil;
+  #isSkipped(id: EndpointId): boolean {
+    const state = this.#states.get(id);
+    return state !== undefined && this.#timer.now() < state.skippedUntil;
   }
 
-  #isWell(id: EndpointId): boolean {
-    const known = this.#known.get(id);
-    if (known === undefined) return true;
+  #isHealthy(id: EndpointId): boolean {
+    const state = this.#states.get(id);
+    if (state === undefined) return true;
     const now = this.#timer.now();
-    const isSilent = known.open > 0 &&
-      now - known.silentSince > SILENCE_MILLISECONDS;
+    const isSilent = state.openAttempts > 0 &&
+      now - state.silentSince > RESPONSE_TIMEOUT_MILLISECONDS;
     if (isSilent) return false;
-    return !known.health.ejected || known.health.mayProbe(now);
+    return !state.health.ejected || state.health.mayProbe(now);
   }
 
-  #of(id: EndpointId): Known {
-    let known = this.#known.get(id);
-    if (known === undefined) {
-      const health = new EndpointHealth(LIMITS);
-      known = {
+  #stateOf(id: EndpointId): EndpointState {
+    let state = this.#states.get(id);
+    if (state === undefined) {
+      const health = new EndpointHealth(HEALTH_LIMITS);
+      state = {
         health,
         refusals: 0,
-        reachableFrom: -Infinity,
+        nextProbeAt: -Infinity,
         rejections: 0,
-        closedUntil: -Infinity,
-        open: 0,
+        skippedUntil: -Infinity,
+        openAttempts: 0,
         silentSince: 0,
       };
-      this.#known.set(id, known);
+      this.#states.set(id, state);
     }
-    return known;
+    return state;
   }
 }
--- a/src/core/forwarding/endpoints/endpoint_outcomes_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_outcomes_test.ts
@@ -14,37 +14,37 @@
     outcomes = new EndpointOutcomes(timer);
   });
 
-  function well(): string[] {
+  function healthyIds(): string[] {
     return outcomes.wellAmong(endpoints).map(({ id }) => String(id));
   }
 
-  // Two of three engines change their role and turn everything away for
-  // seconds. Each request asked both first, and the fleet's repeats were used
-  // up for requests that nothing was wrong with.
-  it("passes over what turns requests away, be it most of the pool", () => {
+  // Two of three engines change their role and reject all requests for seconds.
+  // If each request tried both first, the fleet's repeats would be used up
+  // although no request has failed.
+  it("skips endpoints that reject requests, even most of the pool", () => {
     for (const endpoint of [a, b]) {
       outcomes.rejected(endpoint.id);
       outcomes.rejected(endpoint.id);
     }
-    expect(well()).to.deep.equal(["c"]);
+    expect(healthyIds()).to.deep.equal(["c"]);
   });
 
-  it("asks again soon, and later each time", async () => {
+  it("retries a skipped endpoint after an increasing delay", async () => {
     outcomes.rejected(a.id);
     outcomes.rejected(a.id);
     await timer.advance(260);
-    expect(well()).to.contain("a");
+    expect(healthyIds()).to.contain("a");
     outcomes.rejected(a.id);
     await timer.advance(260);
-    expect(well()).to.not.contain("a");
+    expect(healthyIds()).to.not.contain("a");
     await timer.advance(300);
     outcomes.succeeded(a.id);
     outcomes.rejected(a.id);
-    expect(well()).to.contain("a");
+    expect(healthyIds()).to.contain("a");
   });
 
   describe("overloaded", () => {
-    it("holds for the longest time that the endpoint has named", async () => {
+    it("lasts for the longest time that the endpoint has announced", async () => {
       outcomes.overloaded(a.id, 3_000);
       outcomes.overloaded(a.id, 500);
       expect(outcomes.overloadMilliseconds(a.id)).to.equal(3_000);
@@ -54,56 +54,56 @@
       expect(outcomes.overloadMilliseconds(a.id)).to.equal(0);
     });
 
-    it("holds for one endpoint alone, and for one run of it", () => {
+    it("applies to one endpoint only, and to one run of it", () => {
       outcomes.overloaded(a.id, 3_000);
       expect(outcomes.overloadMilliseconds(b.id)).to.equal(0);
       outcomes.forget(a);
       expect(outcomes.overloadMilliseconds(a.id)).to.equal(0);
     });
 
-    it("does not pass over the endpoint any longer than that", async () => {
+    it("does not skip the endpoint after that time", async () => {
       for (let count = 0; count < 5; count++) outcomes.overloaded(a.id, 200);
       await timer.advance(200);
-      expect(well()).to.contain("a");
+      expect(healthyIds()).to.contain("a");
     });
   });
 
-  it("leaves one alone whose address another replica has", () => {
+  it("skips an endpoint whose address another replica uses", () => {
     outcomes.misdirected(b.id);
-    expect(well()).to.deep.equal(["a", "c"]);
+    expect(healthyIds()).to.deep.equal(["a", "c"]);
   });
 
-  // A machine goes dark and swallows what it is sent. Without this the
-  // requests of several seconds follow each other there.
-  it("passes over one that says nothing with work open", async () => {
+  // A machine fails without closing connections. Without the timeout, requests
+  // would be sent there for several seconds.
+  it("skips an endpoint that is silent with open attempts", async () => {
     outcomes.started(a.id);
     await timer.advance(700);
-    expect(well()).to.deep.equal(["b", "c"]);
+    expect(healthyIds()).to.deep.equal(["b", "c"]);
     outcomes.heard(a.id);
-    expect(well()).to.contain("a");
+    expect(healthyIds()).to.contain("a");
   });
 
-  it("passes over one that refuses connections", () => {
+  it("skips an endpoint that refuses connections", () => {
     outcomes.refusedConnection(c.id);
     outcomes.refusedConnection(c.id);
-    expect(well()).to.deep.equal(["a", "b"]);
+    expect(healthyIds()).to.deep.equal(["a", "b"]);
   });
 
-  // A replica fails half of its requests while it reports good health.
-  it("passes over one that fails more than the others", () => {
+  // A replica fails half of its requests while its health check passes.
+  it("skips an endpoint that fails more often than the others", () => {
     for (let count = 0; count < 20; count++) {
       outcomes.failed(a.id);
       outcomes.succeeded(b.id);
     }
-    expect(well()).to.deep.equal(["b", "c"]);
+    expect(healthyIds()).to.deep.equal(["b", "c"]);
   });
 
-  // A bad deployment makes every replica fail. Passing over all of them would
-  // turn failures of some requests into refusals of all.
-  it("passes over no more than half of a pool for failures", () => {
+  // A faulty deployment makes every replica fail. Ejecting all of them would
+  // turn the failure of some requests into the refusal of all.
+  it("skips at most half of a pool because of failures", () => {
     for (const { id } of endpoints) {
       for (let count = 0; count < 20; count++) outcomes.failed(id);
     }
-    expect(well()).to.have.length(3);
+    expect(healthyIds()).to.have.length(3);
   });
 });
--- a/src/core/forwarding/endpoints/endpoint_registry.ts
+++ b/src/core/forwarding/endpoints/endpoint_registry.ts
@@ -8,18 +8,18 @@
 } from "./endpoint_runs.ts";
 
 /**
- * How long an endpoint stays usable whose registration vanished around an
- * outage of the store. Registrations expire during an outage, so that every
- * healthy endpoint looks gone right after it.
+ * Time that an endpoint stays usable after its registration has vanished around
+ * a store outage. Registrations expire during an outage, so that every healthy
+ * endpoint appears to be gone right after it.
  */
 const LAPSE_GRACE_MILLISECONDS = 1_800;
 /**
- * How long after a failed read a vanished registration may have expired. Later
- * it is a real removal, which gets no grace.
+ * Time after a failed read in which a vanished registration may have expired.
+ * After that, it is a real removal without a grace period.
  */
-const OUTAGE_MEMORY_MILLISECONDS = 1_500;
+const OUTAGE_WINDOW_MILLISECONDS = 1_500;
 
-/** Why the registry changed; goes into the log. */
+/** Why the registry changed; written to the log. */
 export type RegistryChange =
   | "registered"
   | "updated"
@@ -29,17 +29,17 @@
   | "lapsed"
   | "back";
 
-/** Something that remembers an endpoint from one request to the next. */
+/** Holds state of an endpoint across requests. */
 export interface EndpointMemory {
-  /** The run of the endpoint that was known is over. */
+  /** Discards the state of the endpoint; the known run is over. */
   forget(endpoint: RegisteredEndpoint): void;
 }
 
 export interface EndpointRegistryOptions {
   readonly timer: TimerService;
   /**
-   * All that remembers something of an endpoint. It must not be taken for the
-   * state of the next run when a replica restarts under its id.
+   * Holders of endpoint state. When a replica restarts under the same id, they
+   * discard the state of the previous run.
    */
   readonly memories?: readonly EndpointMemory[];
   readonly onChange?: (
@@ -48,11 +48,11 @@
   ) => void;
 }
 
-/** The endpoints that may get work, as the store last told of them. */
+/** Registry of the endpoints, as last read from the store. */
 export class EndpointRegistry {
   readonly #options: EndpointRegistryOptions;
   readonly #endpoints = new Map<EndpointId, RegisteredEndpoint>();
-  /** Endpoints of a pool that may get new work, until one changes. */
+  /** Usable endpoints by pool, cached until an endpoint changes. */
   readonly #byPool = new Map<ServiceName, readonly RegisteredEndpoint[]>();
   /** Lapsed registrations and the time until which they stay usable. */
   readonly #lapsed = new Map<EndpointId, number>();
@@ -63,9 +63,9 @@
     this.#options = options;
   }
 
-  /** Every endpoint that is registered or within its grace. */
+  /** All endpoints that are registered or within their grace period. */
   get all(): Iterable<RegisteredEndpoint> {
-    this.#expire();
+    this.#expireLapsed();
     return this.#endpoints.values();
   }
 
@@ -73,21 +73,21 @@
     return this.#endpoints.size;
   }
 
-  /** The endpoint as it is known, also while it leaves. */
+  /** The endpoint, even if it is leaving. */
   get(id: EndpointId): RegisteredEndpoint | undefined {
     return this.#endpoints.get(id);
   }
 
-  /** The endpoint while it may get new work. */
+  /** The endpoint, if it may receive new work. */
   usable(id: EndpointId): RegisteredEndpoint | undefined {
-    this.#expire();
+    this.#expireLapsed();
     const endpoint = this.#endpoints.get(id);
     return endpoint === undefined || endpoint.leaving ? undefined : endpoint;
   }
 
-  /** Endpoints of a pool that may get new work. */
+  /** Endpoints of a pool that may receive new work. */
   inPool(pool: ServiceName): readonly RegisteredEndpoint[] {
-    this.#expire();
+    this.#expireLapsed();
     let found = this.#byPool.get(pool);
     if (found === undefined) {
       found = [...this.#endpoints.values()].filter((endpoint) =>
@@ -98,78 +98,84 @@
     return found;
   }
 
-  /** True while the endpoint is known in the same run. */
+  /** Returns whether the endpoint is known with the same run. */
   isSameRun({ id, startedAt }: EndpointRun): boolean {
     return this.#endpoints.get(id)?.startedAt === startedAt;
   }
 
-  /** The store did not answer: what vanishes soon after may only be a lapse. */
+  /**
+   * Records that the store did not answer; registrations that vanish soon after
+   * may only have lapsed.
+   */
   storeFailed(): void {
     this.#lastOutage = this.#options.timer.now();
   }
 
-  /** True where this has changed anything. */
+  /** Adds or updates an endpoint; returns whether anything changed. */
   put(endpoint: RegisteredEndpoint): boolean {
     const known = this.#endpoints.get(endpoint.id);
-    const order = this.#runs.saw(endpoint);
+    const order = this.#runs.observe(endpoint);
     if (order === "older") return false;
     const wasLapsed = this.#lapsed.delete(endpoint.id);
-    const next = this.#runs.hasLeft(endpoint)
+    const next = this.#runs.isLeaving(endpoint)
       ? { ...endpoint, leaving: true }
       : endpoint;
     const change = changeBetween(known, next, order);
-    const isSamePlace = known?.pool === next.pool &&
+    const isSamePlacement = known?.pool === next.pool &&
       known.availabilityZone === next.availabilityZone;
-    if (change === undefined && isSamePlace) {
-      if (wasLapsed) this.#tell("back", known);
+    if (change === undefined && isSamePlacement) {
+      if (wasLapsed) this.#notify("back", known);
       return wasLapsed;
     }
     this.#set(next);
     if (change === "restarted" && known !== undefined) this.#forget(known);
-    if (wasLapsed && change !== "restarted") this.#tell("back", next);
-    else if (change !== undefined) this.#tell(change, next);
+    if (wasLapsed && change !== "restarted") this.#notify("back", next);
+    else if (change !== undefined) this.#notify(change, next);
     return wasLapsed || change !== undefined;
   }
 
   /**
-   * The endpoint itself says that this run of it leaves. No registration of
-   * the run brings it back, even if it has vanished meanwhile. Gives the
-   * endpoint where this is news.
+   * Marks this run of the endpoint as leaving, as announced by itself. No
+   * registration of the run makes it usable again, even after its registration
+   * has vanished. Returns the endpoint if it was not yet known to be leaving.
    */
   saidLeaving(run: EndpointRun): RegisteredEndpoint | undefined {
-    if (!this.#runs.leaves(run)) return undefined;
+    if (!this.#runs.markLeaving(run)) return undefined;
     const endpoint = this.#endpoints.get(run.id);
     if (endpoint === undefined || endpoint.leaving) return undefined;
     const leaving = { ...endpoint, leaving: true };
     this.#set(leaving);
-    this.#tell("leaving", leaving);
+    this.#notify("leaving", leaving);
     return leaving;
   }
 
-  /** The registration has vanished; around an outage it may only lapse. */
+  /**
+   * Removes an endpoint whose registration has vanished; around a store outage,
+   * it only lapses.
+   */
   remove(id: EndpointId): void {
     const endpoint = this.#endpoints.get(id);
     if (endpoint === undefined || this.#lapsed.has(id)) return;
     const now = this.#options.timer.now();
-    const afterOutage = now - this.#lastOutage < OUTAGE_MEMORY_MILLISECONDS;
+    const afterOutage = now - this.#lastOutage < OUTAGE_WINDOW_MILLISECONDS;
     if (afterOutage && !endpoint.leaving) {
       this.#lapsed.set(id, now + LAPSE_GRACE_MILLISECONDS);
-      this.#tell("lapsed", endpoint);
+      this.#notify("lapsed", endpoint);
       return;
     }
-    this.#drop(endpoint);
+    this.#delete(endpoint);
   }
 
   /**
-   * What stands under the endpoint's key names no replica any more. This is no
-   * lapse: the store has answered, so that no grace is owed.
+   * Removes an endpoint whose key holds no valid registration any more. The
+   * store has answered, so this is not a lapse and there is no grace period.
    */
   withdraw(id: EndpointId): void {
     const endpoint = this.#endpoints.get(id);
-    if (endpoint !== undefined) this.#drop(endpoint);
+    if (endpoint !== undefined) this.#delete(endpoint);
   }
 
-  /** Takes a complete listing: what it doesn't name has vanished. */
+  /** Applies a complete listing; endpoints that it lacks have vanished. */
   replaceAll(endpoints: readonly RegisteredEndpoint[]): void {
     const named = new Set(endpoints.map((endpoint) => endpoint.id));
     for (const id of [...this.#endpoints.keys()]) {
@@ -178,22 +184,22 @@
     for (const endpoint of endpoints) this.put(endpoint);
   }
 
-  #expire(): void {
+  #expireLapsed(): void {
     if (this.#lapsed.size === 0) return;
     const now = this.#options.timer.now();
     for (const [id, until] of this.#lapsed) {
       const endpoint = this.#endpoints.get(id);
-      if (now >= until && endpoint !== undefined) this.#drop(endpoint);
+      if (now >= until && endpoint !== undefined) this.#delete(endpoint);
     }
   }
 
-  #drop(endpoint: RegisteredEndpoint): void {
+  #delete(endpoint: RegisteredEndpoint): void {
     this.#lapsed.delete(endpoint.id);
     this.#endpoints.delete(endpoint.id);
     this.#byPool.clear();
     this.#runs.ended(endpoint.id);
     this.#forget(endpoint);
-    this.#tell("removed", endpoint);
+    this.#notify("removed", endpoint);
   }
 
   #set(endpoint: RegisteredEndpoint): void {
@@ -205,7 +211,7 @@
     for (const memory of this.#options.memories ?? []) memory.forget(endpoint);
   }
 
-  #tell(change: RegistryChange, endpoint: RegisteredEndpoint): void {
+  #notify(change: RegistryChange, endpoint: RegisteredEndpoint): void {
     this.#options.onChange?.(change, endpoint);
   }
 }
--- a/src/core/forwarding/endpoints/endpoint_registry_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_registry_test.ts
@@ -27,34 +27,34 @@
   });
 
   describe("an endpoint that leaves", () => {
-    it("gets nothing from the record on that says so", () => {
+    it("gets no work after the record that marks it as leaving", () => {
       registry.put(endpoint);
       registry.put({ ...endpoint, leaving: true });
       expect(registry.inPool(PORTAL)).to.deep.equal([]);
       expect(changes).to.deep.equal(["registered", "leaving"]);
     });
 
-    // The record that says "leaving" has been read; then a page of older
-    // records is read once more. The endpoint would get new work and cut it
-    // off seconds later.
-    it("is not brought back by an older record", () => {
+    // After the record that marks the endpoint as leaving, a page of older
+    // records is read again. The endpoint would get new work and abort it
+    // seconds later.
+    it("is not made usable by an older record", () => {
       registry.put({ ...endpoint, leaving: true });
       registry.put(endpoint);
       expect(registry.usable(endpoint.id)).to.equal(undefined);
     });
 
-    it("is gone at once where its registration vanishes on a calm day", () => {
+    it("is removed at once if its registration vanishes without an outage", () => {
       registry.put(endpoint);
       registry.remove(endpoint.id);
       expect(registry.size).to.equal(0);
     });
   });
 
-  describe("around an outage of the store", () => {
-    // Registrations lapse while the store is away. Without the grace every
-    // endpoint is gone for two seconds after its return and callers are
-    // refused although all engines run.
-    it("keeps an endpoint whose registration lapsed, and takes it back", async () => {
+  describe("around a store outage", () => {
+    // Registrations lapse while the store is unavailable. Without a grace
+    // period, all endpoints are gone for two seconds after its return, and
+    // callers are refused although all engines run.
+    it("keeps an endpoint whose registration lapsed until it is registered again", async () => {
       registry.put(endpoint);
       registry.storeFailed();
       registry.replaceAll([]);
@@ -66,9 +66,9 @@
       expect(changes).to.deep.equal(["registered", "lapsed", "back"]);
     });
 
-    // The endpoint ended during the outage. Kept for longer, it would get
-    // requests that nobody answers.
-    it("drops it where it is not back in time", async () => {
+    // The endpoint ended during the outage. If it were kept longer, it would
+    // get requests that nobody answers.
+    it("removes it if it is not registered again in time", async () => {
       registry.put(endpoint);
       registry.storeFailed();
       registry.remove(endpoint.id);
@@ -77,10 +77,11 @@
       expect(changes.at(-1)).to.equal("removed");
     });
 
-    // The store was away for this entry, and is back for three seconds when an
-    // endpoint leaves without a word before. Taken for a lapse, it got work
-    // for as long as the grace, and its answers were cut when it ended.
-    it("drops an endpoint that vanishes well after the outage", async () => {
+    // The store was unavailable for this entry and has been back for three
+    // seconds when an endpoint vanishes without having announced that it
+    // leaves. If this counted as a lapse, the endpoint would get work during
+    // the grace period and abort it when it ends.
+    it("removes an endpoint that vanishes well after the outage", async () => {
       registry.put(endpoint);
       registry.storeFailed();
       await timer.advance(3_000);
@@ -88,7 +89,7 @@
       expect(registry.size).to.equal(0);
     });
 
-    it("drops a leaving endpoint at once", () => {
+    it("removes a leaving endpoint at once", () => {
       registry.put({ ...endpoint, leaving: true });
       registry.storeFailed();
       registry.remove(endpoint.id);
@@ -96,69 +97,71 @@
     });
   });
 
-  // A replica crashes and starts again under its id before anyone has seen it
-  // gone, or leaves and comes back. Taken for the former run it gets no work
-  // for as long as the entry lives, or is trusted with caches it has not got.
-  describe("a replica that starts again under its id", () => {
+  // A replica crashes and restarts under its id before its removal is seen, or
+  // leaves and returns. If it were taken for its previous run, it would get no
+  // work for the lifetime of the entry, or be expected to hold caches that it
+  // lacks.
+  describe("a replica that restarts under its id", () => {
     const startedAt = (time: number) => numbered<ReplicaStart>(time);
     const first = { ...endpoint, startedAt: startedAt(1_000) };
     const second = { ...endpoint, startedAt: startedAt(2_000) };
-    let forgotten: RegisteredEndpoint[];
+    let discarded: RegisteredEndpoint[];
 
     beforeEach(() => {
-      forgotten = [];
+      discarded = [];
       registry = new EndpointRegistry({
         timer,
-        memories: [{ forget: (each) => forgotten.push(each) }],
+        memories: [{ forget: (each) => discarded.push(each) }],
         onChange: (change) => changes.push(change),
       });
     });
 
-    it("gets work although its former run had begun to leave", () => {
+    it("gets work although its previous run was leaving", () => {
       registry.put({ ...first, leaving: true });
       registry.put(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
-    it("gets work after its former run has left and is gone", () => {
+    it("gets work after its previous run has left and was removed", () => {
       registry.put({ ...first, leaving: true });
       registry.remove(endpoint.id);
       registry.put(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
-    it("begins with nothing remembered", () => {
+    it("starts without the state of its previous run", () => {
       registry.put(first);
       registry.put(first);
-      expect(forgotten).to.deep.equal([]);
+      expect(discarded).to.deep.equal([]);
       registry.put(second);
-      expect(forgotten).to.deep.equal([first]);
+      expect(discarded).to.deep.equal([first]);
       expect(changes).to.deep.equal(["registered", "restarted"]);
     });
 
-    // A peer or an old page tells of the former run after the new one is known.
-    it("is not replaced by an older record of its former run", () => {
+    // A peer or an outdated page reports the previous run after the new one is
+    // known.
+    it("is not replaced by an older record of its previous run", () => {
       registry.put(second);
       expect(registry.put({ ...first, leaving: true })).to.equal(false);
       registry.put(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
-    it("is not brought back by its former run once it is gone", () => {
+    it("is not restored by a record of its previous run after its removal", () => {
       registry.put(second);
       registry.remove(endpoint.id);
       registry.put(first);
       expect(registry.size).to.equal(0);
     });
 
-    it("stays leaving where its own run comes back after it was gone", () => {
+    it("stays leaving if the same run is registered again after its removal", () => {
       registry.put({ ...second, leaving: true });
       registry.remove(endpoint.id);
       registry.put(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([]);
     });
 
-    it("is not the lapsed run that comes back after an outage", async () => {
+    it("is not taken for the lapsed run after an outage", async () => {
       registry.put(first);
       registry.storeFailed();
       registry.remove(endpoint.id);
@@ -169,16 +172,16 @@
     });
   });
 
-  // Another writer overwrites a replica's entry during an outage of the store.
-  // The grace for lapsed registrations would keep it in use for 1.8 s.
-  it("drops at once what an unreadable entry stands for", () => {
+  // Another writer overwrites the entry of a replica during a store outage. The
+  // grace period for lapsed registrations would keep it in use for 1.8 s.
+  it("removes the endpoint of an unreadable entry at once", () => {
     registry.put(endpoint);
     registry.storeFailed();
     registry.withdraw(endpoint.id);
     expect(registry.size).to.equal(0);
   });
 
-  it("drops a lapsed endpoint that says that it leaves once its grace is over", async () => {
+  it("removes a lapsed endpoint that is leaving after its grace period", async () => {
     const timer = new ManualTimerService();
     const registry = new EndpointRegistry({ timer });
     const endpoint = makeEndpoint("lapsed");
--- a/src/core/forwarding/endpoints/load_owners.ts
+++ b/src/core/forwarding/endpoints/load_owners.ts
@@ -3,35 +3,35 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Silence after which an entry no longer owns anything. Every entry tells of
- * itself once in 0.7 s; a dead owner leaves its endpoints to what everyone's
- * reports tell until then, and two lost datagrams move nothing.
+ * Silence after which an entry owns no endpoints. Every entry announces itself
+ * each 0.7 s, so the loss of two datagrams changes no owner. Until a dead owner
+ * is replaced, placement relies on the reports of all peers.
  */
-const SILENCE_MILLISECONDS = 1_600;
+const LIVENESS_TIMEOUT_MILLISECONDS = 1_600;
 /**
- * Questions in a row without an answer after which an owner is not asked for a
- * while: it may be frozen or cut off.
+ * Number of successive unanswered queries after which an owner is not queried
+ * for a while; it may be suspended or disconnected.
  */
-const UNANSWERED_UNTIL_PASSED_OVER = 3;
-const PASSED_OVER_MILLISECONDS = 500;
+const UNANSWERED_UNTIL_SKIPPED = 3;
+const SKIP_MILLISECONDS = 500;
 
-interface Entry {
-  heardAt: number;
+interface Peer {
+  lastReceivedAt: number;
   unanswered: number;
-  passedOverUntil: number;
+  skippedUntil: number;
 }
 
 /**
- * Which entry keeps the whole of an endpoint's open work: one for each
- * endpoint, by rendezvous hashing over the live entries. In a large fleet
- * reports from every entry to every other come too late to place work by.
- * Entries that disagree on an owner for a while each know a part of the work.
+ * Assigns each endpoint an owner, the entry that aggregates all open work
+ * there, by rendezvous hashing over the live entries. In a large fleet, reports
+ * from every entry to every other arrive too late for placement. While entries
+ * disagree on an owner, each owner knows only a part of the work.
  */
 export class LoadOwners {
   readonly #self: ProcessId;
   readonly #timer: TimerService;
-  #listed: ReadonlySet<ProcessId> = new Set();
-  readonly #heard = new Map<ProcessId, Entry>();
+  #members: ReadonlySet<ProcessId> = new Set();
+  readonly #peers = new Map<ProcessId, Peer>();
   /** Known entries for each subject, the best owner first. */
   readonly #rankings = new Map<string, readonly ProcessId[]>();
 
@@ -43,50 +43,52 @@
     this.#timer = options.timer;
   }
 
-  /** Takes the fleet's list; an entry that is not on it owns nothing. */
+  /** Sets the members of the fleet; other entries own nothing. */
   setMembers(names: Iterable<ProcessId>): void {
-    this.#listed = new Set(names);
-    for (const name of this.#heard.keys()) {
-      if (!this.#listed.has(name)) this.#heard.delete(name);
+    this.#members = new Set(names);
+    for (const name of this.#peers.keys()) {
+      if (!this.#members.has(name)) this.#peers.delete(name);
     }
     this.#rankings.clear();
   }
 
-  /** Something has come from the entry. */
+  /** Records that a message from the entry was received. */
   heard(name: ProcessId): void {
-    if (!this.#listed.has(name)) return;
-    const known = this.#heard.get(name);
-    const heardAt = this.#timer.now();
+    if (!this.#members.has(name)) return;
+    const known = this.#peers.get(name);
+    const receivedAt = this.#timer.now();
     if (known !== undefined) {
-      known.heardAt = heardAt;
+      known.lastReceivedAt = receivedAt;
       return;
     }
-    this.#heard.set(name, {
-      heardAt,
+    this.#peers.set(name, {
+      lastReceivedAt: receivedAt,
       unanswered: 0,
-      passedOverUntil: -Infinity,
+      skippedUntil: -Infinity,
     });
     this.#rankings.clear();
   }
 
-  /** The entry that keeps the endpoint's open work; it may be this one. */
+  /** The entry that aggregates the endpoint's open work; it may be this one. */
   ownerOf(endpoint: EndpointId): ProcessId {
-    return this.#ranking(endpoint).find((name) => this.#isAlive(name)) ??
+    return this.#ranking(endpoint).find((name) => this.#isLive(name)) ??
       this.#self;
   }
 
-  /** The live entries, this one included, the best owner first. */
+  /** The live entries including this one, the best owner first. */
   liveRanking(subject: string): readonly ProcessId[] {
-    return this.#ranking(subject).filter((name) => this.#isAlive(name));
+    return this.#ranking(subject).filter((name) => this.#isLive(name));
   }
 
-  #isAlive(name: ProcessId): boolean {
+  #isLive(name: ProcessId): boolean {
     if (name === this.#self) return true;
-    const heardAt = this.#heard.get(name)?.heardAt ?? -Infinity;
-    return heardAt >= this.#timer.now() - SILENCE_MILLISECONDS;
+    const receivedAt = this.#peers.get(name)?.lastReceivedAt ?? -Infinity;
+    return receivedAt >= this.#timer.now() - LIVENESS_TIMEOUT_MILLISECONDS;
   }
 
-  /** The endpoints by the other entries that own them; own ones are left out. */
+  /**
+   * Groups the endpoints by the other entries that own them, without own ones.
+   */
   byOtherOwner(
     endpoints: Iterable<EndpointId>,
   ): ReadonlyMap<ProcessId, readonly EndpointId[]> {
@@ -101,25 +103,25 @@
     return byOwner;
   }
 
-  /** True while it is worth asking this owner. */
+  /** Returns whether this owner should be queried. */
   mayAsk(owner: ProcessId): boolean {
-    const known = this.#heard.get(owner);
-    return known !== undefined && this.#timer.now() >= known.passedOverUntil;
+    const known = this.#peers.get(owner);
+    return known !== undefined && this.#timer.now() >= known.skippedUntil;
   }
 
-  /** The owner has answered a question, or not in time. */
+  /** Records whether the owner answered a query in time. */
   asked(owner: ProcessId, { answered }: { readonly answered: boolean }): void {
-    const known = this.#heard.get(owner);
+    const known = this.#peers.get(owner);
     if (known === undefined) return;
     known.unanswered = answered ? 0 : known.unanswered + 1;
-    if (known.unanswered < UNANSWERED_UNTIL_PASSED_OVER) return;
-    known.passedOverUntil = this.#timer.now() + PASSED_OVER_MILLISECONDS;
+    if (known.unanswered < UNANSWERED_UNTIL_SKIPPED) return;
+    known.skippedUntil = this.#timer.now() + SKIP_MILLISECONDS;
   }
 
   #ranking(subject: string): readonly ProcessId[] {
     let ranking = this.#rankings.get(subject);
     if (ranking === undefined) {
-      const entries = [this.#self, ...this.#heard.keys()];
+      const entries = [this.#self, ...this.#peers.keys()];
       ranking = rendezvousOrder(entries.map((id) => ({ id })), subject)
         .map(({ id }) => id);
       this.#rankings.set(subject, ranking);
--- a/src/core/forwarding/endpoints/load_owners_test.ts
+++ b/src/core/forwarding/endpoints/load_owners_test.ts
@@ -29,7 +29,7 @@
     timer = new ManualTimerService();
   });
 
-  /** The owners as one of several entries sees them. */
+  /** The owners as seen by one of several entries. */
   function ownersAt(self: number, others: readonly number[]): LoadOwners {
     const owners = new LoadOwners({ self: entry(self), timer });
     owners.setMembers(others.map(entry));
@@ -37,7 +37,7 @@
     return owners;
   }
 
-  it("are the same to every entry that hears the same ones", () => {
+  it("are the same at all entries that know the same live entries", () => {
     const all = range(68);
     const views = all.map((self) =>
       ownersAt(self, all.filter((each) => each !== self))
@@ -48,7 +48,7 @@
     }
   });
 
-  it("are spread over the entries", () => {
+  it("are distributed over the entries", () => {
     const owners = ownersAt(0, range(20).slice(1));
     const owned = range(400).map((index) => owners.ownerOf(engine(index)));
     const most = Math.max(
@@ -59,9 +59,10 @@
     expect(most).to.be.below(2.5 * 400 / 20);
   });
 
-  // An owner dies. Its engines go over to others; if the rest moved as well,
-  // every entry would forget what it knows of all engines at once.
-  it("move only what a silent entry owned", async () => {
+  // An owner dies and its engines are assigned to other entries. If the other
+  // engines moved too, every entry would lose its information on all of them at
+  // once.
+  it("reassign only the engines of a silent entry", async () => {
     const owners = ownersAt(0, range(20).slice(1));
     const before = ENGINES.map((each) => owners.ownerOf(each));
     await timer.advance(1_500);
@@ -74,7 +75,7 @@
     expect(new Set(moved)).to.deep.equal(new Set([entry(1)]));
   });
 
-  it("are this entry alone where nobody is heard of", () => {
+  it("are this entry alone if no other entry is live", () => {
     const owners = new LoadOwners({ self: entry(0), timer });
     owners.setMembers([entry(1)]);
     expect(owners.ownerOf(ENGINES[0])).to.equal(entry(0));
@@ -82,9 +83,9 @@
     expect(owners.ownerOf(ENGINES[0])).to.equal(entry(0));
   });
 
-  // An owner is cut off. Asked for every request, each of them would wait for
-  // an answer that does not come.
-  it("are not asked for a while once they have not answered", async () => {
+  // An owner is disconnected. If it were queried for every request, each
+  // request would wait for an answer that does not arrive.
+  it("are not queried for a while after unanswered queries", async () => {
     const owners = ownersAt(0, [1]);
     for (const _ of range(2)) owners.asked(entry(1), { answered: false });
     expect(owners.mayAsk(entry(1))).to.equal(true);
@@ -94,7 +95,7 @@
     expect(owners.mayAsk(entry(1))).to.equal(true);
   });
 
-  it("are always one of the listed, whoever comes and goes", () => {
+  it("are always members, whichever entries come and go", () => {
     const step = fc.record({
       listed: fc.subarray(range(12).slice(1)),
       heard: fc.array(fc.integer({ min: 1, max: 14 })),
--- a/src/core/forwarding/endpoints/load_picture.ts
+++ b/src/core/forwarding/endpoints/load_picture.ts
@@ -2,28 +2,28 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * How long a peer's report counts: longer than several lost datagrams in a row,
- * and short enough that a dead entry's work does not keep its endpoints looking
- * busy.
+ * Time that a peer's report is valid: longer than the loss of several
+ * successive datagrams, and short enough that the work of a dead entry does not
+ * make its endpoints appear busy.
  */
-const REPORT_MILLISECONDS = 1_000;
+const PEER_REPORT_VALIDITY_MILLISECONDS = 1_000;
 
 /**
- * How long an owner's word goes before what peers report. It is asked for right
- * before something is placed, and own work since then is added to it.
+ * Time that an owner's report takes precedence over the reports of peers. It is
+ * queried right before a placement, and own work since then is added to it.
  */
-const OWNERS_WORD_MILLISECONDS = 100;
+const OWNER_REPORT_VALIDITY_MILLISECONDS = 100;
 
-/** Work of one entry that an endpoint has not finished. */
+/** Unfinished work of one entry at an endpoint. */
 export interface OpenWork {
   readonly requests: number;
-  /** Prompt reading that is ahead, milliseconds of the engine. */
+  /** Prompt processing that is queued, milliseconds of the engine. */
   readonly prefillMilliseconds: number;
-  /** Memory that the requests take up at an engine, tokens. */
+  /** Memory that the requests occupy at an engine, tokens. */
   readonly tokens: number;
 }
 
-/** One entry's open work by endpoint, as it goes to its peers. */
+/** One entry's open work by endpoint, as sent to its peers. */
 export type WorkReport = readonly (readonly [
   endpoint: string,
   requests: number,
@@ -31,12 +31,15 @@
   tokens: number,
 ])[];
 
-/** What a peer tells of its open work. */
+/** A peer's report of its open work. */
 export interface PeerWork {
-  /** Start of the peer's run; a restarted peer counts from the beginning. */
+  /**
+   * Identifies the peer's run; a restarted peer numbers its reports from the
+   * start.
+   */
   readonly incarnation: string;
   readonly sequence: number;
-  /** False: only what has changed since the report before. */
+  /** False if the report contains only changes since the previous one. */
   readonly whole: boolean;
   readonly work: WorkReport;
 }
@@ -49,20 +52,22 @@
   readonly work: Map<string, OpenWork>;
 }
 
-/** What an endpoint's owner told of the other entries' work there. */
-interface OwnersWord {
+/** An owner's report of the other entries' work at an endpoint. */
+interface OwnerReport {
   readonly work: OpenWork;
   readonly at: number;
 }
 
-/** Held while an endpoint works on something. */
-export interface WorkTicket {
-  /** The work has ended; further calls do nothing. */
+/** Handle of an endpoint's open work. */
+export interface WorkHandle {
+  /** Ends the work; further calls do nothing. */
   end(): void;
 }
 
-/** Own work at one run of an endpoint; its tickets write to no other. */
-interface Ledger {
+/**
+ * Own work at one run of an endpoint; handles of earlier runs do not change it.
+ */
+interface OwnWork {
   work: OpenWork;
 }
 
@@ -72,30 +77,33 @@
   tokens: 0,
 };
 
-/** What a request for a model brings to an engine. */
+/** Work that a request for a model adds to an engine. */
 export interface PromptWork {
-  /** Prompt reading. */
+  /** Time to process the prompt. */
   readonly milliseconds: number;
-  /** Memory that it takes up there while it is open. */
+  /** Memory that it occupies there while it is open. */
   readonly tokens: number;
 }
 
-/** A request that brings no prompt. */
+/** The work of a request without a prompt. */
 export const NO_PROMPT: PromptWork = { milliseconds: 0, tokens: 0 };
 
 /**
- * What every entry has under way at each endpoint. An endpoint's own report is
- * as old as its last answer, and all entries would follow it to the same
- * engine.
+ * Open work of all entries at each endpoint. An endpoint's own report is only
+ * as recent as its last answer, and all entries would choose the same engine by
+ * it.
  */
 export class LoadPicture {
   readonly #timer: TimerService;
-  readonly #own = new Map<EndpointId, Ledger>();
+  readonly #own = new Map<EndpointId, OwnWork>();
   readonly #peers = new Map<string, PeerReport>();
-  /** The reports that name an endpoint; most name few of a large fleet's. */
+  /**
+   * The reports that name an endpoint; most reports name few endpoints of a
+   * large fleet.
+   */
   readonly #reportsAt = new Map<string, Set<PeerReport>>();
-  /** Others' work as the endpoints' owners have told it. */
-  readonly #owners = new Map<EndpointId, OwnersWord>();
+  /** Other entries' work, as reported by the endpoints' owners. */
+  readonly #ownerReports = new Map<EndpointId, OwnerReport>();
   /** Endpoints whose open work has changed since the last report. */
   readonly #changed = new Set<EndpointId>();
   #onOwnChange: (endpoint: EndpointId) => void = () => {};
@@ -104,11 +112,11 @@
     this.#timer = timer;
   }
 
-  started(endpoint: EndpointId, prompt: PromptWork = NO_PROMPT): WorkTicket {
+  started(endpoint: EndpointId, prompt: PromptWork = NO_PROMPT): WorkHandle {
     const { milliseconds, tokens } = prompt;
-    const ledger = this.#own.get(endpoint) ?? { work: NO_WORK };
-    this.#own.set(endpoint, ledger);
-    this.#add(endpoint, ledger, {
+    const ownWork = this.#own.get(endpoint) ?? { work: NO_WORK };
+    this.#own.set(endpoint, ownWork);
+    this.#add(endpoint, ownWork, {
       requests: 1,
       prefillMilliseconds: milliseconds,
       tokens,
@@ -118,7 +126,7 @@
       end: () => {
         if (!open) return;
         open = false;
-        this.#add(endpoint, ledger, {
+        this.#add(endpoint, ownWork, {
           requests: -1,
           prefillMilliseconds: -milliseconds,
           tokens: -tokens,
@@ -134,16 +142,18 @@
 
   /** Work of all entries at the endpoint. */
   total(endpoint: EndpointId): OpenWork {
-    const told = this.#owners.get(endpoint);
-    const isFresh = told !== undefined &&
-      this.#timer.now() - told.at <= OWNERS_WORD_MILLISECONDS;
-    const others = isFresh ? told.work : this.others(endpoint);
+    const ownerReport = this.#ownerReports.get(endpoint);
+    const isFresh = ownerReport !== undefined &&
+      this.#timer.now() - ownerReport.at <= OWNER_REPORT_VALIDITY_MILLISECONDS;
+    const others = isFresh ? ownerReport.work : this.others(endpoint);
     return addWork(this.own(endpoint), others);
   }
 
-  /** Work of the peers at the endpoint, by their reports; without that of one. */
+  /**
+   * Work of the peers at the endpoint by their reports, except for one peer.
+   */
   others(endpoint: EndpointId, except?: string): OpenWork {
-    const oldest = this.#timer.now() - REPORT_MILLISECONDS;
+    const oldest = this.#timer.now() - PEER_REPORT_VALIDITY_MILLISECONDS;
     let sum = NO_WORK;
     for (const report of this.#reportsAt.get(endpoint) ?? []) {
       const work = report.work.get(endpoint);
@@ -154,18 +164,18 @@
     return sum;
   }
 
-  /** The endpoint's owner has told of the others' work there. */
+  /** Records the owner's report of the other entries' work at the endpoint. */
   ownerTold(endpoint: EndpointId, others: OpenWork): void {
-    this.#owners.set(endpoint, { work: others, at: this.#timer.now() });
+    this.#ownerReports.set(endpoint, { work: others, at: this.#timer.now() });
   }
 
-  /** Takes who is told at once of an endpoint at which own work changes. */
+  /** Sets the listener that is called when own work at an endpoint changes. */
   onOwnChange(listener: (endpoint: EndpointId) => void): void {
     this.#onOwnChange = listener;
   }
 
   /**
-   * Own open work, for the peers: all of it, or what has changed since the last
+   * Own open work for the peers: all of it, or the changes since the last
    * report.
    */
   report(options: { readonly whole: boolean }): WorkReport {
@@ -182,30 +192,32 @@
     );
   }
 
-  /** True where there is something to tell peers. */
+  /** Returns whether there are changes to report to peers. */
   get hasChanged(): boolean {
     return this.#changed.size > 0;
   }
 
-  /** Takes a peer's report; an older one that comes late changes nothing. */
-  peerReported(peer: string, told: PeerWork): void {
+  /**
+   * Applies a peer's report; one that is older than the last report is ignored.
+   */
+  peerReported(peer: string, reported: PeerWork): void {
     const known = this.#peers.get(peer);
-    const isSameRun = known?.incarnation === told.incarnation;
-    if (isSameRun && told.sequence <= known.sequence) return;
-    if (known !== undefined && (!isSameRun || told.whole)) {
-      for (const endpoint of known.work.keys()) this.#leaveOut(known, endpoint);
+    const isSameRun = known?.incarnation === reported.incarnation;
+    if (isSameRun && reported.sequence <= known.sequence) return;
+    if (known !== undefined && (!isSameRun || reported.whole)) {
+      for (const endpoint of known.work.keys()) this.#remove(known, endpoint);
     }
-    const report: PeerReport = isSameRun && !told.whole ? known : {
+    const report: PeerReport = isSameRun && !reported.whole ? known : {
       peer,
-      incarnation: told.incarnation,
+      incarnation: reported.incarnation,
       sequence: 0,
       at: 0,
       work: new Map(),
     };
-    report.sequence = told.sequence;
+    report.sequence = reported.sequence;
     report.at = this.#timer.now();
-    for (const [endpoint, requests, prefill, tokens] of told.work) {
-      if (requests <= 0) this.#leaveOut(report, endpoint);
+    for (const [endpoint, requests, prefill, tokens] of reported.work) {
+      if (requests <= 0) this.#remove(report, endpoint);
       else {
         const reports = this.#reportsAt.get(endpoint) ?? new Set();
         this.#reportsAt.set(endpoint, reports.add(report));
@@ -220,33 +232,33 @@
   }
 
   /**
-   * The endpoint's run is over, and with it all work there. Work that was
-   * begun before ends without a trace; peers' reports of it are dropped.
+   * Discards all work at the endpoint, as its run is over. Handles of earlier
+   * work have no effect any more, and peers' reports of it are dropped.
    */
   forget({ id }: { readonly id: EndpointId }): void {
     if (this.#own.delete(id)) this.#changed.add(id);
-    this.#owners.delete(id);
+    this.#ownerReports.delete(id);
     for (const report of this.#reportsAt.get(id) ?? []) report.work.delete(id);
     this.#reportsAt.delete(id);
   }
 
-  #leaveOut(report: PeerReport, endpoint: string): void {
+  #remove(report: PeerReport, endpoint: string): void {
     report.work.delete(endpoint);
     const reports = this.#reportsAt.get(endpoint);
     reports?.delete(report);
     if (reports?.size === 0) this.#reportsAt.delete(endpoint);
   }
 
-  #add(endpoint: EndpointId, ledger: Ledger, change: OpenWork): void {
-    ledger.work = addWork(ledger.work, change);
-    if (this.#own.get(endpoint) !== ledger) return;
+  #add(endpoint: EndpointId, ownWork: OwnWork, change: OpenWork): void {
+    ownWork.work = addWork(ownWork.work, change);
+    if (this.#own.get(endpoint) !== ownWork) return;
     this.#changed.add(endpoint);
-    if (ledger.work.requests <= 0) this.#own.delete(endpoint);
+    if (ownWork.work.requests <= 0) this.#own.delete(endpoint);
     this.#onOwnChange(endpoint);
   }
 }
 
-/** Work as it is told between entries. */
+/** Encodes work for a report to other entries. */
 export function workRow(
   endpoint: EndpointId,
   { prefillMilliseconds, requests, tokens }: OpenWork,
@@ -259,7 +271,7 @@
   ];
 }
 
-/** The work of both together. */
+/** Sum of both. */
 export function addWork(one: OpenWork, other: OpenWork): OpenWork {
   return {
     requests: one.requests + other.requests,
--- a/src/core/forwarding/mod.ts
+++ b/src/core/forwarding/mod.ts
@@ -48,9 +48,9 @@
   type OpenWork,
   type PeerWork,
   type PromptWork,
+  type WorkHandle,
   type WorkReport,
   workRow,
-  type WorkTicket,
 } from "./endpoints/load_picture.ts";
 export {
   PrefixDirectory,
--- a/src/core/forwarding/store/log_position.ts
+++ b/src/core/forwarding/store/log_position.ts
@@ -1,23 +1,23 @@
 /**
  * Positions in the store's logs. A store that is restored from an older copy
- * gives offsets out again, under a higher epoch; a position holds both, so that
- * positions, and the fencing tokens that are made of them, only rise.
+ * reuses offsets under a higher epoch. A position contains both, so that
+ * positions, and the fencing tokens derived from them, increase monotonically.
  */
 
-/** Offsets of one epoch; epochs up to 2,000,000 fit a whole number. */
+/** Offsets per epoch; epochs up to 2,000,000 fit a safe integer. */
 const OFFSETS_PER_EPOCH = 2 ** 32;
 
-/** Where a record stands: the epoch of the store, and the offset in it. */
-export interface LogPlace {
+/** Location of a record: the epoch of the store, and the offset in it. */
+export interface LogLocation {
   readonly epoch: number;
   readonly offset: number;
 }
 
-export function positionOf({ epoch, offset }: LogPlace): number {
+export function positionOf({ epoch, offset }: LogLocation): number {
   return epoch * OFFSETS_PER_EPOCH + offset;
 }
 
-export function placeOf(position: number): LogPlace {
+export function placeOf(position: number): LogLocation {
   return {
     epoch: Math.floor(position / OFFSETS_PER_EPOCH),
     offset: position % OFFSETS_PER_EPOCH,
--- a/src/core/forwarding/store/topic_reader.ts
+++ b/src/core/forwarding/store/topic_reader.ts
@@ -4,33 +4,35 @@
 import { backoffMilliseconds } from "../../retry/mod.ts";
 import type { Subscription, TimerService } from "../../time/mod.ts";
 
-/** The newest record of a key; without a value the key is gone. */
+/** The newest record of a key; without a value, the key was deleted. */
 export interface KeyedRecord {
   readonly key: string;
   readonly value: Buffer | undefined;
 }
 
-/** A stretch of a topic: the records from one position up to another. */
+/** A range of records of a topic, from one position up to another. */
 export interface TopicSpan {
   readonly from: number;
-  /** Position behind the last record. */
+  /** Position after the last record. */
   readonly to: number;
 }
 
-/** Records and the position behind them. */
+/** Records and the position after them. */
 export interface KeyedRecords {
   readonly records: readonly KeyedRecord[];
   readonly next: number;
 }
 
-/** `store_expired`: the wanted records are gone; start from the newest. */
+/**
+ * `store_expired`: the requested records are gone; read the newest ones again.
+ */
 export type StoreFailure = Failure<"store_unavailable" | "store_expired">;
 
-/** A topic of which the newest record of each key matters. */
+/** A topic of which only the newest record of each key is relevant. */
 export interface KeyedTopic {
   /** The newest record of every key. */
   newest(): Promise<Result<KeyedRecords, StoreFailure>>;
-  /** Records from a position on; waits for one, at most so long. */
+  /** Records from a position on; waits for a record for at most this time. */
   since(
     position: number,
     waitMilliseconds: number,
@@ -38,9 +40,10 @@
 }
 
 /**
- * How a peer's reading fits to one's own. `ahead`: it went on from here, and
- * this reader now stands behind it. `same`: there is nothing new. `apart`: it
- * leaves out what this reader has not seen. `older`: this reader is further.
+ * Relation of a peer's read to the own position. `ahead`: it continues from
+ * here, and this reader has moved to its end. `same`: there is nothing new.
+ * `apart`: it misses records that this reader has not read. `older`: this
+ * reader is further ahead.
  */
 export type PeerReading = "ahead" | "same" | "apart" | "older";
 
@@ -48,43 +51,46 @@
   readonly topic: KeyedTopic;
   readonly timer: TimerService;
   readonly random: Random;
-  /** How long a read waits at the store for a record, milliseconds. */
+  /** Time that a read waits at the store for a record, milliseconds. */
   readonly waitMilliseconds: () => number;
-  /** Pause between two reads, milliseconds; asked anew each time. */
+  /** Pause between two reads, milliseconds; called before each pause. */
   readonly pauseMilliseconds: () => number;
-  /** Every key's newest record; what it doesn't name is gone. */
+  /** Called with the newest record of every key; other keys were deleted. */
   readonly onSnapshot: (records: readonly KeyedRecord[]) => void;
-  /** A read behind a position has ended; there may be no record in it. */
+  /** Called after a read from a position, with or without records. */
   readonly onRecords: (
     records: readonly KeyedRecord[],
     span: TopicSpan,
   ) => void;
   readonly onFailure: (failure: StoreFailure) => void;
-  /** A read has succeeded; `lost` tells whether the one before had failed. */
+  /**
+   * Called after each successful read; `lost` is true if the previous one had
+   * failed.
+   */
   readonly onReached: (options: { readonly lost: boolean }) => void;
 }
 
 /**
- * Longest wait between reads while the store fails: its return is to be
- * noticed well before configurations and leaving endpoints have to be known.
+ * Maximum backoff between reads while the store fails, well below the time in
+ * which new configurations and leaving endpoints have to be known.
  */
-const LONGEST_RETRY_MILLISECONDS = 1_600;
-const FIRST_RETRY_MILLISECONDS = 100;
+const MAX_RETRY_MILLISECONDS = 1_600;
+const INITIAL_RETRY_MILLISECONDS = 100;
 
 /**
- * Follows a keyed topic: the newest of every key first, then record by record.
- * Where the store has dropped the records in between, it starts again from the
- * newest, so that a gap is never taken for "nothing has changed".
+ * Follows a keyed topic: reads the newest record of every key first, and then
+ * each new record. If the store has dropped records in between, it reads the
+ * newest ones again, so that a gap is never taken for the absence of changes.
  */
 export class TopicReader {
   readonly #options: TopicReaderOptions;
   #position: number | undefined;
   #failures = 0;
-  /** Counts the reads; the answer to an earlier one is passed over. */
-  #run = 0;
+  /** Number of the current read; the results of earlier reads are ignored. */
+  #readNumber = 0;
   #isReading = false;
   #stopped = false;
-  #next: Subscription | undefined;
+  #scheduledRead: Subscription | undefined;
 
   constructor(options: TopicReaderOptions) {
     this.#options = options;
@@ -96,30 +102,30 @@
 
   stop(): void {
     this.#stopped = true;
-    this.#giveUp();
+    this.#abandonRead();
   }
 
-  /** Passes over what is waited for. */
-  #giveUp(): void {
-    this.#run += 1;
+  /** Abandons the pending read or pause. */
+  #abandonRead(): void {
+    this.#readNumber += 1;
     this.#isReading = false;
-    this.#next?.cancel();
+    this.#scheduledRead?.cancel();
   }
 
   /**
-   * Reads now, over whatever is waited for. Load: a connection that has gone
-   * silent holds a waiting read; a peer's word tells that there is something.
+   * Reads immediately and abandons a pending read, which may hang on a dead
+   * connection while a peer has announced new records.
    */
   readNow(): void {
     if (this.#stopped) return;
-    this.#giveUp();
+    this.#abandonRead();
     void this.#read();
   }
 
   /**
-   * Takes a peer's word of a span that it has just read, and pauses anew. Also
-   * where there was nothing in it: a calm topic has no records for minutes,
-   * and each entry would go on looking for itself.
+   * Applies the span that a peer has just read, and restarts the pause, even if
+   * the span is empty: a quiet topic has no records for minutes, and each entry
+   * would otherwise continue to poll it.
    */
   peerRead({ from, to }: TopicSpan): PeerReading {
     const position = this.#position;
@@ -128,15 +134,15 @@
     }
     if (position > to) return "older";
     if (position < to) {
-      // An answer that is on its way may be older than the span.
-      this.#giveUp();
+      // The result of a pending read may be older than the span.
+      this.#abandonRead();
       this.#position = to;
-      this.#readAfter(this.#options.pauseMilliseconds());
+      this.#scheduleRead(this.#options.pauseMilliseconds());
       return "ahead";
     }
     if (!this.#isReading) {
-      this.#next?.cancel();
-      this.#readAfter(this.#options.pauseMilliseconds());
+      this.#scheduledRead?.cancel();
+      this.#scheduleRead(this.#options.pauseMilliseconds());
     }
     return "same";
   }
@@ -144,18 +150,18 @@
   async #read(): Promise<void> {
     const { topic, waitMilliseconds } = this.#options;
     const position = this.#position;
-    const run = ++this.#run;
+    const readNumber = ++this.#readNumber;
     this.#isReading = true;
     const result = position === undefined
       ? await topic.newest()
       : await topic.since(position, waitMilliseconds());
-    if (run !== this.#run) return;
+    if (readNumber !== this.#readNumber) return;
     this.#isReading = false;
-    if (result.isErr()) this.#failed(result.error);
-    else this.#take(result.value, position);
+    if (result.isErr()) this.#handleFailure(result.error);
+    else this.#applyRead(result.value, position);
   }
 
-  #take(read: KeyedRecords, from: number | undefined): void {
+  #applyRead(read: KeyedRecords, from: number | undefined): void {
     const { onReached, onRecords, onSnapshot, pauseMilliseconds } =
       this.#options;
     onReached({ lost: this.#failures > 0 });
@@ -163,29 +169,29 @@
     this.#position = read.next;
     if (from === undefined) onSnapshot(read.records);
     else onRecords(read.records, { from, to: read.next });
-    this.#readAfter(pauseMilliseconds());
+    this.#scheduleRead(pauseMilliseconds());
   }
 
-  #failed(failure: StoreFailure): void {
+  #handleFailure(failure: StoreFailure): void {
     const { onFailure, random } = this.#options;
     if (failure.name === "store_expired") {
       this.#position = undefined;
-      return this.#readAfter(0);
+      return this.#scheduleRead(0);
     }
     this.#failures += 1;
     onFailure(failure);
-    this.#readAfter(
-      FIRST_RETRY_MILLISECONDS +
+    this.#scheduleRead(
+      INITIAL_RETRY_MILLISECONDS +
         backoffMilliseconds(this.#failures, {
           random,
-          initialMilliseconds: FIRST_RETRY_MILLISECONDS,
-          maxMilliseconds: LONGEST_RETRY_MILLISECONDS,
+          initialMilliseconds: INITIAL_RETRY_MILLISECONDS,
+          maxMilliseconds: MAX_RETRY_MILLISECONDS,
         }),
     );
   }
 
-  #readAfter(milliseconds: number): void {
-    this.#next = this.#options.timer.after(
+  #scheduleRead(milliseconds: number): void {
+    this.#scheduledRead = this.#options.timer.after(
       milliseconds,
       () => void this.#read(),
     );
--- a/src/core/forwarding/store/topic_reader_test.ts
+++ b/src/core/forwarding/store/topic_reader_test.ts
@@ -14,17 +14,17 @@
 describe("TopicReader", () => {
   let timer: ManualTimerService;
   let reader: TopicReader;
-  /** Reads that wait for their answer, each with where it goes on from. */
+  /** Pending reads, each with its start position. */
   let reads: {
     readonly from: number;
     readonly answer: (read: KeyedRecords) => void;
   }[];
-  let taken: string[];
+  let receivedKeys: string[];
 
   beforeEach(async () => {
     timer = new ManualTimerService();
     reads = [];
-    taken = [];
+    receivedKeys = [];
     const read = (from: number) =>
       new Promise<Result<KeyedRecords, StoreFailure>>((resolve) => {
         reads.push({ from, answer: (records) => resolve(ok(records)) });
@@ -36,7 +36,8 @@
       waitMilliseconds: () => 0,
       pauseMilliseconds: () => PAUSE_MILLISECONDS,
       onSnapshot() {},
-      onRecords: (records) => taken.push(...records.map(({ key }) => key)),
+      onRecords: (records) =>
+        receivedKeys.push(...records.map(({ key }) => key)),
       onFailure() {},
       onReached() {},
     });
@@ -53,13 +54,13 @@
 
   const record = (key: string) => ({ key, value: Buffer.from("{}") });
 
-  it("goes on behind a span that a peer has read", async () => {
+  it("continues after a span that a peer has read", async () => {
     expect(reader.peerRead({ from: 8, to: 14 })).to.equal("ahead");
     await timer.advance(PAUSE_MILLISECONDS);
     expect(reads.map(({ from }) => from)).to.deep.equal([14]);
   });
 
-  it("takes no span of another epoch for its own", async () => {
+  it("does not apply a span of another epoch", async () => {
     const next = positionOf({ epoch: 2, offset: 10 });
     await timer.advance(PAUSE_MILLISECONDS);
     await answer({ records: [], next });
@@ -70,16 +71,16 @@
     })).to.equal("apart");
   });
 
-  it("waits its pause anew, so that one entry reads for all", async () => {
+  it("restarts its pause, so that one entry reads for all", async () => {
     await timer.advance(PAUSE_MILLISECONDS - 1);
     reader.peerRead({ from: 10, to: 14 });
     await timer.advance(PAUSE_MILLISECONDS - 1);
     expect(reads).to.deep.equal([]);
   });
 
-  // Nothing registers or leaves for minutes. Two dozen entries that each look
-  // for themselves make 27 calls a second for nothing.
-  it("waits its pause anew where a peer has found nothing either", async () => {
+  // No endpoint registers or leaves for minutes. 24 entries that each poll the
+  // store make 27 calls per second without a result.
+  it("restarts its pause after an empty read of a peer", async () => {
     await timer.advance(PAUSE_MILLISECONDS - 1);
     expect(reader.peerRead({ from: 10, to: 10 })).to.equal("same");
     await timer.advance(PAUSE_MILLISECONDS - 1);
@@ -88,30 +89,31 @@
     expect(reads.map(({ from }) => from)).to.deep.equal([10]);
   });
 
-  it("lets a read go on that is under way when a peer finds nothing", async () => {
+  it("keeps a pending read when a peer reads nothing", async () => {
     await timer.advance(PAUSE_MILLISECONDS);
     expect(reader.peerRead({ from: 10, to: 10 })).to.equal("same");
     await answer({ records: [record("new")], next: 11 });
-    expect(taken).to.deep.equal(["new"]);
+    expect(receivedKeys).to.deep.equal(["new"]);
   });
 
-  it("passes over spans with a gap before them, and older ones", () => {
+  it("ignores spans after a gap, and older ones", () => {
     expect(reader.peerRead({ from: 11, to: 14 })).to.equal("apart");
     expect(reader.peerRead({ from: 7, to: 9 })).to.equal("older");
   });
 
-  // A read is on its way while a peer tells of more than it will bring. Taken
-  // afterwards, its records would bring back an endpoint that has left.
-  it("passes over an answer that is older than the span", async () => {
+  // A peer reports a span that extends beyond the result of a pending read. If
+  // that result were applied later, its records would restore an endpoint that
+  // has left.
+  it("ignores a result that is older than the span", async () => {
     await timer.advance(PAUSE_MILLISECONDS);
     reader.peerRead({ from: 10, to: 14 });
     await answer({ records: [record("old")], next: 12 });
-    expect(taken).to.deep.equal([]);
+    expect(receivedKeys).to.deep.equal([]);
     await timer.advance(PAUSE_MILLISECONDS);
     expect(reads.map(({ from }) => from)).to.deep.equal([14]);
   });
 
-  it("reads no more once it is stopped, whatever peers tell", async () => {
+  it("does not read after stop, whatever peers report", async () => {
     reader.stop();
     expect(reader.peerRead({ from: 10, to: 14 })).to.equal("apart");
     reader.readNow();
@@ -119,14 +121,14 @@
     expect(reads).to.deep.equal([]);
   });
 
-  // A connection falls silent under a read that waits. A second read is
-  // begun, and the first one's answer, if it ever comes, counts for nothing.
-  it("reads over a read that waits", async () => {
+  // A connection dies during a waiting read. A second read is started, and the
+  // result of the first one, if it ever arrives, is ignored.
+  it("replaces a waiting read", async () => {
     await timer.advance(PAUSE_MILLISECONDS);
     reader.readNow();
     expect(reads).to.have.length(2);
     await answer({ records: [record("late")], next: 11 });
     await answer({ records: [record("now")], next: 12 });
-    expect(taken).to.deep.equal(["now"]);
+    expect(receivedKeys).to.deep.equal(["now"]);
   });
 });
--- a/src/core/forwarding/usage/fleet_clock.ts
+++ b/src/core/forwarding/usage/fleet_clock.ts
@@ -1,24 +1,24 @@
 import type { ProcessId } from "../../identity/mod.ts";
 import type { TimerService } from "../../time/mod.ts";
 
-/** Age beyond which what a peer said of its clock no longer counts. */
-const MOST_AGE_MILLISECONDS = 5_000;
-/** How long the median of all clocks is used before it is taken again. */
-const MEDIAN_MILLISECONDS = 100;
+/** Age above which a sample of a peer's clock is discarded. */
+const MAX_SAMPLE_AGE_MILLISECONDS = 5_000;
+/** Interval at which the median of the clocks is computed. */
+const MEDIAN_INTERVAL_MILLISECONDS = 100;
 
-interface Sample {
-  /** The peer's wall clock less this process's steady clock. */
+interface ClockSample {
+  /** The peer's wall clock minus this process's monotonic clock. */
   readonly offset: number;
   readonly at: number;
 }
 
 /**
- * True time, as most machines of the fleet have it: the median of their wall
- * clocks. One clock that jumps moves nothing.
+ * Estimates the true time as the median of the fleet's wall clocks, so that a
+ * jump of one clock has no effect.
  */
 export class FleetClock {
   readonly #timer: TimerService;
-  readonly #samples = new Map<ProcessId, Sample>();
+  readonly #samples = new Map<ProcessId, ClockSample>();
   #offset = 0;
   #offsetAt = -Infinity;
 
@@ -26,13 +26,13 @@
     this.#timer = timer;
   }
 
-  /** A peer's wall clock has just shown this, Unix milliseconds. */
+  /** Records the current wall clock of a peer, Unix milliseconds. */
   peerSaid(peer: ProcessId, wallClock: number): void {
     const at = this.#timer.now();
     this.#samples.set(peer, { offset: wallClock - at, at });
   }
 
-  /** Unix milliseconds; `at` is a moment of this process's steady clock. */
+  /** Converts a time of this process's monotonic clock to Unix milliseconds. */
   timeAt(at: number): number {
     return at + this.#currentOffset();
   }
@@ -43,7 +43,7 @@
 
   #currentOffset(): number {
     const now = this.#timer.now();
-    if (now - this.#offsetAt >= MEDIAN_MILLISECONDS) {
+    if (now - this.#offsetAt >= MEDIAN_INTERVAL_MILLISECONDS) {
       this.#offset = this.#median(now);
       this.#offsetAt = now;
     }
@@ -53,7 +53,7 @@
   #median(now: number): number {
     const offsets = [this.#timer.wallClock() - now];
     for (const [peer, { at, offset }] of this.#samples) {
-      if (now - at > MOST_AGE_MILLISECONDS) this.#samples.delete(peer);
+      if (now - at > MAX_SAMPLE_AGE_MILLISECONDS) this.#samples.delete(peer);
       else offsets.push(offset);
     }
     offsets.sort((one, other) => one - other);
--- a/src/core/forwarding/usage/usage_ledger.ts
+++ b/src/core/forwarding/usage/usage_ledger.ts
@@ -5,22 +5,27 @@
   type WorkspaceId,
 } from "../../identity/mod.ts";
 
-/** Requests of each workspace that began to run. */
+/** Number of requests that started to run, by workspace. */
 export type WorkspaceCounts = ReadonlyMap<WorkspaceId, number>;
 
-/** One run of an entry: a restarted entry counts from 0 again. */
+/** Identifies one run of an entry; a restarted entry counts from 0 again. */
 export type EntryRunName = string;
 
-/** A run's counts in a window, as they go to peers. */
+/** The counts of a run in one window, as sent to peers. */
 export type WindowCounts = readonly [
   window: number,
   counts: readonly (readonly [workspace: string, count: number])[],
 ];
 
 interface RunCounts {
-  /** True time from which on the run has counted, Unix milliseconds. */
+  /**
+   * Time from which the run has counted, Unix milliseconds of the fleet clock.
+   */
   since: number;
-  /** True time up to which its counts are known, Unix milliseconds. */
+  /**
+   * Time up to which its counts are known, Unix milliseconds of the fleet
+   * clock.
+   */
   until: number;
   readonly windows: Map<UsageWindow, Map<WorkspaceId, number>>;
 }
@@ -28,19 +33,21 @@
 export interface UsageLedgerOptions {
   readonly self: EntryRunName;
   readonly windowMilliseconds: number;
-  /** True time from which on this run counts, Unix milliseconds. */
+  /** Time from which this run counts, Unix milliseconds of the fleet clock. */
   readonly since: number;
 }
 
 /**
- * Requests that began to run, by workspace and window, as far as this entry
- * knows them of every run of every entry. Counts of a run only rise, so that a
- * peer's may come late, twice or out of order.
+ * Counts started requests by workspace and window, for all known runs of all
+ * entries. The counts of a run never decrease, so a peer's counts may arrive
+ * late, repeatedly or out of order.
  */
 export class UsageLedger {
   readonly #options: UsageLedgerOptions;
   readonly #runs = new Map<EntryRunName, RunCounts>();
-  /** Windows of this run whose counts have changed since they were sent. */
+  /**
+   * Windows of this run whose counts have changed since they were last sent.
+   */
   readonly #unsent = new Set<UsageWindow>();
 
   constructor(options: UsageLedgerOptions) {
@@ -48,7 +55,9 @@
     this.#run(options.self, options.since);
   }
 
-  /** A request of the workspace began to run then, Unix milliseconds. */
+  /**
+   * Counts a request of the workspace that started at `at`, Unix milliseconds.
+   */
   began(workspace: WorkspaceId, at: number): void {
     const { self, since, windowMilliseconds } = this.#options;
     const window = numbered<UsageWindow>(Math.floor(at / windowMilliseconds));
@@ -61,7 +70,10 @@
     return this.#unsent.size > 0;
   }
 
-  /** This run's counts; with `all` also those that were sent before. */
+  /**
+   * This run's counts to send: those that have changed, or with `all` every
+   * window.
+   */
   takeOwn({ all }: { readonly all: boolean }): WindowCounts[] {
     const { self, since } = this.#options;
     const { windows } = this.#run(self, since);
@@ -70,7 +82,7 @@
     return wanted.map((window) => [window, [...windows.get(window) ?? []]]);
   }
 
-  /** Takes what a peer's run has counted up to `until`. */
+  /** Merges the counts of a peer's run, which are complete up to `until`. */
   peerCounted(
     run: EntryRunName,
     counted: {
@@ -90,24 +102,29 @@
     }
   }
 
-  /** True where some run has counted from the window's beginning. */
+  /** Returns whether some run has counted since the start of the window. */
   covers(window: UsageWindow): boolean {
     const start = window * this.#options.windowMilliseconds;
     return [...this.#runs.values()].some(({ since }) => since <= start);
   }
 
-  /** True where this run has counted from the window's beginning. */
+  /** Returns whether this run has counted since the start of the window. */
   isCountedBySelf(window: UsageWindow): boolean {
     const { since, windowMilliseconds } = this.#options;
     return since <= window * windowMilliseconds;
   }
 
-  /** True where the run's counts are known up to then, Unix milliseconds. */
+  /**
+   * Returns whether the run's counts are known up to `time`, Unix milliseconds.
+   */
   isKnownUntil(run: EntryRunName, time: number): boolean {
     return (this.#runs.get(run)?.until ?? -Infinity) >= time;
   }
 
-  /** By the workspaces' names, so that every entry writes them alike. */
+  /**
+   * Total counts of a window, sorted by workspace, so that every entry encodes
+   * them identically.
+   */
   totals(window: UsageWindow): WorkspaceCounts {
     const totals = new Map<WorkspaceId, number>();
     for (const { windows } of this.#runs.values()) {
@@ -118,7 +135,10 @@
     return new Map([...totals].sort(([one], [other]) => one < other ? -1 : 1));
   }
 
-  /** Forgets all windows before this one, and runs that have no later one. */
+  /**
+   * Discards all earlier windows, and other runs that have ended and have no
+   * later window.
+   */
   forgetBefore(oldest: UsageWindow): void {
     const oldestTime = oldest * this.#options.windowMilliseconds;
     for (const [run, { until, windows }] of this.#runs) {
--- a/src/core/forwarding/usage/usage_ledger_test.ts
+++ b/src/core/forwarding/usage/usage_ledger_test.ts
@@ -19,7 +19,7 @@
 }
 
 describe("UsageLedger", () => {
-  it("counts requests in the window in which they began", () => {
+  it("counts requests in the window in which they started", () => {
     const ledger = makeLedger();
     ledger.began(ONE, 9_999);
     ledger.began(ONE, 10_000);
@@ -28,20 +28,20 @@
     expect([...ledger.totals(windowAt(2))]).to.deep.equal([[ONE, 1], [TWO, 1]]);
   });
 
-  it("adds each peer's run once, however its counts arrive", () => {
+  it("adds each peer's run once, in whatever order its counts arrive", () => {
     const ledger = makeLedger();
     ledger.began(ONE, 1);
-    const told = (count: number) => ({
+    const sent = (count: number) => ({
       since: 0,
       until: count,
       usage: [[0, [["one", count]]]] as const,
     });
-    for (const count of [4, 2, 4, 7, 5]) ledger.peerCounted("b#1", told(count));
-    ledger.peerCounted("b#2", told(3));
+    for (const count of [4, 2, 4, 7, 5]) ledger.peerCounted("b#1", sent(count));
+    ledger.peerCounted("b#2", sent(3));
     expect(ledger.totals(windowAt(0)).get(ONE)).to.equal(1 + 7 + 3);
   });
 
-  it("tells what has changed, and on request everything", () => {
+  it("returns the changed counts, or all counts on request", () => {
     const ledger = makeLedger();
     ledger.began(ONE, 1);
     expect(ledger.takeOwn({ all: false })).to.deep.equal([[0, [["one", 1]]]]);
@@ -53,7 +53,7 @@
     ]);
   });
 
-  it("covers no window in which every known run started later", () => {
+  it("does not cover windows that started before all known runs", () => {
     const ledger = makeLedger(12_000);
     expect(ledger.covers(windowAt(2))).to.equal(false);
     expect(ledger.covers(windowAt(3))).to.equal(true);
@@ -85,7 +85,7 @@
     expect(next(ledger, [3])).to.deep.equal([fixed[1]]);
   });
 
-  it("adds windows behind the newest fixed one only", () => {
+  it("adds only windows after the newest fixed one", () => {
     const ledger = makeLedger();
     ledger.began(TWO, 20_001);
     const added = {
@@ -96,7 +96,7 @@
     expect(next(ledger, [2, 3, 4])).to.deep.equal([fixed[1], added]);
   });
 
-  it("adds no window in which all counts began too late", () => {
+  it("does not add a window that no run has counted completely", () => {
     expect(next(makeLedger(21_000), [4])).to.deep.equal([fixed[1]]);
   });
 });
--- a/src/core/forwarding/usage/usage_reports.ts
+++ b/src/core/forwarding/usage/usage_reports.ts
@@ -2,33 +2,35 @@
 import type { StandingClaim } from "../claims/exclusive_claim.ts";
 import type { UsageLedger, WorkspaceCounts } from "./usage_ledger.ts";
 
-/** The counts of a window as they are reported, now and in every repeat. */
+/**
+ * The counts of a window as reported; repeated reports contain the same counts.
+ */
 export interface UsageReport {
   readonly window: UsageWindow;
   readonly counts: WorkspaceCounts;
-  /** True once the receiver has confirmed it. */
+  /** True if the receiver has confirmed it. */
   readonly accepted: boolean;
 }
 
-/** A claim on reporting usage, and the reports that are fixed by it. */
+/** A claim on reporting usage, and the reports that it fixes. */
 export interface UsageClaim extends StandingClaim {
   readonly reports: readonly UsageReport[];
 }
 
 export interface NextReportsOptions {
   readonly ledger: UsageLedger;
-  /** What earlier claims have fixed. */
+  /** Reports that earlier claims have fixed. */
   readonly fixed: readonly UsageReport[];
   /** Windows that are due, the oldest first. */
   readonly due: readonly UsageWindow[];
-  /** The oldest window that is still worth reporting. */
+  /** The oldest window that is still to be reported. */
   readonly oldest: UsageWindow;
   readonly isAccepted: (window: UsageWindow) => boolean;
 }
 
 /**
- * The reports that the next claim fixes. A window that an earlier claim has
- * fixed keeps its counts: the receiver may have them already.
+ * Returns the reports that the next claim fixes. A window that an earlier claim
+ * has fixed keeps its counts, as the receiver may have them already.
  */
 export function nextReports(options: NextReportsOptions): UsageReport[] {
   const { due, fixed, isAccepted, ledger, oldest } = options;
