--- a/src/core/queueing/request_queue.ts
+++ b/src/core/queueing/request_queue.ts
@@ -197,10 +197,10 @@
    * Returns a class with credit if there is one, else the most urgent class.
    */
   #selectClass(first: ClassState): ClassState {
-    const owed = this.#states.find((state) =>
+    const credited = this.#states.find((state) =>
       state !== first && state.credit > 0 && this.#canServe(state)
     );
-    return owed ?? first;
+    return credited ?? first;
   }
 
   #canServe(state: ClassState): boolean {
--- a/src/core/queueing/request_queue_test.ts
+++ b/src/core/queueing/request_queue_test.ts
@@ -49,7 +49,7 @@
 }
 
 describe("RequestQueue", () => {
-  it("serves the most urgent class first, ordered by slack", () => {
+  it("serves the most urgent class first, and each class by slack", () => {
     const { serve } = queueWith([
       { id: "late", latestStart: 900 },
       { id: "soon", latestStart: 100 },
--- a/src/core/rules/mod.ts
+++ b/src/core/rules/mod.ts
@@ -25,8 +25,6 @@
   const given = compiled.classOf(request);
   if (request.className === undefined) return given;
   const wanted = compiled.classes.get(request.className);
-  if (wanted === undefined || wanted.priority < given.priority) {
-    return given;
-  }
+  if (wanted === undefined || wanted.priority < given.priority) return given;
   return wanted;
 }
