--- a/src/core/forwarding/endpoints/endpoint_outcomes.ts
+++ b/src/core/forwarding/endpoints/endpoint_outcomes.ts
@@ -37,7 +37,7 @@
 const INITIAL_SKIP_MILLISECONDS = 250;
 const MAX_SKIP_MILLISECONDS = 2_000;
 
-/** Times of an attempt that do not affect the endpoint's slowness. */
+/** Neutral times, as attempts are not judged by their speed here. */
 const NEUTRAL_TIMES = { overExpected: 1, overRated: 1 };
 
 interface EndpointState {
--- a/src/core/forwarding/endpoints/load_picture.ts
+++ b/src/core/forwarding/endpoints/load_picture.ts
@@ -272,10 +272,10 @@
 }
 
 /** Sum of both. */
-export function addWork(one: OpenWork, other: OpenWork): OpenWork {
+export function addWork(left: OpenWork, right: OpenWork): OpenWork {
   return {
-    requests: one.requests + other.requests,
-    prefillMilliseconds: one.prefillMilliseconds + other.prefillMilliseconds,
-    tokens: one.tokens + other.tokens,
+    requests: left.requests + right.requests,
+    prefillMilliseconds: left.prefillMilliseconds + right.prefillMilliseconds,
+    tokens: left.tokens + right.tokens,
   };
 }
--- a/src/core/forwarding/event_splitter_test.ts
+++ b/src/core/forwarding/event_splitter_test.ts
@@ -21,7 +21,7 @@
         );
         const bytes = Buffer.from(events.join("") + "id: 99\ndata: ha");
         const cutOffsets = [...new Set(cuts.map((cut) => cut % bytes.length))]
-          .sort((one, other) => one - other);
+          .sort((left, right) => left - right);
         const splitter = new EventSplitter();
         let passed = "";
         let lastId: string | undefined;
--- a/src/core/forwarding/route_table.ts
+++ b/src/core/forwarding/route_table.ts
@@ -25,8 +25,8 @@
       else routes.push(route);
     }
     for (const routes of this.#byHost.values()) {
-      routes.sort((one, other) =>
-        other.pathPrefix.length - one.pathPrefix.length
+      routes.sort((left, right) =>
+        right.pathPrefix.length - left.pathPrefix.length
       );
     }
   }
--- a/src/core/forwarding/usage/fleet_clock.ts
+++ b/src/core/forwarding/usage/fleet_clock.ts
@@ -56,7 +56,7 @@
       if (now - at > MAX_SAMPLE_AGE_MILLISECONDS) this.#samples.delete(peer);
       else offsets.push(offset);
     }
-    offsets.sort((one, other) => one - other);
+    offsets.sort((left, right) => left - right);
     const middle = offsets.length >> 1;
     return offsets.length % 2 === 1
       ? offsets[middle]
--- a/src/core/forwarding/usage/usage_ledger.ts
+++ b/src/core/forwarding/usage/usage_ledger.ts
@@ -132,7 +132,9 @@
         totals.set(workspace, (totals.get(workspace) ?? 0) + count);
       }
     }
-    return new Map([...totals].sort(([one], [other]) => one < other ? -1 : 1));
+    return new Map(
+      [...totals].sort(([left], [right]) => left < right ? -1 : 1),
+    );
   }
 
   /**
--- a/src/core/queueing/class_queue.ts
+++ b/src/core/queueing/class_queue.ts
@@ -18,8 +18,8 @@
  */
 export class ClassQueue {
   readonly #workspaces = new Map<string, WorkspaceQueue>();
-  readonly #byVirtualTime = new Heap<WorkspaceQueue>((one, other) =>
-    one.virtualTime < other.virtualTime
+  readonly #byVirtualTime = new Heap<WorkspaceQueue>((left, right) =>
+    left.virtualTime < right.virtualTime
   );
   #virtualTime = 0;
   #size = 0;
@@ -87,7 +87,7 @@
   #addWorkspace(workspace: string): WorkspaceQueue {
     const queue: WorkspaceQueue = {
       workspace,
-      items: new Heap((one, other) => one.latestStart < other.latestStart),
+      items: new Heap((left, right) => left.latestStart < right.latestStart),
       virtualTime: this.#virtualTime,
       pending: 0,
     };
--- a/src/core/queueing/heap.ts
+++ b/src/core/queueing/heap.ts
@@ -1,9 +1,9 @@
 /** A binary heap that is ordered by a comparison function. */
 export class Heap<Item> {
   readonly #items: Item[] = [];
-  readonly #isBefore: (one: Item, other: Item) => boolean;
+  readonly #isBefore: (left: Item, right: Item) => boolean;
 
-  constructor(isBefore: (one: Item, other: Item) => boolean) {
+  constructor(isBefore: (left: Item, right: Item) => boolean) {
     this.#isBefore = isBefore;
   }
 
@@ -55,9 +55,9 @@
     }
   }
 
-  #swap(one: number, other: number): void {
-    const previous = this.#items[one];
-    this.#items[one] = this.#items[other];
-    this.#items[other] = previous;
+  #swap(left: number, right: number): void {
+    const previous = this.#items[left];
+    this.#items[left] = this.#items[right];
+    this.#items[right] = previous;
   }
 }
--- a/src/core/queueing/request_queue.ts
+++ b/src/core/queueing/request_queue.ts
@@ -79,7 +79,7 @@
    */
   useClasses(classes: readonly WorkClass[]): void {
     this.#states = [...classes]
-      .sort((one, other) => one.priority - other.priority)
+      .sort((left, right) => left.priority - right.priority)
       .map((workClass) => ({
         workClass,
         queue: new ClassQueue(),
--- a/src/core/rules/classify_test.ts
+++ b/src/core/rules/classify_test.ts
@@ -94,9 +94,9 @@
 
   it("returns the same class with and without precompiled rules", () => {
     const compiled = new CompiledRules(RULES);
-    for (const one of [request(), request(inKlang)]) {
-      expect(classify(one, RULES, { compiled })).to.equal(
-        compiled.classOf(one),
+    for (const each of [request(), request(inKlang)]) {
+      expect(classify(each, RULES, { compiled })).to.equal(
+        compiled.classOf(each),
       );
     }
   });
--- a/src/core/rules/compiled_rules.ts
+++ b/src/core/rules/compiled_rules.ts
@@ -27,7 +27,7 @@
   readonly #shapes: readonly MatchShape[];
 
   constructor(rules: Rules) {
-    this.classes = new Map(rules.classes.map((one) => [one.name, one]));
+    this.classes = new Map(rules.classes.map((each) => [each.name, each]));
     this.defaultClass = this.classes.get(rules.defaultClass) ??
       rules.classes[0];
     this.#matches = rules.matches ?? [];
