--- a/src/core/forwarding/mod.ts
+++ b/src/core/forwarding/mod.ts
@@ -1,4 +1,4 @@
-/** Decisions on requests that are forwarded byte by byte. */
+/** Decisions on requests whose bodies are forwarded unchanged. */
 export type * from "./configuration.ts";
 export type * from "./requests.ts";
 export { drawPool, RouteTable } from "./route_table.ts";
@@ -48,9 +48,9 @@
   type OpenWork,
   type PeerWork,
   type PromptWork,
+  type WorkHandle,
   type WorkReport,
   workRow,
-  type WorkTicket,
 } from "./endpoints/load_picture.ts";
 export {
   PrefixDirectory,
