--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -12,7 +12,7 @@
 const MISDIRECTED_STATUS = 421;
 
 /** Bytes of a request's head, about. */
-export const HEAD_BYTES = 700;
+export const REQUEST_HEAD_BYTES = 700;
 
 export interface AttemptPlan {
   readonly endpoint: RegisteredEndpoint;
@@ -49,7 +49,7 @@
     const ticket = parts.load.started(endpoint.id, plan.work);
     this.#endWork = () => ticket.end();
     parts.outcomes.started(endpoint.id);
-    parts.link.sent(request.body.length + HEAD_BYTES);
+    parts.link.sent(request.body.length + REQUEST_HEAD_BYTES);
     const exchange = parts.door.send(request, {
       ...plan.options,
       endpoint: endpoint.id,
@@ -57,19 +57,19 @@
       address: endpoint.address,
     });
     this.#abort = () => exchange.abort();
-    this.answer = exchange.answer.then((answer) => {
-      this.#noteHead(answer);
-      return answer;
+    this.answer = exchange.answer.then((response) => {
+      this.#onHead(response);
+      return response;
     });
   }
 
   /** The answer's body has ended. */
-  ended(end: BodyEnd, status: number): void {
+  onEnd(end: BodyEnd, status: number): void {
     if (this.#closed) return;
     const { outcomes } = this.#parts;
-    if (end === "cut") this.#noteLoss();
-    else if (status < 500) this.#noteCompletion();
-    if (this.#tellsOfEndpoint) {
+    if (end === "cut") this.#recordLoss();
+    else if (status < 500) this.#recordCompletion();
+    if (this.#isSameRun) {
       if (end === "whole" && status < 500) outcomes.succeeded(this.endpoint.id);
       else outcomes.failed(this.endpoint.id);
     }
@@ -79,7 +79,7 @@
   /** The caller or the system has given it up; the endpoint ends its work. */
   abort(): void {
     if (this.#closed) return;
-    if (this.#tellsOfEndpoint) this.#parts.outcomes.untold(this.endpoint.id);
+    if (this.#isSameRun) this.#parts.outcomes.untold(this.endpoint.id);
     this.#close();
     this.#abort();
   }
@@ -88,32 +88,32 @@
    * False once the endpoint has started again under its id: the connections to
    * its former run break then, and the new one would be passed over for it.
    */
-  get #tellsOfEndpoint(): boolean {
+  get #isSameRun(): boolean {
     return this.#parts.registry.isSameRun(this.endpoint);
   }
 
-  #noteHead(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #onHead(response: Result<EndpointAnswer, ExchangeFailure>): void {
     if (this.#closed) return;
-    this.#noteCrashSigns(answer);
-    if (answer.isOk() && answer.value.head.leaving) this.#noteLeaving();
-    if (this.#tellsOfEndpoint) this.#tellHead(answer);
-    if (answer.isErr() || answer.value.head.notRun) this.#close();
+    this.#recordCrashSignals(response);
+    if (response.isOk() && response.value.head.leaving) this.#reportLeaving();
+    if (this.#isSameRun) this.#recordOutcome(response);
+    if (response.isErr() || response.value.head.notRun) this.#close();
   }
 
-  #noteCrashSigns(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordCrashSignals(response: Result<EndpointAnswer, ExchangeFailure>): void {
     const { crashes } = this.#parts;
-    if (answer.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
-    const { name } = answer.error;
-    if (name === "exchange_lost") this.#noteLoss();
+    if (response.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
+    const { name } = response.error;
+    if (name === "exchange_lost") this.#recordLoss();
     if (name === "exchange_not_sent") crashes.refusedConnection(this.endpoint);
   }
 
   /** The endpoint has broken the connection off with the request on it. */
-  #noteLoss(): void {
+  #recordLoss(): void {
     const { crashes, timer } = this.#parts;
     const { digest } = this.#context;
     crashes.lost(this.endpoint, { digest, knownBefore: this.#knownCrashes });
-    this.#context.tell("endpoint_lost", {
+    this.#context.report("endpoint_lost", {
       digest,
       crashes: crashes.crashesUnder(digest),
       endpoint: this.endpoint.id,
@@ -124,37 +124,39 @@
   }
 
   /** A reading alone runs nothing, so that it clears nobody. */
-  #noteCompletion(): void {
+  #recordCompletion(): void {
     const { crashes } = this.#parts;
     if (crashes.size === 0 || this.#plan.options.prefillOnly) return;
     crashes.completed(this.#context.digest);
   }
 
-  #tellHead(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordOutcome(response: Result<EndpointAnswer, ExchangeFailure>): void {
     const { outcomes } = this.#parts;
     const { id } = this.endpoint;
-    if (answer.isErr()) {
-      if (answer.error.name !== "exchange_not_sent") return outcomes.failed(id);
+    if (response.isErr()) {
+      if (response.error.name !== "exchange_not_sent") {
+        return outcomes.failed(id);
+      }
       return outcomes.refusedConnection(id);
     }
     outcomes.heard(id);
-    const { notRun, retryAfterMilliseconds, status } = answer.value.head;
+    const { notRun, retryAfterMilliseconds, status } = response.value.head;
     if (retryAfterMilliseconds !== undefined) {
-      return this.#noteOverload(retryAfterMilliseconds);
+      return this.#recordOverload(retryAfterMilliseconds);
     }
     if (!notRun) return;
     if (status === MISDIRECTED_STATUS) outcomes.misdirected(id);
     else outcomes.rejected(id);
   }
 
-  #noteLeaving(): void {
+  #reportLeaving(): void {
     if (!this.#parts.saidLeaving(this.endpoint)) return;
-    this.#context.tell("endpoint_leaving", { endpoint: this.endpoint.id });
+    this.#context.report("endpoint_leaving", { endpoint: this.endpoint.id });
   }
 
-  #noteOverload(milliseconds: number): void {
+  #recordOverload(milliseconds: number): void {
     this.#parts.outcomes.overloaded(this.endpoint.id, milliseconds);
-    this.#context.tell("endpoint_overloaded", {
+    this.#context.report("endpoint_overloaded", {
       endpoint: this.endpoint.id,
       retryAfterMilliseconds: milliseconds,
     });
@@ -162,7 +164,7 @@
 
   #close(): void {
     this.#closed = true;
-    if (this.#tellsOfEndpoint) this.#parts.outcomes.ended(this.endpoint.id);
+    if (this.#isSameRun) this.#parts.outcomes.ended(this.endpoint.id);
     this.#endWork();
   }
 }
--- a/src/entry/forwarding/forward.ts
+++ b/src/entry/forwarding/forward.ts
@@ -8,7 +8,10 @@
   type Workspace,
 } from "../../core/forwarding/mod.ts";
 import { err, ok, type Result } from "neverthrow";
-import { ForwardRun, RETRY_AFTER_MILLISECONDS } from "./forward_run.ts";
+import {
+  RequestForwarder,
+  RETRY_AFTER_MILLISECONDS,
+} from "./request_forwarder.ts";
 import type { CallerSink, Refusal } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 
@@ -37,13 +40,13 @@
   if (route === undefined) return refuse({ status: 404, reason: "no_route" });
   const caller = identify(routes, { request, route });
   if (caller.isErr()) return refuse({ status: 401, reason: caller.error });
-  const name = drawPool(route, parts.random);
-  const pool = name === undefined
+  const poolName = drawPool(route, parts.random);
+  const pool = poolName === undefined
     ? undefined
-    : routes.configuration.pools.get(name);
+    : routes.configuration.pools.get(poolName);
   if (pool === undefined) return refuse({ status: 503, reason: "no_pool" });
   const task = { ...caller.value, route, pool };
-  await new ForwardRun(parts, { task, sink }).run();
+  await new RequestForwarder(parts, { task, sink }).run();
 }
 
 /** A caller that is let in, and its request without the key. */
--- a/src/entry/forwarding/forward_context.ts
+++ b/src/entry/forwarding/forward_context.ts
@@ -15,12 +15,12 @@
  * Sends of one request in all, whatever the retry budget, so that one that
  * every endpoint rejects ends before its deadline.
  */
-const MOST_SENDS = 4;
+const MAX_SENDS = 4;
 /**
  * Time under which another send is not worth it: the way to an endpoint and
  * back, and the shortest work there.
  */
-const LEAST_USEFUL_MILLISECONDS = 20;
+const MIN_USEFUL_MILLISECONDS = 20;
 
 /** What is being forwarded, and where it may go. */
 export interface ForwardTask {
@@ -49,9 +49,9 @@
   sends = 0;
   /** True once the caller has its answer or has gone. */
   settled = false;
-  readonly #turnedAway = new Set<EndpointId>();
+  readonly #rejectedBy = new Set<EndpointId>();
   #digest: RequestDigest | undefined;
-  #hasBegun = false;
+  #hasStarted = false;
 
   constructor(parts: ForwardingParts, task: ForwardTask) {
     const { request, route } = task;
@@ -66,7 +66,7 @@
       request.deadlineMilliseconds ?? Infinity,
       route.timeoutMilliseconds,
     );
-    this.waitedMilliseconds = parts.returning.waited(this.#ownPart);
+    this.waitedMilliseconds = parts.returning.waited(this.#lastPartId);
   }
 
   /** How urgent the request is; 0 is the most urgent. */
@@ -84,7 +84,7 @@
   }
 
   /** The part of the prompt by which its caller is known again. */
-  get #ownPart(): string | undefined {
+  get #lastPartId(): string | undefined {
     return this.request.prompt?.parts.at(-1)?.id;
   }
 
@@ -108,25 +108,28 @@
 
   /** The request is refused; its caller may come back to any entry. */
   noteRefusal(): void {
-    const part = this.#ownPart;
-    if (part === undefined) return;
-    const waited = this.waitedMilliseconds + this.elapsed;
-    this.parts.returning.refused(part, waited);
+    const partId = this.#lastPartId;
+    if (partId === undefined) return;
+    const waited = this.waitedMilliseconds + this.elapsedMilliseconds;
+    this.parts.returning.refused(partId, waited);
   }
 
   /** Time until the deadline, milliseconds. */
-  get left(): number {
+  get remainingMilliseconds(): number {
     return this.arrived + this.allowedMilliseconds - this.parts.timer.now();
   }
 
   /** Time until the caller leaves if nothing has come by then, milliseconds. */
-  get leftToFirstByte(): number {
+  get remainingToFirstByteMilliseconds(): number {
     const { patienceMilliseconds = Infinity } = this.route;
-    return Math.min(this.left, patienceMilliseconds - this.elapsed);
+    return Math.min(
+      this.remainingMilliseconds,
+      patienceMilliseconds - this.elapsedMilliseconds,
+    );
   }
 
   /** Time since the request's arrival, milliseconds. */
-  get elapsed(): number {
+  get elapsedMilliseconds(): number {
     return this.parts.timer.now() - this.arrived;
   }
 
@@ -143,10 +146,10 @@
    * milliseconds; 0 where one does now, infinite where there is none.
    */
   overloadMilliseconds(
-    isWanted: (endpoint: RegisteredEndpoint) => boolean = () => true,
+    matches: (endpoint: RegisteredEndpoint) => boolean = () => true,
   ): number {
     const { outcomes } = this.parts;
-    const waits = this.#inService().filter(isWanted)
+    const waits = this.#inService().filter(matches)
       .map(({ id }) => outcomes.overloadMilliseconds(id));
     return Math.min(Infinity, ...waits);
   }
@@ -160,48 +163,50 @@
   }
 
   /** The endpoint has turned this request away or lost it. */
-  turnedAwayBy(endpoint: EndpointId): void {
-    this.#turnedAway.add(endpoint);
+  noteRejection(endpoint: EndpointId): void {
+    this.#rejectedBy.add(endpoint);
   }
 
   /** Prefers endpoints that have not turned this request away. */
-  untried(
+  preferUntried(
     endpoints: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
-    const others = this.notTurnedAway(endpoints);
+    const others = this.withoutRejecting(endpoints);
     return others.length > 0 ? others : endpoints;
   }
 
   /** Endpoints that have not turned this request away. */
-  notTurnedAway(
+  withoutRejecting(
     endpoints: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
-    return endpoints.filter(({ id }) => !this.#turnedAway.has(id));
+    return endpoints.filter(({ id }) => !this.#rejectedBy.has(id));
   }
 
   /** Asks the shared allowance, for what reaches the pool once more. */
   mayResend(reason: string, next: NextSends): boolean {
-    const allowed = this.sends < MOST_SENDS &&
-      this.left >= LEAST_USEFUL_MILLISECONDS &&
+    const allowed = this.sends < MAX_SENDS &&
+      this.remainingMilliseconds >= MIN_USEFUL_MILLISECONDS &&
       this.arrivals.cover(next);
-    const { counted, allowed: most } = this.parts.allowance.use(this.pool.name);
-    this.tell(allowed ? "resent" : "not_resent", {
+    const { counted, allowed: limit } = this.parts.allowance.use(
+      this.pool.name,
+    );
+    this.report(allowed ? "resent" : "not_resent", {
       reason,
       repeatsCounted: counted,
-      repeatsAllowed: Math.floor(most),
+      repeatsAllowed: Math.floor(limit),
     });
     return allowed;
   }
 
   /** An endpoint began to run the request at this moment; counts once. */
-  noteBegan(at: number): void {
-    if (this.#hasBegun || this.workspace === undefined) return;
-    this.#hasBegun = true;
+  noteStarted(at: number): void {
+    if (this.#hasStarted || this.workspace === undefined) return;
+    this.#hasStarted = true;
     this.parts.began(this.workspace.id, at);
   }
 
   /** Tells of a decision on this request. */
-  tell(
+  report(
     decision: ForwardingDecision,
     facts: Readonly<Record<string, unknown>>,
   ): void {
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -38,10 +38,13 @@
 import type { CallerSink, EndpointDoor } from "./links.ts";
 import type { ObserveForwarding } from "./observer.ts";
 import type { ForwardingParts } from "./parts.ts";
-import { KeptPartsSurvey } from "./kept_parts_survey.ts";
-import { RegistrationIntake } from "./registration_intake.ts";
-import { StateRelay, type StateRelayOptions } from "./state_relay.ts";
-import { RoleKeeper, type RoleLink } from "./role_keeper.ts";
+import { PrefixCacheSurvey } from "./prefix_cache_survey.ts";
+import { RegistrationSync } from "./registration_sync.ts";
+import {
+  PeerStateFallback,
+  type PeerStateFallbackOptions,
+} from "./peer_state_fallback.ts";
+import { RoleController, type RoleLink } from "./role_controller.ts";
 import { UsageKeeper, type UsageKeeperOptions } from "./usage_keeper.ts";
 import { USAGE_METHOD, USAGE_REPORTS_METHOD } from "./usage_notification.ts";
 import {
@@ -53,10 +56,10 @@
 } from "./peer_exchange.ts";
 import {
   LOAD_ANSWER_METHOD,
-  LOAD_QUESTION_METHOD,
+  LOAD_QUERY_METHOD,
+  LoadQueries,
   type LoadQuestionOutcome,
-  LoadQuestions,
-} from "./load_questions.ts";
+} from "./load_queries.ts";
 import { WORK_METHOD } from "./work_notification.ts";
 
 export interface ForwardingEntryOptions {
@@ -97,7 +100,7 @@
     | "windowMilliseconds"
   >;
   /** How peers are asked for what the store does not tell. */
-  readonly relay: Pick<StateRelayOptions, "ask" | "peers">;
+  readonly relay: Pick<PeerStateFallbackOptions, "ask" | "peers">;
   /** The endpoint's connections are no longer needed. */
   readonly onEndpointGone: (address: string) => void;
   /** A peer has read this span of the registrations. */
@@ -117,22 +120,22 @@
  * After a restart of the whole fleet each finds itself alone on the list and
  * would take the whole minimum.
  */
-const ASSUMED_ENTRIES = 8;
+const ASSUMED_STARTUP_ENTRIES = 8;
 /** By then entries that started together know each other. */
-const YOUNG_MILLISECONDS = 5_000;
+const STARTUP_MILLISECONDS = 5_000;
 
 /** An entry that forwards requests to endpoints which register themselves. */
 export class ForwardingEntry {
   readonly registry: EndpointRegistry;
   readonly peers: PeerExchange;
-  readonly relay: StateRelay;
-  readonly registrations: RegistrationIntake;
+  readonly relay: PeerStateFallback;
+  readonly registrations: RegistrationSync;
   readonly #options: ForwardingEntryOptions;
   readonly #parts: ForwardingParts;
-  readonly #roles: RoleKeeper | undefined;
+  readonly #roleController: RoleController | undefined;
   readonly #usage: UsageKeeper | undefined;
-  readonly #survey: KeptPartsSurvey;
-  readonly #questions: LoadQuestions;
+  readonly #prefixCacheSurvey: PrefixCacheSurvey;
+  readonly #loadQueries: LoadQueries;
   readonly #startedAt: number;
   #routes: RouteTable | undefined;
   #stopping = false;
@@ -164,7 +167,7 @@
       forget: ({ address }) => options.onEndpointGone(address),
     };
     const orders: EndpointMemory = {
-      forget: (endpoint) => this.#roles?.forget(endpoint),
+      forget: (endpoint) => this.#roleController?.forget(endpoint),
     };
     this.registry = new EndpointRegistry({
       timer,
@@ -179,15 +182,17 @@
       ],
       onChange: (change, endpoint) => {
         options.logger.info({ change, ...endpoint }, "An endpoint changed");
-        this.#roles?.engineChanged(endpoint);
-        if (change === "registered") this.#survey.engineSeen(endpoint);
+        this.#roleController?.onEngineChange(endpoint);
+        if (change === "registered") {
+          this.#prefixCacheSurvey.onEngineSeen(endpoint);
+        }
       },
     });
-    this.#survey = new KeptPartsSurvey({
+    this.#prefixCacheSurvey = new PrefixCacheSurvey({
       timer,
       random,
       logger: options.logger,
-      door: options.door,
+      endpointClient: options.door,
       prefixes,
       configuration: () => this.configuration,
       entries: () => this.entriesSharingLimits,
@@ -195,13 +200,13 @@
     });
     const self = identifier<ProcessId>(options.process);
     const owners = new LoadOwners({ self, timer });
-    this.#questions = new LoadQuestions({
+    this.#loadQueries = new LoadQueries({
       self,
       timer,
       registry: this.registry,
       load,
       owners,
-      send: (peer, notification) => this.peers.tellOne(peer, notification),
+      send: (peer, notification) => this.peers.sendTo(peer, notification),
       onOutcome: options.onLoadQuestion,
     });
     this.#usage = options.usage && new UsageKeeper({
@@ -212,9 +217,9 @@
       logger: options.logger,
       isFirstStart: options.isFirstStart,
       ranking: () => owners.liveRanking(USAGE_METHOD),
-      listed: () => this.peers.listed,
-      send: (peer, notification) => this.peers.tellOne(peer, notification),
-      broadcast: (method, params) => this.peers.tell(method, params),
+      listed: () => this.peers.listedPeers,
+      send: (peer, notification) => this.peers.sendTo(peer, notification),
+      broadcast: (method, params) => this.peers.broadcast(method, params),
     });
     const clock = this.#usage?.clock;
     this.peers = new PeerExchange({
@@ -228,36 +233,39 @@
       returning,
       crashes,
       version: () => this.configuration?.version,
-      onVersion: (version) => this.relay.heardOf(version),
+      onVersion: (version) => this.relay.onPeerVersion(version),
     });
-    this.relay = new StateRelay({
+    this.relay = new PeerStateFallback({
       ...options.relay,
       timer,
       random,
       logger: options.logger,
       registry: this.registry,
       configuration: () => this.configuration,
-      takeConfiguration: (configuration) => {
+      applyConfiguration: (configuration) => {
         this.takeConfiguration(configuration);
       },
     });
-    this.registrations = new RegistrationIntake({
+    this.registrations = new RegistrationSync({
       registry: this.registry,
       peerReadRegistrations: options.peerReadRegistrations,
-      onReached: () => this.relay.storeReached(),
-      tellPeers: (told) => this.peers.tell(REGISTRATIONS_METHOD, told),
-    });
-    this.#roles = options.roles === undefined ? undefined : new RoleKeeper({
-      ...options.roles,
-      self: `${options.process}#${options.incarnation}`,
-      timer,
-      random,
-      registry: this.registry,
-      load,
-      logger: options.logger,
-      pools: () => this.configuration?.pools.values() ?? [],
-      tellPeers: (orders) => this.peers.tell(ROLES_METHOD, { orders }),
+      onStoreReached: () => this.relay.storeReached(),
+      broadcast: (update) => this.peers.broadcast(REGISTRATIONS_METHOD, update),
     });
+    this.#roleController = options.roles === undefined
+      ? undefined
+      : new RoleController({
+        ...options.roles,
+        self: `${options.process}#${options.incarnation}`,
+        timer,
+        random,
+        registry: this.registry,
+        load,
+        logger: options.logger,
+        pools: () => this.configuration?.pools.values() ?? [],
+        broadcastOrders: (orders) =>
+          this.peers.broadcast(ROLES_METHOD, { orders }),
+      });
     this.#parts = {
       timer,
       random,
@@ -289,15 +297,16 @@
       entries: () => this.peers.knownEntries ?? 1,
       link: new LinkQueue(timer, options.linkMegabitsPerSecond),
       loopDelay: options.loopDelay,
-      refreshLoad: (endpoints) => this.#questions.ask(endpoints),
+      refreshLoad: (endpoints) => this.#loadQueries.refresh(endpoints),
       isLoadStale: () => this.peers.isLoadStale,
       door: options.door,
       digestOf: options.digestOf,
       observe: options.observe,
       routes: () => this.#routes,
-      saidLeaving: (run) => this.registrations.saidLeaving(run),
+      saidLeaving: (run) => this.registrations.reportLeaving(run),
       began: (workspace, at) => this.#usage?.began(workspace, at),
-      isChanging: (endpoint) => this.#roles?.isChanging(endpoint) ?? false,
+      isChanging: (endpoint) =>
+        this.#roleController?.isChanging(endpoint) ?? false,
     };
   }
 
@@ -310,7 +319,9 @@
   get entriesSharingLimits(): number {
     const known = this.peers.knownEntries ?? 1;
     const age = this.#options.timer.now() - this.#startedAt;
-    return age < YOUNG_MILLISECONDS ? Math.max(known, ASSUMED_ENTRIES) : known;
+    return age < STARTUP_MILLISECONDS
+      ? Math.max(known, ASSUMED_STARTUP_ENTRIES)
+      : known;
   }
 
   /** How far each pool's repeats have used up this entry's part. */
@@ -341,7 +352,7 @@
 
   start(): void {
     this.peers.start();
-    this.#roles?.start();
+    this.#roleController?.start();
     this.#usage?.start();
     this.relay.start();
   }
@@ -349,7 +360,7 @@
   /** Takes no new callers; what is open goes on. */
   stop(): void {
     this.#stopping = true;
-    this.#roles?.stop();
+    this.#roleController?.stop();
   }
 
   close(): void {
@@ -384,13 +395,13 @@
 
   /** Takes a peer's notification. */
   takeNotification(method: string, params: unknown): void {
-    if (method === WORK_METHOD) this.peers.take(params);
-    if (method === CRASHES_METHOD) this.peers.takeCrashes(params);
+    if (method === WORK_METHOD) this.peers.onWork(params);
+    if (method === CRASHES_METHOD) this.peers.onCrashes(params);
     if (method === USAGE_METHOD || method === USAGE_REPORTS_METHOD) {
       this.#usage?.take(method, params);
     }
-    if (method === LOAD_QUESTION_METHOD) this.#questions.takeQuestion(params);
-    if (method === LOAD_ANSWER_METHOD) this.#questions.takeAnswer(params);
+    if (method === LOAD_QUERY_METHOD) this.#loadQueries.onQuery(params);
+    if (method === LOAD_ANSWER_METHOD) this.#loadQueries.onAnswer(params);
     if (typeof params !== "object" || params === null) return;
     const { orders, changes, span } = params as {
       readonly orders?: unknown;
@@ -398,10 +409,10 @@
       readonly span?: unknown;
     };
     if (method === ROLES_METHOD && Array.isArray(orders)) {
-      this.#roles?.peerOrdered(orders);
+      this.#roleController?.onPeerOrders(orders);
     }
     if (method === REGISTRATIONS_METHOD && Array.isArray(changes)) {
-      this.registrations.peerRead(changes, span);
+      this.registrations.onPeerChanges(changes, span);
     }
   }
 
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -23,7 +23,7 @@
 import { SILENT_LOGGER } from "../../core/observation/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import { ForwardingEntry, type RoleLink } from "./mod.ts";
-import { RoleKeeper } from "./role_keeper.ts";
+import { RoleController } from "./role_controller.ts";
 
 /** A log that never answers: no order is given. */
 const SILENT_ROLE_LINK: RoleLink = {
@@ -101,7 +101,7 @@
   outcomes: EndpointOutcomes,
   slowness: EngineSlowness,
   crashes: CrashSuspects,
-  orders: RoleKeeper,
+  orders: RoleController,
 } as const;
 const FORGETTING_PARTS = [...Object.keys(FORGETTING), "connections"];
 
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -11,28 +11,28 @@
   type AdmissionRefusal,
   admitPrompt,
 } from "./prompt_admission.ts";
-import { type PrefillOutcome, readPrompt } from "./prefill_step.ts";
+import { type PrefillOutcome, prefillPrompt } from "./prefill_step.ts";
 
 /** Engines that are asked to read a request's prompt in one round. */
-const MOST_PREFILLS = 2;
+const MAX_PREFILL_ATTEMPTS = 2;
 /**
  * Engines that may refuse the connection besides. They are not counted like
  * rejections: when a zone dies, every entry finds that out by itself.
  */
-const MOST_UNREACHED = 3;
+const MAX_UNREACHABLE_ENGINES = 3;
 /**
  * Engines that a kept prompt is offered to. One that is full or has changed
  * its role leaves the cache where it is; where a second one turns it away too,
  * the cache itself is likely gone.
  */
-const MOST_OFFERS = 2;
+const MAX_DECODE_OFFERS = 2;
 /** Priority of prompts that are read for late answers. */
 const LATE_PRIORITY = 8;
 /**
  * An overloaded engine wants no call; a cache is freed behind that time, or
  * by the engine itself where that comes first.
  */
-const LONGEST_RELEASE_DELAY_MILLISECONDS = 5_000;
+const MAX_RELEASE_DELAY_MILLISECONDS = 5_000;
 /** What became of a hand-over. */
 export type HandoverOutcome =
   | { readonly kind: "kept"; readonly kept: KeptPrompt }
@@ -62,7 +62,7 @@
 };
 
 /** The prompt would be read anew, and the fleet's limit allows no more. */
-const NO_REPEATS: HandoverOutcome = {
+const NO_RETRIES_LEFT: HandoverOutcome = {
   kind: "refused",
   reason: "no_repeats_left",
   facts: {},
@@ -77,9 +77,9 @@
   readonly #onAttempt: (attempt: Attempt) => void;
   #kept: KeptPrompt | undefined;
   /** Readings that have failed at an engine. */
-  #prefills = 0;
+  #failedPrefills = 0;
   /** Readings that found no connection. */
-  #unreached = 0;
+  #unreachableEngines = 0;
   #offers = 0;
 
   /** `onAttempt` takes each reading, so that it can be aborted. */
@@ -96,13 +96,15 @@
    * decode engine would read it between the tokens of its streams, which then
    * pause.
    */
-  async keep(prompt: Prompt): Promise<HandoverOutcome> {
-    if (this.#kept !== undefined && !this.#isLost(this.#kept)) {
+  async prefill(prompt: Prompt): Promise<HandoverOutcome> {
+    if (this.#kept !== undefined && !this.#isStale(this.#kept)) {
       return { kind: "kept", kept: this.#kept };
     }
     this.#kept = undefined;
     for (;;) {
-      if (!this.#context.arrivals.cover({ reading: true })) return NO_REPEATS;
+      if (!this.#context.arrivals.cover({ reading: true })) {
+        return NO_RETRIES_LEFT;
+      }
       const admitted = await admitPrompt(this.#context, prompt);
       if (this.#context.settled) return ENGINES_FULL;
       if (admitted.kind === "refused") return admitted;
@@ -112,18 +114,19 @@
         : admitted.choice;
       if (choice === undefined || this.#context.settled) return ENGINES_FULL;
       if (this.#context.blockedMilliseconds > 0) return CRASHES_ENDPOINTS;
-      const outcome = await this.#read(prompt, { choice, late });
+      const outcome = await this.#sendPrefill(prompt, { choice, late });
       if (outcome.kind === "kept") return outcome;
-      if (outcome.arrived) this.#prefills += 1;
-      else this.#unreached += 1;
-      this.#context.turnedAwayBy(outcome.engine);
-      const mayRepeat = !this.#context.settled &&
-        this.#prefills < MOST_PREFILLS && this.#unreached <= MOST_UNREACHED &&
+      if (outcome.arrived) this.#failedPrefills += 1;
+      else this.#unreachableEngines += 1;
+      this.#context.noteRejection(outcome.engine);
+      const mayRetry = !this.#context.settled &&
+        this.#failedPrefills < MAX_PREFILL_ATTEMPTS &&
+        this.#unreachableEngines <= MAX_UNREACHABLE_ENGINES &&
         this.#context.mayResend(`prefill ${outcome.reason}`, { reading: true });
-      if (!mayRepeat) {
+      if (!mayRetry) {
         const facts = {
-          readings: this.#prefills,
-          unreached: this.#unreached,
+          readings: this.#failedPrefills,
+          unreached: this.#unreachableEngines,
         };
         return { kind: "refused", reason: "prompt_not_read", facts };
       }
@@ -131,29 +134,32 @@
   }
 
   /** True where the prompt has to be read once more before the next send. */
-  get readsAnew(): boolean {
+  get needsAnotherPrefill(): boolean {
     const kept = this.#kept;
-    const isMissing = kept === undefined || this.#isLost(kept);
+    const isMissing = kept === undefined || this.#isStale(kept);
     return isMissing && this.#context.arrivals.hasRead;
   }
 
   /** True where the engine has started again since and holds nothing. */
-  #isLost({ engine, engineStartedAt }: KeptPrompt): boolean {
-    const now = this.#context.parts.registry.get(engine);
-    return now !== undefined && now.startedAt !== engineStartedAt;
+  #isStale({ engine, engineStartedAt }: KeptPrompt): boolean {
+    const current = this.#context.parts.registry.get(engine);
+    return current !== undefined && current.startedAt !== engineStartedAt;
   }
 
   /** An engine has turned the cache away without running the request. */
-  turnedAway(): void {
+  noteRejection(): void {
     this.#offers += 1;
-    if (this.#offers >= MOST_OFFERS) this.release();
+    if (this.#offers >= MAX_DECODE_OFFERS) this.release();
   }
 
   /**
    * An engine has taken the cache over and keeps its parts as its own; its
    * first byte came so long after it was asked.
    */
-  taken({ id, startedAt }: RegisteredEndpoint, milliseconds: number): void {
+  noteTransfer(
+    { id, startedAt }: RegisteredEndpoint,
+    milliseconds: number,
+  ): void {
     if (this.#kept === undefined) return;
     this.#kept = undefined;
     const { parts, pool, request } = this.#context;
@@ -177,11 +183,11 @@
     const free = () => door.release(kept.address, kept.handle);
     const wait = outcomes.overloadMilliseconds(kept.engine);
     if (wait === 0) return free();
-    if (wait <= LONGEST_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
+    if (wait <= MAX_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
   }
 
   /** An engine that turns a prompt away at once says nothing of its speed. */
-  #learnSlowness(
+  #recordSlowness(
     choice: PrefillChoice,
     { outcome, took }: {
       readonly outcome: PrefillOutcome;
@@ -197,7 +203,11 @@
   }
 
   /** Only a reading that waited for nothing tells of the engines' speed. */
-  #learnSpeed(prompt: Prompt, choice: PrefillChoice, took: number): void {
+  #recordPrefillSpeed(
+    prompt: Prompt,
+    choice: PrefillChoice,
+    took: number,
+  ): void {
     const { fetchFrom, keptTokens, openRequests } = choice;
     if (openRequests > 0 || fetchFrom !== undefined) return;
     const { parts, pool } = this.#context;
@@ -208,18 +218,20 @@
     });
   }
 
-  async #read(
+  async #sendPrefill(
     prompt: Prompt,
     admitted: { readonly choice: PrefillChoice; readonly late: boolean },
   ): Promise<PrefillOutcome> {
     const { choice, late } = admitted;
     const { arrivals, parts, rank, waitedMilliseconds } = this.#context;
-    this.#context.tell("placed", {
+    this.#context.report("placed", {
       step: "prefill",
       endpoint: choice.endpoint.id,
       late,
       waitedMilliseconds: Math.round(waitedMilliseconds),
-      leftMilliseconds: Math.round(this.#context.leftToFirstByte),
+      leftMilliseconds: Math.round(
+        this.#context.remainingToFirstByteMilliseconds,
+      ),
       backlogMilliseconds: Math.round(choice.backlogMilliseconds),
       workMilliseconds: Math.round(choice.workMilliseconds),
       keptTokens: choice.keptTokens,
@@ -227,22 +239,22 @@
     });
     const sent = parts.timer.now();
     arrivals.readingSent();
-    const outcome = await readPrompt(this.#context, {
+    const outcome = await prefillPrompt(this.#context, {
       prompt,
       choice,
       priority: late ? LATE_PRIORITY : rank,
-      deadlineMilliseconds: this.#context.leftToFirstByte,
+      deadlineMilliseconds: this.#context.remainingToFirstByteMilliseconds,
       onAttempt: this.#onAttempt,
     });
     const took = parts.timer.now() - sent;
-    this.#learnSlowness(choice, { outcome, took });
+    this.#recordSlowness(choice, { outcome, took });
     const accepted = outcome.kind === "kept";
     if (accepted || outcome.arrived) arrivals.readingEnded({ accepted });
     else arrivals.readingNotSent();
     if (outcome.kind === "failed") return outcome;
-    this.#learnSpeed(prompt, choice, took);
+    this.#recordPrefillSpeed(prompt, choice, took);
     this.#kept = outcome.kept;
-    this.#context.tell("prompt_read", {
+    this.#context.report("prompt_read", {
       endpoint: outcome.kept.engine,
       milliseconds: Math.round(took),
     });
--- a/src/entry/forwarding/load_questions.ts
+++ b/src/entry/forwarding/load_queries.ts
@@ -12,14 +12,14 @@
 } from "../../core/identity/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 import {
-  isToldWork,
-  type ToldWork,
-  workHere,
-  workWithRuns,
+  isWorkRows,
+  withRuns,
+  workOfSameRuns,
+  type WorkRowWithRun,
 } from "./work_notification.ts";
 
 /** Notification that asks an owner for the work at its endpoints. */
-export const LOAD_QUESTION_METHOD = "entry.loadQuestion";
+export const LOAD_QUERY_METHOD = "entry.loadQuestion";
 /** Notification that answers one. */
 export const LOAD_ANSWER_METHOD = "entry.loadAnswer";
 
@@ -27,7 +27,7 @@
  * How long to wait for an owner's answer; one that is frozen or cut off must
  * not hold requests up.
  */
-const ANSWER_MILLISECONDS = 6;
+const ANSWER_TIMEOUT_MILLISECONDS = 6;
 
 /** Tells one entry something; a datagram that is lost is nobody's concern. */
 export type SendToPeer = (
@@ -41,7 +41,7 @@
  */
 export type LoadQuestionOutcome = "answered" | "unanswered" | "unreadable";
 
-export interface LoadQuestionsOptions {
+export interface LoadQueriesOptions {
   readonly self: ProcessId;
   readonly timer: TimerService;
   readonly registry: EndpointRegistry;
@@ -51,19 +51,19 @@
   readonly onOutcome: (outcome: LoadQuestionOutcome) => void;
 }
 
-interface OpenQuestion {
+interface PendingQuery {
   /** Owners that have not answered yet. */
   readonly waiting: Set<ProcessId>;
   readonly settle: () => void;
 }
 
 /** Asks the owners of endpoints for the work there, and answers as one. */
-export class LoadQuestions {
-  readonly #options: LoadQuestionsOptions;
-  readonly #open = new Map<number, OpenQuestion>();
+export class LoadQueries {
+  readonly #options: LoadQueriesOptions;
+  readonly #pending = new Map<number, PendingQuery>();
   #lastId = 0;
 
-  constructor(options: LoadQuestionsOptions) {
+  constructor(options: LoadQueriesOptions) {
     this.#options = options;
   }
 
@@ -71,7 +71,7 @@
    * Brings the picture of these endpoints up to date; over once every owner has
    * answered, or those that are left have had their time.
    */
-  async ask(endpoints: readonly EndpointId[]): Promise<void> {
+  async refresh(endpoints: readonly EndpointId[]): Promise<void> {
     const { owners, self, send, timer } = this.#options;
     const byOwner = [...owners.byOtherOwner(endpoints)]
       .filter(([owner]) => owners.mayAsk(owner));
@@ -79,19 +79,19 @@
     this.#lastId += 1;
     const id = this.#lastId;
     const waiting = new Set(byOwner.map(([owner]) => owner));
-    let limit: Subscription | undefined;
+    let timeout: Subscription | undefined;
     await new Promise<void>((settle) => {
-      this.#open.set(id, { waiting, settle });
-      limit = timer.after(ANSWER_MILLISECONDS, settle);
+      this.#pending.set(id, { waiting, settle });
+      timeout = timer.after(ANSWER_TIMEOUT_MILLISECONDS, settle);
       for (const [owner, asked] of byOwner) {
         send(owner, {
-          method: LOAD_QUESTION_METHOD,
+          method: LOAD_QUERY_METHOD,
           params: { entry: self, id, endpoints: asked },
         });
       }
     });
-    limit?.cancel();
-    this.#open.delete(id);
+    timeout?.cancel();
+    this.#pending.delete(id);
     for (const owner of waiting) {
       owners.asked(owner, { answered: false });
       this.#options.onOutcome("unanswered");
@@ -99,8 +99,8 @@
   }
 
   /** Answers a peer's question; one that can't be read is passed over. */
-  takeQuestion(params: unknown): void {
-    if (!isQuestion(params)) return this.#options.onOutcome("unreadable");
+  onQuery(params: unknown): void {
+    if (!isLoadQuery(params)) return this.#options.onOutcome("unreadable");
     const { load, owners, registry, self, send } = this.#options;
     const asker = identifier<ProcessId>(params.entry);
     owners.heard(asker);
@@ -114,23 +114,23 @@
       params: {
         entry: self,
         id: params.id,
-        work: workWithRuns(registry, work),
+        work: withRuns(registry, work),
       },
     });
   }
 
   /** Takes an owner's answer; one to no open question changes nothing. */
-  takeAnswer(params: unknown): void {
-    if (!isAnswer(params)) return this.#options.onOutcome("unreadable");
+  onAnswer(params: unknown): void {
+    if (!isLoadAnswer(params)) return this.#options.onOutcome("unreadable");
     const owner = identifier<ProcessId>(params.entry);
-    const question = this.#open.get(params.id);
-    if (question?.waiting.delete(owner) !== true) return;
+    const query = this.#pending.get(params.id);
+    if (query?.waiting.delete(owner) !== true) return;
     const { load, owners, registry } = this.#options;
     owners.heard(owner);
     owners.asked(owner, { answered: true });
     this.#options.onOutcome("answered");
     for (
-      const [endpoint, requests, prefillMilliseconds, tokens] of workHere(
+      const [endpoint, requests, prefillMilliseconds, tokens] of workOfSameRuns(
         registry,
         params.work,
       )
@@ -141,17 +141,17 @@
         tokens,
       });
     }
-    if (question.waiting.size === 0) question.settle();
+    if (query.waiting.size === 0) query.settle();
   }
 }
 
-interface Question {
+interface LoadQuery {
   readonly entry: string;
   readonly id: number;
   readonly endpoints: readonly string[];
 }
 
-function isQuestion(value: unknown): value is Question {
+function isLoadQuery(value: unknown): value is LoadQuery {
   if (typeof value !== "object" || value === null) return false;
   const { endpoints, entry, id } = value as Record<string, unknown>;
   return typeof entry === "string" && typeof id === "number" &&
@@ -159,15 +159,15 @@
     endpoints.every((each) => typeof each === "string");
 }
 
-interface Answer {
+interface LoadAnswer {
   readonly entry: string;
   readonly id: number;
-  readonly work: readonly ToldWork[];
+  readonly work: readonly WorkRowWithRun[];
 }
 
-function isAnswer(value: unknown): value is Answer {
+function isLoadAnswer(value: unknown): value is LoadAnswer {
   if (typeof value !== "object" || value === null) return false;
   const { entry, id, work } = value as Record<string, unknown>;
   return typeof entry === "string" && typeof id === "number" &&
-    isToldWork(work);
+    isWorkRows(work);
 }
--- a/src/entry/forwarding/load_questions_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -15,10 +15,10 @@
 import { ManualTimerService } from "../../core/time/mod.ts";
 import {
   LOAD_ANSWER_METHOD,
-  LOAD_QUESTION_METHOD,
+  LOAD_QUERY_METHOD,
+  LoadQueries,
   type LoadQuestionOutcome,
-  LoadQuestions,
-} from "./load_questions.ts";
+} from "./load_queries.ts";
 
 const ENGINE = makeEngine("engine", "prefill", {
   startedAt: numbered<ReplicaStart>(5),
@@ -29,7 +29,7 @@
 class Member {
   readonly load: LoadPicture;
   readonly owners: LoadOwners;
-  readonly questions: LoadQuestions;
+  readonly questions: LoadQueries;
   readonly outcomes: LoadQuestionOutcome[] = [];
 
   constructor(
@@ -41,7 +41,7 @@
     this.owners = new LoadOwners({ self: name, timer });
     const registry = new EndpointRegistry({ timer });
     registry.put(ENGINE);
-    this.questions = new LoadQuestions({
+    this.questions = new LoadQueries({
       self: name,
       timer,
       registry,
@@ -66,8 +66,8 @@
     if (sent === undefined) return;
     timer.after(ONE_WAY_MILLISECONDS, () => {
       const { questions } = members.get(peer) as Member;
-      if (method === LOAD_QUESTION_METHOD) questions.takeQuestion(sent);
-      if (method === LOAD_ANSWER_METHOD) questions.takeAnswer(sent);
+      if (method === LOAD_QUERY_METHOD) questions.onQuery(sent);
+      if (method === LOAD_ANSWER_METHOD) questions.onAnswer(sent);
     });
   }
 
@@ -95,7 +95,7 @@
   async function ask(member = asker): Promise<number> {
     const before = timer.now();
     let took = -1;
-    void member.questions.ask([ENGINE.id]).then(() => {
+    void member.questions.refresh([ENGINE.id]).then(() => {
       took = timer.now() - before;
     });
     await timer.advance(20);
--- a/src/entry/forwarding/mod.ts
+++ b/src/entry/forwarding/mod.ts
@@ -7,10 +7,10 @@
   ForwardingEntry,
   type ForwardingEntryOptions,
 } from "./forwarding_entry.ts";
-export type { LoadQuestionOutcome } from "./load_questions.ts";
-export type { RegistrationChange } from "./registration_intake.ts";
+export type { LoadQuestionOutcome } from "./load_queries.ts";
+export type { RegistrationChange } from "./registration_sync.ts";
 export { PeerExchange } from "./peer_exchange.ts";
-export type { OrderOutcome, RoleLink } from "./role_keeper.ts";
+export type { OrderOutcome, RoleLink } from "./role_controller.ts";
 export type { ReportOutcome, UsageLink } from "./usage_keeper.ts";
-export { readWhole } from "./whole_body.ts";
-export { FORWARDING_STATE, StateRelay } from "./state_relay.ts";
+export { readWhole } from "./read_body.ts";
+export { FORWARDING_STATE, PeerStateFallback } from "./peer_state_fallback.ts";
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -14,41 +14,41 @@
   type ProcessId,
 } from "../../core/identity/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
-import { decodePrompt, encodePrompt } from "./told_prompt.ts";
+import { decodePrompt, encodePrompt } from "./prompt_encoding.ts";
 import {
   isCrashReport,
   isWorkNotification,
+  withRuns,
   WORK_METHOD,
-  workHere,
   type WorkNotification,
-  workWithRuns,
+  workOfSameRuns,
 } from "./work_notification.ts";
 
 /**
  * Interval between reports of open work, for each peer. It grows with the
  * fleet, so that the datagrams of a thin machine stay bounded.
  */
-const TELL_MILLISECONDS_PER_PEER = 6;
-const SHORTEST_TELL_MILLISECONDS = 15;
+const REPORT_MILLISECONDS_PER_PEER = 6;
+const MIN_REPORT_INTERVAL_MILLISECONDS = 15;
 /** Fleets up to this size tell at the shortest interval. */
-const FEW_PEERS = 5;
+const SMALL_FLEET_PEERS = 5;
 /** Everything is told again so often: a lost datagram is made up for. */
-const WHOLE_TELL_MILLISECONDS = 700;
+const FULL_REPORT_INTERVAL_MILLISECONDS = 700;
 /**
  * Interval of the reports beyond which the owners of endpoints are told of work
  * at once, and asked for it. With shorter ones entries miss less than one
  * prompt of each other's work.
  */
-const FRESH_MILLISECONDS = 30;
+const MAX_FRESH_INTERVAL_MILLISECONDS = 30;
 /** How long changes of work are gathered before owners are told. */
-const OWNERS_TELL_MILLISECONDS = 1;
+const OWNER_UPDATE_DELAY_MILLISECONDS = 1;
 /** Notification that carries orders to engines. */
 export const ROLES_METHOD = "entry.roles";
 /** Notification that carries registrations that have changed. */
 export const REGISTRATIONS_METHOD = "entry.registrations";
 
 /** How long losses are gathered: those of one crash come together. */
-const CRASHES_TELL_MILLISECONDS = 5;
+const CRASH_REPORT_DELAY_MILLISECONDS = 5;
 /** Notification that carries requests lost with endpoints. */
 export const CRASHES_METHOD = "entry.crashes";
 
@@ -86,20 +86,20 @@
   #addresses: readonly string[] = [];
   #peers: ReadonlyMap<string, string> = new Map();
   /** Endpoints whose owners are to be told of changed work. */
-  readonly #changed = new Set<EndpointId>();
-  #tellingOwners: Subscription | undefined;
-  #tellingCrashes: Subscription | undefined;
+  readonly #changedEndpoints = new Set<EndpointId>();
+  #ownerUpdate: Subscription | undefined;
+  #crashReport: Subscription | undefined;
   /** The last run of each peer that has told of itself. */
   readonly #incarnations = new Map<string, string>();
   #knownEntries: number | undefined;
-  #telling: Subscription | undefined;
+  #nextReport: Subscription | undefined;
   #sequence = 0;
-  #lastWhole = -Infinity;
+  #lastFullReportAt = -Infinity;
 
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
-    options.load.onOwnChange((endpoint) => this.#noteChange(endpoint));
-    options.crashes.reports.onNews(() => this.#tellCrashesSoon());
+    options.load.onOwnChange((endpoint) => this.#onOwnChange(endpoint));
+    options.crashes.reports.onNews(() => this.#scheduleCrashReport());
   }
 
   /** Entries of the fleet, this one included; undefined while unknown. */
@@ -109,26 +109,27 @@
 
   /** How often peers are told of this entry's work, milliseconds. */
   get #interval(): number {
-    const beyondFew = Math.max(0, this.#addresses.length - FEW_PEERS);
-    return SHORTEST_TELL_MILLISECONDS + TELL_MILLISECONDS_PER_PEER * beyondFew;
+    const beyondFew = Math.max(0, this.#addresses.length - SMALL_FLEET_PEERS);
+    return MIN_REPORT_INTERVAL_MILLISECONDS +
+      REPORT_MILLISECONDS_PER_PEER * beyondFew;
   }
 
   /** True where reports come too seldom to place work by them alone. */
   get isLoadStale(): boolean {
-    return this.#interval > FRESH_MILLISECONDS;
+    return this.#interval > MAX_FRESH_INTERVAL_MILLISECONDS;
   }
 
   start(): void {
-    this.#telling = this.#options.timer.after(this.#interval, () => {
-      this.#tellWork();
+    this.#nextReport = this.#options.timer.after(this.#interval, () => {
+      this.#reportWork();
       this.start();
     });
   }
 
   stop(): void {
-    this.#telling?.cancel();
-    this.#tellingOwners?.cancel();
-    this.#tellingCrashes?.cancel();
+    this.#nextReport?.cancel();
+    this.#ownerUpdate?.cancel();
+    this.#crashReport?.cancel();
   }
 
   /** Takes the fleet's list: the others' addresses by their names. */
@@ -144,28 +145,28 @@
   }
 
   /** The others on the fleet's list. */
-  get listed(): readonly ProcessId[] {
+  get listedPeers(): readonly ProcessId[] {
     return [...this.#peers.keys()].map((name) => identifier<ProcessId>(name));
   }
 
   /** Tells peers of something that does not wait for the next report. */
-  tell(method: string, params: unknown): void {
+  broadcast(method: string, params: unknown): void {
     if (this.#addresses.length === 0) return;
     this.#options.sendToPeers(this.#addresses, { method, params });
   }
 
   /** Tells one peer. */
-  tellOne(
+  sendTo(
     peer: ProcessId,
-    notification: { readonly method: string; readonly params: unknown },
+    baseNotification: { readonly method: string; readonly params: unknown },
   ): void {
     const address = this.#peers.get(peer);
     if (address === undefined) return;
-    this.#options.sendToPeers([address], notification);
+    this.#options.sendToPeers([address], baseNotification);
   }
 
   /** Takes a peer's notification; anything malformed is passed over. */
-  take(params: unknown): void {
+  onWork(params: unknown): void {
     if (!isWorkNotification(params)) return;
     if (params.entry === this.#options.process) return;
     if (!this.#peers.has(params.entry)) this.#options.onUnlistedPeer();
@@ -178,15 +179,15 @@
     for (const speed of params.speeds ?? []) estimates.peerTold(speed);
     load.peerReported(params.entry, {
       ...params,
-      work: workHere(registry, params.work),
+      work: workOfSameRuns(registry, params.work),
     });
-    for (const told of params.prompts) {
-      const prompt = decodePrompt(told);
-      const isHere = prompt !== undefined && registry.isSameRun({
+    for (const encoded of params.prompts) {
+      const prompt = decodePrompt(encoded);
+      const isSameRun = prompt !== undefined && registry.isSameRun({
         id: prompt.engine,
         startedAt: prompt.engineStartedAt,
       });
-      if (isHere) prefixes.peerRead(prompt);
+      if (isSameRun) prefixes.peerRead(prompt);
     }
     for (const refusal of params.refusals) {
       this.#options.returning.peerRefused(refusal);
@@ -194,11 +195,11 @@
     for (const loss of params.losses ?? []) {
       this.#options.crashes.peerLost(loss);
     }
-    this.#welcome(params);
+    this.#syncBlockedRequests(params);
   }
 
   /** Takes what a peer tells of requests lost with endpoints. */
-  takeCrashes(params: unknown): void {
+  onCrashes(params: unknown): void {
     if (!isCrashReport(params)) return;
     const { crashes } = this.#options;
     for (const loss of params.losses) crashes.peerLost(loss);
@@ -206,17 +207,17 @@
   }
 
   /** Tells a peer that has started which requests crash endpoints. */
-  #welcome({ entry, incarnation }: WorkNotification): void {
+  #syncBlockedRequests({ entry, incarnation }: WorkNotification): void {
     if (this.#incarnations.get(entry) === incarnation) return;
     this.#incarnations.set(entry, incarnation);
     const losses = this.#options.crashes.lossesOfBlocked();
     if (losses.length === 0) return;
     const peer = identifier<ProcessId>(entry);
     const report: CrashReport = { losses, cleared: [] };
-    this.tellOne(peer, { method: CRASHES_METHOD, params: report });
+    this.sendTo(peer, { method: CRASHES_METHOD, params: report });
   }
 
-  #tellWork(): void {
+  #reportWork(): void {
     const {
       crashes,
       estimates,
@@ -227,18 +228,19 @@
       timer,
     } = this.#options;
     const now = timer.now();
-    const whole = now - this.#lastWhole >= WHOLE_TELL_MILLISECONDS;
-    if (!whole && !load.hasChanged && !returning.hasUntold) return;
-    if (whole) this.#lastWhole = now;
-    const losses = whole ? crashes.reports.recentLosses() : [];
-    this.tell(WORK_METHOD, {
-      ...this.#notification(whole),
+    const isFull =
+      now - this.#lastFullReportAt >= FULL_REPORT_INTERVAL_MILLISECONDS;
+    if (!isFull && !load.hasChanged && !returning.hasUntold) return;
+    if (isFull) this.#lastFullReportAt = now;
+    const losses = isFull ? crashes.reports.recentLosses() : [];
+    this.broadcast(WORK_METHOD, {
+      ...this.#notification(isFull),
       version: this.#options.version(),
-      work: workWithRuns(registry, load.report({ whole })),
+      work: withRuns(registry, load.report({ whole: isFull })),
       prompts: prefixes.takeUntold().map(encodePrompt),
       refusals: returning.takeUntold(),
       ...(losses.length > 0 && { losses }),
-      ...(whole && {
+      ...(isFull && {
         speeds: estimates.tell(),
         ...(this.#options.onClock && { clock: timer.wallClock() }),
       }),
@@ -264,38 +266,40 @@
    * A retry may come to another entry within milliseconds; sent on there in
    * ignorance of the crash before, it does not count as one more.
    */
-  #tellCrashesSoon(): void {
-    this.#tellingCrashes ??= this.#options.timer.after(
-      CRASHES_TELL_MILLISECONDS,
+  #scheduleCrashReport(): void {
+    this.#crashReport ??= this.#options.timer.after(
+      CRASH_REPORT_DELAY_MILLISECONDS,
       () => {
-        this.#tellingCrashes = undefined;
+        this.#crashReport = undefined;
         const report = this.#options.crashes.reports.take();
         if (report === undefined) return;
-        this.tell(CRASHES_METHOD, report);
-        this.#tellCrashesSoon();
+        this.broadcast(CRASHES_METHOD, report);
+        this.#scheduleCrashReport();
       },
     );
   }
 
-  #noteChange(endpoint: EndpointId): void {
+  #onOwnChange(endpoint: EndpointId): void {
     if (!this.isLoadStale) return;
-    this.#changed.add(endpoint);
-    this.#tellingOwners ??= this.#options.timer.after(
-      OWNERS_TELL_MILLISECONDS,
+    this.#changedEndpoints.add(endpoint);
+    this.#ownerUpdate ??= this.#options.timer.after(
+      OWNER_UPDATE_DELAY_MILLISECONDS,
       () => {
-        this.#tellingOwners = undefined;
-        this.#tellOwners();
+        this.#ownerUpdate = undefined;
+        this.#updateOwners();
       },
     );
   }
 
-  #tellOwners(): void {
+  #updateOwners(): void {
     const { load, owners, registry } = this.#options;
-    for (const [owner, endpoints] of owners.byOtherOwner(this.#changed)) {
-      const work = workWithRuns(registry, load.reportOf(endpoints));
+    for (
+      const [owner, endpoints] of owners.byOtherOwner(this.#changedEndpoints)
+    ) {
+      const work = withRuns(registry, load.reportOf(endpoints));
       const params = { ...this.#notification(false), work };
-      this.tellOne(owner, { method: WORK_METHOD, params });
+      this.sendTo(owner, { method: WORK_METHOD, params });
     }
-    this.#changed.clear();
+    this.#changedEndpoints.clear();
   }
 }
--- a/src/entry/forwarding/state_relay_test.ts
+++ b/src/entry/forwarding/peer_state_fallback_test.ts
@@ -14,10 +14,10 @@
 import type { PeerAddress, StreamSnapshot } from "../../core/links/mod.ts";
 import { SILENT_LOGGER } from "../../core/observation/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
-import { StateRelay } from "./state_relay.ts";
+import { PeerStateFallback } from "./peer_state_fallback.ts";
 
 interface Node {
-  readonly relay: StateRelay;
+  readonly relay: PeerStateFallback;
   readonly registry: EndpointRegistry;
   configuration: ForwardingConfiguration | undefined;
   asked: number;
@@ -37,13 +37,13 @@
       registry,
       configuration,
       asked: 0,
-      relay: new StateRelay({
+      relay: new PeerStateFallback({
         timer,
         random: () => 0,
         logger: SILENT_LOGGER,
         registry,
         configuration: () => node.configuration,
-        takeConfiguration: (next) => node.configuration = next,
+        applyConfiguration: (next) => node.configuration = next,
         peers: () => [identifier<PeerAddress>("peer:1")],
         ask: () => {
           node.asked += 1;
@@ -126,7 +126,7 @@
   // silent, and everything else works. Callers get 404 for a new route.
   it("asks a peer that has a newer configuration than its own", async () => {
     turnedAway.configuration = makeConfiguration({ version: 8 });
-    turnedAway.relay.heardOf(9);
+    turnedAway.relay.onPeerVersion(9);
     for (let passed = 0; passed < 1_000; passed += 100) {
       turnedAway.relay.storeReached();
       served.relay.storeReached();
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -9,22 +9,22 @@
 import { Attempt } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 import type { ForwardingParts } from "./parts.ts";
-import { readWhole } from "./whole_body.ts";
+import { readWhole } from "./read_body.ts";
 
 /**
  * How much longer than predicted an engine may take to read a prompt before
  * another one is asked. Reading a prompt runs nothing, so it may be repeated;
  * an engine that went dark would else hold the caller for its whole deadline.
  */
-const PATIENCE_TO_PREDICTION = 4;
-const LEAST_PATIENCE_MILLISECONDS = 400;
+const TIMEOUT_TO_PREDICTION_RATIO = 4;
+const MIN_PREFILL_TIMEOUT_MILLISECONDS = 400;
 /**
  * Time of the deadline that is left to the answer itself: a prompt whose answer
  * can't be whole by then is not read.
  */
-const ANSWER_MILLISECONDS = 120;
+const DECODE_RESERVE_MILLISECONDS = 120;
 /** Longest answer to a call that only reads a prompt. */
-const MOST_ANSWER_BYTES = 64 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024;
 
 /** `failed`: nothing has run, and another way may be tried. */
 export type PrefillOutcome =
@@ -47,7 +47,7 @@
 }
 
 /** Has an engine read a prompt and keep its cache for a hand-over. */
-export async function readPrompt(
+export async function prefillPrompt(
   context: ForwardContext,
   options: PrefillStepOptions,
 ): Promise<PrefillOutcome> {
@@ -55,7 +55,7 @@
   const { prompt, choice } = options;
   const { endpoint } = choice;
   const deadlineMilliseconds = options.deadlineMilliseconds -
-    ANSWER_MILLISECONDS;
+    DECODE_RESERVE_MILLISECONDS;
   const attempt = new Attempt(context, {
     endpoint,
     work: {
@@ -71,20 +71,23 @@
   });
   options.onAttempt(attempt);
   const predicted = choice.predictedMilliseconds;
-  const patience = Math.min(
+  const timeoutMilliseconds = Math.min(
     deadlineMilliseconds,
-    Math.max(LEAST_PATIENCE_MILLISECONDS, PATIENCE_TO_PREDICTION * predicted),
+    Math.max(
+      MIN_PREFILL_TIMEOUT_MILLISECONDS,
+      TIMEOUT_TO_PREDICTION_RATIO * predicted,
+    ),
   );
   const read = await beforeDeadline(readHandle(parts, attempt), {
     timer: parts.timer,
-    milliseconds: patience,
+    milliseconds: timeoutMilliseconds,
   });
   if (read === undefined) {
     attempt.abort();
-    return failedAt(endpoint, { reason: "silent" });
+    return prefillFailed(endpoint, { reason: "silent" });
   }
   if (read.handle === undefined) {
-    return failedAt(endpoint, read);
+    return prefillFailed(endpoint, read);
   }
   const { id: engine, address, startedAt } = endpoint;
   // Not before: an engine looks for kept parts when it takes a prompt in, and
@@ -104,7 +107,7 @@
   };
 }
 
-function failedAt(
+function prefillFailed(
   { id }: RegisteredEndpoint,
   { reason, arrived = true }: Pick<HandleRead, "reason" | "arrived">,
 ): PrefillOutcome {
@@ -122,14 +125,14 @@
   parts: ForwardingParts,
   attempt: Attempt,
 ): Promise<HandleRead> {
-  const answer = await attempt.answer;
-  if (answer.isErr()) {
-    const { name } = answer.error;
+  const response = await attempt.answer;
+  if (response.isErr()) {
+    const { name } = response.error;
     return { reason: name, arrived: name !== "exchange_not_sent" };
   }
-  const { head } = answer.value;
-  const body = await readWhole(answer.value, MOST_ANSWER_BYTES);
-  attempt.ended(body === undefined ? "cut" : "whole", head.status);
+  const { head } = response.value;
+  const body = await readWhole(response.value, MAX_RESPONSE_BYTES);
+  attempt.onEnd(body === undefined ? "cut" : "whole", head.status);
   if (body === undefined) return { reason: "cut" };
   const handle = head.status === 200 ? parts.door.keptHandle(body) : undefined;
   return { handle, reason: `status ${head.status}` };
--- a/src/entry/forwarding/kept_parts_survey.ts
+++ b/src/entry/forwarding/prefix_cache_survey.ts
@@ -13,20 +13,20 @@
  * How long after its start an entry asks engines for what they keep. Later an
  * engine that appears has just been started and keeps nothing.
  */
-const SURVEY_MILLISECONDS = 4_000;
+const SURVEY_WINDOW_MILLISECONDS = 4_000;
 /** Spread of the questions, so that a fleet that starts does not ask as one. */
-const SPREAD_MILLISECONDS = 50;
+const QUERY_SPREAD_MILLISECONDS = 50;
 /**
  * Entries of a fleet that ask the same engine. Each question delays the
  * engine's work; in larger fleets the others learn from what these read.
  */
-const ASKING_ENTRIES = 8;
+const QUERYING_ENTRIES = 8;
 
-export interface KeptPartsSurveyOptions {
+export interface PrefixCacheSurveyOptions {
   readonly timer: TimerService;
   readonly random: Random;
   readonly logger: Logger;
-  readonly door: Pick<EndpointDoor, "listKept">;
+  readonly endpointClient: Pick<EndpointDoor, "listKept">;
   readonly prefixes: PrefixDirectory;
   readonly configuration: () => ForwardingConfiguration | undefined;
   /** Entries of the fleet, this one included. */
@@ -40,32 +40,41 @@
  * young. After a restart of all entries nobody else knows, and shared parts
  * would be read again.
  */
-export class KeptPartsSurvey {
-  readonly #options: KeptPartsSurveyOptions;
+export class PrefixCacheSurvey {
+  readonly #options: PrefixCacheSurveyOptions;
   readonly #startedAt: number;
-  readonly #asked = new Set<EndpointId>();
+  readonly #queried = new Set<EndpointId>();
 
-  constructor(options: KeptPartsSurveyOptions) {
+  constructor(options: PrefixCacheSurveyOptions) {
     this.#options = options;
     this.#startedAt = options.timer.now();
   }
 
   /** An engine has become known. */
-  engineSeen(engine: RegisteredEndpoint): void {
+  onEngineSeen(engine: RegisteredEndpoint): void {
     const { isNeeded, random, timer } = this.#options;
     const age = timer.now() - this.#startedAt;
     const isDue = isNeeded && engine.role !== undefined && !engine.leaving &&
-      age <= SURVEY_MILLISECONDS && !this.#asked.has(engine.id);
+      age <= SURVEY_WINDOW_MILLISECONDS && !this.#queried.has(engine.id);
     if (!isDue) return;
-    this.#asked.add(engine.id);
-    timer.after(SPREAD_MILLISECONDS * random(), () => void this.#ask(engine));
+    this.#queried.add(engine.id);
+    timer.after(
+      QUERY_SPREAD_MILLISECONDS * random(),
+      () => void this.#query(engine),
+    );
   }
 
-  async #ask(engine: RegisteredEndpoint): Promise<void> {
-    const { door, entries, logger, prefixes, random } = this.#options;
-    if (random() >= ASKING_ENTRIES / entries()) return;
-    const parts = await door.listKept(engine);
-    const memoryTokens = this.#memoryOf(engine);
+  async #query(engine: RegisteredEndpoint): Promise<void> {
+    const {
+      endpointClient: endpointClient,
+      entries,
+      logger,
+      prefixes,
+      random,
+    } = this.#options;
+    if (random() >= QUERYING_ENTRIES / entries()) return;
+    const parts = await endpointClient.listKept(engine);
+    const memoryTokens = this.#memoryTokensOf(engine);
     if (parts === undefined || memoryTokens === undefined) return;
     prefixes.peerRead({ engine: engine.id, parts, memoryTokens });
     logger.info(
@@ -74,7 +83,7 @@
     );
   }
 
-  #memoryOf({ pool }: RegisteredEndpoint): number | undefined {
+  #memoryTokensOf({ pool }: RegisteredEndpoint): number | undefined {
     return this.#options.configuration()?.pools.get(pool)?.engine
       ?.memoryTokens;
   }
--- a/src/entry/forwarding/kept_parts_survey_test.ts
+++ b/src/entry/forwarding/prefix_cache_survey_test.ts
@@ -8,7 +8,7 @@
 import { SILENT_LOGGER } from "../../core/observation/mod.ts";
 import { seededRandom } from "../../core/random/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
-import { KeptPartsSurvey } from "./kept_parts_survey.ts";
+import { PrefixCacheSurvey } from "./prefix_cache_survey.ts";
 
 const PARTS: readonly PromptPart[] = [{ id: "catalogue", tokens: 6_000 }];
 
@@ -20,12 +20,12 @@
 
   function makeSurvey(
     { entries = 4, isNeeded = true, answers = true } = {},
-  ): KeptPartsSurvey {
-    return new KeptPartsSurvey({
+  ): PrefixCacheSurvey {
+    return new PrefixCacheSurvey({
       timer,
       random: seededRandom(77),
       logger: SILENT_LOGGER,
-      door: {
+      endpointClient: {
         listKept: ({ id }) => {
           asked.push(id);
           return Promise.resolve(answers ? PARTS : undefined);
@@ -48,30 +48,30 @@
   // every prompt goes to an engine that has to read its shared parts again.
   it("learns what an engine keeps when the entry has been restarted", async () => {
     const survey = makeSurvey();
-    survey.engineSeen(engine);
-    survey.engineSeen(engine);
+    survey.onEngineSeen(engine);
+    survey.onEngineSeen(engine);
     await timer.advance(100);
     expect(asked).to.deep.equal(["reader"]);
     expect(prefixes.keptTokens(engine.id, PARTS)).to.equal(6_000);
   });
 
   it("asks nobody where the engines have just been started as well", async () => {
-    makeSurvey({ isNeeded: false }).engineSeen(engine);
+    makeSurvey({ isNeeded: false }).onEngineSeen(engine);
     await timer.advance(100);
     expect(asked).to.deep.equal([]);
   });
 
   it("asks no engine that appears later, and no plain service", async () => {
     const survey = makeSurvey();
-    survey.engineSeen(makeEndpoint("portal"));
+    survey.onEngineSeen(makeEndpoint("portal"));
     await timer.advance(5_000);
-    survey.engineSeen(engine);
+    survey.onEngineSeen(engine);
     await timer.advance(100);
     expect(asked).to.deep.equal([]);
   });
 
   it("goes on without an answer", async () => {
-    makeSurvey({ answers: false }).engineSeen(engine);
+    makeSurvey({ answers: false }).onEngineSeen(engine);
     await timer.advance(100);
     expect(prefixes.keptTokens(engine.id, PARTS)).to.equal(0);
   });
@@ -81,11 +81,11 @@
   it("asks an engine from few entries of a large fleet", async () => {
     for (let entry = 0; entry < 400; entry++) {
       const random = seededRandom(1_000 + 7_919 * entry);
-      const survey = new KeptPartsSurvey({
+      const survey = new PrefixCacheSurvey({
         timer,
         random,
         logger: SILENT_LOGGER,
-        door: {
+        endpointClient: {
           listKept: ({ id }) => {
             asked.push(id);
             return Promise.resolve(PARTS);
@@ -96,7 +96,7 @@
         entries: () => 400,
         isNeeded: true,
       });
-      survey.engineSeen(engine);
+      survey.onEngineSeen(engine);
     }
     await timer.advance(100);
     expect(asked.length).to.be.within(1, 25);
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -7,19 +7,19 @@
   type Prompt,
   type RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
-import { HEAD_BYTES } from "./attempt.ts";
+import { REQUEST_HEAD_BYTES } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 
 /** A long prompt goes to the engine that reads and to the one that decodes. */
-const SENDS_OF_A_PROMPT = 2;
+const SENDS_PER_PROMPT = 2;
 /** The request's arrival and the head of either engine's answer. */
-const LOOP_TURNS_OF_A_PROMPT = 3;
+const LOOP_TURNS_PER_PROMPT = 3;
 
 /**
  * Share of the reading engines that is taken to be left for held prompts at
  * the least; what can be on time goes before them.
  */
-const LEAST_LEFT_SHARE = 0.05;
+const MIN_FREE_SHARE = 0.05;
 
 /** Why a prompt is not sent to any engine. */
 export type AdmissionRefusal = "engines_full" | "entry_full";
@@ -55,21 +55,21 @@
   prompt: Prompt,
 ): Promise<PromptAdmission> {
   const { parts, pool, route, waitedMilliseconds } = context;
-  const among = await candidatesFor(context, prompt);
-  const soonest = parts.placement.choosePrefill(prompt, among);
-  const held = holdable(context, prompt, soonest);
+  const candidates = await candidatesFor(context, prompt);
+  const soonest = parts.placement.choosePrefill(prompt, candidates);
+  const held = makeHeldPrompt(context, prompt, soonest);
   const onTimeMilliseconds = soonest?.predictedMilliseconds ?? Infinity;
-  const question = {
+  const estimate = {
     onTimeMilliseconds,
     lateMilliseconds: onTimeMilliseconds +
-      heldMilliseconds(context, { held, engines: among.engines }),
+      heldMilliseconds(context, { held, engines: candidates.engines }),
     handoverMilliseconds: parts.placement.handoverMilliseconds(prompt, pool),
     entryMilliseconds: entryMilliseconds(context),
-    elapsedMilliseconds: waitedMilliseconds + context.elapsed,
+    elapsedMilliseconds: waitedMilliseconds + context.elapsedMilliseconds,
     targetMilliseconds: route.targetMilliseconds,
-    leftMilliseconds: context.leftToFirstByte,
+    leftMilliseconds: context.remainingToFirstByteMilliseconds,
   };
-  const admission = judgeAdmission(question);
+  const admission = judgeAdmission(estimate);
   if (admission === "on_time" && soonest !== undefined) {
     parts.onTimeWork.begun(soonest.workMilliseconds);
     return { kind: "admitted", choice: soonest };
@@ -78,7 +78,7 @@
   return {
     kind: "refused",
     reason: admission === "entry_full" ? "entry_full" : "engines_full",
-    facts: rounded(question),
+    facts: roundFinite(estimate),
   };
 }
 
@@ -92,19 +92,19 @@
   prompt: Prompt,
 ): Promise<PrefillCandidates> {
   const { parts, pool } = context;
-  const engines = context.untried(context.endpoints());
+  const engines = context.preferUntried(context.endpoints());
   if (!parts.isLoadStale()) return { engines, pool };
-  const asked = parts.placement.readersToAsk(prompt, engines)
+  const refreshed = parts.placement.readersToAsk(prompt, engines)
     .map(({ id }) => id);
-  await parts.refreshLoad(asked);
+  await parts.refreshLoad(refreshed);
   // An engine may have begun to leave while the owners answered.
-  const still = context.untried(context.endpoints());
-  const readers = still.filter(({ id }) => asked.includes(id));
-  return { engines: still, pool, readers };
+  const remaining = context.preferUntried(context.endpoints());
+  const readers = remaining.filter(({ id }) => refreshed.includes(id));
+  return { engines: remaining, pool, readers };
 }
 
 /** The prompt as it waits here for an engine that is nearly idle. */
-function holdable(
+function makeHeldPrompt(
   context: ForwardContext,
   prompt: Prompt,
   soonest: PrefillChoice | undefined,
@@ -113,12 +113,13 @@
   const workMilliseconds = soonest?.workMilliseconds ?? 0;
   return {
     rank: context.rank,
-    expiresAt: parts.timer.now() + LEFT_SHARE * context.leftToFirstByte -
+    expiresAt: parts.timer.now() +
+      LEFT_SHARE * context.remainingToFirstByteMilliseconds -
       workMilliseconds,
     workMilliseconds,
     choose: async () => {
-      const among = await candidatesFor(context, prompt);
-      return parts.placement.chooseIdlePrefill(prompt, among);
+      const candidates = await candidatesFor(context, prompt);
+      return parts.placement.chooseIdlePrefill(prompt, candidates);
     },
     isOver: () => context.settled,
   };
@@ -138,14 +139,15 @@
   },
 ): number {
   const { held, engines } = options;
-  const readers = engines.filter(({ role }) => role === "prefill").length;
+  const prefillEngines =
+    engines.filter(({ role }) => role === "prefill").length;
   const entries = parts.entries();
   const free = Math.max(
-    LEAST_LEFT_SHARE * readers,
-    readers - entries * parts.onTimeWork.busyEngines,
+    MIN_FREE_SHARE * prefillEngines,
+    prefillEngines - entries * parts.onTimeWork.busyEngines,
   );
   return entries * parts.held.workAhead(held) /
-    Math.max(LEAST_LEFT_SHARE, free);
+    Math.max(MIN_FREE_SHARE, free);
 }
 
 /**
@@ -153,14 +155,15 @@
  * here has yet to cross the link; it is taken to be as long as this request.
  */
 function entryMilliseconds({ parts, request }: ForwardContext): number {
-  const bytes = SENDS_OF_A_PROMPT * (request.body.length + HEAD_BYTES);
-  const carried = (1 + parts.held.count) * parts.link.carryMilliseconds(bytes);
-  return parts.link.waitMilliseconds + carried +
-    LOOP_TURNS_OF_A_PROMPT * parts.loopDelay();
+  const bytes = SENDS_PER_PROMPT * (request.body.length + REQUEST_HEAD_BYTES);
+  const transferMilliseconds = (1 + parts.held.count) *
+    parts.link.carryMilliseconds(bytes);
+  return parts.link.waitMilliseconds + transferMilliseconds +
+    LOOP_TURNS_PER_PROMPT * parts.loopDelay();
 }
 
 /** Whole numbers; what is infinite is left out. */
-function rounded(facts: Readonly<Record<string, number>>): AdmissionFacts {
+function roundFinite(facts: Readonly<Record<string, number>>): AdmissionFacts {
   return Object.fromEntries(
     Object.entries(facts).map(([name, value]) => [
       name,
--- a/src/entry/forwarding/told_prompt.ts
+++ b/src/entry/forwarding/prompt_encoding.ts
@@ -12,18 +12,18 @@
  * each part in turn. Without names for the values, as some dozens go out each
  * second.
  */
-export type ToldPrompt = readonly (string | number)[];
+export type EncodedPrompt = readonly (string | number)[];
 
 /** The values before those of the parts. */
-const LEADING_VALUES = 3;
-const NO_START = 0;
+const HEADER_VALUES = 3;
+const UNKNOWN_START = 0;
 const VALUES_PER_PART = 2;
 
-export function encodePrompt(prompt: ReadPrompt): ToldPrompt {
+export function encodePrompt(prompt: ReadPrompt): EncodedPrompt {
   return [
     prompt.engine,
     prompt.memoryTokens,
-    prompt.engineStartedAt ?? NO_START,
+    prompt.engineStartedAt ?? UNKNOWN_START,
     ...prompt.parts.flatMap(({ id, tokens }) => [id, tokens]),
   ];
 }
@@ -32,10 +32,10 @@
 export function decodePrompt(value: unknown): ReadPrompt | undefined {
   if (!Array.isArray(value)) return undefined;
   const [engine, memoryTokens, startedAt, ...rest] = value;
-  const hasEngine = typeof engine === "string" &&
+  const hasHeader = typeof engine === "string" &&
     typeof memoryTokens === "number" && typeof startedAt === "number" &&
-    value.length >= LEADING_VALUES && rest.length % VALUES_PER_PART === 0;
-  if (!hasEngine) return undefined;
+    value.length >= HEADER_VALUES && rest.length % VALUES_PER_PART === 0;
+  if (!hasHeader) return undefined;
   const parts: PromptPart[] = [];
   for (let index = 0; index < rest.length; index += VALUES_PER_PART) {
     const [id, tokens] = rest.slice(index, index + VALUES_PER_PART);
@@ -44,7 +44,7 @@
   }
   return {
     engine: identifier<EndpointId>(engine),
-    ...(startedAt !== NO_START && {
+    ...(startedAt !== UNKNOWN_START && {
       engineStartedAt: numbered<ReplicaStart>(startedAt),
     }),
     memoryTokens,
--- a/src/entry/forwarding/told_prompt_test.ts
+++ b/src/entry/forwarding/prompt_encoding_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { type EndpointId, identifier } from "../../core/identity/mod.ts";
-import { decodePrompt, encodePrompt } from "./told_prompt.ts";
+import { decodePrompt, encodePrompt } from "./prompt_encoding.ts";
 
 describe("a prompt that is told to peers", () => {
   const prompt = {
--- a/src/entry/forwarding/whole_body.ts
+++ b/src/entry/forwarding/read_body.ts
@@ -2,18 +2,18 @@
 
 /** The answer's whole body; undefined where it was cut or is too long. */
 export function readWhole(
-  answer: EndpointAnswer,
-  mostBytes: number,
+  response: EndpointAnswer,
+  maxBytes: number,
 ): Promise<Buffer | undefined> {
-  const pieces: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
   return new Promise((resolve) => {
-    answer.read((piece) => {
+    response.read((piece) => {
       size += piece.length;
-      if (size <= mostBytes) pieces.push(piece);
+      if (size <= maxBytes) chunks.push(piece);
     }, (end) => {
-      const isUsable = end === "whole" && size <= mostBytes;
-      resolve(isUsable ? Buffer.concat(pieces) : undefined);
+      const isUsable = end === "whole" && size <= maxBytes;
+      resolve(isUsable ? Buffer.concat(chunks) : undefined);
     });
   });
 }
--- a/src/entry/forwarding/registration_intake.ts
+++ b/src/entry/forwarding/registration_sync.ts
@@ -15,23 +15,23 @@
   readonly unreadable?: boolean;
 }
 
-export interface RegistrationIntakeOptions {
+export interface RegistrationSyncOptions {
   readonly registry: EndpointRegistry;
   /** A peer has read this span of the registrations. */
   readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
   /** The store was reached, by this entry or by a peer for it. */
-  readonly onReached: () => void;
-  readonly tellPeers: (told: {
+  readonly onStoreReached: () => void;
+  readonly broadcast: (update: {
     readonly changes: readonly RegistrationChange[];
     readonly span: TopicSpan | undefined;
   }) => void;
 }
 
 /** Brings registrations that this entry or a peer has read into the registry. */
-export class RegistrationIntake {
-  readonly #options: RegistrationIntakeOptions;
+export class RegistrationSync {
+  readonly #options: RegistrationSyncOptions;
 
-  constructor(options: RegistrationIntakeOptions) {
+  constructor(options: RegistrationSyncOptions) {
     this.#options = options;
   }
 
@@ -41,43 +41,43 @@
    * for all.
    */
   read(changes: readonly RegistrationChange[], span?: TopicSpan): void {
-    const news = new Map<EndpointId, RegistrationChange>();
+    const changed = new Map<EndpointId, RegistrationChange>();
     for (const change of changes) {
-      const isNews = this.#take(change);
+      const hasChanged = this.#apply(change);
       // Of a key that has changed the last state counts, also where that is
       // what it was: a peer may stand in between.
-      if (isNews || news.has(change.id)) news.set(change.id, change);
+      if (hasChanged || changed.has(change.id)) changed.set(change.id, change);
     }
-    if (news.size === 0 && span === undefined) return;
-    this.#options.tellPeers({ changes: [...news.values()], span });
+    if (changed.size === 0 && span === undefined) return;
+    this.#options.broadcast({ changes: [...changed.values()], span });
   }
 
   /**
    * The endpoint itself says that this run of it leaves: peers learn of it at
    * once, as the store may be away. True where this is news.
    */
-  saidLeaving(run: EndpointRun): boolean {
+  reportLeaving(run: EndpointRun): boolean {
     const endpoint = this.#options.registry.saidLeaving(run);
     if (endpoint === undefined) return false;
     const changes = [{ id: endpoint.id, endpoint }];
-    this.#options.tellPeers({ changes, span: undefined });
+    this.#options.broadcast({ changes, span: undefined });
     return true;
   }
 
   /** A peer tells what it has read, and of which span, where it is known. */
-  peerRead(changes: readonly RegistrationChange[], span: unknown): void {
-    const reading = isSpan(span)
+  onPeerChanges(changes: readonly RegistrationChange[], span: unknown): void {
+    const relation = isSpan(span)
       ? this.#options.peerReadRegistrations(span)
       : "apart";
     // A datagram that was overtaken may name an endpoint as gone that has
     // come back since; its record lies behind this entry, which would not see
     // it again.
-    if (reading === "older") return;
-    if (reading === "apart") return this.#takeLeaving(changes);
+    if (relation === "older") return;
+    if (relation === "apart") return this.#applyDepartures(changes);
     // It goes on where this entry's reading ended and counts as its own.
-    this.#options.onReached();
-    if (reading === "same") return;
-    for (const change of changes) this.#take(change);
+    this.#options.onStoreReached();
+    if (relation === "same") return;
+    for (const change of changes) this.#apply(change);
   }
 
   /**
@@ -85,16 +85,16 @@
    * peer that is behind may tell of old registrations: taken over, they would
    * bring back endpoints that have left, which no later record takes away.
    */
-  #takeLeaving(changes: readonly RegistrationChange[]): void {
+  #applyDepartures(changes: readonly RegistrationChange[]): void {
     for (const change of changes) {
       const { endpoint, id } = change;
       if (this.#options.registry.get(id) === undefined) continue;
-      if (endpoint === undefined || endpoint.leaving) this.#take(change);
+      if (endpoint === undefined || endpoint.leaving) this.#apply(change);
     }
   }
 
   /** True where it has changed anything. */
-  #take({ endpoint, id, unreadable = false }: RegistrationChange): boolean {
+  #apply({ endpoint, id, unreadable = false }: RegistrationChange): boolean {
     const { registry } = this.#options;
     if (endpoint !== undefined) return registry.put(endpoint);
     const isKnown = registry.get(id) !== undefined;
--- a/src/entry/forwarding/forward_run.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -11,14 +11,18 @@
   EndpointId,
 } from "../../core/identity/mod.ts";
 import type { Subscription } from "../../core/time/mod.ts";
-import { AnswerRelay } from "./answer_relay.ts";
+import { ResponseRelay } from "./response_relay.ts";
 import { Attempt, type AttemptPlan } from "./attempt.ts";
 import { ForwardContext, type ForwardTask } from "./forward_context.ts";
 import { Handover } from "./handover.ts";
 import type { CallerSink, EndpointAnswer, Refusal } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 import type { AdmissionFacts } from "./prompt_admission.ts";
-import { mayStillWait, pacedByRoom, waitForChoice } from "./wait_for_choice.ts";
+import {
+  mayStillWait,
+  preferCapacity,
+  waitForChoice,
+} from "./wait_for_choice.ts";
 
 /** When a caller that found no room should come back, milliseconds. */
 export const RETRY_AFTER_MILLISECONDS = 250;
@@ -26,8 +30,8 @@
  * The same where only this entry is full: the caller comes back to another one,
  * which can still answer on time.
  */
-const ELSEWHERE_AFTER_MILLISECONDS = 20;
-const ELSEWHERE_SPREAD_MILLISECONDS = 30;
+const OTHER_ENTRY_RETRY_AFTER_MILLISECONDS = 20;
+const OTHER_ENTRY_RETRY_SPREAD_MILLISECONDS = 30;
 /** Spread of the returns, so that a refused burst does not return as one. */
 const RETRY_AFTER_SPREAD_MILLISECONDS = 250;
 /** Priorities that engines know, the last one for what may wait longest. */
@@ -48,20 +52,20 @@
   | "unknown";
 
 /** One caller's request from its arrival to its answer. */
-export class ForwardRun {
+export class RequestForwarder {
   readonly #context: ForwardContext;
   readonly #sink: CallerSink;
   readonly #handover: Handover;
-  readonly #relay: AnswerRelay;
-  readonly #limit: Subscription;
+  readonly #relay: ResponseRelay;
+  readonly #deadline: Subscription;
   #attempt: Attempt | undefined;
   /** Runs that may have begun. */
   #runs = 0;
   /** True while a send is out that may be running. */
-  #mayRun = false;
+  #mayBeRunning = false;
   /** When the send that is out was sent. */
   #sentAt = 0;
-  #firstByte: number | undefined;
+  #firstByteAt: number | undefined;
 
   constructor(
     parts: ForwardingParts,
@@ -75,16 +79,16 @@
       this.#context,
       (attempt) => this.#attempt = attempt,
     );
-    this.#relay = new AnswerRelay({
+    this.#relay = new ResponseRelay({
       sink,
-      wholeEvents: repeat === "stream" && resumable,
+      wholeEventsOnly: repeat === "stream" && resumable,
       onBytes: (count) => parts.link.sent(count),
     });
-    this.#limit = parts.timer.after(
+    this.#deadline = parts.timer.after(
       this.#context.allowedMilliseconds,
-      () => this.#onLimit(),
+      () => this.#onDeadline(),
     );
-    sink.onGone(() => this.#onGone());
+    sink.onGone(() => this.#onCallerGone());
   }
 
   async run(): Promise<void> {
@@ -100,7 +104,7 @@
       if (next === "refuse") return this.#refuse("endpoints_full");
       if (next === "blocked") return this.#refuse(BLOCKED);
       if (next === KEY_REMOVED) return this.#refuse(KEY_REMOVED);
-      if (next === "unknown") return this.#answerUnknown();
+      if (next === "unknown") return this.#refuseAsUnknown();
     }
   }
 
@@ -124,16 +128,16 @@
       endpoint,
       work: NO_PROMPT,
       options: {
-        deadlineMilliseconds: this.#context.left,
-        lastEventId: this.#resumeFrom(),
+        deadlineMilliseconds: this.#context.remainingMilliseconds,
+        lastEventId: this.#resumeEventId(),
       },
     };
   }
 
   #chooseService(): RegisteredEndpoint | undefined {
     const { parts } = this.#context;
-    const well = parts.outcomes.wellAmong(this.#context.endpoints());
-    return chooseService(this.#context.untried(well), parts);
+    const healthy = parts.outcomes.wellAmong(this.#context.endpoints());
+    return chooseService(this.#context.preferUntried(healthy), parts);
   }
 
   /** Waits where every replica is overloaded, and one is not for much longer. */
@@ -144,17 +148,17 @@
 
   /** True where these have all said that they are overloaded. */
   #isOverloaded(
-    isWanted?: (endpoint: RegisteredEndpoint) => boolean,
+    matches?: (endpoint: RegisteredEndpoint) => boolean,
   ): boolean {
-    const wait = this.#context.overloadMilliseconds(isWanted);
+    const wait = this.#context.overloadMilliseconds(matches);
     return wait > 0 && Number.isFinite(wait);
   }
 
   /** False where the caller would have left before one of these takes work. */
   #isWorthWaiting(
-    isWanted?: (endpoint: RegisteredEndpoint) => boolean,
+    matches?: (endpoint: RegisteredEndpoint) => boolean,
   ): boolean {
-    const wait = this.#context.overloadMilliseconds(isWanted);
+    const wait = this.#context.overloadMilliseconds(matches);
     return mayStillWait(this.#context, wait);
   }
 
@@ -173,26 +177,26 @@
     }) &&
       endpoints.some((endpoint) => endpoint.role === "prefill");
     const handover = needsHandover
-      ? await this.#handover.keep(prompt)
+      ? await this.#handover.prefill(prompt)
       : undefined;
     if (this.#context.settled) return undefined;
     if (handover?.kind === "refused") {
       this.#refuse(handover.reason, handover.facts);
       return undefined;
     }
-    const keptIn = handover === undefined
+    const cacheZone = handover === undefined
       ? undefined
       : parts.registry.get(handover.kept.engine)?.availabilityZone;
-    const choice = await this.#chooseDecoder(prompt, keptIn);
+    const choice = await this.#chooseDecoder(prompt, cacheZone);
     if (choice === undefined) return undefined;
     return {
       endpoint: choice.endpoint,
       work: choice.work,
       options: {
-        deadlineMilliseconds: this.#context.left,
+        deadlineMilliseconds: this.#context.remainingMilliseconds,
         priority: Math.min(LOWEST_PRIORITY, this.#context.rank),
         keptPrompt: handover?.kept,
-        lastEventId: this.#resumeFrom(),
+        lastEventId: this.#resumeEventId(),
       },
     };
   }
@@ -200,38 +204,46 @@
   /** Undefined where there is none until the caller leaves. */
   async #chooseDecoder(
     prompt: Prompt,
-    keptIn: AvailabilityZoneId | undefined,
+    cacheZone: AvailabilityZoneId | undefined,
   ): Promise<DecodeChoice | undefined> {
     const { parts, pool } = this.#context;
-    const asked = await this.#askDecoders(keptIn);
+    const refreshed = await this.#refreshDecoderLoad(cacheZone);
     if (this.#context.settled) return undefined;
     const choose = ({ withRoom } = { withRoom: false }) => {
       // The engines may have changed while the prompt was read.
-      const makers = this.#context.endpoints().filter(canDecode);
-      const decoders = this.#decoders(makers, withRoom);
-      const known = decoders.filter(({ id }) => asked.has(id));
-      return parts.placement.chooseDecode(known.length > 0 ? known : decoders, {
-        prompt,
-        pool,
-        keptIn,
-        withRoom,
-      });
+      const decodeEngines = this.#context.endpoints().filter(canDecode);
+      const decodeCandidates = this.#decoders(decodeEngines, withRoom);
+      const withFreshLoad = decodeCandidates.filter(({ id }) =>
+        refreshed.has(id)
+      );
+      return parts.placement.chooseDecode(
+        withFreshLoad.length > 0 ? withFreshLoad : decodeCandidates,
+        {
+          prompt,
+          pool,
+          keptIn: cacheZone,
+          withRoom,
+        },
+      );
     };
-    return choose() ?? await waitForChoice(this.#context, pacedByRoom(choose));
+    return choose() ??
+      await waitForChoice(this.#context, preferCapacity(choose));
   }
 
   /** Brings the load of some that may decode up to date; gives which. */
-  async #askDecoders(
-    keptIn: AvailabilityZoneId | undefined,
+  async #refreshDecoderLoad(
+    cacheZone: AvailabilityZoneId | undefined,
   ): Promise<ReadonlySet<EndpointId>> {
     const { parts } = this.#context;
     if (!parts.isLoadStale()) return new Set();
-    const makers = this.#context.endpoints().filter(canDecode);
-    const asked = parts.placement
-      .decodersToAsk(this.#context.notTurnedAway(makers), { keptIn })
+    const decodeEngines = this.#context.endpoints().filter(canDecode);
+    const refreshed = parts.placement
+      .decodersToAsk(this.#context.withoutRejecting(decodeEngines), {
+        keptIn: cacheZone,
+      })
       .map(({ id }) => id);
-    await parts.refreshLoad(asked);
-    return new Set(asked);
+    await parts.refreshLoad(refreshed);
+    return new Set(refreshed);
   }
 
   /**
@@ -240,12 +252,14 @@
    * retries at one full engine within milliseconds.
    */
   #decoders(
-    makers: readonly RegisteredEndpoint[],
+    decodeEngines: readonly RegisteredEndpoint[],
     withRoom: boolean,
   ): readonly RegisteredEndpoint[] {
-    const others = this.#context.notTurnedAway(makers);
+    const others = this.#context.withoutRejecting(decodeEngines);
     if (others.length > 0) return others;
-    return withRoom ? this.#context.parts.outcomes.openAmong(makers) : [];
+    return withRoom
+      ? this.#context.parts.outcomes.openAmong(decodeEngines)
+      : [];
   }
 
   async #send(plan: AttemptPlan): Promise<NextStep> {
@@ -257,8 +271,8 @@
     if (!this.#context.arrivals.cover({ reading: false })) return "refuse";
     this.#context.arrivals.sent();
     this.#context.sends += 1;
-    this.#mayRun = true;
-    this.#context.tell("placed", {
+    this.#mayBeRunning = true;
+    this.#context.report("placed", {
       step: "run",
       endpoint: endpoint.id,
       openRequests: parts.load.total(endpoint.id).requests,
@@ -267,20 +281,20 @@
     const attempt = new Attempt(this.#context, plan);
     this.#attempt = attempt;
     this.#sentAt = parts.timer.now();
-    const answer = await attempt.answer;
+    const response = await attempt.answer;
     if (this.#context.settled) return "delivered";
-    if (answer.isErr()) {
-      this.#context.turnedAwayBy(endpoint.id);
-      return this.#afterFailure(answer.error.name);
+    if (response.isErr()) {
+      this.#context.noteRejection(endpoint.id);
+      return this.#afterFailure(response.error.name);
     }
-    if (answer.value.head.notRun) {
-      discard(answer.value, attempt);
+    if (response.value.head.notRun) {
+      discard(response.value, attempt);
       return this.#afterNotRun(endpoint.id);
     }
     if (plan.options.keptPrompt !== undefined) {
-      this.#handover.taken(endpoint, parts.timer.now() - this.#sentAt);
+      this.#handover.noteTransfer(endpoint, parts.timer.now() - this.#sentAt);
     }
-    return await this.#deliver(answer.value, attempt);
+    return await this.#deliver(response.value, attempt);
   }
 
   #afterFailure(name: string): NextStep {
@@ -288,26 +302,26 @@
       // Nothing has left: it is no send, however often it happens. How often
       // an endpoint is asked that takes no connection is limited elsewhere.
       this.#context.sends -= 1;
-      this.#mayRun = this.#runs > 0;
+      this.#mayBeRunning = this.#runs > 0;
       this.#context.arrivals.notArrived();
       return this.#mayResend(name) ? "again" : "refuse";
     }
     this.#runs += 1;
-    this.#noteServiceBegan();
+    this.#noteServiceStarted();
     if (!this.#mayRunAgain()) return "unknown";
     return this.#mayResend(name) ? "again" : "unknown";
   }
 
   #afterNotRun(endpoint: EndpointId): NextStep {
-    this.#mayRun = this.#runs > 0;
-    this.#context.turnedAwayBy(endpoint);
-    this.#handover.turnedAway();
+    this.#mayBeRunning = this.#runs > 0;
+    this.#context.noteRejection(endpoint);
+    this.#handover.noteRejection();
     return this.#mayResend("not_run") ? "again" : "refuse";
   }
 
   /** Asked before anything of an answer that may be passed on is dropped. */
   #mayResend(reason: string): boolean {
-    const reading = this.#handover.readsAnew;
+    const reading = this.#handover.needsAnotherPrefill;
     return this.#context.mayResend(reason, { reading });
   }
 
@@ -320,64 +334,64 @@
   }
 
   async #deliver(
-    answer: EndpointAnswer,
+    response: EndpointAnswer,
     attempt: Attempt,
   ): Promise<NextStep> {
-    const { head } = answer;
+    const { head } = response;
     this.#runs += 1;
-    this.#noteBegan();
-    const mayRepeat = head.status >= 500 && this.#mayRunAgain() &&
+    this.#noteStarted();
+    const mayRetry = head.status >= 500 && this.#mayRunAgain() &&
       this.#mayResend(`status ${head.status}`);
-    if (mayRepeat) {
-      discard(answer, attempt);
+    if (mayRetry) {
+      discard(response, attempt);
       return "again";
     }
-    this.#firstByte ??= this.#context.parts.timer.now();
-    const end = await this.#relay.pass(answer, attempt);
+    this.#firstByteAt ??= this.#context.parts.timer.now();
+    const end = await this.#relay.pipe(response, attempt);
     if (this.#context.settled) return "delivered";
     if (end === "whole") return this.#finish(head.status);
-    return this.#afterCut();
+    return this.#afterBrokenResponse();
   }
 
   /** An answer has begun: the request has, too. */
-  #noteBegan(): void {
+  #noteStarted(): void {
     if (this.#isEngineWork) {
-      this.#context.noteBegan(this.#context.parts.timer.now());
-    } else this.#noteServiceBegan();
+      this.#context.noteStarted(this.#context.parts.timer.now());
+    } else this.#noteServiceStarted();
   }
 
   /**
    * A plain service begins a request when it arrives, and answers at its end;
    * an engine that has not answered is taken not to have begun.
    */
-  #noteServiceBegan(): void {
-    if (!this.#isEngineWork) this.#context.noteBegan(this.#sentAt);
+  #noteServiceStarted(): void {
+    if (!this.#isEngineWork) this.#context.noteStarted(this.#sentAt);
   }
 
   /** The endpoint broke off in the middle of its answer. */
-  #afterCut(): NextStep {
+  #afterBrokenResponse(): NextStep {
     const { repeat } = this.#context.route;
     const mayResume = repeat === "stream" && this.#mayRunAgain() &&
       this.#mayResend("cut");
     if (mayResume) {
-      this.#context.tell("resumed", {
+      this.#context.report("resumed", {
         lastEventId: this.#relay.lastEventId ?? "",
       });
       return "again";
     }
     this.#settle();
     this.#sink.cut();
-    this.#context.tell("cut", { reason: "endpoint_broke_off" });
+    this.#context.report("cut", { reason: "endpoint_broke_off" });
     return "delivered";
   }
 
   #finish(status: number): NextStep {
     this.#settle();
     this.#sink.finish();
-    const { arrived, elapsed, sends } = this.#context;
-    this.#context.tell("answered", {
+    const { arrived, elapsedMilliseconds: elapsed, sends } = this.#context;
+    this.#context.report("answered", {
       status,
-      firstByteMilliseconds: Math.round((this.#firstByte ?? 0) - arrived),
+      firstByteMilliseconds: Math.round((this.#firstByteAt ?? 0) - arrived),
       milliseconds: Math.round(elapsed),
       sends,
     });
@@ -385,47 +399,49 @@
   }
 
   /** The caller's or the route's time is over. */
-  #onLimit(): void {
+  #onDeadline(): void {
     if (this.#context.settled) return;
     this.#settle();
-    if (this.#mayRun) this.#noteServiceBegan();
+    if (this.#mayBeRunning) this.#noteServiceStarted();
     this.#attempt?.abort();
     if (this.#relay.headSent) {
       this.#sink.cut();
-      this.#context.tell("cut", { reason: "deadline" });
+      this.#context.report("cut", { reason: "deadline" });
       return;
     }
-    const status = this.#mayRun || this.#runs > 0 ? 504 : 503;
-    this.#answerOwn({ status, reason: "deadline" });
+    const status = this.#mayBeRunning || this.#runs > 0 ? 504 : 503;
+    this.#sendRefusal({ status, reason: "deadline" });
   }
 
-  #onGone(): void {
+  #onCallerGone(): void {
     if (this.#context.settled) return;
     this.#settle();
-    if (this.#mayRun) this.#noteServiceBegan();
+    if (this.#mayBeRunning) this.#noteServiceStarted();
     this.#attempt?.abort();
-    this.#context.tell("caller_gone", { sends: this.#context.sends });
+    this.#context.report("caller_gone", { sends: this.#context.sends });
   }
 
   #refuse(reason: string, facts: AdmissionFacts = {}): void {
     // A run that was lost before may still be under way: then a refusal that
     // says "not run" would be a lie.
-    if (this.#runs > 0) return this.#answerUnknown();
+    if (this.#runs > 0) return this.#refuseAsUnknown();
     this.#settle();
     if (this.#relay.headSent) return this.#sink.cut();
-    if (reason === KEY_REMOVED) return this.#answerOwn({ status: 401, reason });
+    if (reason === KEY_REMOVED) {
+      return this.#sendRefusal({ status: 401, reason });
+    }
     // A caller that comes back finds it blocked at any entry.
     if (reason !== BLOCKED) this.#context.noteRefusal();
-    const retryAfterMilliseconds = this.#retryAfter(reason);
-    this.#answerOwn({ status: 503, reason, retryAfterMilliseconds }, facts);
+    const retryAfterMilliseconds = this.#retryAfterMilliseconds(reason);
+    this.#sendRefusal({ status: 503, reason, retryAfterMilliseconds }, facts);
   }
 
   /** When coming back is worth it, milliseconds. */
-  #retryAfter(reason: string): number {
+  #retryAfterMilliseconds(reason: string): number {
     const { random } = this.#context.parts;
     if (reason === "entry_full") {
-      return ELSEWHERE_AFTER_MILLISECONDS +
-        ELSEWHERE_SPREAD_MILLISECONDS * random();
+      return OTHER_ENTRY_RETRY_AFTER_MILLISECONDS +
+        OTHER_ENTRY_RETRY_SPREAD_MILLISECONDS * random();
     }
     if (reason === BLOCKED) return this.#context.blockedMilliseconds;
     const overload = this.#context.overloadMilliseconds();
@@ -434,43 +450,43 @@
       RETRY_AFTER_SPREAD_MILLISECONDS * random();
   }
 
-  #answerUnknown(): void {
+  #refuseAsUnknown(): void {
     this.#settle();
     if (this.#relay.headSent) {
       this.#sink.cut();
-      this.#context.tell("cut", { reason: "unknown" });
+      this.#context.report("cut", { reason: "unknown" });
       return;
     }
-    this.#answerOwn({ status: 502, reason: "unknown" });
+    this.#sendRefusal({ status: 502, reason: "unknown" });
   }
 
-  #answerOwn(refusal: Refusal, facts: AdmissionFacts = {}): void {
+  #sendRefusal(refusal: Refusal, facts: AdmissionFacts = {}): void {
     this.#sink.refuse(refusal);
-    this.#context.tell("refused", {
+    this.#context.report("refused", {
       status: refusal.status,
       reason: refusal.reason,
       ...facts,
-      milliseconds: Math.round(this.#context.elapsed),
+      milliseconds: Math.round(this.#context.elapsedMilliseconds),
       sends: this.#context.sends,
     });
   }
 
   #settle(): void {
     this.#context.settled = true;
-    this.#limit.cancel();
+    this.#deadline.cancel();
     this.#handover.release();
     this.#context.arrivals.release();
   }
 
   /** A caller's own position, or that behind the last event passed on. */
-  #resumeFrom(): string | undefined {
+  #resumeEventId(): string | undefined {
     return this.#relay.lastEventId ?? this.#context.request.lastEventId;
   }
 }
 
 /** Reads an answer that nobody gets, so that its connection can be kept. */
-function discard(answer: EndpointAnswer, attempt: Attempt): void {
-  answer.read(() => {}, (end) => attempt.ended(end, answer.head.status));
+function discard(response: EndpointAnswer, attempt: Attempt): void {
+  response.read(() => {}, (end) => attempt.onEnd(end, response.head.status));
 }
 
 function canDecode(endpoint: { readonly role?: EngineRole }): boolean {
--- a/src/entry/forwarding/answer_relay.ts
+++ b/src/entry/forwarding/response_relay.ts
@@ -2,10 +2,10 @@
 import type { Attempt } from "./attempt.ts";
 import type { BodyEnd, CallerSink, EndpointAnswer } from "./links.ts";
 
-export interface AnswerRelayOptions {
+export interface ResponseRelayOptions {
   readonly sink: CallerSink;
   /** True: only whole events are passed on, so that another run can go on. */
-  readonly wholeEvents: boolean;
+  readonly wholeEventsOnly: boolean;
   /** So many bytes go out to the caller. */
   readonly onBytes: (count: number) => void;
 }
@@ -15,18 +15,18 @@
  * runs of a resumable stream. A caller that reads slowly holds the endpoint
  * back, so that no answer piles up in the entry's memory.
  */
-export class AnswerRelay {
+export class ResponseRelay {
   readonly #sink: CallerSink;
-  readonly #wholeEvents: boolean;
+  readonly #wholeEventsOnly: boolean;
   readonly #onBytes: (count: number) => void;
   #splitter = new EventSplitter();
   #headSent = false;
   #lastEventId: string | undefined;
   #current: EndpointAnswer | undefined;
 
-  constructor(options: AnswerRelayOptions) {
+  constructor(options: ResponseRelayOptions) {
     this.#sink = options.sink;
-    this.#wholeEvents = options.wholeEvents;
+    this.#wholeEventsOnly = options.wholeEventsOnly;
     this.#onBytes = options.onBytes;
     options.sink.onDrain(() => this.#current?.resume());
   }
@@ -41,38 +41,38 @@
   }
 
   /** Settles when the answer's body has ended. */
-  pass(answer: EndpointAnswer, attempt: Attempt): Promise<BodyEnd> {
-    const { head } = answer;
+  pipe(response: EndpointAnswer, attempt: Attempt): Promise<BodyEnd> {
+    const { head } = response;
     // A further run goes on under the head of the first one.
     if (!this.#headSent) this.#sink.head(head.status, head.headers);
     this.#headSent = true;
-    this.#current = answer;
+    this.#current = response;
     this.#splitter = new EventSplitter();
     return new Promise((resolve) => {
-      answer.read((piece) => this.#take(piece), (end) => {
-        if (end === "whole") this.#passRest();
+      response.read((chunk) => this.#writeChunk(chunk), (end) => {
+        if (end === "whole") this.#flushPending();
         this.#current = undefined;
-        attempt.ended(end, head.status);
+        attempt.onEnd(end, head.status);
         resolve(end);
       });
     });
   }
 
-  #take(piece: Buffer): void {
-    if (!this.#wholeEvents) return this.#write(piece);
-    const whole = this.#splitter.push(piece);
-    if (whole === undefined) return;
-    this.#lastEventId = whole.lastEventId ?? this.#lastEventId;
-    this.#write(whole.bytes);
+  #writeChunk(chunk: Buffer): void {
+    if (!this.#wholeEventsOnly) return this.#write(chunk);
+    const events = this.#splitter.push(chunk);
+    if (events === undefined) return;
+    this.#lastEventId = events.lastEventId ?? this.#lastEventId;
+    this.#write(events.bytes);
   }
 
-  #passRest(): void {
-    const rest = this.#splitter.pending;
-    if (rest.length > 0) this.#write(rest);
+  #flushPending(): void {
+    const pending = this.#splitter.pending;
+    if (pending.length > 0) this.#write(pending);
   }
 
-  #write(piece: Buffer): void {
-    this.#onBytes(piece.length);
-    if (!this.#sink.write(piece)) this.#current?.pause();
+  #write(chunk: Buffer): void {
+    this.#onBytes(chunk.length);
+    if (!this.#sink.write(chunk)) this.#current?.pause();
   }
 }
--- a/src/entry/forwarding/role_keeper.ts
+++ b/src/entry/forwarding/role_controller.ts
@@ -19,23 +19,23 @@
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 
 /** How often the roles are looked at. */
-const LOOK_MILLISECONDS = 500;
+const CHECK_INTERVAL_MILLISECONDS = 500;
 /**
  * Jitter of the checks: entries that see the same need in the same second would
  * all claim, and all claims but one are void.
  */
-const LOOK_JITTER_SHARE = 1;
+const CHECK_JITTER_SHARE = 1;
 /**
  * How long the engines must not have changed before roles are first planned:
  * at a start they register one after another within about a heartbeat.
  */
-const FIRST_SETTLED_MILLISECONDS = 2_000;
+const INITIAL_SETTLE_MILLISECONDS = 2_000;
 /** The same later on: an engine that crashes is back with its role by then. */
-const SETTLED_MILLISECONDS = 7_000;
+const SETTLE_MILLISECONDS = 7_000;
 /** How often what the engines have to do is counted. */
-const DEMAND_MILLISECONDS = 250;
+const DEMAND_SAMPLE_MILLISECONDS = 250;
 /** A change that has not shown by then has failed and is planned anew. */
-const CHANGE_MILLISECONDS = 12_000;
+const CHANGE_TIMEOUT_MILLISECONDS = 12_000;
 
 /**
  * What became of an order. `refused`: an engine has seen a higher number.
@@ -66,7 +66,7 @@
   ): Promise<OrderOutcome>;
 }
 
-export interface RoleKeeperOptions {
+export interface RoleControllerOptions {
   readonly self: string;
   readonly timer: TimerService;
   readonly random: Random;
@@ -78,40 +78,40 @@
   /** Pools of the configuration in force. */
   readonly pools: () => Iterable<Pool>;
   /** Tells peers which engines are about to change. */
-  readonly tellPeers: (changes: RoleOrders) => void;
+  readonly broadcastOrders: (changes: RoleOrders) => void;
 }
 
 /** Brings engines into the roles that the work needs, one holder at a time. */
-export class RoleKeeper {
-  readonly #options: RoleKeeperOptions;
+export class RoleController {
+  readonly #options: RoleControllerOptions;
   readonly #claim: ExclusiveClaim;
   readonly #changing = new Map<EndpointId, "prefill" | "decode">();
-  readonly #changeDue = new Map<EndpointId, number>();
+  readonly #changeDeadlines = new Map<EndpointId, number>();
   readonly #demands = new Map<ServiceName, RoleDemand>();
-  #settledSince = 0;
+  #lastChangeAt = 0;
   #hasPlanned = false;
-  #counting: Subscription | undefined;
-  #next: Subscription | undefined;
+  #sampling: Subscription | undefined;
+  #nextCheck: Subscription | undefined;
   #stopped = false;
 
-  constructor(options: RoleKeeperOptions) {
+  constructor(options: RoleControllerOptions) {
     this.#options = options;
     this.#claim = new ExclusiveClaim(options);
-    this.#settledSince = options.timer.now();
+    this.#lastChangeAt = options.timer.now();
   }
 
   start(): void {
-    this.#counting = this.#options.timer.every(
-      DEMAND_MILLISECONDS,
-      () => this.#countWork(),
+    this.#sampling = this.#options.timer.every(
+      DEMAND_SAMPLE_MILLISECONDS,
+      () => this.#sampleDemand(),
     );
-    this.#plan();
+    this.#scheduleCheck();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#next?.cancel();
-    this.#counting?.cancel();
+    this.#nextCheck?.cancel();
+    this.#sampling?.cancel();
   }
 
   /** True from the order until the engine shows its new role. */
@@ -120,65 +120,67 @@
   }
 
   /** A peer has given orders: the engines take no new work for a while. */
-  peerOrdered(orders: RoleOrders): void {
-    for (const [endpoint, role] of orders) this.#ordered(endpoint, role);
+  onPeerOrders(orders: RoleOrders): void {
+    for (const [endpoint, role] of orders) this.#noteOrder(endpoint, role);
   }
 
   /** An engine has come, gone or changed. */
-  engineChanged(endpoint: RegisteredEndpoint): void {
+  onEngineChange(endpoint: RegisteredEndpoint): void {
     if (endpoint.role === undefined) return;
-    this.#settledSince = this.#options.timer.now();
+    this.#lastChangeAt = this.#options.timer.now();
     const isDone = this.#changing.get(endpoint.id) === endpoint.role;
     if (isDone || endpoint.leaving) this.forget(endpoint);
   }
 
-  #plan(): void {
+  #scheduleCheck(): void {
     const { random, timer } = this.#options;
-    const wait = withJitter(LOOK_MILLISECONDS, {
+    const delay = withJitter(CHECK_INTERVAL_MILLISECONDS, {
       random,
-      share: LOOK_JITTER_SHARE,
+      share: CHECK_JITTER_SHARE,
     });
-    this.#next = timer.after(wait, () => void this.#look());
+    this.#nextCheck = timer.after(delay, () => void this.#check());
   }
 
-  async #look(): Promise<void> {
-    this.#dropOverdue();
-    const settledFor = this.#options.timer.now() - this.#settledSince;
+  async #check(): Promise<void> {
+    this.#expireChanges();
+    const settledFor = this.#options.timer.now() - this.#lastChangeAt;
     const isSettled = settledFor >=
-      (this.#hasPlanned ? SETTLED_MILLISECONDS : FIRST_SETTLED_MILLISECONDS);
+      (this.#hasPlanned ? SETTLE_MILLISECONDS : INITIAL_SETTLE_MILLISECONDS);
     // What callers ask for does not come back by itself, as a crashed engine.
-    const mayFollowDemand = settledFor >= FIRST_SETTLED_MILLISECONDS;
+    const mayFollowDemand = settledFor >= INITIAL_SETTLE_MILLISECONDS;
     const changes = isSettled
-      ? this.#wanted()
+      ? this.#plannedChanges()
       : mayFollowDemand
-      ? this.#wantedForAnswers()
+      ? this.#plannedDecodeChanges()
       : [];
     // Engines that fit already were planned for as well: from then on a
     // change is the exception.
     if (isSettled && this.#options.registry.size > 0) this.#hasPlanned = true;
-    if (changes.length > 0) await this.#carryOut(changes);
-    if (!this.#stopped) this.#plan();
+    if (changes.length > 0) await this.#issueOrders(changes);
+    if (!this.#stopped) this.#scheduleCheck();
   }
 
-  #wanted(): RoleChange[] {
-    return [...this.#options.pools()].flatMap((pool) => this.#wantedIn(pool));
+  #plannedChanges(): RoleChange[] {
+    return [...this.#options.pools()].flatMap((pool) =>
+      this.#plannedChangesIn(pool)
+    );
   }
 
   /**
    * Engines for answers where callers ask for more than a pool starts with. The
    * loss of an engine alone changes nothing so soon.
    */
-  #wantedForAnswers(): RoleChange[] {
+  #plannedDecodeChanges(): RoleChange[] {
     return [...this.#options.pools()]
       .filter(({ name }) => {
         const engines = this.#options.registry.inPool(name);
-        return this.#shareIn(name, engines) < prefillShareOf(engines);
+        return this.#prefillShareIn(name, engines) < prefillShareOf(engines);
       })
-      .flatMap((pool) => this.#wantedIn(pool))
+      .flatMap((pool) => this.#plannedChangesIn(pool))
       .filter(({ role }) => role === "decode");
   }
 
-  #wantedIn({ engine, name }: Pool): RoleChange[] {
+  #plannedChangesIn({ engine, name }: Pool): RoleChange[] {
     if (engine === undefined) return [];
     const { load, registry } = this.#options;
     const engines = registry.inPool(name);
@@ -186,36 +188,36 @@
       engines,
       openRequests: (endpoint) => load.total(endpoint).requests,
       changing: this.#changing,
-      prefillShare: this.#shareIn(name, engines),
+      prefillShare: this.#prefillShareIn(name, engines),
     });
   }
 
-  #shareIn(
+  #prefillShareIn(
     pool: ServiceName,
     engines: readonly RegisteredEndpoint[],
   ): number {
     return prefillShareFor(engines, this.#demands.get(pool)?.usual);
   }
 
-  #countWork(): void {
+  #sampleDemand(): void {
     const { load, pools, registry, timer } = this.#options;
     for (const { engine, name } of pools()) {
       if (engine === undefined) continue;
       const demand = this.#demands.get(name) ?? new RoleDemand(timer);
       this.#demands.set(name, demand);
       let answers = 0;
-      let busyReaders = 0;
+      let busyPrefillEngines = 0;
       for (const { id, role } of registry.inPool(name)) {
         const { requests } = load.total(id);
         if (role !== "prefill") answers += requests;
-        else if (requests > 0) busyReaders += 1;
+        else if (requests > 0) busyPrefillEngines += 1;
       }
-      demand.note({ answers, busyReaders });
+      demand.note({ answers, busyReaders: busyPrefillEngines });
     }
   }
 
-  async #carryOut(changes: readonly RoleChange[]): Promise<void> {
-    if (!await this.#takeClaim()) return;
+  async #issueOrders(changes: readonly RoleChange[]): Promise<void> {
+    if (!await this.#acquireClaim()) return;
     const { link, logger, self } = this.#options;
     for (const change of changes) {
       const fencing = this.#claim.fencing;
@@ -232,21 +234,21 @@
       }, "An engine was told to change its role");
       if (outcome === "refused") return this.#claim.refused();
       if (outcome === "busy") continue;
-      this.#ordered(id, change.role);
-      this.#options.tellPeers([[id, change.role]]);
+      this.#noteOrder(id, change.role);
+      this.#options.broadcastOrders([[id, change.role]]);
     }
   }
 
-  #ordered(id: EndpointId, role: "prefill" | "decode"): void {
+  #noteOrder(id: EndpointId, role: "prefill" | "decode"): void {
     this.#changing.set(id, role);
-    this.#changeDue.set(
+    this.#changeDeadlines.set(
       id,
-      this.#options.timer.now() + CHANGE_MILLISECONDS,
+      this.#options.timer.now() + CHANGE_TIMEOUT_MILLISECONDS,
     );
   }
 
   /** A claim of its own for this round; false where it can't be had now. */
-  async #takeClaim(): Promise<boolean> {
+  async #acquireClaim(): Promise<boolean> {
     const { link, logger, self, timer } = this.#options;
     const read = await link.readClaim();
     if (read.isErr()) return false;
@@ -262,9 +264,9 @@
     return true;
   }
 
-  #dropOverdue(): void {
+  #expireChanges(): void {
     const now = this.#options.timer.now();
-    for (const [id, due] of this.#changeDue) {
+    for (const [id, due] of this.#changeDeadlines) {
       if (now >= due) this.forget({ id });
     }
   }
@@ -272,6 +274,6 @@
   /** No change is under way at the engine any more. */
   forget({ id }: { readonly id: EndpointId }): void {
     this.#changing.delete(id);
-    this.#changeDue.delete(id);
+    this.#changeDeadlines.delete(id);
   }
 }
--- a/src/entry/forwarding/role_keeper_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -20,7 +20,7 @@
 import { SILENT_LOGGER } from "../../core/observation/mod.ts";
 import { seededRandom } from "../../core/random/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
-import { type OrderOutcome, RoleKeeper } from "./role_keeper.ts";
+import { type OrderOutcome, RoleController } from "./role_controller.ts";
 
 const UNAVAILABLE: StoreFailure = {
   name: "store_unavailable",
@@ -67,7 +67,7 @@
 describe("RoleKeeper", () => {
   let timer: ManualTimerService;
   let platform: Platform;
-  let keepers: RoleKeeper[];
+  let keepers: RoleController[];
   let registries: EndpointRegistry[];
 
   function startKeepers(count: number, tellsPeers = true): void {
@@ -79,7 +79,7 @@
         const role = engine < 5 ? "prefill" : "decode";
         registry.put(makeEngine(`engine-${engine}`, role));
       }
-      return new RoleKeeper({
+      return new RoleController({
         self: `entry-${index}`,
         timer,
         random: seededRandom(index + 1),
@@ -89,9 +89,9 @@
         logger: SILENT_LOGGER,
         leaseMilliseconds: 3_000,
         pools: () => [ENGINE_POOL],
-        tellPeers: (orders) => {
+        broadcastOrders: (orders) => {
           if (!tellsPeers) return;
-          for (const keeper of keepers) keeper.peerOrdered(orders);
+          for (const keeper of keepers) keeper.onPeerOrders(orders);
         },
       });
     });
@@ -162,7 +162,7 @@
     for (const lost of ["engine-8", "engine-9"]) {
       const engine = makeEngine(lost, "decode", { leaving: true });
       registries[0].put(engine);
-      keepers[0].engineChanged(engine);
+      keepers[0].onEngineChange(engine);
     }
     await advance(5_000);
     expect(platform.orders).to.have.length(before);
@@ -178,7 +178,7 @@
       });
       registries[0].put(engine);
       keepers[0].forget(engine);
-      keepers[0].engineChanged(engine);
+      keepers[0].onEngineChange(engine);
     }
 
     // The order went to the former run and ended with it. Taken for under way,
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -30,21 +30,21 @@
 } from "./usage_notification.ts";
 
 /** Entries that keep the whole fleet's counts, so that one may be lost. */
-const KEEPERS = 3;
+const COLLECTOR_COUNT = 3;
 /** How often counts that have changed go to the keepers. */
-const COPY_MILLISECONDS = 200;
+const COPY_INTERVAL_MILLISECONDS = 200;
 /** How often all counts that are not reported yet go to them once more. */
-const WHOLE_COPY_MILLISECONDS = 1_000;
+const FULL_COPY_INTERVAL_MILLISECONDS = 1_000;
 /** How often a keeper checks for windows that are due. */
-const LOOK_MILLISECONDS = 250;
+const CHECK_INTERVAL_MILLISECONDS = 250;
 /** Time behind a window's end until requests that began in it are counted. */
-const COUNTED_MILLISECONDS = 1_200;
+const COUNT_SETTLE_MILLISECONDS = 1_200;
 /** How long behind a window's end entries are waited for that are silent. */
-const SILENT_ENTRY_MILLISECONDS = 5_000;
+const SILENT_ENTRY_TIMEOUT_MILLISECONDS = 5_000;
 /** How much later each further keeper takes a window up. */
-const NEXT_KEEPER_MILLISECONDS = 1_500;
+const COLLECTOR_STAGGER_MILLISECONDS = 1_500;
 /** Time between two tries to report. */
-const RETRY_MILLISECONDS = 1_000;
+const RETRY_INTERVAL_MILLISECONDS = 1_000;
 
 /**
  * What became of a report. `refused`: a higher fencing token was seen.
@@ -106,17 +106,17 @@
   readonly #claim: ExclusiveClaim;
   readonly #since: number;
   /** The last run of each entry that has sent its counts. */
-  readonly #runs = new Map<ProcessId, string>();
+  readonly #runIds = new Map<ProcessId, string>();
   /**
    * Reports that claims have fixed. The store may lose a claim when it is
    * restored from a copy; the receiver has the counts nevertheless.
    */
-  readonly #fixed = new Map<UsageWindow, WorkspaceCounts>();
+  readonly #fixedReports = new Map<UsageWindow, WorkspaceCounts>();
   readonly #subscriptions: Subscription[] = [];
   /** The newest window that is reported or given up. */
   #closedThrough: number;
   #acceptedThrough = -Infinity;
-  #copiedWholeAt = -Infinity;
+  #lastFullCopyAt = -Infinity;
   #retryAt = -Infinity;
   #isReporting = false;
 
@@ -128,15 +128,15 @@
     // Nothing ran earlier in the window in which the fleet first starts.
     this.#since = isFirstStart ? now - now % windowMilliseconds : now;
     this.#ledger = new UsageLedger({
-      self: this.#run,
+      self: this.#runId,
       windowMilliseconds,
       since: this.#since,
     });
-    this.#claim = new ExclusiveClaim({ ...options, self: this.#run });
-    const oldest = isFirstStart
+    this.#claim = new ExclusiveClaim({ ...options, self: this.#runId });
+    const oldestOpenWindow = isFirstStart
       ? Math.floor(now / windowMilliseconds)
       : this.#oldest;
-    this.#closedThrough = oldest - 1;
+    this.#closedThrough = oldestOpenWindow - 1;
   }
 
   /** Fencing token of the reports that this entry sends; absent: another's. */
@@ -147,8 +147,8 @@
   start(): void {
     const { timer } = this.#options;
     this.#subscriptions.push(
-      timer.every(COPY_MILLISECONDS, () => this.#copyCounts()),
-      timer.every(LOOK_MILLISECONDS, () => void this.#look()),
+      timer.every(COPY_INTERVAL_MILLISECONDS, () => this.#copyCounts()),
+      timer.every(CHECK_INTERVAL_MILLISECONDS, () => void this.#check()),
     );
   }
 
@@ -167,14 +167,14 @@
   /** Takes a peer's notification; anything malformed is dropped. */
   take(method: string, params: unknown): void {
     if (method === USAGE_METHOD && isUsageNotification(params)) {
-      this.#takeCounts(params);
+      this.#onCounts(params);
     }
     if (method === USAGE_REPORTS_METHOD && isReportsNotification(params)) {
-      this.#takeReports(params);
+      this.#onReports(params);
     }
   }
 
-  get #run(): string {
+  get #runId(): string {
     return `${this.#options.self}#${this.#options.incarnation}`;
   }
 
@@ -189,40 +189,42 @@
     return (window + 1) * this.#options.windowMilliseconds;
   }
 
-  #takeCounts(counts: UsageNotification): void {
-    this.#runs.set(identifier(counts.entry), runOf(counts));
-    this.#ledger.peerCounted(runOf(counts), counts);
+  #onCounts(counts: UsageNotification): void {
+    this.#runIds.set(identifier(counts.entry), runIdOf(counts));
+    this.#ledger.peerCounted(runIdOf(counts), counts);
   }
 
-  #takeReports(
+  #onReports(
     { acceptedThrough, claim, fixed }: ReportsNotification,
   ): void {
     this.#claim.saw(claim);
     for (const [window, counts] of fixed ?? []) {
-      this.#fixed.set(numbered(window), decodeCounts(counts));
+      this.#fixedReports.set(numbered(window), decodeCounts(counts));
     }
-    if (acceptedThrough !== undefined) this.#accepted(acceptedThrough);
+    if (acceptedThrough !== undefined) this.#noteAccepted(acceptedThrough);
   }
 
-  #forgetOverdue(): void {
-    for (const window of this.#fixed.keys()) {
-      if (window < this.#oldest) this.#fixed.delete(window);
+  #dropOverdueReports(): void {
+    for (const window of this.#fixedReports.keys()) {
+      if (window < this.#oldest) this.#fixedReports.delete(window);
     }
   }
 
-  #accepted(window: number): void {
+  #noteAccepted(window: number): void {
     this.#acceptedThrough = Math.max(this.#acceptedThrough, window);
     this.#closedThrough = Math.max(this.#closedThrough, window);
   }
 
   /** Copies this entry's counts to the keepers. */
   #copyCounts(): void {
-    const { incarnation, ranking, self, send, timer } = this.#options;
+    const { incarnation, ranking, self, send: sendReport, timer } =
+      this.#options;
     const now = timer.now();
-    const all = now - this.#copiedWholeAt >= WHOLE_COPY_MILLISECONDS;
-    if (!all && !this.#ledger.hasUnsent) return;
-    if (all) {
-      this.#copiedWholeAt = now;
+    const isFull =
+      now - this.#lastFullCopyAt >= FULL_COPY_INTERVAL_MILLISECONDS;
+    if (!isFull && !this.#ledger.hasUnsent) return;
+    if (isFull) {
+      this.#lastFullCopyAt = now;
       this.#ledger.forgetBefore(
         numbered(Math.max(this.#oldest, this.#closedThrough + 1)),
       );
@@ -231,25 +233,27 @@
       entry: self,
       incarnation,
       since: this.#since,
-      until: all ? this.clock.now() : 0,
-      usage: this.#ledger.takeOwn({ all }),
+      until: isFull ? this.clock.now() : 0,
+      usage: this.#ledger.takeOwn({ all: isFull }),
     };
-    for (const keeper of ranking().slice(0, KEEPERS)) {
-      if (keeper !== self) send(keeper, { method: USAGE_METHOD, params });
+    for (const collector of ranking().slice(0, COLLECTOR_COUNT)) {
+      if (collector !== self) {
+        sendReport(collector, { method: USAGE_METHOD, params });
+      }
     }
   }
 
-  async #look(): Promise<void> {
+  async #check(): Promise<void> {
     if (this.#isReporting) return;
-    this.#forgetOverdue();
+    this.#dropOverdueReports();
     this.#giveUpOverdue();
     const due = this.#dueWindows();
     if (due.length === 0 || !this.#isOwnTurn(due[0])) return;
     const now = this.#options.timer.now();
     if (now < this.#retryAt) return;
-    this.#retryAt = now + RETRY_MILLISECONDS;
+    this.#retryAt = now + RETRY_INTERVAL_MILLISECONDS;
     this.#isReporting = true;
-    await this.#report(due);
+    await this.#sendReports(due);
     this.#isReporting = false;
   }
 
@@ -271,7 +275,7 @@
 
   #dueWindows(): UsageWindow[] {
     const { windowMilliseconds } = this.#options;
-    const time = this.clock.now() - COUNTED_MILLISECONDS;
+    const time = this.clock.now() - COUNT_SETTLE_MILLISECONDS;
     const running = Math.floor(time / windowMilliseconds);
     const due: UsageWindow[] = [];
     for (let window = this.#closedThrough + 1; window < running; window++) {
@@ -282,35 +286,39 @@
 
   #isOwnTurn(window: UsageWindow): boolean {
     const { ranking, self } = this.#options;
-    const place = ranking().indexOf(self);
-    if (place < 0 || place >= KEEPERS) return false;
+    const position = ranking().indexOf(self);
+    if (position < 0 || position >= COLLECTOR_COUNT) return false;
     // A keeper that started later knows nothing of entries that are gone.
     const hasCounted = this.#ledger.isCountedBySelf(window);
-    const rank = hasCounted ? place : KEEPERS;
-    if (rank === 0 && this.#isWhole(window)) return true;
-    const wait = SILENT_ENTRY_MILLISECONDS + NEXT_KEEPER_MILLISECONDS * rank;
+    const rank = hasCounted ? position : COLLECTOR_COUNT;
+    if (rank === 0 && this.#isComplete(window)) return true;
+    const wait = SILENT_ENTRY_TIMEOUT_MILLISECONDS +
+      COLLECTOR_STAGGER_MILLISECONDS * rank;
     return this.clock.now() >= this.#endOf(window) + wait;
   }
 
   /** True where every entry that ran in the window has sent all its counts. */
-  #isWhole(window: UsageWindow): boolean {
+  #isComplete(window: UsageWindow): boolean {
     const { listed, windowMilliseconds } = this.#options;
     const end = this.#endOf(window);
     for (const entry of listed()) {
-      const run = this.#runs.get(entry);
+      const run = this.#runIds.get(entry);
       if (run === undefined) continue;
-      const isOver = !this.#ledger.isKnownUntil(run, end - windowMilliseconds);
-      const isComplete = this.#ledger.isKnownUntil(
+      const hasEnded = !this.#ledger.isKnownUntil(
         run,
-        end + COUNTED_MILLISECONDS,
+        end - windowMilliseconds,
       );
-      if (!isOver && !isComplete) return false;
+      const hasAllCounts = this.#ledger.isKnownUntil(
+        run,
+        end + COUNT_SETTLE_MILLISECONDS,
+      );
+      if (!hasEnded && !hasAllCounts) return false;
     }
     return true;
   }
 
-  async #report(due: readonly UsageWindow[]): Promise<void> {
-    const reports = await this.#takeClaim(due);
+  async #sendReports(due: readonly UsageWindow[]): Promise<void> {
+    const reports = await this.#acquireClaim(due);
     for (const report of reports ?? []) {
       if (report.accepted) continue;
       if (!await this.#send(report)) return;
@@ -318,7 +326,7 @@
   }
 
   /** Claims the duty and fixes what is reported; undefined: not now. */
-  async #takeClaim(
+  async #acquireClaim(
     due: readonly UsageWindow[],
   ): Promise<readonly UsageReport[] | undefined> {
     const { link, logger, timer } = this.#options;
@@ -333,7 +341,7 @@
     if (!this.#claim.mayClaim()) return undefined;
     const reports = nextReports({
       ledger: this.#ledger,
-      fixed: this.#fixedWith(claim?.reports ?? []),
+      fixed: this.#mergeFixedReports(claim?.reports ?? []),
       due,
       oldest: this.#oldest,
       isAccepted: (window) => window <= this.#acceptedThrough,
@@ -344,7 +352,7 @@
     }
     const sentAt = timer.now();
     const appended = await link.appendClaim(
-      { holder: this.#run, reports },
+      { holder: this.#runId, reports },
       end,
     );
     // A lost answer may hide a claim that stands; the next try reads it.
@@ -355,8 +363,10 @@
       return undefined;
     }
     this.#claim.gained(offset, sentAt);
-    for (const { counts, window } of reports) this.#fixed.set(window, counts);
-    this.#announceReports({ holder: this.#run, offset }, reports);
+    for (const { counts, window } of reports) {
+      this.#fixedReports.set(window, counts);
+    }
+    this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
     logger.info({ fencing: offset, windows }, "This entry reports usage now");
     return reports;
@@ -377,18 +387,18 @@
     );
     if (outcome === "refused") this.#claim.refused();
     if (outcome !== "accepted") return false;
-    this.#accepted(window);
-    this.#announceReports({ holder: this.#run, offset: fencing });
+    this.#noteAccepted(window);
+    this.#announceReports({ holder: this.#runId, offset: fencing });
     return true;
   }
 
   /** The reports of the newest claim, and those that the store has lost. */
-  #fixedWith(standing: readonly UsageReport[]): UsageReport[] {
-    const known = new Set(standing.map(({ window }) => window));
-    const lost = [...this.#fixed]
+  #mergeFixedReports(claimed: readonly UsageReport[]): UsageReport[] {
+    const known = new Set(claimed.map(({ window }) => window));
+    const lost = [...this.#fixedReports]
       .filter(([window]) => !known.has(window))
       .map(([window, counts]) => ({ window, counts, accepted: false }));
-    return [...standing, ...lost].sort((one, other) =>
+    return [...claimed, ...lost].sort((one, other) =>
       one.window - other.window
     );
   }
@@ -419,7 +429,7 @@
   ]));
 }
 
-function runOf(
+function runIdOf(
   { entry, incarnation }: Pick<UsageNotification, "entry" | "incarnation">,
 ): string {
   return `${entry}#${incarnation}`;
--- a/src/entry/forwarding/wait_for_choice.ts
+++ b/src/entry/forwarding/wait_for_choice.ts
@@ -1,30 +1,30 @@
 import type { ForwardContext } from "./forward_context.ts";
 
 /** How often a request that waits for an engine looks for one. */
-const LOOK_AGAIN_MILLISECONDS = 25;
+const POLL_INTERVAL_MILLISECONDS = 25;
 /**
  * Share of its time that a request has left when it is refused because no
  * engine is back. Later, the caller would leave unanswered.
  */
-const REFUSED_WITH_SHARE_LEFT = 0.15;
+const MIN_REMAINING_SHARE = 0.15;
 
 /**
  * Checks for an engine with room after which one is taken as it is. Otherwise
  * newer requests, which ask for no room, overtake what has waited.
  */
-const MOST_LOOKS_FOR_ROOM = 8;
+const MAX_CAPACITY_CHECKS = 8;
 
 /** Chooses an engine that has room, for a while, and then any. */
-export function pacedByRoom<Choice>(
+export function preferCapacity<Choice>(
   choose: (options: { readonly withRoom: boolean }) => Choice | undefined,
 ): () => Choice | undefined {
-  let looks = 0;
+  let fullChecks = 0;
   return () => {
-    const roomy = choose({ withRoom: true });
-    if (roomy !== undefined) return roomy;
+    const withCapacity = choose({ withRoom: true });
+    if (withCapacity !== undefined) return withCapacity;
     const any = choose({ withRoom: false });
-    if (any !== undefined) looks += 1;
-    return looks > MOST_LOOKS_FOR_ROOM ? any : undefined;
+    if (any !== undefined) fullChecks += 1;
+    return fullChecks > MAX_CAPACITY_CHECKS ? any : undefined;
   };
 }
 
@@ -40,7 +40,7 @@
   let choice: Choice | undefined;
   while (choice === undefined && mayStillWait(context)) {
     await new Promise<void>((resolve) => {
-      timer.after(LOOK_AGAIN_MILLISECONDS, resolve);
+      timer.after(POLL_INTERVAL_MILLISECONDS, resolve);
     });
     if (context.settled) return undefined;
     choice = choose();
@@ -53,11 +53,15 @@
   context: ForwardContext,
   milliseconds = 0,
 ): boolean {
-  const { allowedMilliseconds, leftToFirstByte, route } = context;
-  const whole = Math.min(
+  const {
+    allowedMilliseconds,
+    remainingToFirstByteMilliseconds: leftToFirstByte,
+    route,
+  } = context;
+  const totalMilliseconds = Math.min(
     allowedMilliseconds,
     route.patienceMilliseconds ?? Infinity,
   );
-  const left = leftToFirstByte - milliseconds;
-  return left > REFUSED_WITH_SHARE_LEFT * whole;
+  const remainingMilliseconds = leftToFirstByte - milliseconds;
+  return remainingMilliseconds > MIN_REMAINING_SHARE * totalMilliseconds;
 }
--- a/src/entry/forwarding/work_notification.ts
+++ b/src/entry/forwarding/work_notification.ts
@@ -14,7 +14,7 @@
   identifier,
   type ReplicaStart,
 } from "../../core/identity/mod.ts";
-import type { ToldPrompt } from "./told_prompt.ts";
+import type { EncodedPrompt } from "./prompt_encoding.ts";
 
 /** Notification that carries an entry's open work. */
 export const WORK_METHOD = "entry.work";
@@ -22,11 +22,11 @@
 /** What an entry tells its peers. */
 export interface WorkNotification extends Omit<PeerWork, "work"> {
   readonly entry: string;
-  readonly work: readonly ToldWork[];
+  readonly work: readonly WorkRowWithRun[];
   /** Version of the configuration in force there; absent while there is none. */
   readonly version?: number;
   /** Prompts read since the last report; a lost one costs a part read twice. */
-  readonly prompts: readonly ToldPrompt[];
+  readonly prompts: readonly EncodedPrompt[];
   /** What was learned of engines; comes with whole reports. */
   readonly speeds?: readonly ToldSpeed[];
   /** Prompts refused since the last report; their callers may come to others. */
@@ -41,17 +41,17 @@
  * Work as it goes to peers: with the start of each endpoint's run, where it
  * tells one. A replica that starts again under its id has none of it.
  */
-export type ToldWork = readonly [
+export type WorkRowWithRun = readonly [
   ...WorkReport[number],
   startedAt?: ReplicaStart,
 ];
-const LEAST_WORK_VALUES = 4;
+const MIN_WORK_VALUES = 4;
 
 /** Adds to work at endpoints which run of each it stands at. */
-export function workWithRuns(
+export function withRuns(
   registry: EndpointRegistry,
   report: WorkReport,
-): ToldWork[] {
+): WorkRowWithRun[] {
   return report.map((work) => {
     const startedAt = registry.get(identifier<EndpointId>(work[0]))?.startedAt;
     return startedAt === undefined ? work : [...work, startedAt];
@@ -59,11 +59,11 @@
 }
 
 /** A peer's work at endpoints that it knows in the same run as this entry. */
-export function workHere(
+export function workOfSameRuns(
   registry: EndpointRegistry,
-  told: readonly ToldWork[],
+  rows: readonly WorkRowWithRun[],
 ): WorkReport {
-  return told
+  return rows
     .filter(([endpoint, , , , startedAt]) =>
       registry.isSameRun({ id: identifier<EndpointId>(endpoint), startedAt })
     )
@@ -97,21 +97,21 @@
     typeof incarnation === "string" &&
     typeof sequence === "number" &&
     Array.isArray(prompts) &&
-    Array.isArray(refusals) && refusals.every(isToldRefusal) &&
-    isToldWork(work);
+    Array.isArray(refusals) && refusals.every(isRefusalRow) &&
+    isWorkRows(work);
 }
 
 /** True where the value is a list of work at endpoints. */
-export function isToldWork(value: unknown): value is readonly ToldWork[] {
+export function isWorkRows(value: unknown): value is readonly WorkRowWithRun[] {
   return Array.isArray(value) &&
     value.every((each) =>
-      Array.isArray(each) && each.length >= LEAST_WORK_VALUES &&
+      Array.isArray(each) && each.length >= MIN_WORK_VALUES &&
       typeof each[0] === "string" &&
-      each.slice(1, LEAST_WORK_VALUES).every(Number.isFinite)
+      each.slice(1, MIN_WORK_VALUES).every(Number.isFinite)
     );
 }
 
-function isToldRefusal(value: unknown): value is ToldRefusal {
+function isRefusalRow(value: unknown): value is ToldRefusal {
   return Array.isArray(value) && typeof value[0] === "string" &&
     typeof value[1] === "number";
 }
