--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -57,9 +57,9 @@
       address: endpoint.address,
     });
     this.#abort = () => exchange.abort();
-    this.answer = exchange.answer.then((response) => {
-      this.#onHead(response);
-      return response;
+    this.answer = exchange.answer.then((result) => {
+      this.#onHead(result);
+      return result;
     });
   }
 
@@ -92,18 +92,18 @@
     return this.#parts.registry.isSameRun(this.endpoint);
   }
 
-  #onHead(response: Result<EndpointAnswer, ExchangeFailure>): void {
+  #onHead(result: Result<EndpointAnswer, ExchangeFailure>): void {
     if (this.#closed) return;
-    this.#recordCrashSignals(response);
-    if (response.isOk() && response.value.head.leaving) this.#reportLeaving();
-    if (this.#isSameRun) this.#recordOutcome(response);
-    if (response.isErr() || response.value.head.notRun) this.#close();
+    this.#recordCrashSignals(result);
+    if (result.isOk() && result.value.head.leaving) this.#reportLeaving();
+    if (this.#isSameRun) this.#recordOutcome(result);
+    if (result.isErr() || result.value.head.notRun) this.#close();
   }
 
-  #recordCrashSignals(response: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordCrashSignals(result: Result<EndpointAnswer, ExchangeFailure>): void {
     const { crashes } = this.#parts;
-    if (response.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
-    const { name } = response.error;
+    if (result.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
+    const { name } = result.error;
     if (name === "exchange_lost") this.#recordLoss();
     if (name === "exchange_not_sent") crashes.refusedConnection(this.endpoint);
   }
@@ -130,17 +130,17 @@
     crashes.completed(this.#context.digest);
   }
 
-  #recordOutcome(response: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordOutcome(result: Result<EndpointAnswer, ExchangeFailure>): void {
     const { outcomes } = this.#parts;
     const { id } = this.endpoint;
-    if (response.isErr()) {
-      if (response.error.name !== "exchange_not_sent") {
+    if (result.isErr()) {
+      if (result.error.name !== "exchange_not_sent") {
         return outcomes.failed(id);
       }
       return outcomes.refusedConnection(id);
     }
     outcomes.heard(id);
-    const { notRun, retryAfterMilliseconds, status } = response.value.head;
+    const { notRun, retryAfterMilliseconds, status } = result.value.head;
     if (retryAfterMilliseconds !== undefined) {
       return this.#recordOverload(retryAfterMilliseconds);
     }
--- a/src/entry/forwarding/crashing_requests_test.ts
+++ b/src/entry/forwarding/crashing_requests_test.ts
@@ -19,14 +19,15 @@
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
 /** Retries that may still reach endpoints once a third one has crashed. */
-const MOST_RETRIES = 3;
+const MAX_RETRIES = 3;
 /** Time after the third crash from which they count. */
 const STABLE_MILLISECONDS = 3_000;
 const RETRY_MILLISECONDS = 700;
-const BESIDE_MILLISECONDS = 20;
+const OTHER_REQUEST_MILLISECONDS = 20;
 const CRASHING_BODY = Buffer.from("crashes what runs it");
 
-interface PlayOptions extends Pick<CrashingReplicasOptions, "keepsId"> {
+interface CrashScenarioOptions
+  extends Pick<CrashingReplicasOptions, "keepsId"> {
   readonly entries?: number;
   readonly lostShare?: number;
   readonly route?: Partial<Route>;
@@ -35,7 +36,7 @@
 }
 
 /** Entries before replicas; one caller's request crashes what runs it. */
-class CrashPlay {
+class CrashScenario {
   readonly fleet: EntryFleet;
   readonly replicas: CrashingReplicas;
   /** What the callers of all other requests got. */
@@ -43,7 +44,7 @@
   readonly #isPrompt: boolean;
   #count = 0;
 
-  constructor(options: PlayOptions = {}) {
+  constructor(options: CrashScenarioOptions = {}) {
     const { entries = 5, isPrompt = false, keepsId, lostShare } = options;
     this.#isPrompt = isPrompt;
     const pool = isPrompt ? ENGINES : PORTAL;
@@ -73,7 +74,7 @@
     const callers: RecordingSink[] = [];
     for (let time = 0; time < times; time++) {
       callers.push(this.#ask({ body: CRASHING_BODY }, "crashing"));
-      await this.#goOn(milliseconds);
+      await this.#sendOthers(milliseconds);
     }
     return callers;
   }
@@ -90,11 +91,11 @@
   }
 
   /** Lets other requests come for so long. */
-  async #goOn(milliseconds: number): Promise<void> {
-    for (let at = 0; at < milliseconds; at += BESIDE_MILLISECONDS) {
+  async #sendOthers(milliseconds: number): Promise<void> {
+    for (let at = 0; at < milliseconds; at += OTHER_REQUEST_MILLISECONDS) {
       const body = Buffer.from(`other ${this.#count}`);
       this.others.push(this.#ask({ body }, `own-${this.#count}`));
-      await this.fleet.timer.advance(BESIDE_MILLISECONDS);
+      await this.fleet.timer.advance(OTHER_REQUEST_MILLISECONDS);
     }
   }
 
@@ -123,16 +124,16 @@
   ];
 }
 
-function expectFewRetries({ replicas }: CrashPlay): void {
+function expectFewRetries({ replicas }: CrashScenario): void {
   expect(replicas.crashTimes.length).to.be.greaterThan(2);
   expect(replicas.retriesAfter(3, STABLE_MILLISECONDS))
-    .to.be.at.most(MOST_RETRIES);
+    .to.be.at.most(MAX_RETRIES);
 }
 
 describe("a request that crashes the endpoints that run it", function () {
   this.timeout(60_000);
 
-  const kinds: Readonly<Record<string, PlayOptions>> = {
+  const kinds: Readonly<Record<string, CrashScenarioOptions>> = {
     "that may be repeated": {},
     "that may run once": { route: { repeat: "once" } },
     "that is a resumable stream": {
@@ -144,26 +145,26 @@
   for (const [kind, options] of Object.entries(kinds)) {
     describe(kind, () => {
       it("is not sent on once it has crashed three", async () => {
-        const play = new CrashPlay(options);
-        await play.retry(30);
-        expectFewRetries(play);
+        const scenario = new CrashScenario(options);
+        await scenario.retry(30);
+        expectFewRetries(scenario);
       });
     });
   }
 
   describe("and callers beside it", () => {
     it("leaves them served while its endpoints crash", async () => {
-      const play = new CrashPlay();
-      await play.retry(30);
-      const reasons = play.others.map(({ refusal }) => refusal?.reason);
+      const scenario = new CrashScenario();
+      await scenario.retry(30);
+      const reasons = scenario.others.map(({ refusal }) => refusal?.reason);
       expect(reasons).not.to.include("crashes_endpoints");
-      const answered = play.others.filter(({ ended }) => ended === "whole");
-      expect(answered.length).to.be.greaterThan(0.95 * play.others.length);
+      const answered = scenario.others.filter(({ ended }) => ended === "whole");
+      expect(answered.length).to.be.greaterThan(0.95 * scenario.others.length);
     });
 
     it("is refused as not run, with the time until its block ends", async () => {
-      const play = new CrashPlay();
-      const callers = await play.retry(12);
+      const scenario = new CrashScenario();
+      const callers = await scenario.retry(12);
       const { refusal } = callers[11];
       expect(refusal).to.deep.include({
         status: 503,
@@ -175,14 +176,14 @@
 
   describe("that many callers ask for", () => {
     it("is not blocked where endpoints die together", async () => {
-      const play = new CrashPlay({ entries: 5 });
+      const scenario = new CrashScenario({ entries: 5 });
       const popular = { method: "GET", body: Buffer.alloc(0) };
-      const callers = play.askAtOnce(popular, 20);
-      await play.fleet.timer.advance(10);
-      for (const { id } of portals()) play.replicas.crash(id);
-      await play.fleet.timer.advance(3_000);
-      const next = play.askAtOnce(popular, 5);
-      await play.fleet.timer.advance(500);
+      const callers = scenario.askAtOnce(popular, 20);
+      await scenario.fleet.timer.advance(10);
+      for (const { id } of portals()) scenario.replicas.crash(id);
+      await scenario.fleet.timer.advance(3_000);
+      const next = scenario.askAtOnce(popular, 5);
+      await scenario.fleet.timer.advance(500);
       expect(callers.map(({ status }) => status)).not.to.include(undefined);
       expect(next.map(({ ended }) => ended)).to.deep.equal(
         Array(5).fill("whole"),
@@ -192,45 +193,45 @@
 
   describe("beside a request that many callers ask for", () => {
     it("does not have that one blocked at any entry", async () => {
-      const play = new CrashPlay({ entries: 5 });
+      const scenario = new CrashScenario({ entries: 5 });
       const popular = { method: "GET", body: Buffer.alloc(0) };
       // Each caller of it keeps to one entry; the last one hears of it only.
-      const asking = play.fleet.timer.every(10, () => {
-        for (const entry of [0, 1, 2, 3]) play.askAt(entry, popular);
+      const asking = scenario.fleet.timer.every(10, () => {
+        for (const entry of [0, 1, 2, 3]) scenario.askAt(entry, popular);
       });
-      await play.retry(20);
+      await scenario.retry(20);
       asking.cancel();
-      await play.fleet.timer.advance(3_000);
-      const caller = play.askAt(4, popular);
-      await play.fleet.timer.advance(200);
-      expectFewRetries(play);
+      await scenario.fleet.timer.advance(3_000);
+      const caller = scenario.askAt(4, popular);
+      await scenario.fleet.timer.advance(200);
+      expectFewRetries(scenario);
       expect(caller.ended).to.equal("whole");
     });
   });
 
   describe("in a large fleet", () => {
     it("is known to all entries, also where datagrams are lost", async () => {
-      const play = new CrashPlay({ entries: 68, lostShare: 0.1 });
-      await play.retry(30);
-      expectFewRetries(play);
+      const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
+      await scenario.retry(30);
+      expectFewRetries(scenario);
     });
 
     it("is known to all entries, also where retries come quickly", async () => {
-      const play = new CrashPlay({ entries: 68, lostShare: 0.1 });
-      await play.retry(60, 100);
-      expectFewRetries(play);
+      const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
+      await scenario.retry(60, 100);
+      expectFewRetries(scenario);
     });
   });
 
   describe("after its block", () => {
     it("is known to entries that have started since", async () => {
-      const play = new CrashPlay();
-      await play.retry(10);
-      for (const index of play.fleet.entries.keys()) {
-        play.fleet.restart(index);
-        await play.retry(5);
+      const scenario = new CrashScenario();
+      await scenario.retry(10);
+      for (const index of scenario.fleet.entries.keys()) {
+        scenario.fleet.restart(index);
+        await scenario.retry(5);
       }
-      expectFewRetries(play);
+      expectFewRetries(scenario);
     });
   });
 });
--- a/src/entry/forwarding/endpoint_signs_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -29,7 +29,7 @@
 const REPLICAS = ["a", "b", "c"];
 const STEP_MILLISECONDS = 20;
 
-interface SignsPlayOptions {
+interface SignalScenarioOptions {
   readonly route?: Partial<Route>;
   readonly endpoints?: readonly RegisteredEndpoint[];
   /** What the request with this number holds. */
@@ -37,14 +37,14 @@
 }
 
 /** An entry before replicas of a plain service; one has something to say. */
-class SignsPlay {
+class SignalScenario {
   readonly bench: ForwardingBench;
   /** What a replica adds to the head of its answers. */
-  readonly signs = new Map<string, Partial<AnswerHead>>();
+  readonly signals = new Map<string, Partial<AnswerHead>>();
   readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
   #count = 0;
 
-  constructor(options: SignsPlayOptions = {}) {
+  constructor(options: SignalScenarioOptions = {}) {
     const { endpoints = portals(), route, valuesOf = () => ({}) } = options;
     this.#valuesOf = valuesOf;
     this.bench = new ForwardingBench(
@@ -74,7 +74,7 @@
   }
 
   async #answer(attempt: SentAttempt): Promise<void> {
-    const head = this.signs.get(String(attempt.options.endpoint)) ?? {};
+    const head = this.signals.get(String(attempt.options.endpoint)) ?? {};
     await attempt.answer("done", head);
   }
 }
@@ -84,8 +84,8 @@
 }
 
 /** The same with long prompts before engines. */
-function promptPlay(): SignsPlay {
-  return new SignsPlay({
+function promptScenario(): SignalScenario {
+  return new SignalScenario({
     route: { repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
     endpoints: [
       ...["r1", "r2"].map((id) => makeEngine(id, "prefill")),
@@ -98,61 +98,61 @@
 describe("what an endpoint says of itself in its answers", () => {
   describe("that it leaves", () => {
     it("stops requests to it while the store says nothing", async () => {
-      const play = new SignsPlay();
-      play.signs.set("a", { leaving: true });
-      expect(await play.run(1_000)).to.include("a");
-      expect(await play.run(5_000)).not.to.include("a");
+      const scenario = new SignalScenario();
+      scenario.signals.set("a", { leaving: true });
+      expect(await scenario.run(1_000)).to.include("a");
+      expect(await scenario.run(5_000)).not.to.include("a");
     });
 
     it("stops them although older registrations are read after it", async () => {
-      const play = new SignsPlay();
-      play.signs.set("a", { leaving: true });
-      await play.run(1_000);
-      play.bench.parts.registry.put(makeEndpoint("a"));
-      play.bench.parts.registry.replaceAll(
+      const scenario = new SignalScenario();
+      scenario.signals.set("a", { leaving: true });
+      await scenario.run(1_000);
+      scenario.bench.parts.registry.put(makeEndpoint("a"));
+      scenario.bench.parts.registry.replaceAll(
         portals(),
       );
-      expect(await play.run(1_000)).not.to.include("a");
+      expect(await scenario.run(1_000)).not.to.include("a");
     });
 
     it("holds where its registration lapses before the answer and is back", async () => {
-      const play = new SignsPlay();
+      const scenario = new SignalScenario();
       const startedAt = numbered<ReplicaStart>(7);
       const endpoint = makeEndpoint("a", { startedAt });
-      const { registry } = play.bench.parts;
-      play.bench.onSend = undefined;
+      const { registry } = scenario.bench.parts;
+      scenario.bench.onSend = undefined;
       registry.replaceAll([endpoint]);
-      await play.ask();
+      await scenario.ask();
       registry.remove(endpoint.id);
-      await play.bench.sent[0].answer("done", { leaving: true });
+      await scenario.bench.sent[0].answer("done", { leaving: true });
       registry.put(endpoint);
-      const caller = await play.ask();
-      expect(play.bench.sent).to.have.length(1);
+      const caller = await scenario.ask();
+      expect(scenario.bench.sent).to.have.length(1);
       expect(caller.status).to.equal(503);
     });
 
     it("is taken from a rejection too", async () => {
-      const play = new SignsPlay();
-      play.signs.set("a", { leaving: true, status: 503, notRun: true });
-      expect(await play.run(1_000)).to.include("a");
-      expect(await play.run(3_000)).not.to.include("a");
+      const scenario = new SignalScenario();
+      scenario.signals.set("a", { leaving: true, status: 503, notRun: true });
+      expect(await scenario.run(1_000)).to.include("a");
+      expect(await scenario.run(3_000)).not.to.include("a");
     });
 
     it("is taken from the reading of a prompt too", async () => {
-      const play = promptPlay();
-      play.signs.set("r1", { leaving: true });
-      expect(await play.run(1_000)).to.include("r1");
-      expect(await play.run(1_000)).not.to.include("r1");
+      const scenario = promptScenario();
+      scenario.signals.set("r1", { leaving: true });
+      expect(await scenario.run(1_000)).to.include("r1");
+      expect(await scenario.run(1_000)).not.to.include("r1");
     });
 
     it("ends with the run that said so", async () => {
-      const play = new SignsPlay();
-      play.signs.set("a", { leaving: true });
-      await play.run(1_000);
-      play.signs.clear();
+      const scenario = new SignalScenario();
+      scenario.signals.set("a", { leaving: true });
+      await scenario.run(1_000);
+      scenario.signals.clear();
       const startedAt = numbered<ReplicaStart>(7);
-      play.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
-      expect(await play.run(1_000)).to.include("a");
+      scenario.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
+      expect(await scenario.run(1_000)).to.include("a");
     });
 
     it("is known to the other entries as well", async () => {
@@ -167,8 +167,8 @@
       fleet.onSend = (attempt) => {
         const endpoint = String(attempt.options.endpoint);
         sent.add(endpoint);
-        const says = leaving && endpoint === "a";
-        void attempt.answer("done", { leaving: says });
+        const isLeaving = leaving && endpoint === "a";
+        void attempt.answer("done", { leaving: isLeaving });
       };
       const ask = async (entry: number) => {
         for (let index = 0; index < 20; index++) {
@@ -187,84 +187,91 @@
 
   describe("that it is overloaded", () => {
     it("stops requests to it until the time is over", async () => {
-      const play = new SignsPlay();
-      for (const id of REPLICAS) play.signs.set(id, overloadedFor(3_000));
-      await play.run(200);
-      play.signs.clear();
-      expect(await play.run(2_500)).to.deep.equal([]);
-      await play.bench.timer.advance(500);
-      expect(new Set(await play.run(1_000))).to.have.keys(REPLICAS);
+      const scenario = new SignalScenario();
+      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(3_000));
+      await scenario.run(200);
+      scenario.signals.clear();
+      expect(await scenario.run(2_500)).to.deep.equal([]);
+      await scenario.bench.timer.advance(500);
+      expect(new Set(await scenario.run(1_000))).to.have.keys(REPLICAS);
     });
 
     it("leaves its requests to the others", async () => {
-      const play = new SignsPlay();
-      play.signs.set("a", overloadedFor(2_000));
-      await play.run(500);
-      const callers = [await play.ask(), await play.ask(), await play.ask()];
+      const scenario = new SignalScenario();
+      scenario.signals.set("a", overloadedFor(2_000));
+      await scenario.run(500);
+      const callers = [
+        await scenario.ask(),
+        await scenario.ask(),
+        await scenario.ask(),
+      ];
       expect(callers.map(({ status }) => status)).to.deep.equal([
         200,
         200,
         200,
       ]);
-      expect(await play.run(1_000)).not.to.include("a");
+      expect(await scenario.run(1_000)).not.to.include("a");
     });
 
     it("refuses a caller at once who would have left before its end", async () => {
-      const play = new SignsPlay();
-      for (const id of REPLICAS) play.signs.set(id, overloadedFor(3_000));
-      await play.run(200);
-      const sentBefore = play.bench.sent.length;
-      const { refusal } = await play.ask();
+      const scenario = new SignalScenario();
+      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(3_000));
+      await scenario.run(200);
+      const sentBefore = scenario.bench.sent.length;
+      const { refusal } = await scenario.ask();
       expect(refusal?.status).to.equal(503);
       expect(refusal?.retryAfterMilliseconds).to.be.within(2_700, 3_300);
-      expect(play.bench.sent).to.have.length(sentBefore);
+      expect(scenario.bench.sent).to.have.length(sentBefore);
     });
 
     it("is not taken for replicas that refuse connections", async () => {
-      const play = new SignsPlay();
-      play.bench.onSend = (attempt) => void attempt.fail("exchange_not_sent");
-      await play.run(200);
-      const { refusal } = await play.ask();
+      const scenario = new SignalScenario();
+      scenario.bench.onSend = (attempt) =>
+        void attempt.fail("exchange_not_sent");
+      await scenario.run(200);
+      const { refusal } = await scenario.ask();
       expect(refusal?.reason).to.equal("no_endpoint_reachable");
     });
 
     it("lets a caller wait for its end who can still be answered", async () => {
-      const play = new SignsPlay();
-      for (const id of REPLICAS) play.signs.set(id, overloadedFor(400));
-      await play.run(100);
-      play.signs.clear();
-      const caller = await play.ask();
+      const scenario = new SignalScenario();
+      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(400));
+      await scenario.run(100);
+      scenario.signals.clear();
+      const caller = await scenario.ask();
       expect(caller.status).to.equal(undefined);
-      await play.bench.timer.advance(500);
+      await scenario.bench.timer.advance(500);
       expect(caller.status).to.equal(200);
     });
 
     it("stops readings of prompts at an engine", async () => {
-      const play = promptPlay();
-      play.signs.set("r1", overloadedFor(2_000));
-      expect(await play.run(500)).to.include("r1");
-      expect(await play.run(1_000)).not.to.include("r1");
+      const scenario = promptScenario();
+      scenario.signals.set("r1", overloadedFor(2_000));
+      expect(await scenario.run(500)).to.include("r1");
+      expect(await scenario.run(1_000)).not.to.include("r1");
     });
 
     it("stops answers by an engine", async () => {
-      const play = promptPlay();
-      play.signs.set("d1", overloadedFor(2_000));
-      expect(await play.run(500)).to.include("d1");
-      expect(await play.run(1_000)).not.to.include("d1");
+      const scenario = promptScenario();
+      scenario.signals.set("d1", overloadedFor(2_000));
+      expect(await scenario.run(500)).to.include("d1");
+      expect(await scenario.run(1_000)).not.to.include("d1");
     });
 
     it("has no prompt read that nobody could answer in time", async () => {
-      const play = promptPlay();
-      for (const id of ["d1", "d2"]) play.signs.set(id, overloadedFor(9_000));
-      await play.run(500);
-      const sentBefore = play.bench.sent.length;
-      const { refusal } = await play.ask();
+      const scenario = promptScenario();
+      for (const id of ["d1", "d2"]) {
+        scenario.signals.set(id, overloadedFor(9_000));
+      }
+      await scenario.run(500);
+      const sentBefore = scenario.bench.sent.length;
+      const { refusal } = await scenario.ask();
       expect(refusal?.status).to.equal(503);
-      expect(play.bench.sent).to.have.length(sentBefore);
+      expect(scenario.bench.sent).to.have.length(sentBefore);
     });
 
     it("puts off freeing a kept prompt at the engine", async () => {
-      const { bench } = promptPlay();
+      const { bench } = promptScenario();
       const run = bench.take(makeRequest({ prompt: makePrompt("subject") }));
       bench.onSend = undefined;
       await run;
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -134,7 +134,7 @@
   readonly #parts: ForwardingParts;
   readonly #roleController: RoleController | undefined;
   readonly #usage: UsageKeeper | undefined;
-  readonly #prefixCacheSurvey: PrefixCacheSurvey;
+  readonly #survey: PrefixCacheSurvey;
   readonly #loadQueries: LoadQueries;
   readonly #startedAt: number;
   #routes: RouteTable | undefined;
@@ -184,11 +184,11 @@
         options.logger.info({ change, ...endpoint }, "An endpoint changed");
         this.#roleController?.onEngineChange(endpoint);
         if (change === "registered") {
-          this.#prefixCacheSurvey.onEngineSeen(endpoint);
+          this.#survey.onEngineSeen(endpoint);
         }
       },
     });
-    this.#prefixCacheSurvey = new PrefixCacheSurvey({
+    this.#survey = new PrefixCacheSurvey({
       timer,
       random,
       logger: options.logger,
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -95,7 +95,7 @@
 }
 
 /** Everything that remembers endpoints; a new part belongs on this list. */
-const FORGETTING = {
+const ENDPOINT_MEMORIES = {
   "open work": LoadPicture,
   "kept prompts": PrefixDirectory,
   outcomes: EndpointOutcomes,
@@ -103,12 +103,16 @@
   crashes: CrashSuspects,
   orders: RoleController,
 } as const;
-const FORGETTING_PARTS = [...Object.keys(FORGETTING), "connections"];
+const ENDPOINT_MEMORY_NAMES = [
+  ...Object.keys(ENDPOINT_MEMORIES),
+  "connections",
+];
 
 /** Calls back when the part forgets an endpoint; gives what ends that. */
 function spyOnForget(part: string, onForget: () => void): () => void {
-  if (!(part in FORGETTING)) return () => {};
-  const { prototype } = FORGETTING[part as keyof typeof FORGETTING];
+  if (!(part in ENDPOINT_MEMORIES)) return () => {};
+  const { prototype } =
+    ENDPOINT_MEMORIES[part as keyof typeof ENDPOINT_MEMORIES];
   const { forget } = prototype;
   prototype.forget = function (...given: Parameters<typeof forget>) {
     onForget();
@@ -217,7 +221,7 @@
       refusals: [],
     });
 
-    for (const memory of FORGETTING_PARTS) {
+    for (const memory of ENDPOINT_MEMORY_NAMES) {
       it(`is forgotten by ${memory}`, () => {
         const forgotten: string[] = [];
         const restore = spyOnForget(memory, () => forgotten.push(memory));
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -62,7 +62,7 @@
 };
 
 /** The prompt would be read anew, and the fleet's limit allows no more. */
-const NO_RETRIES_LEFT: HandoverOutcome = {
+const NO_RETRIES: HandoverOutcome = {
   kind: "refused",
   reason: "no_repeats_left",
   facts: {},
@@ -103,7 +103,7 @@
     this.#kept = undefined;
     for (;;) {
       if (!this.#context.arrivals.cover({ reading: true })) {
-        return NO_RETRIES_LEFT;
+        return NO_RETRIES;
       }
       const admitted = await admitPrompt(this.#context, prompt);
       if (this.#context.settled) return ENGINES_FULL;
--- a/src/entry/forwarding/large_fleet_test.ts
+++ b/src/entry/forwarding/large_fleet_test.ts
@@ -20,7 +20,7 @@
 
 const ENTRIES = 68;
 const ENGINE_COUNT = 34;
-const READERS = 24;
+const PREFILL_ENGINES = 24;
 const ZONES = 5;
 const SLOTS = 8;
 const TARGET_MILLISECONDS = 200;
@@ -28,17 +28,17 @@
 const URGENT_TARGET_MILLISECONDS = 120;
 
 /** What became of the requests of one kind. */
-class Waits {
+class ResponseTimes {
   asked = 0;
-  readonly #heads: number[] = [];
+  readonly #firstByteTimes: number[] = [];
 
   answeredAfter(milliseconds: number): void {
-    this.#heads.push(milliseconds);
+    this.#firstByteTimes.push(milliseconds);
   }
 
   /** Share of the requests whose first byte came within so long. */
   within(milliseconds: number): number {
-    const inTime = this.#heads.filter((each) => each <= milliseconds);
+    const inTime = this.#firstByteTimes.filter((each) => each <= milliseconds);
     return inTime.length / this.asked;
   }
 }
@@ -70,8 +70,8 @@
 class LargeFleet {
   readonly fleet: EntryFleet;
   readonly engines: PlayedEngines;
-  summaries = new Waits();
-  urgent = new Waits();
+  summaries = new ResponseTimes();
+  urgent = new ResponseTimes();
   readonly #random = seededRandom(7);
   #lastId = 0;
 
@@ -96,16 +96,19 @@
       endpoints: Array.from(
         { length: ENGINE_COUNT },
         (_, index) =>
-          makeLargeEngine(index, index < READERS ? "prefill" : "decode"),
+          makeLargeEngine(
+            index,
+            index < PREFILL_ENGINES ? "prefill" : "decode",
+          ),
       ),
     });
     this.engines = new PlayedEngines(this.fleet, { slots: SLOTS });
   }
 
   /** Counts anew from here on. */
-  countAnew(): void {
-    this.summaries = new Waits();
-    this.urgent = new Waits();
+  resetCounts(): void {
+    this.summaries = new ResponseTimes();
+    this.urgent = new ResponseTimes();
   }
 
   /** So many a second of each for so long. */
@@ -142,7 +145,7 @@
     return this.#random() < perSecond / 1_000;
   }
 
-  #ask(kind: "summary" | "urgent", waits: Waits): void {
+  #ask(kind: "summary" | "urgent", waits: ResponseTimes): void {
     const { timer } = this.fleet;
     const at = timer.now();
     waits.asked += 1;
@@ -207,7 +210,7 @@
     await large.run({ summaries: 400, urgent: 15, milliseconds: 1_500 });
     large.killZone(0);
     await large.run({ summaries: 400, urgent: 15, milliseconds: 600 });
-    large.countAnew();
+    large.resetCounts();
     await large.run({ summaries: 400, urgent: 15, milliseconds: 2_000 });
     expect(large.urgent.within(URGENT_TARGET_MILLISECONDS)).to.be.at.least(
       0.95,
@@ -224,7 +227,7 @@
     await large.fleet.timer.advance(2_500);
     await large.run({ summaries: 700, milliseconds: 1_000 });
     const joined = large.join(ENGINE_COUNT / 2);
-    large.countAnew();
+    large.resetCounts();
     await large.run({ summaries: 900, milliseconds: 2_000 });
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.9);
     const most = joined.map((id) => large.engines.mostReadings.get(id) ?? 0);
--- a/src/entry/forwarding/load_queries_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -59,10 +59,10 @@
   let asker: Member;
   let owner: Member;
   /** Changes what is sent; undefined loses it. */
-  let onTheWay: (params: unknown) => unknown;
+  let intercept: (params: unknown) => unknown;
 
   function send(peer: ProcessId, method: string, params: unknown): void {
-    const sent = onTheWay(JSON.parse(JSON.stringify(params)));
+    const sent = intercept(JSON.parse(JSON.stringify(params)));
     if (sent === undefined) return;
     timer.after(ONE_WAY_MILLISECONDS, () => {
       const { questions } = members.get(peer) as Member;
@@ -73,7 +73,7 @@
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    onTheWay = (params) => params;
+    intercept = (params) => params;
     const names = ["one", "two", "three"].map((name) =>
       identifier<ProcessId>(name)
     );
@@ -102,13 +102,13 @@
     return took;
   }
 
-  function begin(member: Member, milliseconds: number): void {
+  function startWork(member: Member, milliseconds: number): void {
     member.load.started(ENGINE.id, { milliseconds, tokens: 100 });
   }
 
   it("brings the others' work, to which the own is added", async () => {
-    begin(owner, 30);
-    begin(asker, 10);
+    startWork(owner, 30);
+    startWork(asker, 10);
     owner.load.peerReported(asker.name, {
       incarnation: "1",
       sequence: 1,
@@ -118,7 +118,7 @@
     expect(await ask()).to.equal(2 * ONE_WAY_MILLISECONDS);
     expect(asker.outcomes).to.deep.equal(["answered"]);
     expect(asker.load.total(ENGINE.id).prefillMilliseconds).to.equal(40);
-    begin(asker, 5);
+    startWork(asker, 5);
     expect(asker.load.total(ENGINE.id).prefillMilliseconds).to.equal(45);
   });
 
@@ -129,7 +129,7 @@
   // The owner is frozen. A request that waits for its word is late by it, and
   // so are all that come behind.
   it("waits for few milliseconds, and after three times not at all", async () => {
-    onTheWay = () => undefined;
+    intercept = () => undefined;
     expect(await ask()).to.equal(6);
     await ask();
     await ask();
@@ -137,7 +137,7 @@
   });
 
   it("goes by the peers' reports once the owner's word is old", async () => {
-    begin(owner, 30);
+    startWork(owner, 30);
     await ask();
     expect(asker.load.total(ENGINE.id).requests).to.equal(1);
     await timer.advance(200);
@@ -147,8 +147,8 @@
   // A replica starts again under its id while the owner answers for the run
   // before. Its work there has ended with it.
   it("passes over the word on another run of the replica", async () => {
-    begin(owner, 30);
-    onTheWay = (params) => {
+    startWork(owner, 30);
+    intercept = (params) => {
       const { work } = params as { work?: unknown[][] };
       if (work !== undefined) work[0][4] = 4;
       return params;
@@ -158,7 +158,10 @@
   });
 
   describe("passes over what can't be read", () => {
-    const bad: Record<string, (params: Record<string, unknown>) => unknown> = {
+    const malformedQueries: Record<
+      string,
+      (params: Record<string, unknown>) => unknown
+    > = {
       "no object": () => null,
       "no endpoints": ({ entry, id }) => ({ entry, id }),
       "an endpoint that is no text": (params) => ({
@@ -167,10 +170,10 @@
       }),
       "an id that is no number": (params) => ({ ...params, id: "1" }),
     };
-    for (const [what, spoil] of Object.entries(bad)) {
+    for (const [what, corrupt] of Object.entries(malformedQueries)) {
       it(`in a question: ${what}`, async () => {
-        begin(owner, 30);
-        onTheWay = (params) => spoil(params as Record<string, unknown>);
+        startWork(owner, 30);
+        intercept = (params) => corrupt(params as Record<string, unknown>);
         expect(await ask()).to.equal(6);
         expect(owner.outcomes).to.deep.equal(["unreadable"]);
         expect(asker.outcomes).to.deep.equal(["unanswered"]);
@@ -178,17 +181,17 @@
       });
     }
 
-    const badWork: Record<string, unknown> = {
+    const malformedWork: Record<string, unknown> = {
       "no list": "work",
       "a row that is no list": [7],
       "a short row": [[ENGINE.id, 1]],
       "a number that is a text": [[ENGINE.id, "1", 2, 3]],
       "another engine": [["other", 1, 2, 3]],
     };
-    for (const [what, work] of Object.entries(badWork)) {
+    for (const [what, work] of Object.entries(malformedWork)) {
       it(`in an answer: ${what}`, async () => {
-        begin(owner, 30);
-        onTheWay = (params) => {
+        startWork(owner, 30);
+        intercept = (params) => {
           const isAnswer = "work" in (params as object);
           return isAnswer ? { ...params as object, work } : params;
         };
@@ -202,11 +205,11 @@
     const third = [...members.values()].find((each) =>
       each !== owner && each !== asker
     ) as Member;
-    onTheWay = (params) => {
+    intercept = (params) => {
       const isAnswer = "work" in (params as object);
       return isAnswer ? { ...params as object, entry: third.name } : params;
     };
-    begin(owner, 30);
+    startWork(owner, 30);
     await ask();
     expect(asker.load.total(identifier<EndpointId>("engine")).requests)
       .to.equal(0);
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -30,11 +30,11 @@
   refusedLate: number;
 }
 
-function none(): Outcomes {
+function noOutcomes(): Outcomes {
   return { onTime: 0, late: 0, refused: 0, refusedLate: 0 };
 }
 
-interface PlayOptions {
+interface OverloadScenarioOptions {
   /** What the entry believes of the engines at the start. */
   readonly estimates?: EngineEstimates;
   readonly tokensPerMillisecond?: number;
@@ -45,15 +45,15 @@
  * Plays arrivals of long summaries and short urgent prompts against seven
  * engines that read and three that decode.
  */
-class Play {
+class OverloadScenario {
   readonly bench: ForwardingBench;
   readonly engines: PlayedEngines;
-  readonly summaries = none();
-  readonly urgent = none();
+  readonly summaries = noOutcomes();
+  readonly urgent = noOutcomes();
   readonly #random = seededRandom(5);
   readonly #targetMilliseconds: number;
 
-  constructor(options: PlayOptions = {}) {
+  constructor(options: OverloadScenarioOptions = {}) {
     const { estimates, targetMilliseconds = TARGET_MILLISECONDS } = options;
     this.#targetMilliseconds = targetMilliseconds;
     const shares = [{ pool: ENGINES, weight: 1 }];
@@ -110,14 +110,18 @@
     const outcomes = kind === "summary" ? this.summaries : this.urgent;
     const at = this.bench.timer.now();
     const sink = await this.bench.take(this.#request(kind));
-    const told = { refused: false, headed: false };
-    const look = () => {
-      this.#note(sink, { outcomes, after: this.bench.timer.now() - at, told });
+    const seen = { refused: false, headed: false };
+    const check = () => {
+      this.#note(sink, {
+        outcomes,
+        after: this.bench.timer.now() - at,
+        seen: seen,
+      });
     };
-    look();
-    const looking = this.bench.timer.every(5, () => {
-      look();
-      if (told.headed || told.refused) looking.cancel();
+    check();
+    const polling = this.bench.timer.every(5, () => {
+      check();
+      if (seen.headed || seen.refused) polling.cancel();
     });
   }
 
@@ -140,17 +144,17 @@
     context: {
       readonly outcomes: Outcomes;
       readonly after: number;
-      readonly told: { refused: boolean; headed: boolean };
+      readonly seen: { refused: boolean; headed: boolean };
     },
   ): void {
-    const { outcomes, after, told } = context;
-    if (told.refused || told.headed) return;
+    const { outcomes, after, seen: seen } = context;
+    if (seen.refused || seen.headed) return;
     if (sink.refusal !== undefined) {
-      told.refused = true;
+      seen.refused = true;
       outcomes.refused += 1;
       if (after > 100) outcomes.refusedLate += 1;
     } else if (sink.body !== "") {
-      told.headed = true;
+      seen.headed = true;
       if (after <= this.#targetMilliseconds) outcomes.onTime += 1;
       else outcomes.late += 1;
     }
@@ -159,21 +163,21 @@
 
 describe("forward under load", () => {
   it("answers everything on time at half of what the engines can read", async () => {
-    const play = new Play();
-    await play.run({ perSecond: 150, seconds: 2 });
-    expect(play.summaries).to.deep.equal({ ...none(), onTime: 300 });
-    expect(play.urgent).to.deep.equal({ ...none(), onTime: 40 });
+    const scenario = new OverloadScenario();
+    await scenario.run({ perSecond: 150, seconds: 2 });
+    expect(scenario.summaries).to.deep.equal({ ...noOutcomes(), onTime: 300 });
+    expect(scenario.urgent).to.deep.equal({ ...noOutcomes(), onTime: 40 });
   });
 
   // Twice as many summaries come as the engines can read. Read in turn, every
   // answer would be late after a second; the village head's urgent report
   // would wait behind them.
   it("goes on answering on time in an overload, and refuses the rest at once", async () => {
-    const play = new Play();
-    await play.run({ perSecond: 700, seconds: 3 });
-    const { summaries, urgent, engines } = play;
+    const scenario = new OverloadScenario();
+    await scenario.run({ perSecond: 700, seconds: 3 });
+    const { summaries, urgent, engines } = scenario;
     const asked = 700 * 3;
-    expect(urgent).to.deep.equal({ ...none(), onTime: 60 });
+    expect(urgent).to.deep.equal({ ...noOutcomes(), onTime: 60 });
     expect(summaries.onTime).to.be.greaterThan(0.4 * asked);
     expect(summaries.refused).to.be.greaterThan(0);
     expect(summaries.refusedLate).to.be.lessThan(0.02 * asked);
@@ -187,14 +191,14 @@
   // 105 are held before they are refused. With the speed learned from the
   // answers it is 229, 85 and 17.
   it("answers on time on engines that nobody has told it of", async () => {
-    const play = new Play({
+    const scenario = new OverloadScenario({
       estimates: new EngineEstimates(),
       tokensPerMillisecond: 61,
       targetMilliseconds: 500,
     });
-    await play.run({ perSecond: 180, seconds: 3 });
-    expect(play.summaries.onTime).to.be.greaterThan(0.4 * 540);
-    expect(play.summaries.late).to.be.lessThan(0.2 * 540);
-    expect(play.summaries.refusedLate).to.be.lessThan(0.05 * 540);
+    await scenario.run({ perSecond: 180, seconds: 3 });
+    expect(scenario.summaries.onTime).to.be.greaterThan(0.4 * 540);
+    expect(scenario.summaries.late).to.be.lessThan(0.2 * 540);
+    expect(scenario.summaries.refusedLate).to.be.lessThan(0.05 * 540);
   });
 });
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -158,11 +158,11 @@
   /** Tells one peer. */
   sendTo(
     peer: ProcessId,
-    baseNotification: { readonly method: string; readonly params: unknown },
+    notification: { readonly method: string; readonly params: unknown },
   ): void {
     const address = this.#peers.get(peer);
     if (address === undefined) return;
-    this.#options.sendToPeers([address], baseNotification);
+    this.#options.sendToPeers([address], notification);
   }
 
   /** Takes a peer's notification; anything malformed is passed over. */
@@ -234,7 +234,7 @@
     if (isFull) this.#lastFullReportAt = now;
     const losses = isFull ? crashes.reports.recentLosses() : [];
     this.broadcast(WORK_METHOD, {
-      ...this.#notification(isFull),
+      ...this.#baseNotification(isFull),
       version: this.#options.version(),
       work: withRuns(registry, load.report({ whole: isFull })),
       prompts: prefixes.takeUntold().map(encodePrompt),
@@ -248,14 +248,14 @@
   }
 
   /** What tells nothing yet, with the next number in turn. */
-  #notification(whole: boolean): WorkNotification {
+  #baseNotification(isFull: boolean): WorkNotification {
     const { incarnation, process } = this.#options;
     this.#sequence += 1;
     return {
       entry: process,
       incarnation,
       sequence: this.#sequence,
-      whole,
+      whole: isFull,
       work: [],
       prompts: [],
       refusals: [],
@@ -297,7 +297,7 @@
       const [owner, endpoints] of owners.byOtherOwner(this.#changedEndpoints)
     ) {
       const work = withRuns(registry, load.reportOf(endpoints));
-      const params = { ...this.#notification(false), work };
+      const params = { ...this.#baseNotification(false), work };
       this.sendTo(owner, { method: WORK_METHOD, params });
     }
     this.#changedEndpoints.clear();
--- a/src/entry/forwarding/prefix_cache_survey_test.ts
+++ b/src/entry/forwarding/prefix_cache_survey_test.ts
@@ -16,7 +16,7 @@
   const engine = makeEngine("reader", "prefill");
   let timer: ManualTimerService;
   let prefixes: PrefixDirectory;
-  let asked: string[];
+  let queried: string[];
 
   function makeSurvey(
     { entries = 4, isNeeded = true, answers = true } = {},
@@ -27,7 +27,7 @@
       logger: SILENT_LOGGER,
       endpointClient: {
         listKept: ({ id }) => {
-          asked.push(id);
+          queried.push(id);
           return Promise.resolve(answers ? PARTS : undefined);
         },
       },
@@ -41,7 +41,7 @@
   beforeEach(() => {
     timer = new ManualTimerService();
     prefixes = new PrefixDirectory();
-    asked = [];
+    queried = [];
   });
 
   // All entries are killed at once and start again. Without the engines' lists
@@ -51,14 +51,14 @@
     survey.onEngineSeen(engine);
     survey.onEngineSeen(engine);
     await timer.advance(100);
-    expect(asked).to.deep.equal(["reader"]);
+    expect(queried).to.deep.equal(["reader"]);
     expect(prefixes.keptTokens(engine.id, PARTS)).to.equal(6_000);
   });
 
   it("asks nobody where the engines have just been started as well", async () => {
     makeSurvey({ isNeeded: false }).onEngineSeen(engine);
     await timer.advance(100);
-    expect(asked).to.deep.equal([]);
+    expect(queried).to.deep.equal([]);
   });
 
   it("asks no engine that appears later, and no plain service", async () => {
@@ -67,7 +67,7 @@
     await timer.advance(5_000);
     survey.onEngineSeen(engine);
     await timer.advance(100);
-    expect(asked).to.deep.equal([]);
+    expect(queried).to.deep.equal([]);
   });
 
   it("goes on without an answer", async () => {
@@ -87,7 +87,7 @@
         logger: SILENT_LOGGER,
         endpointClient: {
           listKept: ({ id }) => {
-            asked.push(id);
+            queried.push(id);
             return Promise.resolve(PARTS);
           },
         },
@@ -99,6 +99,6 @@
       survey.onEngineSeen(engine);
     }
     await timer.advance(100);
-    expect(asked.length).to.be.within(1, 25);
+    expect(queried.length).to.be.within(1, 25);
   });
 });
--- a/src/entry/forwarding/read_body.ts
+++ b/src/entry/forwarding/read_body.ts
@@ -8,9 +8,9 @@
   const chunks: Buffer[] = [];
   let size = 0;
   return new Promise((resolve) => {
-    response.read((piece) => {
-      size += piece.length;
-      if (size <= maxBytes) chunks.push(piece);
+    response.read((chunk) => {
+      size += chunk.length;
+      if (size <= maxBytes) chunks.push(chunk);
     }, (end) => {
       const isUsable = end === "whole" && size <= maxBytes;
       resolve(isUsable ? Buffer.concat(chunks) : undefined);
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -410,7 +410,7 @@
       return;
     }
     const status = this.#mayBeRunning || this.#runs > 0 ? 504 : 503;
-    this.#sendRefusal({ status, reason: "deadline" });
+    this.#respond({ status, reason: "deadline" });
   }
 
   #onCallerGone(): void {
@@ -428,12 +428,12 @@
     this.#settle();
     if (this.#relay.headSent) return this.#sink.cut();
     if (reason === KEY_REMOVED) {
-      return this.#sendRefusal({ status: 401, reason });
+      return this.#respond({ status: 401, reason });
     }
     // A caller that comes back finds it blocked at any entry.
     if (reason !== BLOCKED) this.#context.noteRefusal();
     const retryAfterMilliseconds = this.#retryAfterMilliseconds(reason);
-    this.#sendRefusal({ status: 503, reason, retryAfterMilliseconds }, facts);
+    this.#respond({ status: 503, reason, retryAfterMilliseconds }, facts);
   }
 
   /** When coming back is worth it, milliseconds. */
@@ -457,10 +457,10 @@
       this.#context.report("cut", { reason: "unknown" });
       return;
     }
-    this.#sendRefusal({ status: 502, reason: "unknown" });
+    this.#respond({ status: 502, reason: "unknown" });
   }
 
-  #sendRefusal(refusal: Refusal, facts: AdmissionFacts = {}): void {
+  #respond(refusal: Refusal, facts: AdmissionFacts = {}): void {
     this.#sink.refuse(refusal);
     this.#context.report("refused", {
       status: refusal.status,
--- a/src/entry/forwarding/repeat_limit_test.ts
+++ b/src/entry/forwarding/retry_budget_test.ts
@@ -28,7 +28,7 @@
 }
 
 /** Counts what reaches the engines, from the engines' side. */
-class ArrivalCount {
+class ArrivalCounter {
   readonly requestTimes: number[] = [];
   readonly #arrivals: Arrival[] = [];
   readonly #read = new Set<string>();
@@ -82,8 +82,8 @@
 }
 
 /** An entry before engines of which those that decode are played by a test. */
-class RepeatPlay {
-  readonly arrivals = new ArrivalCount();
+class RetryScenario {
+  readonly arrivals = new ArrivalCounter();
   bench = this.#makeBench();
   /** What an engine that decodes does with a request. */
   decode: (attempt: SentAttempt) => void = (attempt) => void attempt.notRun();
@@ -93,10 +93,10 @@
   #elapsed = 0;
 
   /** An entry that has been up for as long as the limit looks back. */
-  static async start(): Promise<RepeatPlay> {
-    const play = new RepeatPlay();
-    await play.bench.timer.advance(WINDOW_MILLISECONDS);
-    return play;
+  static async start(): Promise<RetryScenario> {
+    const scenario = new RetryScenario();
+    await scenario.bench.timer.advance(WINDOW_MILLISECONDS);
+    return scenario;
   }
 
   /** `perSecond` long prompts a second come for so long. */
@@ -167,21 +167,21 @@
   // engines' time, and their callers were refused all the same. What the
   // entries counted was three of each four arrivals beyond the first.
   it("keep it while the last engine that decodes is full", async () => {
-    const play = await RepeatPlay.start();
-    await play.run({ perSecond: 110, milliseconds: 12_000 });
+    const scenario = await RetryScenario.start();
+    await scenario.run({ perSecond: 110, milliseconds: 12_000 });
     // Nearly all of the 1,320 requests were read and turned away at least once.
-    expect(play.arrivals.count).to.be.greaterThan(2_400);
-    expect(play.arrivals.worstExcess).to.be.at.most(0);
+    expect(scenario.arrivals.count).to.be.greaterThan(2_400);
+    expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
   // Every request that an engine turns away is sent to it once more within a
   // few milliseconds, while the engine is as full as before. It takes repeats
   // that requests of a crashed engine need, and helps nobody.
   it("are not made at an engine that has just turned the request away", async () => {
-    const play = await RepeatPlay.start();
-    await play.run({ perSecond: 110, milliseconds: 3_000 });
+    const scenario = await RetryScenario.start();
+    await scenario.run({ perSecond: 110, milliseconds: 3_000 });
     // One of ten requests, where the fleet's limit allows 256 in ten seconds.
-    expect(play.arrivals.repeats.length).to.be.below(0.1 * 330);
+    expect(scenario.arrivals.repeats.length).to.be.below(0.1 * 330);
   });
 
   // The engine that decodes crashes with streams on it and is back at once. Each
@@ -190,14 +190,14 @@
   // asked for one and only noted the other. With as many streams as the limit
   // allowed to go on, the engines got twice as many repeats.
   it("are asked for also where a prompt is read anew", async () => {
-    const play = await RepeatPlay.start();
+    const scenario = await RetryScenario.start();
     const open: SentAttempt[] = [];
-    play.decode = (attempt) => begin(attempt, open);
-    await play.run({ perSecond: 110, milliseconds: 10_000 });
-    await loseAll(open);
-    await play.run({ perSecond: 110, milliseconds: 1_000 });
-    expect(play.arrivals.repeats.length).to.be.greaterThan(0);
-    expect(play.arrivals.worstExcess).to.be.at.most(0);
+    scenario.decode = (attempt) => startStream(attempt, open);
+    await scenario.run({ perSecond: 110, milliseconds: 10_000 });
+    await breakStreams(open);
+    await scenario.run({ perSecond: 110, milliseconds: 1_000 });
+    expect(scenario.arrivals.repeats.length).to.be.greaterThan(0);
+    expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
   // The engine that decodes crashes with three seconds of streams on it. They
@@ -206,40 +206,40 @@
   // Counted when they were allowed, the first ones are forgotten by then; the
   // engine gets both within nine seconds, and the repeats are beyond the limit.
   it("are counted when they are sent, not when they are allowed", async () => {
-    const play = await RepeatPlay.start();
+    const scenario = await RetryScenario.start();
     const open: SentAttempt[] = [];
-    play.decode = (attempt) => begin(attempt, open);
-    await play.run({ perSecond: 110, milliseconds: 3_000 });
-    play.decode = (attempt) => void attempt.fail("exchange_not_sent");
-    await loseAll(open);
-    await play.run({ perSecond: 110, milliseconds: 1_500 });
-    play.decode = (attempt) => begin(attempt, open);
-    await play.run({ perSecond: 110, milliseconds: 8_600 });
-    await loseAll(open);
-    await play.run({ perSecond: 110, milliseconds: 1_000 });
-    expect(play.arrivals.repeats.length).to.be.greaterThan(0);
-    expect(play.arrivals.worstExcess).to.be.at.most(0);
+    scenario.decode = (attempt) => startStream(attempt, open);
+    await scenario.run({ perSecond: 110, milliseconds: 3_000 });
+    scenario.decode = (attempt) => void attempt.fail("exchange_not_sent");
+    await breakStreams(open);
+    await scenario.run({ perSecond: 110, milliseconds: 1_500 });
+    scenario.decode = (attempt) => startStream(attempt, open);
+    await scenario.run({ perSecond: 110, milliseconds: 8_600 });
+    await breakStreams(open);
+    await scenario.run({ perSecond: 110, milliseconds: 1_000 });
+    expect(scenario.arrivals.repeats.length).to.be.greaterThan(0);
+    expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
   // An entry uses up its part of the limit at a full engine and is killed. The
   // process that starts in its place knows nothing of that and has a part of
   // its own; an engine that is in trouble gets both.
   it("are not forgotten with the process that made them", async () => {
-    const play = await RepeatPlay.start();
-    await play.run({ perSecond: 110, milliseconds: 4_000 });
-    play.restart();
-    await play.run({ perSecond: 110, milliseconds: 6_000 });
-    expect(play.arrivals.worstExcess).to.be.at.most(0);
+    const scenario = await RetryScenario.start();
+    await scenario.run({ perSecond: 110, milliseconds: 4_000 });
+    scenario.restart();
+    await scenario.run({ perSecond: 110, milliseconds: 6_000 });
+    expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 });
 
 /** An engine takes the request and goes on working on it. */
-function begin(attempt: SentAttempt, open: SentAttempt[]): void {
+function startStream(attempt: SentAttempt, open: SentAttempt[]): void {
   open.push(attempt);
   void attempt.head();
 }
 
 /** The engine crashes: its streams break off. */
-async function loseAll(open: SentAttempt[]): Promise<void> {
+async function breakStreams(open: SentAttempt[]): Promise<void> {
   for (const attempt of open.splice(0)) await attempt.end("cut");
 }
--- a/src/entry/forwarding/role_controller_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -70,7 +70,7 @@
   let keepers: RoleController[];
   let registries: EndpointRegistry[];
 
-  function startKeepers(count: number, tellsPeers = true): void {
+  function startKeepers(count: number, isBroadcasting = true): void {
     registries = [];
     keepers = Array.from({ length: count }, (_, index) => {
       const registry = new EndpointRegistry({ timer });
@@ -90,7 +90,7 @@
         leaseMilliseconds: 3_000,
         pools: () => [ENGINE_POOL],
         broadcastOrders: (orders) => {
-          if (!tellsPeers) return;
+          if (!isBroadcasting) return;
           for (const keeper of keepers) keeper.onPeerOrders(orders);
         },
       });
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -111,7 +111,7 @@
    * Reports that claims have fixed. The store may lose a claim when it is
    * restored from a copy; the receiver has the counts nevertheless.
    */
-  readonly #fixedReports = new Map<UsageWindow, WorkspaceCounts>();
+  readonly #fixed = new Map<UsageWindow, WorkspaceCounts>();
   readonly #subscriptions: Subscription[] = [];
   /** The newest window that is reported or given up. */
   #closedThrough: number;
@@ -135,7 +135,7 @@
     this.#claim = new ExclusiveClaim({ ...options, self: this.#runId });
     const oldestOpenWindow = isFirstStart
       ? Math.floor(now / windowMilliseconds)
-      : this.#oldest;
+      : this.#oldestOpenWindow;
     this.#closedThrough = oldestOpenWindow - 1;
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** The oldest window whose report is not overdue. */
-  get #oldest(): UsageWindow {
+  get #oldestOpenWindow(): UsageWindow {
     const { dueMilliseconds, windowMilliseconds } = this.#options;
     const time = this.clock.now() - dueMilliseconds;
     return numbered(Math.ceil(time / windowMilliseconds) - 1);
@@ -199,14 +199,14 @@
   ): void {
     this.#claim.saw(claim);
     for (const [window, counts] of fixed ?? []) {
-      this.#fixedReports.set(numbered(window), decodeCounts(counts));
+      this.#fixed.set(numbered(window), decodeCounts(counts));
     }
     if (acceptedThrough !== undefined) this.#noteAccepted(acceptedThrough);
   }
 
   #dropOverdueReports(): void {
-    for (const window of this.#fixedReports.keys()) {
-      if (window < this.#oldest) this.#fixedReports.delete(window);
+    for (const window of this.#fixed.keys()) {
+      if (window < this.#oldestOpenWindow) this.#fixed.delete(window);
     }
   }
 
@@ -217,8 +217,7 @@
 
   /** Copies this entry's counts to the keepers. */
   #copyCounts(): void {
-    const { incarnation, ranking, self, send: sendReport, timer } =
-      this.#options;
+    const { incarnation, ranking, self, send: send, timer } = this.#options;
     const now = timer.now();
     const isFull =
       now - this.#lastFullCopyAt >= FULL_COPY_INTERVAL_MILLISECONDS;
@@ -226,7 +225,7 @@
     if (isFull) {
       this.#lastFullCopyAt = now;
       this.#ledger.forgetBefore(
-        numbered(Math.max(this.#oldest, this.#closedThrough + 1)),
+        numbered(Math.max(this.#oldestOpenWindow, this.#closedThrough + 1)),
       );
     }
     const params: UsageNotification = {
@@ -238,7 +237,7 @@
     };
     for (const collector of ranking().slice(0, COLLECTOR_COUNT)) {
       if (collector !== self) {
-        sendReport(collector, { method: USAGE_METHOD, params });
+        send(collector, { method: USAGE_METHOD, params });
       }
     }
   }
@@ -260,7 +259,7 @@
   #giveUpOverdue(): void {
     for (
       let window = this.#closedThrough + 1;
-      window < this.#oldest;
+      window < this.#oldestOpenWindow;
       window++
     ) {
       this.#closedThrough = window;
@@ -321,7 +320,7 @@
     const reports = await this.#acquireClaim(due);
     for (const report of reports ?? []) {
       if (report.accepted) continue;
-      if (!await this.#send(report)) return;
+      if (!await this.#sendReport(report)) return;
     }
   }
 
@@ -343,7 +342,7 @@
       ledger: this.#ledger,
       fixed: this.#mergeFixedReports(claim?.reports ?? []),
       due,
-      oldest: this.#oldest,
+      oldest: this.#oldestOpenWindow,
       isAccepted: (window) => window <= this.#acceptedThrough,
     });
     if (reports.every(({ accepted }) => accepted)) {
@@ -364,7 +363,7 @@
     }
     this.#claim.gained(offset, sentAt);
     for (const { counts, window } of reports) {
-      this.#fixedReports.set(window, counts);
+      this.#fixed.set(window, counts);
     }
     this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
@@ -373,7 +372,7 @@
   }
 
   /** False where nothing more may be sent under this claim. */
-  async #send(report: UsageReport): Promise<boolean> {
+  async #sendReport(report: UsageReport): Promise<boolean> {
     const { link, logger, onOutcome, self } = this.#options;
     const fencing = this.#claim.fencing;
     if (fencing === undefined) return false;
@@ -395,7 +394,7 @@
   /** The reports of the newest claim, and those that the store has lost. */
   #mergeFixedReports(claimed: readonly UsageReport[]): UsageReport[] {
     const known = new Set(claimed.map(({ window }) => window));
-    const lost = [...this.#fixedReports]
+    const lost = [...this.#fixed]
       .filter(([window]) => !known.has(window))
       .map(([window, counts]) => ({ window, counts, accepted: false }));
     return [...claimed, ...lost].sort((one, other) =>
--- a/src/entry/forwarding/usage_keeper_test.ts
+++ b/src/entry/forwarding/usage_keeper_test.ts
@@ -5,7 +5,7 @@
   WINDOW_MILLISECONDS,
 } from "../../../test/support/usage_fleet.ts";
 
-function expectGood(fleet: UsageFleet, { within = 0 } = {}): void {
+function expectConsistent(fleet: UsageFleet, { within = 0 } = {}): void {
   expect(fleet.platform.violations(LEASE_MILLISECONDS)).to.deep.equal([]);
   expect(fleet.missing()).to.deep.equal([]);
   expect(fleet.worstError()).to.be.at.most(within);
@@ -16,7 +16,7 @@
   it("reports every window once, by one holder, soon after its end", async () => {
     const fleet = new UsageFleet({ entries: 4 });
     await fleet.serve(32_000);
-    expectGood(fleet);
+    expectConsistent(fleet);
     expect(fleet.platform.taken).to.have.length(
       fleet.platform.reported.size,
     );
@@ -31,7 +31,7 @@
     it(`loses nothing at ${entries} entries with a tenth of the datagrams lost`, async () => {
       const fleet = new UsageFleet({ entries, lostShare: 0.1 });
       await fleet.serve(30_000);
-      expectGood(fleet);
+      expectConsistent(fleet);
     });
   }
 
@@ -47,7 +47,7 @@
       await fleet.serve(3_000);
       fleet.restart(0);
       await fleet.serve(25_000);
-      expectGood(fleet, { within: 0.05 });
+      expectConsistent(fleet, { within: 0.05 });
     });
   }
 
@@ -58,7 +58,7 @@
     await fleet.serve(20_000);
     fleet.members[0].isCut = false;
     await fleet.serve(20_000);
-    expectGood(fleet);
+    expectConsistent(fleet);
   });
 
   for (const outcome of ["unknown", "limited"] as const) {
@@ -69,7 +69,7 @@
       await fleet.serve(6_000);
       fleet.platform.failsWith = undefined;
       await fleet.serve(20_000);
-      expectGood(fleet);
+      expectConsistent(fleet);
       const windows = fleet.platform.taken.map(({ window }) => window);
       expect(windows).to.deep.equal(windows.toSorted());
     });
@@ -81,7 +81,7 @@
     await fleet.serve(13_000);
     fleet.platform.losesAnswers = false;
     await fleet.serve(15_000);
-    expectGood(fleet);
+    expectConsistent(fleet);
     expect(fleet.platform.taken.length).to.be.greaterThan(
       fleet.platform.reported.size,
     );
--- a/src/entry/forwarding/usage_schedules_test.ts
+++ b/src/entry/forwarding/usage_schedules_test.ts
@@ -9,7 +9,7 @@
 
 const ENTRIES = 4;
 const STEP_MILLISECONDS = { min: 100, max: 3_000 };
-const REST_MILLISECONDS = 12_000;
+const RECOVERY_MILLISECONDS = 12_000;
 const RUNS = Number(process.env.SCHEDULE_RUNS ?? 40);
 const SEED = Number(process.env.SCHEDULE_SEED ?? 37);
 
@@ -108,12 +108,15 @@
   }
 }
 
-async function play(fleet: UsageFleet, steps: readonly Step[]): Promise<void> {
+async function runSchedule(
+  fleet: UsageFleet,
+  steps: readonly Step[],
+): Promise<void> {
   for (const { fault, milliseconds } of steps) {
     apply(fleet, fault);
     await fleet.serve(milliseconds);
   }
-  await fleet.serve(REST_MILLISECONDS);
+  await fleet.serve(RECOVERY_MILLISECONDS);
 }
 
 describe("usage reports over any schedule of faults", function () {
@@ -126,7 +129,7 @@
         fc.asyncProperty(schedule, async (steps) => {
           const fleet = new UsageFleet({ entries: ENTRIES, lostShare: 0.1 });
           fleet.platform.checksNoFencing = checksNoFencing;
-          await play(fleet, steps);
+          await runSchedule(fleet, steps);
           expect(fleet.platform.violations(LEASE_MILLISECONDS))
             .to.deep.equal([]);
         }),
