--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -134,9 +134,7 @@
     const { outcomes } = this.#parts;
     const { id } = this.endpoint;
     if (result.isErr()) {
-      if (result.error.name !== "exchange_not_sent") {
-        return outcomes.failed(id);
-      }
+      if (result.error.name !== "exchange_not_sent") return outcomes.failed(id);
       return outcomes.refusedConnection(id);
     }
     outcomes.heard(id);
--- a/src/entry/forwarding/endpoint_signals_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -40,7 +40,7 @@
 class SignalScenario {
   readonly bench: ForwardingBench;
   /** What a replica adds to the head of its answers. */
-  readonly signals = new Map<string, Partial<AnswerHead>>();
+  readonly heads = new Map<string, Partial<AnswerHead>>();
   readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
   #count = 0;
 
@@ -74,7 +74,7 @@
   }
 
   async #answer(attempt: SentAttempt): Promise<void> {
-    const head = this.signals.get(String(attempt.options.endpoint)) ?? {};
+    const head = this.heads.get(String(attempt.options.endpoint)) ?? {};
     await attempt.answer("done", head);
   }
 }
@@ -98,61 +98,61 @@
 describe("what an endpoint says of itself in its answers", () => {
   describe("that it leaves", () => {
     it("stops requests to it while the store says nothing", async () => {
-      const scenario = new SignalScenario();
-      scenario.signals.set("a", { leaving: true });
-      expect(await scenario.run(1_000)).to.include("a");
-      expect(await scenario.run(5_000)).not.to.include("a");
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      expect(await setup.run(1_000)).to.include("a");
+      expect(await setup.run(5_000)).not.to.include("a");
     });
 
     it("stops them although older registrations are read after it", async () => {
-      const scenario = new SignalScenario();
-      scenario.signals.set("a", { leaving: true });
-      await scenario.run(1_000);
-      scenario.bench.parts.registry.put(makeEndpoint("a"));
-      scenario.bench.parts.registry.replaceAll(
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      await setup.run(1_000);
+      setup.bench.parts.registry.put(makeEndpoint("a"));
+      setup.bench.parts.registry.replaceAll(
         portals(),
       );
-      expect(await scenario.run(1_000)).not.to.include("a");
+      expect(await setup.run(1_000)).not.to.include("a");
     });
 
     it("holds where its registration lapses before the answer and is back", async () => {
-      const scenario = new SignalScenario();
+      const setup = new SignalScenario();
       const startedAt = numbered<ReplicaStart>(7);
       const endpoint = makeEndpoint("a", { startedAt });
-      const { registry } = scenario.bench.parts;
-      scenario.bench.onSend = undefined;
+      const { registry } = setup.bench.parts;
+      setup.bench.onSend = undefined;
       registry.replaceAll([endpoint]);
-      await scenario.ask();
+      await setup.ask();
       registry.remove(endpoint.id);
-      await scenario.bench.sent[0].answer("done", { leaving: true });
+      await setup.bench.sent[0].answer("done", { leaving: true });
       registry.put(endpoint);
-      const caller = await scenario.ask();
-      expect(scenario.bench.sent).to.have.length(1);
+      const caller = await setup.ask();
+      expect(setup.bench.sent).to.have.length(1);
       expect(caller.status).to.equal(503);
     });
 
     it("is taken from a rejection too", async () => {
-      const scenario = new SignalScenario();
-      scenario.signals.set("a", { leaving: true, status: 503, notRun: true });
-      expect(await scenario.run(1_000)).to.include("a");
-      expect(await scenario.run(3_000)).not.to.include("a");
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true, status: 503, notRun: true });
+      expect(await setup.run(1_000)).to.include("a");
+      expect(await setup.run(3_000)).not.to.include("a");
     });
 
     it("is taken from the reading of a prompt too", async () => {
-      const scenario = promptScenario();
-      scenario.signals.set("r1", { leaving: true });
-      expect(await scenario.run(1_000)).to.include("r1");
-      expect(await scenario.run(1_000)).not.to.include("r1");
+      const setup = promptScenario();
+      setup.heads.set("r1", { leaving: true });
+      expect(await setup.run(1_000)).to.include("r1");
+      expect(await setup.run(1_000)).not.to.include("r1");
     });
 
     it("ends with the run that said so", async () => {
-      const scenario = new SignalScenario();
-      scenario.signals.set("a", { leaving: true });
-      await scenario.run(1_000);
-      scenario.signals.clear();
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      await setup.run(1_000);
+      setup.heads.clear();
       const startedAt = numbered<ReplicaStart>(7);
-      scenario.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
-      expect(await scenario.run(1_000)).to.include("a");
+      setup.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
+      expect(await setup.run(1_000)).to.include("a");
     });
 
     it("is known to the other entries as well", async () => {
@@ -187,87 +187,84 @@
 
   describe("that it is overloaded", () => {
     it("stops requests to it until the time is over", async () => {
-      const scenario = new SignalScenario();
-      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(3_000));
-      await scenario.run(200);
-      scenario.signals.clear();
-      expect(await scenario.run(2_500)).to.deep.equal([]);
-      await scenario.bench.timer.advance(500);
-      expect(new Set(await scenario.run(1_000))).to.have.keys(REPLICAS);
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
+      await setup.run(200);
+      setup.heads.clear();
+      expect(await setup.run(2_500)).to.deep.equal([]);
+      await setup.bench.timer.advance(500);
+      expect(new Set(await setup.run(1_000))).to.have.keys(REPLICAS);
     });
 
     it("leaves its requests to the others", async () => {
-      const scenario = new SignalScenario();
-      scenario.signals.set("a", overloadedFor(2_000));
-      await scenario.run(500);
+      const setup = new SignalScenario();
+      setup.heads.set("a", overloadedFor(2_000));
+      await setup.run(500);
       const callers = [
-        await scenario.ask(),
-        await scenario.ask(),
-        await scenario.ask(),
+        await setup.ask(),
+        await setup.ask(),
+        await setup.ask(),
       ];
       expect(callers.map(({ status }) => status)).to.deep.equal([
         200,
         200,
         200,
       ]);
-      expect(await scenario.run(1_000)).not.to.include("a");
+      expect(await setup.run(1_000)).not.to.include("a");
     });
 
     it("refuses a caller at once who would have left before its end", async () => {
-      const scenario = new SignalScenario();
-      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(3_000));
-      await scenario.run(200);
-      const sentBefore = scenario.bench.sent.length;
-      const { refusal } = await scenario.ask();
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
+      await setup.run(200);
+      const sentBefore = setup.bench.sent.length;
+      const { refusal } = await setup.ask();
       expect(refusal?.status).to.equal(503);
       expect(refusal?.retryAfterMilliseconds).to.be.within(2_700, 3_300);
-      expect(scenario.bench.sent).to.have.length(sentBefore);
+      expect(setup.bench.sent).to.have.length(sentBefore);
     });
 
     it("is not taken for replicas that refuse connections", async () => {
-      const scenario = new SignalScenario();
-      scenario.bench.onSend = (attempt) =>
-        void attempt.fail("exchange_not_sent");
-      await scenario.run(200);
-      const { refusal } = await scenario.ask();
+      const setup = new SignalScenario();
+      setup.bench.onSend = (attempt) => void attempt.fail("exchange_not_sent");
+      await setup.run(200);
+      const { refusal } = await setup.ask();
       expect(refusal?.reason).to.equal("no_endpoint_reachable");
     });
 
     it("lets a caller wait for its end who can still be answered", async () => {
-      const scenario = new SignalScenario();
-      for (const id of REPLICAS) scenario.signals.set(id, overloadedFor(400));
-      await scenario.run(100);
-      scenario.signals.clear();
-      const caller = await scenario.ask();
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(400));
+      await setup.run(100);
+      setup.heads.clear();
+      const caller = await setup.ask();
       expect(caller.status).to.equal(undefined);
-      await scenario.bench.timer.advance(500);
+      await setup.bench.timer.advance(500);
       expect(caller.status).to.equal(200);
     });
 
     it("stops readings of prompts at an engine", async () => {
-      const scenario = promptScenario();
-      scenario.signals.set("r1", overloadedFor(2_000));
-      expect(await scenario.run(500)).to.include("r1");
-      expect(await scenario.run(1_000)).not.to.include("r1");
+      const setup = promptScenario();
+      setup.heads.set("r1", overloadedFor(2_000));
+      expect(await setup.run(500)).to.include("r1");
+      expect(await setup.run(1_000)).not.to.include("r1");
     });
 
     it("stops answers by an engine", async () => {
-      const scenario = promptScenario();
-      scenario.signals.set("d1", overloadedFor(2_000));
-      expect(await scenario.run(500)).to.include("d1");
-      expect(await scenario.run(1_000)).not.to.include("d1");
+      const setup = promptScenario();
+      setup.heads.set("d1", overloadedFor(2_000));
+      expect(await setup.run(500)).to.include("d1");
+      expect(await setup.run(1_000)).not.to.include("d1");
     });
 
     it("has no prompt read that nobody could answer in time", async () => {
-      const scenario = promptScenario();
-      for (const id of ["d1", "d2"]) {
-        scenario.signals.set(id, overloadedFor(9_000));
-      }
-      await scenario.run(500);
-      const sentBefore = scenario.bench.sent.length;
-      const { refusal } = await scenario.ask();
+      const setup = promptScenario();
+      for (const id of ["d1", "d2"]) setup.heads.set(id, overloadedFor(9_000));
+      await setup.run(500);
+      const sentBefore = setup.bench.sent.length;
+      const { refusal } = await setup.ask();
       expect(refusal?.status).to.equal(503);
-      expect(scenario.bench.sent).to.have.length(sentBefore);
+      expect(setup.bench.sent).to.have.length(sentBefore);
     });
 
     it("puts off freeing a kept prompt at the engine", async () => {
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -183,9 +183,7 @@
       onChange: (change, endpoint) => {
         options.logger.info({ change, ...endpoint }, "An endpoint changed");
         this.#roleController?.onEngineChange(endpoint);
-        if (change === "registered") {
-          this.#survey.onEngineSeen(endpoint);
-        }
+        if (change === "registered") this.#survey.onEngineSeen(endpoint);
       },
     });
     this.#survey = new PrefixCacheSurvey({
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -102,9 +102,7 @@
     }
     this.#kept = undefined;
     for (;;) {
-      if (!this.#context.arrivals.cover({ reading: true })) {
-        return NO_RETRIES;
-      }
+      if (!this.#context.arrivals.cover({ reading: true })) return NO_RETRIES;
       const admitted = await admitPrompt(this.#context, prompt);
       if (this.#context.settled) return ENGINES_FULL;
       if (admitted.kind === "refused") return admitted;
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -427,9 +427,7 @@
     if (this.#runs > 0) return this.#refuseAsUnknown();
     this.#settle();
     if (this.#relay.headSent) return this.#sink.cut();
-    if (reason === KEY_REMOVED) {
-      return this.#respond({ status: 401, reason });
-    }
+    if (reason === KEY_REMOVED) return this.#respond({ status: 401, reason });
     // A caller that comes back finds it blocked at any entry.
     if (reason !== BLOCKED) this.#context.noteRefusal();
     const retryAfterMilliseconds = this.#retryAfterMilliseconds(reason);
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -236,9 +236,7 @@
       usage: this.#ledger.takeOwn({ all: isFull }),
     };
     for (const collector of ranking().slice(0, COLLECTOR_COUNT)) {
-      if (collector !== self) {
-        send(collector, { method: USAGE_METHOD, params });
-      }
+      if (collector !== self) send(collector, { method: USAGE_METHOD, params });
     }
   }
 
@@ -362,9 +360,7 @@
       return undefined;
     }
     this.#claim.gained(offset, sentAt);
-    for (const { counts, window } of reports) {
-      this.#fixed.set(window, counts);
-    }
+    for (const { counts, window } of reports) this.#fixed.set(window, counts);
     this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
     logger.info({ fencing: offset, windows }, "This entry reports usage now");
