--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -8,10 +8,13 @@
 import type { BodyEnd, EndpointAnswer, ExchangeFailure } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 
-/** Another replica has the endpoint's address, or its role has changed. */
+/**
+ * Status by which an endpoint rejects a request that was addressed to another
+ * replica or to its former role.
+ */
 const MISDIRECTED_STATUS = 421;
 
-/** Bytes of a request's head, about. */
+/** Approximate size of a request's head, in bytes. */
 export const REQUEST_HEAD_BYTES = 700;
 
 export interface AttemptPlan {
@@ -21,8 +24,8 @@
 }
 
 /**
- * One send of a request to one endpoint. It keeps the books: what is open at
- * the endpoint, and how the endpoint has treated it, each exactly once.
+ * One send of a request to one endpoint. Records the open work at the endpoint
+ * and the outcome of the send, each exactly once.
  */
 export class Attempt {
   readonly endpoint: RegisteredEndpoint;
@@ -31,7 +34,7 @@
   readonly #context: ForwardContext;
   readonly #plan: AttemptPlan;
   readonly #sentAt: number;
-  /** Crashes under the request that were known when it was sent. */
+  /** Crashes attributed to the request at the time it was sent. */
   readonly #knownCrashes: number;
   readonly #abort: () => void;
   readonly #endWork: () => void;
@@ -63,7 +66,7 @@
     });
   }
 
-  /** The answer's body has ended. */
+  /** Records the outcome once the response body has ended. */
   onEnd(end: BodyEnd, status: number): void {
     if (this.#closed) return;
     const { outcomes } = this.#parts;
@@ -76,7 +79,10 @@
     this.#close();
   }
 
-  /** The caller or the system has given it up; the endpoint ends its work. */
+  /**
+   * Aborts the send for the caller or the system; the endpoint cancels its
+   * work.
+   */
   abort(): void {
     if (this.#closed) return;
     if (this.#isSameRun) this.#parts.outcomes.untold(this.endpoint.id);
@@ -85,8 +91,9 @@
   }
 
   /**
-   * False once the endpoint has started again under its id: the connections to
-   * its former run break then, and the new one would be passed over for it.
+   * False once the endpoint has restarted under the same id. Connections to its
+   * previous run break at that point, and counting those failures would exclude
+   * the new run.
    */
   get #isSameRun(): boolean {
     return this.#parts.registry.isSameRun(this.endpoint);
@@ -108,7 +115,7 @@
     if (name === "exchange_not_sent") crashes.refusedConnection(this.endpoint);
   }
 
-  /** The endpoint has broken the connection off with the request on it. */
+  /** Records that the endpoint broke the connection with the request open. */
   #recordLoss(): void {
     const { crashes, timer } = this.#parts;
     const { digest } = this.#context;
@@ -123,7 +130,10 @@
     });
   }
 
-  /** A reading alone runs nothing, so that it clears nobody. */
+  /**
+   * A prefill alone does not run the request, so its completion does not clear
+   * the request of suspicion.
+   */
   #recordCompletion(): void {
     const { crashes } = this.#parts;
     if (crashes.size === 0 || this.#plan.options.prefillOnly) return;
--- a/src/entry/forwarding/forward.ts
+++ b/src/entry/forwarding/forward.ts
@@ -15,7 +15,10 @@
 import type { CallerSink, Refusal } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 
-/** Takes a request: finds its route and runs it, or answers at once. */
+/**
+ * Forwards a request: finds its route, authenticates the caller and runs the
+ * request, or refuses it immediately.
+ */
 export async function forward(
   parts: ForwardingParts,
   options: { readonly request: ForwardedRequest; readonly sink: CallerSink },
@@ -49,7 +52,7 @@
   await new RequestForwarder(parts, { task, sink }).run();
 }
 
-/** A caller that is let in, and its request without the key. */
+/** An authenticated caller's request, with the key removed from its headers. */
 interface IdentifiedRequest {
   readonly request: ForwardedRequest;
   readonly workspace?: Workspace;
--- a/src/entry/forwarding/forward_context.ts
+++ b/src/entry/forwarding/forward_context.ts
@@ -12,17 +12,17 @@
 import type { ForwardingParts } from "./parts.ts";
 
 /**
- * Sends of one request in all, whatever the retry budget, so that one that
- * every endpoint rejects ends before its deadline.
+ * Maximum number of sends of one request regardless of the retry budget, so
+ * that a request that every endpoint rejects ends before its deadline.
  */
 const MAX_SENDS = 4;
 /**
- * Time under which another send is not worth it: the way to an endpoint and
- * back, and the shortest work there.
+ * Remaining time below which another send is pointless: the network round trip
+ * plus the shortest processing time of an endpoint.
  */
 const MIN_USEFUL_MILLISECONDS = 20;
 
-/** What is being forwarded, and where it may go. */
+/** A request to forward, with its route and pool. */
 export interface ForwardTask {
   readonly request: ForwardedRequest;
   readonly route: Route;
@@ -31,7 +31,7 @@
   readonly workspace?: Workspace;
 }
 
-/** One request's facts and books, shared by the steps of its run. */
+/** State of one request, shared by the steps that forward it. */
 export class ForwardContext {
   readonly parts: ForwardingParts;
   readonly request: ForwardedRequest;
@@ -39,15 +39,15 @@
   readonly pool: Pool;
   readonly workspace: Workspace | undefined;
   readonly arrived: number;
-  /** Time that the caller and the route allow, milliseconds. */
+  /** Time that the caller and the route allow, in milliseconds. */
   readonly allowedMilliseconds: number;
-  /** How long the caller had waited before, in earlier attempts. */
+  /** Time that the caller spent waiting in earlier, refused attempts. */
   readonly waitedMilliseconds: number;
-  /** What has reached the pool of this request. */
+  /** Arrivals of this request at its pool, counted for the retry budget. */
   readonly arrivals: RequestArrivals;
-  /** Runs that were sent to endpoints. */
+  /** Number of sends to endpoints that run the request. */
   sends = 0;
-  /** True once the caller has its answer or has gone. */
+  /** True once the caller has its response or has disconnected. */
   settled = false;
   readonly #rejectedBy = new Set<EndpointId>();
   #digest: RequestDigest | undefined;
@@ -69,12 +69,14 @@
     this.waitedMilliseconds = parts.returning.waited(this.#lastPartId);
   }
 
-  /** How urgent the request is; 0 is the most urgent. */
+  /** Priority of the request; 0 is the most urgent. */
   get rank(): number {
     return this.workspace?.rank ?? this.route.rank;
   }
 
-  /** True once the key that let the caller in has been taken away. */
+  /**
+   * True once the key that authenticated the caller is no longer configured.
+   */
   get isKeyRemoved(): boolean {
     if (this.workspace === undefined) return false;
     const keys = this.parts.routes()?.keys;
@@ -83,30 +85,35 @@
       keys.find(credentials.digest) === undefined;
   }
 
-  /** The part of the prompt by which its caller is known again. */
+  /** Id of the last part of the prompt, which identifies a returning caller. */
   get #lastPartId(): string | undefined {
     return this.request.prompt?.parts.at(-1)?.id;
   }
 
-  /** How long the request is refused for crashing endpoints, milliseconds. */
+  /**
+   * Time for which the request is blocked for crashing endpoints, in
+   * milliseconds.
+   */
   get blockedMilliseconds(): number {
     const { crashes } = this.parts;
     return crashes.size === 0 ? 0 : crashes.blockedMilliseconds(this.digest);
   }
 
-  /** Crashes under the request one after another, as far as known here. */
+  /** Number of consecutive crashes attributed to the request, as known here. */
   get knownCrashes(): number {
     const { crashes } = this.parts;
     return crashes.size === 0 ? 0 : crashes.crashesUnder(this.digest);
   }
 
-  /** By what the request is known when it comes again; hashes its body. */
+  /**
+   * Digest that identifies a repeated request; hashes the body on first use.
+   */
   get digest(): RequestDigest {
     this.#digest ??= this.parts.digestOf(this.request);
     return this.#digest;
   }
 
-  /** The request is refused; its caller may come back to any entry. */
+  /** Records a refusal, since the caller may retry at any entry. */
   noteRefusal(): void {
     const partId = this.#lastPartId;
     if (partId === undefined) return;
@@ -114,12 +121,14 @@
     this.parts.returning.refused(partId, waited);
   }
 
-  /** Time until the deadline, milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   get remainingMilliseconds(): number {
     return this.arrived + this.allowedMilliseconds - this.parts.timer.now();
   }
 
-  /** Time until the caller leaves if nothing has come by then, milliseconds. */
+  /**
+   * Time until the caller gives up waiting for a first byte, in milliseconds.
+   */
   get remainingToFirstByteMilliseconds(): number {
     const { patienceMilliseconds = Infinity } = this.route;
     return Math.min(
@@ -128,12 +137,12 @@
     );
   }
 
-  /** Time since the request's arrival, milliseconds. */
+  /** Time since the request arrived, in milliseconds. */
   get elapsedMilliseconds(): number {
     return this.parts.timer.now() - this.arrived;
   }
 
-  /** Endpoints of the pool that take new work. */
+  /** Endpoints of the pool that accept new work. */
   endpoints(): RegisteredEndpoint[] {
     const { outcomes } = this.parts;
     return this.#inService().filter(({ id }) =>
@@ -142,8 +151,8 @@
   }
 
   /**
-   * Time until one of these takes work that has said that it is overloaded,
-   * milliseconds; 0 where one does now, infinite where there is none.
+   * Time in milliseconds until one of the matching endpoints that reported
+   * overload accepts work; 0 if one does now, infinite if there is none.
    */
   overloadMilliseconds(
     matches: (endpoint: RegisteredEndpoint) => boolean = () => true,
@@ -162,12 +171,12 @@
     );
   }
 
-  /** The endpoint has turned this request away or lost it. */
+  /** Records that the endpoint rejected or lost this request. */
   noteRejection(endpoint: EndpointId): void {
     this.#rejectedBy.add(endpoint);
   }
 
-  /** Prefers endpoints that have not turned this request away. */
+  /** Prefers endpoints that have not rejected this request. */
   preferUntried(
     endpoints: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
@@ -175,14 +184,17 @@
     return others.length > 0 ? others : endpoints;
   }
 
-  /** Endpoints that have not turned this request away. */
+  /** Endpoints that have not rejected this request. */
   withoutRejecting(
     endpoints: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
     return endpoints.filter(({ id }) => !this.#rejectedBy.has(id));
   }
 
-  /** Asks the shared allowance, for what reaches the pool once more. */
+  /**
+   * Checks the send limit, the remaining time and the shared retry budget
+   * before another send to the pool.
+   */
   mayResend(reason: string, next: NextSends): boolean {
     const allowed = this.sends < MAX_SENDS &&
       this.remainingMilliseconds >= MIN_USEFUL_MILLISECONDS &&
@@ -198,14 +210,14 @@
     return allowed;
   }
 
-  /** An endpoint began to run the request at this moment; counts once. */
+  /** Records once when an endpoint started to run the request. */
   noteStarted(at: number): void {
     if (this.#hasStarted || this.workspace === undefined) return;
     this.#hasStarted = true;
     this.parts.began(this.workspace.id, at);
   }
 
-  /** Tells of a decision on this request. */
+  /** Reports a decision on this request. */
   report(
     decision: ForwardingDecision,
     facts: Readonly<Record<string, unknown>>,
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -69,28 +69,31 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly door: EndpointDoor;
-  /** By what a request is known again when its caller sends it once more. */
+  /** Digest by which a retried request is recognized. */
   readonly digestOf: (request: ForwardedRequest) => RequestDigest;
   readonly sendToPeers: SendToPeers;
   readonly observe: ObserveForwarding;
   readonly logger: Logger;
-  /** True: the whole fleet starts for the first time; engines keep nothing. */
+  /**
+   * True on the first start of the whole fleet, when engines hold no cached
+   * prompts.
+   */
   readonly isFirstStart: boolean;
   readonly retry: {
     readonly ratio: number;
     readonly windowMilliseconds: number;
     readonly minimum: number;
   };
-  /** Speed of this machine's own link; absent where it is not known. */
+  /** Bandwidth of this machine's link; absent if unknown. */
   readonly linkMegabitsPerSecond: number | undefined;
-  /** How late this process is in taking up what comes, milliseconds. */
+  /** Event loop delay of this process, in milliseconds. */
   readonly loopDelay: () => number;
-  /** Absent: engines keep the roles that they have. */
+  /** Absent: engines keep their current roles. */
   readonly roles?: {
     readonly link: RoleLink;
     readonly leaseMilliseconds: number;
   };
-  /** Absent: nobody wants to know what workspaces use. */
+  /** Absent: usage of workspaces is not reported. */
   readonly usage?: Pick<
     UsageKeeperOptions,
     | "dueMilliseconds"
@@ -99,32 +102,32 @@
     | "onOutcome"
     | "windowMilliseconds"
   >;
-  /** How peers are asked for what the store does not tell. */
+  /** How to query peers while the store is unreachable. */
   readonly relay: Pick<PeerStateFallbackOptions, "ask" | "peers">;
   /** The endpoint's connections are no longer needed. */
   readonly onEndpointGone: (address: string) => void;
-  /** A peer has read this span of the registrations. */
+  /** Records that a peer has read this span of the registrations. */
   readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
-  /** A question for an endpoint's load has been answered, or not. */
+  /** Called with the outcome of each load query. */
   readonly onLoadQuestion: (outcome: LoadQuestionOutcome) => void;
-  /** Keeps a blocked request for entries that start when no other runs. */
+  /** Persists a blocked request for entries that start while no other runs. */
   readonly keepBlocked: (blocked: BlockedRequest) => void;
-  /** A request that was blocked has been run to its end. */
+  /** Removes a persisted request that has completed since it was blocked. */
   readonly dropBlocked: (digest: RequestDigest) => void;
-  /** An entry has told of itself that is not on the fleet's list yet. */
+  /** Called when an entry reports that is not in the list of the fleet yet. */
   readonly onUnlistedPeer: () => void;
 }
 
 /**
- * Entries that are assumed to share the retry budget while this one is young.
- * After a restart of the whole fleet each finds itself alone on the list and
- * would take the whole minimum.
+ * Minimum number of entries that are assumed to share the retry budget during
+ * startup. After a restart of the whole fleet each entry first sees only itself
+ * in the list and would use the whole minimum budget.
  */
 const ASSUMED_STARTUP_ENTRIES = 8;
-/** By then entries that started together know each other. */
+/** Startup time after which entries that started together know each other. */
 const STARTUP_MILLISECONDS = 5_000;
 
-/** An entry that forwards requests to endpoints which register themselves. */
+/** An entry that forwards requests to endpoints, which register themselves. */
 export class ForwardingEntry {
   readonly registry: EndpointRegistry;
   readonly peers: PeerExchange;
@@ -156,7 +159,7 @@
         const endpoints = losses.map(([, endpoint]) => endpoint);
         options.logger.warn(
           { digest, endpoints },
-          "A request crashes endpoints and is blocked",
+          "Blocked a request that crashes endpoints",
         );
         if (isOwn) options.keepBlocked(blocked);
       },
@@ -308,12 +311,12 @@
     };
   }
 
-  /** The configuration in force; undefined while none is known. */
+  /** The configuration in force; undefined until one is known. */
   get configuration(): ForwardingConfiguration | undefined {
     return this.#routes?.configuration;
   }
 
-  /** Entries that limits of the whole fleet are divided by. */
+  /** Number of entries that share the fleet-wide limits. */
   get entriesSharingLimits(): number {
     const known = this.peers.knownEntries ?? 1;
     const age = this.#options.timer.now() - this.#startedAt;
@@ -322,27 +325,30 @@
       : known;
   }
 
-  /** How far each pool's repeats have used up this entry's part. */
+  /** Use of this entry's share of the retry budget, by pool. */
   repeatUses(): RepeatUse[] {
     return this.#parts.allowance.uses();
   }
 
-  /** Requests that are refused for crashing endpoints. */
+  /** Number of requests that are blocked for crashing endpoints. */
   get blockedRequests(): number {
     return this.#parts.crashes.blocked;
   }
 
-  /** Fencing token of this entry's usage reports; absent: another reports. */
+  /**
+   * Fencing token of this entry's usage reports; absent if another entry
+   * reports.
+   */
   get usageFencing(): number | undefined {
     return this.#usage?.fencing;
   }
 
-  /** Work of all entries at the endpoint. */
+  /** Open work of all entries at the endpoint. */
   openWorkAt(endpoint: EndpointId): OpenWork {
     return this.#parts.load.total(endpoint);
   }
 
-  /** True while the balancer should send callers here. */
+  /** True while the load balancer should send callers here. */
   get ready(): boolean {
     return this.#routes !== undefined && this.registry.size > 0 &&
       !this.#stopping;
@@ -355,7 +361,10 @@
     this.relay.start();
   }
 
-  /** Takes no new callers; what is open goes on. */
+  /**
+   * Reports the entry as not ready and stops role orders; open requests
+   * continue.
+   */
   stop(): void {
     this.#stopping = true;
     this.#roleController?.stop();
@@ -368,8 +377,8 @@
   }
 
   /**
-   * Puts a configuration in force. A version that is not newer is passed over:
-   * a late read would else take back what callers have already seen.
+   * Puts a configuration in force. Versions that are not newer are ignored: a
+   * late read would otherwise revert what callers have already seen.
    */
   takeConfiguration(configuration: ForwardingConfiguration): boolean {
     const known = this.configuration?.version ?? -Infinity;
@@ -383,7 +392,7 @@
     return true;
   }
 
-  /** Takes a request that was kept as blocked; false where that is over. */
+  /** Restores a persisted blocked request; false if its block has expired. */
   restoreBlocked(
     losses: readonly ReportedLoss[],
     options: { readonly ageMilliseconds: number },
@@ -391,7 +400,7 @@
     return this.#parts.crashes.restore(losses, options);
   }
 
-  /** Takes a peer's notification. */
+  /** Handles a notification from a peer. */
   takeNotification(method: string, params: unknown): void {
     if (method === WORK_METHOD) this.peers.onWork(params);
     if (method === CRASHES_METHOD) this.peers.onCrashes(params);
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -13,27 +13,28 @@
 } from "./prompt_admission.ts";
 import { type PrefillOutcome, prefillPrompt } from "./prefill_step.ts";
 
-/** Engines that are asked to read a request's prompt in one round. */
+/** Number of failed prefills after which a request is refused. */
 const MAX_PREFILL_ATTEMPTS = 2;
 /**
- * Engines that may refuse the connection besides. They are not counted like
- * rejections: when a zone dies, every entry finds that out by itself.
+ * Additional engines that may refuse the connection. They are not counted as
+ * rejections: when a zone fails, every entry discovers that on its own.
  */
 const MAX_UNREACHABLE_ENGINES = 3;
 /**
- * Engines that a kept prompt is offered to. One that is full or has changed
- * its role leaves the cache where it is; where a second one turns it away too,
- * the cache itself is likely gone.
+ * Maximum number of engines that are offered a cached prompt. An engine that is
+ * full or has changed its role leaves the cache in place; if a second one
+ * rejects it as well, the cache is probably lost.
  */
 const MAX_DECODE_OFFERS = 2;
-/** Priority of prompts that are read for late answers. */
+/** Priority of prompts whose response will be late. */
 const LATE_PRIORITY = 8;
 /**
- * An overloaded engine wants no call; a cache is freed behind that time, or
- * by the engine itself where that comes first.
+ * Longest time to delay the release of a cache at an overloaded engine, which
+ * should receive no calls meanwhile. Beyond it, the engine evicts the cache
+ * itself.
  */
 const MAX_RELEASE_DELAY_MILLISECONDS = 5_000;
-/** What became of a hand-over. */
+/** Outcome of a handover. */
 export type HandoverOutcome =
   | { readonly kind: "kept"; readonly kept: KeptPrompt }
   | {
@@ -43,25 +44,25 @@
       | "prompt_not_read"
       | "no_repeats_left"
       | "crashes_endpoints";
-    /** What decided, for the log. */
+    /** Figures that led to the refusal, for the log. */
     readonly facts: AdmissionFacts;
   };
 
-/** No engine became free while the caller could still be answered. */
+/** No engine became available before the caller's time ran out. */
 const ENGINES_FULL: HandoverOutcome = {
   kind: "refused",
   reason: "engines_full",
   facts: {},
 };
 
-/** Endpoints have crashed under the request while it waited. */
+/** Endpoints crashed under the request while it was waiting. */
 const CRASHES_ENDPOINTS: HandoverOutcome = {
   kind: "refused",
   reason: "crashes_endpoints",
   facts: {},
 };
 
-/** The prompt would be read anew, and the fleet's limit allows no more. */
+/** The prompt would need another prefill, and the retry budget is used up. */
 const NO_RETRIES: HandoverOutcome = {
   kind: "refused",
   reason: "no_repeats_left",
@@ -69,20 +70,20 @@
 };
 
 /**
- * The cache of one request's prompt on its way from the engine that reads to
- * the one that decodes; it is freed on every way out.
+ * Hands the KV cache of one prompt from the prefill engine to the decode
+ * engine. The cache is released on every exit path.
  */
 export class Handover {
   readonly #context: ForwardContext;
   readonly #onAttempt: (attempt: Attempt) => void;
   #kept: KeptPrompt | undefined;
-  /** Readings that have failed at an engine. */
+  /** Prefills that failed at an engine. */
   #failedPrefills = 0;
-  /** Readings that found no connection. */
+  /** Prefills that could not connect to an engine. */
   #unreachableEngines = 0;
   #offers = 0;
 
-  /** `onAttempt` takes each reading, so that it can be aborted. */
+  /** `onAttempt` receives each prefill attempt, so that it can be aborted. */
   constructor(
     context: ForwardContext,
     onAttempt: (attempt: Attempt) => void,
@@ -92,9 +93,9 @@
   }
 
   /**
-   * Has a prefill engine read the prompt, a second one where the first fails. A
-   * decode engine would read it between the tokens of its streams, which then
-   * pause.
+   * Prefills the prompt on a prefill engine, and on another one if the first
+   * fails. A decode engine would interleave the prefill with its streams, which
+   * would pause.
    */
   async prefill(prompt: Prompt): Promise<HandoverOutcome> {
     if (this.#kept !== undefined && !this.#isStale(this.#kept)) {
@@ -131,28 +132,28 @@
     }
   }
 
-  /** True where the prompt has to be read once more before the next send. */
+  /** True if the prompt needs another prefill before the next send. */
   get needsAnotherPrefill(): boolean {
     const kept = this.#kept;
     const isMissing = kept === undefined || this.#isStale(kept);
     return isMissing && this.#context.arrivals.hasRead;
   }
 
-  /** True where the engine has started again since and holds nothing. */
+  /** True if the engine has restarted since and lost the cache. */
   #isStale({ engine, engineStartedAt }: KeptPrompt): boolean {
     const current = this.#context.parts.registry.get(engine);
     return current !== undefined && current.startedAt !== engineStartedAt;
   }
 
-  /** An engine has turned the cache away without running the request. */
+  /** Records that an engine rejected the cache without running the request. */
   noteRejection(): void {
     this.#offers += 1;
     if (this.#offers >= MAX_DECODE_OFFERS) this.release();
   }
 
   /**
-   * An engine has taken the cache over and keeps its parts as its own; its
-   * first byte came so long after it was asked.
+   * Records that a decode engine has taken over the cache and now keeps its
+   * parts; `milliseconds` is the time from the send to its response head.
    */
   noteTransfer(
     { id, startedAt }: RegisteredEndpoint,
@@ -172,7 +173,7 @@
     });
   }
 
-  /** Frees the cache, if there is one. */
+  /** Releases the cache, if there is one. */
   release(): void {
     const kept = this.#kept;
     this.#kept = undefined;
@@ -184,7 +185,10 @@
     if (wait <= MAX_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
   }
 
-  /** An engine that turns a prompt away at once says nothing of its speed. */
+  /**
+   * A prompt that is rejected immediately carries no information on the speed
+   * of the engine.
+   */
   #recordSlowness(
     choice: PrefillChoice,
     { outcome, took }: {
@@ -200,7 +204,10 @@
     parts.slowness.took(endpoint.id, { milliseconds: took, predicted });
   }
 
-  /** Only a reading that waited for nothing tells of the engines' speed. */
+  /**
+   * Only a prefill that did not queue or fetch a remote cache measures the
+   * speed of the engines.
+   */
   #recordPrefillSpeed(
     prompt: Prompt,
     choice: PrefillChoice,
@@ -256,7 +263,8 @@
       endpoint: outcome.kept.engine,
       milliseconds: Math.round(took),
     });
-    // The caller may have gone meanwhile, and nobody would free the cache.
+    // The caller may have disconnected during the prefill; release the cache,
+    // as no later step would.
     if (this.#context.settled) this.release();
     return outcome;
   }
--- a/src/entry/forwarding/links.ts
+++ b/src/entry/forwarding/links.ts
@@ -1,4 +1,4 @@
-/** What the forwarding path needs from the network, as types. */
+/** Network interfaces that the forwarding path depends on. */
 import type { Result } from "neverthrow";
 import type { Failure } from "../../core/errors/mod.ts";
 import type {
@@ -10,20 +10,21 @@
 } from "../../core/forwarding/mod.ts";
 
 /**
- * `exchange_not_sent`: no byte left. `exchange_lost`: the request may run.
- * `exchange_foreign`: what came answers another request, or nothing at all.
+ * `exchange_not_sent`: no byte was sent. `exchange_lost`: the request may be
+ * running. `exchange_foreign`: the response belongs to another request or to
+ * none.
  */
 export type ExchangeFailure = Failure<
   "exchange_not_sent" | "exchange_lost" | "exchange_foreign"
 >;
 
-/** How the body of an answer ended. */
+/** How a response body ended. */
 export type BodyEnd = "whole" | "cut";
 
-/** An endpoint's answer whose body is still coming. */
+/** An endpoint's response whose body is still being received. */
 export interface EndpointAnswer {
   readonly head: AnswerHead;
-  /** Gives the body piece by piece; call once. */
+  /** Streams the body in chunks; call once. */
   read(
     onPiece: (piece: Buffer) => void,
     onEnd: (end: BodyEnd) => void,
@@ -32,10 +33,10 @@
   resume(): void;
 }
 
-/** A request that is under way at an endpoint. */
+/** A request in progress at an endpoint. */
 export interface Exchange {
   readonly answer: Promise<Result<EndpointAnswer, ExchangeFailure>>;
-  /** Closes the connection; the endpoint ends its work. */
+  /** Closes the connection; the endpoint cancels its work. */
   abort(): void;
 }
 
@@ -45,36 +46,40 @@
     request: ForwardedRequest,
     options: AttemptOptions & { readonly address: string },
   ): Exchange;
-  /** Reads the handle of a kept prompt out of the answer to a prefill. */
+  /** Parses the handle of a cached prompt from the response to a prefill. */
   keptHandle(body: Buffer): string | undefined;
-  /** The parts of prompts that an engine keeps; undefined: it did not tell. */
+  /**
+   * Prompt parts in the engine's cache; undefined if the engine did not report.
+   */
   listKept(
     engine: Pick<RegisteredEndpoint, "id" | "address">,
   ): Promise<readonly PromptPart[] | undefined>;
-  /** Frees a kept prompt that nobody will take. */
+  /** Releases a cached prompt that will not be used. */
   release(address: string, handle: string): void;
 }
 
-/** Where the answer to a caller goes. */
+/** The response stream to a caller. */
 export interface CallerSink {
-  /** True once the caller has gone; nothing reaches it any more. */
+  /**
+   * True once the caller has disconnected; writes have no effect from then on.
+   */
   readonly gone: boolean;
   head(status: number, headers: readonly string[]): void;
-  /** False while the caller reads slowly; `onDrain` tells when to go on. */
+  /** False while the caller reads slowly; `onDrain` signals when to resume. */
   write(piece: Buffer): boolean;
   finish(): void;
-  /** Breaks the answer off, so that it does not look complete. */
+  /** Aborts the response, so that it does not look complete. */
   cut(): void;
   onDrain(listener: () => void): void;
   onGone(listener: () => void): void;
-  /** An answer of the system's own. */
+  /** Sends a response of the system itself. */
   refuse(refusal: Refusal): void;
 }
 
-/** Why the system itself answers, in place of an endpoint. */
+/** Reason why the system itself responds instead of an endpoint. */
 export interface Refusal {
   readonly status: 401 | 404 | 413 | 431 | 502 | 503 | 504;
   readonly reason: string;
-  /** When coming back is worth it; only with 503. */
+  /** When a retry is useful, in milliseconds; only with 503. */
   readonly retryAfterMilliseconds?: number;
 }
--- a/src/entry/forwarding/load_queries.ts
+++ b/src/entry/forwarding/load_queries.ts
@@ -18,26 +18,26 @@
   type WorkRowWithRun,
 } from "./work_notification.ts";
 
-/** Notification that asks an owner for the work at its endpoints. */
+/** Notification that queries an owner for the load of its endpoints. */
 export const LOAD_QUERY_METHOD = "entry.loadQuestion";
-/** Notification that answers one. */
+/** Notification that answers a load query. */
 export const LOAD_ANSWER_METHOD = "entry.loadAnswer";
 
 /**
- * How long to wait for an owner's answer; one that is frozen or cut off must
- * not hold requests up.
+ * Timeout of a query to an owner. An owner that is frozen or partitioned must
+ * not delay requests.
  */
 const ANSWER_TIMEOUT_MILLISECONDS = 6;
 
-/** Tells one entry something; a datagram that is lost is nobody's concern. */
+/** Sends a notification to one entry; lost datagrams are not retried. */
 export type SendToPeer = (
   peer: ProcessId,
   notification: { readonly method: string; readonly params: unknown },
 ) => void;
 
 /**
- * What became of a question to one owner, or of a peer's: `unreadable` bytes
- * change nothing.
+ * Outcome of a query to one owner, or of a received message: `unreadable`
+ * messages are ignored.
  */
 export type LoadQuestionOutcome = "answered" | "unanswered" | "unreadable";
 
@@ -57,7 +57,9 @@
   readonly settle: () => void;
 }
 
-/** Asks the owners of endpoints for the work there, and answers as one. */
+/**
+ * Queries the owners of endpoints for the load there, and answers such queries.
+ */
 export class LoadQueries {
   readonly #options: LoadQueriesOptions;
   readonly #pending = new Map<number, PendingQuery>();
@@ -68,8 +70,8 @@
   }
 
   /**
-   * Brings the picture of these endpoints up to date; over once every owner has
-   * answered, or those that are left have had their time.
+   * Refreshes the load of these endpoints; settles once every owner has
+   * answered or timed out.
    */
   async refresh(endpoints: readonly EndpointId[]): Promise<void> {
     const { owners, self, send, timer } = this.#options;
@@ -98,7 +100,7 @@
     }
   }
 
-  /** Answers a peer's question; one that can't be read is passed over. */
+  /** Answers a peer's query; ignores a malformed one. */
   onQuery(params: unknown): void {
     if (!isLoadQuery(params)) return this.#options.onOutcome("unreadable");
     const { load, owners, registry, self, send } = this.#options;
@@ -119,7 +121,7 @@
     });
   }
 
-  /** Takes an owner's answer; one to no open question changes nothing. */
+  /** Applies an owner's answer; ignores one that matches no pending query. */
   onAnswer(params: unknown): void {
     if (!isLoadAnswer(params)) return this.#options.onOutcome("unreadable");
     const owner = identifier<ProcessId>(params.entry);
--- a/src/entry/forwarding/mod.ts
+++ b/src/entry/forwarding/mod.ts
@@ -1,4 +1,4 @@
-/** The entry's path for requests that are forwarded byte by byte. */
+/** Forwarding path of an entry: requests are proxied byte by byte. */
 export type * from "./links.ts";
 export type { ForwardingDecision, ObserveForwarding } from "./observer.ts";
 export type { ForwardingParts } from "./parts.ts";
--- a/src/entry/forwarding/observer.ts
+++ b/src/entry/forwarding/observer.ts
@@ -1,7 +1,7 @@
-/** What the forwarding path tells of its decisions, for log and metrics. */
+/** Decisions of the forwarding path, for logs and metrics. */
 import type { LogFacts } from "../../core/observation/mod.ts";
 
-/** Kinds of decision; each is one log line. */
+/** Kinds of decision; each is logged in one line. */
 export type ForwardingDecision =
   | "placed"
   | "prompt_read"
@@ -16,7 +16,7 @@
   | "cut"
   | "caller_gone";
 
-/** Told once for each decision that touches a request. */
+/** Called once for each decision on a request. */
 export type ObserveForwarding = (
   decision: ForwardingDecision,
   facts: LogFacts & { readonly requestId: string; readonly route: string },
--- a/src/entry/forwarding/parts.ts
+++ b/src/entry/forwarding/parts.ts
@@ -1,4 +1,4 @@
-/** What all forwarded requests of an entry share. */
+/** Dependencies and state that all forwarded requests of an entry share. */
 import type {
   CrashSuspects,
   EndpointOutcomes,
@@ -44,30 +44,34 @@
   /** Requests under which endpoints have crashed. */
   readonly crashes: CrashSuspects;
   readonly returning: ReturningCallers;
-  /** Readings that this entry has begun for answers on time. */
+  /** Prefills that this entry has started for responses within their target. */
   readonly onTimeWork: WorkRate;
-  /** Prompts that wait here for an engine. */
+  /** Prompts that are queued at this entry until an engine is nearly idle. */
   readonly held: HeldPrompts<PrefillChoice>;
-  /** Entries of the fleet, this one included. */
+  /** Number of entries in the fleet, including this one. */
   readonly entries: () => number;
-  /** True where the picture of the load is too old to place work by. */
+  /**
+   * True if the load reports are too infrequent to place work by them alone.
+   */
   readonly isLoadStale: () => boolean;
-  /** Brings the picture of these endpoints' load up to date. */
+  /** Refreshes the load of these endpoints from their owners. */
   readonly refreshLoad: (endpoints: readonly EndpointId[]) => Promise<void>;
-  /** The link over which this entry sends. */
+  /** Send queue of this entry's network link. */
   readonly link: LinkQueue;
-  /** How late this process is in taking up what comes, milliseconds. */
+  /** Event loop delay of this process, in milliseconds. */
   readonly loopDelay: () => number;
   readonly door: EndpointDoor;
-  /** By what a request is known again when its caller sends it once more. */
+  /** Digest by which a retried request is recognized. */
   readonly digestOf: (request: ForwardedRequest) => RequestDigest;
   readonly observe: ObserveForwarding;
-  /** An answer says that this run leaves; true where this is news. */
+  /**
+   * Records that a response announced that this run is leaving; true if new.
+   */
   readonly saidLeaving: (run: EndpointRun) => boolean;
-  /** A request of the workspace began to run at this moment. */
+  /** Records that a request of the workspace started to run at this time. */
   readonly began: (workspace: WorkspaceId, at: number) => void;
-  /** True while an engine changes its role and takes no new work. */
+  /** True while an engine changes its role and accepts no new work. */
   readonly isChanging: (endpoint: EndpointId) => boolean;
-  /** The routes in force; undefined while no configuration is known. */
+  /** The routes in force; undefined until a configuration is known. */
   readonly routes: () => RouteTable | undefined;
 }
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -25,31 +25,31 @@
 } from "./work_notification.ts";
 
 /**
- * Interval between reports of open work, for each peer. It grows with the
- * fleet, so that the datagrams of a thin machine stay bounded.
+ * Reporting interval for each peer. The interval grows with the fleet, which
+ * bounds the datagrams of a machine with a slow link.
  */
 const REPORT_MILLISECONDS_PER_PEER = 6;
 const MIN_REPORT_INTERVAL_MILLISECONDS = 15;
-/** Fleets up to this size tell at the shortest interval. */
+/** Fleets with up to this many peers report at the shortest interval. */
 const SMALL_FLEET_PEERS = 5;
-/** Everything is told again so often: a lost datagram is made up for. */
+/** Interval of full reports, which make up for lost datagrams. */
 const FULL_REPORT_INTERVAL_MILLISECONDS = 700;
 /**
- * Interval of the reports beyond which the owners of endpoints are told of work
- * at once, and asked for it. With shorter ones entries miss less than one
- * prompt of each other's work.
+ * Reporting interval above which the owners of endpoints are updated
+ * immediately and queried for their load. At shorter intervals entries miss
+ * less than one prompt of each other's work.
  */
 const MAX_FRESH_INTERVAL_MILLISECONDS = 30;
-/** How long changes of work are gathered before owners are told. */
+/** How long changes of load are batched before owners are updated. */
 const OWNER_UPDATE_DELAY_MILLISECONDS = 1;
-/** Notification that carries orders to engines. */
+/** Notification that carries role orders to engines. */
 export const ROLES_METHOD = "entry.roles";
-/** Notification that carries registrations that have changed. */
+/** Notification that carries changed registrations. */
 export const REGISTRATIONS_METHOD = "entry.registrations";
 
-/** How long losses are gathered: those of one crash come together. */
+/** How long losses are batched; the losses of one crash arrive together. */
 const CRASH_REPORT_DELAY_MILLISECONDS = 5;
-/** Notification that carries requests lost with endpoints. */
+/** Notification that carries requests that were lost with endpoints. */
 export const CRASHES_METHOD = "entry.crashes";
 
 /** Sends a notification to peers. */
@@ -72,24 +72,24 @@
   readonly sendToPeers: SendToPeers;
   /** Version of the configuration in force here. */
   readonly version: () => number | undefined;
-  /** A peer has a configuration of this version. */
+  /** Called with the configuration version of a peer. */
   readonly onVersion: (version: number) => void;
-  /** A peer's wall clock shows this; absent where clocks don't matter. */
+  /** Called with a peer's wall clock; absent where clocks are not compared. */
   readonly onClock?: (peer: ProcessId, wallClock: number) => void;
-  /** An entry has told of itself that the fleet's list does not name yet. */
+  /** Called when an entry reports that is not in the list of the fleet yet. */
   readonly onUnlistedPeer: () => void;
 }
 
-/** Tells peers of this entry's open work, and takes in theirs. */
+/** Reports this entry's open work to its peers and applies their reports. */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
   #addresses: readonly string[] = [];
   #peers: ReadonlyMap<string, string> = new Map();
-  /** Endpoints whose owners are to be told of changed work. */
+  /** Endpoints with load changes that their owners have not received yet. */
   readonly #changedEndpoints = new Set<EndpointId>();
   #ownerUpdate: Subscription | undefined;
   #crashReport: Subscription | undefined;
-  /** The last run of each peer that has told of itself. */
+  /** Incarnation of each peer that has reported. */
   readonly #incarnations = new Map<string, string>();
   #knownEntries: number | undefined;
   #nextReport: Subscription | undefined;
@@ -102,19 +102,21 @@
     options.crashes.reports.onNews(() => this.#scheduleCrashReport());
   }
 
-  /** Entries of the fleet, this one included; undefined while unknown. */
+  /**
+   * Number of entries in the fleet, including this one; undefined if unknown.
+   */
   get knownEntries(): number | undefined {
     return this.#knownEntries;
   }
 
-  /** How often peers are told of this entry's work, milliseconds. */
+  /** Interval of the reports to peers, in milliseconds. */
   get #interval(): number {
     const beyondFew = Math.max(0, this.#addresses.length - SMALL_FLEET_PEERS);
     return MIN_REPORT_INTERVAL_MILLISECONDS +
       REPORT_MILLISECONDS_PER_PEER * beyondFew;
   }
 
-  /** True where reports come too seldom to place work by them alone. */
+  /** True if reports are too infrequent to place work by them alone. */
   get isLoadStale(): boolean {
     return this.#interval > MAX_FRESH_INTERVAL_MILLISECONDS;
   }
@@ -132,7 +134,7 @@
     this.#crashReport?.cancel();
   }
 
-  /** Takes the fleet's list: the others' addresses by their names. */
+  /** Sets the fleet's list: addresses of the peers by name. */
   setPeers(peers: ReadonlyMap<string, string>): void {
     this.#peers = peers;
     this.#addresses = [...peers.values()];
@@ -144,18 +146,18 @@
     this.#options.owners.setMembers(names);
   }
 
-  /** The others on the fleet's list. */
+  /** Peers in the list of the fleet. */
   get listedPeers(): readonly ProcessId[] {
     return [...this.#peers.keys()].map((name) => identifier<ProcessId>(name));
   }
 
-  /** Tells peers of something that does not wait for the next report. */
+  /** Sends a notification to all peers without waiting for the next report. */
   broadcast(method: string, params: unknown): void {
     if (this.#addresses.length === 0) return;
     this.#options.sendToPeers(this.#addresses, { method, params });
   }
 
-  /** Tells one peer. */
+  /** Sends a notification to one peer. */
   sendTo(
     peer: ProcessId,
     notification: { readonly method: string; readonly params: unknown },
@@ -165,7 +167,7 @@
     this.#options.sendToPeers([address], notification);
   }
 
-  /** Takes a peer's notification; anything malformed is passed over. */
+  /** Applies a peer's report; ignores malformed ones. */
   onWork(params: unknown): void {
     if (!isWorkNotification(params)) return;
     if (params.entry === this.#options.process) return;
@@ -198,7 +200,7 @@
     this.#syncBlockedRequests(params);
   }
 
-  /** Takes what a peer tells of requests lost with endpoints. */
+  /** Applies a peer's report of requests that were lost with endpoints. */
   onCrashes(params: unknown): void {
     if (!isCrashReport(params)) return;
     const { crashes } = this.#options;
@@ -206,7 +208,7 @@
     for (const digest of params.cleared) crashes.peerCompleted(digest);
   }
 
-  /** Tells a peer that has started which requests crash endpoints. */
+  /** Sends the blocked requests to a peer that has started or restarted. */
   #syncBlockedRequests({ entry, incarnation }: WorkNotification): void {
     if (this.#incarnations.get(entry) === incarnation) return;
     this.#incarnations.set(entry, incarnation);
@@ -247,7 +249,7 @@
     });
   }
 
-  /** What tells nothing yet, with the next number in turn. */
+  /** An empty notification with the next sequence number. */
   #baseNotification(isFull: boolean): WorkNotification {
     const { incarnation, process } = this.#options;
     this.#sequence += 1;
@@ -263,8 +265,9 @@
   }
 
   /**
-   * A retry may come to another entry within milliseconds; sent on there in
-   * ignorance of the crash before, it does not count as one more.
+   * Reports crashes after a short delay. A retry may reach another entry within
+   * milliseconds; if that entry sends it on without knowing of the crash, the
+   * next crash is not counted as a further one.
    */
   #scheduleCrashReport(): void {
     this.#crashReport ??= this.#options.timer.after(
--- a/src/entry/forwarding/peer_state_fallback.ts
+++ b/src/entry/forwarding/peer_state_fallback.ts
@@ -14,31 +14,31 @@
 import type { Random } from "../../core/random/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 
-/** Name under which peers ask for what an entry knows. */
+/** Stream name under which peers request the forwarding state of an entry. */
 export const FORWARDING_STATE = "forwarding";
 /**
- * How long the store may be silent before peers are asked: a pause between two
- * reads and an answer that times out.
+ * How long the store may be silent before peers are queried: a pause between
+ * two reads plus a read that times out.
  */
 const STORE_SILENCE_MILLISECONDS = 1_500;
 /**
- * How long after a peer's report of a newer configuration this entry waits for
- * its own read. All entries read a new one within milliseconds of each other,
- * and their reports cross.
+ * How long to wait for this entry's own read after a peer reports a newer
+ * configuration. All entries read a new version within milliseconds of each
+ * other, and their reports cross.
  */
 const OWN_READ_GRACE_MILLISECONDS = 250;
-/** How often peers are asked while the store fails. */
+/** Interval of queries to peers while the store fails. */
 const POLL_INTERVAL_MILLISECONDS = 500;
 /**
- * Age up to which a peer's state counts as current. A leaving endpoint has to
- * be known within two seconds of the store's word: a read every 400 ms at the
- * peer, this age and the next question stay below it.
+ * Maximum age of a peer's state that still counts as current. A leaving
+ * endpoint has to be known within two seconds of its record in the store; reads
+ * every 400 ms at the peer, this age and the next query stay below that.
  */
 const MAX_STATE_AGE_MILLISECONDS = 800;
 
-/** What an entry knows, as it goes to a peer. */
+/** Forwarding state of an entry as sent to a peer. */
 interface ForwardingState {
-  /** Time since the store told of it, milliseconds. */
+  /** Time since the store was last read, in milliseconds. */
   readonly age: number;
   readonly configuration:
     & Omit<ForwardingConfiguration, "pools">
@@ -53,7 +53,7 @@
   readonly registry: EndpointRegistry;
   readonly configuration: () => ForwardingConfiguration | undefined;
   readonly applyConfiguration: (configuration: ForwardingConfiguration) => void;
-  /** Addresses where peers answer; some may be gone. */
+  /** Addresses where peers respond; some may be outdated. */
   readonly peers: () => readonly PeerAddress[];
   readonly ask: (
     peer: PeerAddress,
@@ -62,8 +62,8 @@
 }
 
 /**
- * Takes configuration and endpoints from a peer while this entry can't read the
- * store: the store may reject some machines and serve the others, or be down
+ * Reads configuration and endpoints from a peer while this entry cannot read
+ * the store. The store may reject some machines and serve others, or be down
  * when an entry starts.
  */
 export class PeerStateFallback {
@@ -90,17 +90,20 @@
     this.#polling?.cancel();
   }
 
-  /** The store has answered with the current registrations. */
+  /** Records that the store has returned the current registrations. */
   storeReached(): void {
     this.#storeReachedAt = this.#options.timer.now();
     if (!this.#isUsingPeer) return;
     this.#isUsingPeer = false;
-    this.#options.logger.info({}, "The store is read directly again");
+    this.#options.logger.info(
+      {},
+      "The store is reachable again; stopped reading from peers",
+    );
   }
 
   /**
-   * A peer has a configuration of this version. The connection on which this
-   * entry waits for the next one may have gone silent.
+   * Records the configuration version of a peer. The connection on which this
+   * entry waits for the next version may have stalled silently.
    */
   onPeerVersion(version: number): void {
     if (version <= this.#newestPeerVersion) return;
@@ -115,7 +118,10 @@
       timer.now() - this.#newestPeerVersionAt >= OWN_READ_GRACE_MILLISECONDS;
   }
 
-  /** For a peer; undefined where this entry knows nothing itself. */
+  /**
+   * State for a peer; undefined if this entry has no configuration or has never
+   * read the store.
+   */
   snapshot(): StreamSnapshot | undefined {
     const configuration = this.#options.configuration();
     const age = this.#options.timer.now() - this.#storeReachedAt;
@@ -141,13 +147,15 @@
     const peer = addresses[Math.floor(random() * addresses.length)];
     const answer = await ask(peer, FORWARDING_STATE);
     if (answer.isErr()) return;
-    // The store may have answered meanwhile; what it says is newer.
+    // The store may have responded during the query; its data is newer.
     const isCurrent = silentMilliseconds < STORE_SILENCE_MILLISECONDS ||
       timer.now() - this.#storeReachedAt < silentMilliseconds;
     this.#apply(answer.value.state, { peer, isCurrent });
   }
 
-  /** With `isCurrent`, this entry knows the endpoints better than the peer. */
+  /**
+   * With `isCurrent`, this entry's endpoints are more recent than the peer's.
+   */
   #apply(
     value: unknown,
     options: { readonly peer: PeerAddress; readonly isCurrent: boolean },
@@ -167,7 +175,7 @@
       pools: new Map(pools.map((pool) => [pool.name, pool])),
     });
     if (isCurrent) return;
-    // An old listing is better than none, and worse than one's own.
+    // An outdated list is better than none, but worse than this entry's own.
     const mayReplaceEndpoints = value.age <= MAX_STATE_AGE_MILLISECONDS ||
       isFirst;
     if (mayReplaceEndpoints) registry.replaceAll(value.endpoints);
@@ -178,7 +186,7 @@
       age: Math.round(value.age),
       version: value.configuration.version,
       endpoints: value.endpoints.length,
-    }, "A peer tells what the store does not");
+    }, "The store is unavailable; reading the state from a peer");
   }
 }
 
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -12,28 +12,28 @@
 import { readWhole } from "./read_body.ts";
 
 /**
- * How much longer than predicted an engine may take to read a prompt before
- * another one is asked. Reading a prompt runs nothing, so it may be repeated;
- * an engine that went dark would else hold the caller for its whole deadline.
+ * Ratio of the prefill timeout to the predicted time, after which another
+ * engine is tried. A prefill runs nothing and may be repeated; without the
+ * timeout an unresponsive engine would hold the caller until its deadline.
  */
 const TIMEOUT_TO_PREDICTION_RATIO = 4;
 const MIN_PREFILL_TIMEOUT_MILLISECONDS = 400;
 /**
- * Time of the deadline that is left to the answer itself: a prompt whose answer
- * can't be whole by then is not read.
+ * Part of the deadline that is reserved for the response. A prompt is not read
+ * if its response cannot be complete by then.
  */
 const DECODE_RESERVE_MILLISECONDS = 120;
-/** Longest answer to a call that only reads a prompt. */
+/** Maximum size of a response to a prefill. */
 const MAX_RESPONSE_BYTES = 64 * 1024;
 
-/** `failed`: nothing has run, and another way may be tried. */
+/** `failed`: nothing has run, and another engine may be tried. */
 export type PrefillOutcome =
   | { readonly kind: "kept"; readonly kept: KeptPrompt }
   | {
     readonly kind: "failed";
     readonly reason: string;
     readonly engine: EndpointId;
-    /** False: it took no connection, and nothing has arrived there. */
+    /** False if the engine refused the connection and received nothing. */
     readonly arrived: boolean;
   };
 
@@ -42,11 +42,11 @@
   readonly choice: PrefillChoice;
   readonly priority: number;
   readonly deadlineMilliseconds: number;
-  /** Takes the attempt, so that it can be aborted from outside. */
+  /** Receives the attempt, so that it can be aborted from outside. */
   readonly onAttempt: (attempt: Attempt) => void;
 }
 
-/** Has an engine read a prompt and keep its cache for a hand-over. */
+/** Prefills a prompt on an engine, which keeps the cache for the handover. */
 export async function prefillPrompt(
   context: ForwardContext,
   options: PrefillStepOptions,
@@ -90,8 +90,9 @@
     return prefillFailed(endpoint, read);
   }
   const { id: engine, address, startedAt } = endpoint;
-  // Not before: an engine looks for kept parts when it takes a prompt in, and
-  // finds none that another prompt is still having read.
+  // Recorded only now: an engine looks up cached parts when it accepts a
+  // prompt, and does not find parts that are still being prefilled for another
+  // one.
   if (parts.registry.isSameRun(endpoint)) {
     parts.prefixes.read({
       engine,
@@ -117,7 +118,7 @@
 interface HandleRead {
   readonly handle?: string;
   readonly reason: string;
-  /** False: no byte has left; true where it is left out. */
+  /** False if no byte was sent; absent means true. */
   readonly arrived?: boolean;
 }
 
--- a/src/entry/forwarding/prefix_cache_survey.ts
+++ b/src/entry/forwarding/prefix_cache_survey.ts
@@ -10,15 +10,19 @@
 import type { EndpointDoor } from "./links.ts";
 
 /**
- * How long after its start an entry asks engines for what they keep. Later an
- * engine that appears has just been started and keeps nothing.
+ * How long after its start an entry surveys engines. An engine that appears
+ * later has just been started and has an empty cache.
  */
 const SURVEY_WINDOW_MILLISECONDS = 4_000;
-/** Spread of the questions, so that a fleet that starts does not ask as one. */
+/**
+ * Spread of the queries, so that the entries of a starting fleet do not query
+ * at the same time.
+ */
 const QUERY_SPREAD_MILLISECONDS = 50;
 /**
- * Entries of a fleet that ask the same engine. Each question delays the
- * engine's work; in larger fleets the others learn from what these read.
+ * Expected number of entries that query the same engine. Each query delays the
+ * engine's work; in larger fleets the other entries learn from the reports of
+ * these.
  */
 const QUERYING_ENTRIES = 8;
 
@@ -29,16 +33,16 @@
   readonly endpointClient: Pick<EndpointDoor, "listKept">;
   readonly prefixes: PrefixDirectory;
   readonly configuration: () => ForwardingConfiguration | undefined;
-  /** Entries of the fleet, this one included. */
+  /** Number of entries in the fleet, including this one. */
   readonly entries: () => number;
-  /** False: the engines have been started with the fleet and keep nothing. */
+  /** False if the engines were started with the fleet and have empty caches. */
   readonly isNeeded: boolean;
 }
 
 /**
- * Asks engines which parts of prompts they keep, once, while this entry is
- * young. After a restart of all entries nobody else knows, and shared parts
- * would be read again.
+ * Queries engines once, during startup, for the prompt parts in their caches.
+ * After a restart of all entries no peer has this information, and shared parts
+ * would be prefilled again.
  */
 export class PrefixCacheSurvey {
   readonly #options: PrefixCacheSurveyOptions;
@@ -50,7 +54,7 @@
     this.#startedAt = options.timer.now();
   }
 
-  /** An engine has become known. */
+  /** Schedules a query to an engine that has become known. */
   onEngineSeen(engine: RegisteredEndpoint): void {
     const { isNeeded, random, timer } = this.#options;
     const age = timer.now() - this.#startedAt;
@@ -79,7 +83,7 @@
     prefixes.peerRead({ engine: engine.id, parts, memoryTokens });
     logger.info(
       { endpoint: engine.id, parts: parts.length },
-      "An engine told what it keeps",
+      "Received the cached prompt parts of an engine",
     );
   }
 
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -10,31 +10,33 @@
 import { REQUEST_HEAD_BYTES } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 
-/** A long prompt goes to the engine that reads and to the one that decodes. */
+/** A long prompt is sent to the prefill engine and to the decode engine. */
 const SENDS_PER_PROMPT = 2;
-/** The request's arrival and the head of either engine's answer. */
+/** Arrival of the request and of the response head from either engine. */
 const LOOP_TURNS_PER_PROMPT = 3;
 
 /**
- * Share of the reading engines that is taken to be left for held prompts at
- * the least; what can be on time goes before them.
+ * Minimum share of the prefill engines that is assumed to be free for held
+ * prompts, which yield to prompts that can meet their target.
  */
 const MIN_FREE_SHARE = 0.05;
 
 /** Why a prompt is not sent to any engine. */
 export type AdmissionRefusal = "engines_full" | "entry_full";
 
-/** What decided, for the log. */
+/** Figures that led to the decision, for the log. */
 export type AdmissionFacts = Readonly<Record<string, number | undefined>>;
 
-/** Where a prompt is to be read, or why nowhere. */
+/** Admission decision for a prompt. */
 export type PromptAdmission =
   | {
     readonly kind: "admitted";
     readonly choice: PrefillChoice;
   }
   | {
-    /** Late anyhow; it waits until an engine is nearly idle. */
+    /**
+     * The response is late in any case; waits until an engine is nearly idle.
+     */
     readonly kind: "held";
     readonly prompt: HeldPrompt<PrefillChoice>;
   }
@@ -45,10 +47,9 @@
   };
 
 /**
- * Decides whether and where engines read a request's prompt, by the engines of
- * this moment. A reading that fails may have taken seconds: by what was known at
- * the request's arrival, the next one went to an engine that had begun to leave
- * 2.2 s before.
+ * Decides whether and where a prompt is prefilled, using the engines available
+ * now. An earlier prefill may have failed after seconds: with the engines known
+ * at arrival, a retry went to an engine that had started to leave 2.2 s before.
  */
 export async function admitPrompt(
   context: ForwardContext,
@@ -83,9 +84,9 @@
 }
 
 /**
- * Engines that the prompt may go to. Where the picture of the load is old, only
- * those that may read it whose owners were just asked: any other would look as
- * free to all entries at once, for as long as a report takes to come round.
+ * Engines that the prompt may be sent to. If load reports are stale, only
+ * engines whose owners have just been queried may prefill it: any other engine
+ * would look equally idle to all entries until the next report arrives.
  */
 async function candidatesFor(
   context: ForwardContext,
@@ -97,13 +98,13 @@
   const refreshed = parts.placement.readersToAsk(prompt, engines)
     .map(({ id }) => id);
   await parts.refreshLoad(refreshed);
-  // An engine may have begun to leave while the owners answered.
+  // An engine may have started to leave during the query.
   const remaining = context.preferUntried(context.endpoints());
   const readers = remaining.filter(({ id }) => refreshed.includes(id));
   return { engines: remaining, pool, readers };
 }
 
-/** The prompt as it waits here for an engine that is nearly idle. */
+/** Queue entry for a prompt that waits here for a nearly idle engine. */
 function makeHeldPrompt(
   context: ForwardContext,
   prompt: Prompt,
@@ -126,10 +127,10 @@
 }
 
 /**
- * How long the prompt would be held. What is held before it waits for the
- * engines that on-time work leaves free; other entries are taken to have as
- * much of both as this one. Without it callers are held in an overload until
- * their time runs out, and only then refused.
+ * Estimates how long the prompt would be held. Prompts queued before it wait
+ * for engines that on-time work leaves free; other entries are assumed to have
+ * as much of both as this one. Without the estimate, callers are held during an
+ * overload until their time runs out and are only then refused.
  */
 function heldMilliseconds(
   { parts }: ForwardContext,
@@ -151,8 +152,8 @@
 }
 
 /**
- * Time that this entry's link and processor add to the answer. What is held
- * here has yet to cross the link; it is taken to be as long as this request.
+ * Time that this entry's link and event loop add to the response. Held prompts
+ * have yet to cross the link and are assumed to be as long as this request.
  */
 function entryMilliseconds({ parts, request }: ForwardContext): number {
   const bytes = SENDS_PER_PROMPT * (request.body.length + REQUEST_HEAD_BYTES);
@@ -162,7 +163,7 @@
     LOOP_TURNS_PER_PROMPT * parts.loopDelay();
 }
 
-/** Whole numbers; what is infinite is left out. */
+/** Rounds to whole numbers and omits infinite values. */
 function roundFinite(facts: Readonly<Record<string, number>>): AdmissionFacts {
   return Object.fromEntries(
     Object.entries(facts).map(([name, value]) => [
--- a/src/entry/forwarding/prompt_encoding.ts
+++ b/src/entry/forwarding/prompt_encoding.ts
@@ -7,14 +7,13 @@
 } from "../../core/identity/mod.ts";
 
 /**
- * A prompt that was read, as it goes to peers: the engine, its memory in
- * tokens, the start of its run (0 where it tells none), then id and tokens of
- * each part in turn. Without names for the values, as some dozens go out each
- * second.
+ * A prefilled prompt as sent to peers: the engine, its memory in tokens, the
+ * start time of its run (0 if unknown), then id and tokens of each part. An
+ * array without field names, as some dozens are sent each second.
  */
 export type EncodedPrompt = readonly (string | number)[];
 
-/** The values before those of the parts. */
+/** Number of values before those of the parts. */
 const HEADER_VALUES = 3;
 const UNKNOWN_START = 0;
 const VALUES_PER_PART = 2;
@@ -28,7 +27,7 @@
   ];
 }
 
-/** Undefined where the value is no such prompt. */
+/** Undefined if the value is not an encoded prompt. */
 export function decodePrompt(value: unknown): ReadPrompt | undefined {
   if (!Array.isArray(value)) return undefined;
   const [engine, memoryTokens, startedAt, ...rest] = value;
--- a/src/entry/forwarding/read_body.ts
+++ b/src/entry/forwarding/read_body.ts
@@ -1,6 +1,8 @@
 import type { EndpointAnswer } from "./links.ts";
 
-/** The answer's whole body; undefined where it was cut or is too long. */
+/**
+ * Reads the whole body; undefined if it was truncated or exceeds `maxBytes`.
+ */
 export function readWhole(
   response: EndpointAnswer,
   maxBytes: number,
--- a/src/entry/forwarding/registration_sync.ts
+++ b/src/entry/forwarding/registration_sync.ts
@@ -7,19 +7,19 @@
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId } from "../../core/identity/mod.ts";
 
-/** What has become of a registration; without an endpoint it is gone. */
+/** Change of a registration; without an endpoint it was removed. */
 export interface RegistrationChange {
   readonly id: EndpointId;
   readonly endpoint?: RegisteredEndpoint;
-  /** True: something stands under the key that names no replica. */
+  /** True if the record under the key is not a valid registration. */
   readonly unreadable?: boolean;
 }
 
 export interface RegistrationSyncOptions {
   readonly registry: EndpointRegistry;
-  /** A peer has read this span of the registrations. */
+  /** Records that a peer has read this span of the registrations. */
   readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
-  /** The store was reached, by this entry or by a peer for it. */
+  /** Called when the store was reached, by this entry or by a peer for it. */
   readonly onStoreReached: () => void;
   readonly broadcast: (update: {
     readonly changes: readonly RegistrationChange[];
@@ -27,7 +27,7 @@
   }) => void;
 }
 
-/** Brings registrations that this entry or a peer has read into the registry. */
+/** Applies registrations that this entry or a peer has read to the registry. */
 export class RegistrationSync {
   readonly #options: RegistrationSyncOptions;
 
@@ -36,16 +36,15 @@
   }
 
   /**
-   * Takes the registrations of a span that the store has shown to this entry,
-   * the older first, and tells peers what has changed in it: one entry reads
-   * for all.
+   * Applies the registrations of a span that this entry has read, oldest first,
+   * and broadcasts what has changed: one entry reads on behalf of all.
    */
   read(changes: readonly RegistrationChange[], span?: TopicSpan): void {
     const changed = new Map<EndpointId, RegistrationChange>();
     for (const change of changes) {
       const hasChanged = this.#apply(change);
-      // Of a key that has changed the last state counts, also where that is
-      // what it was: a peer may stand in between.
+      // The last state of a changed key is sent even if it equals the first
+      // one: a peer may have read up to a point in between.
       if (hasChanged || changed.has(change.id)) changed.set(change.id, change);
     }
     if (changed.size === 0 && span === undefined) return;
@@ -53,8 +52,8 @@
   }
 
   /**
-   * The endpoint itself says that this run of it leaves: peers learn of it at
-   * once, as the store may be away. True where this is news.
+   * Applies and broadcasts an endpoint's own announcement that this run is
+   * leaving, as the store may be unavailable. True if it was not known yet.
    */
   reportLeaving(run: EndpointRun): boolean {
     const endpoint = this.#options.registry.saidLeaving(run);
@@ -64,26 +63,27 @@
     return true;
   }
 
-  /** A peer tells what it has read, and of which span, where it is known. */
+  /** Applies changes that a peer has read, with their span if it is known. */
   onPeerChanges(changes: readonly RegistrationChange[], span: unknown): void {
     const relation = isSpan(span)
       ? this.#options.peerReadRegistrations(span)
       : "apart";
-    // A datagram that was overtaken may name an endpoint as gone that has
-    // come back since; its record lies behind this entry, which would not see
-    // it again.
+    // A delayed datagram may list an endpoint as removed that has registered
+    // again since. This entry has already read past that record and would not
+    // see it again.
     if (relation === "older") return;
     if (relation === "apart") return this.#applyDepartures(changes);
-    // It goes on where this entry's reading ended and counts as its own.
+    // The span continues where this entry's reading ended and counts as its own
+    // read.
     this.#options.onStoreReached();
     if (relation === "same") return;
     for (const change of changes) this.#apply(change);
   }
 
   /**
-   * Takes from a peer that endpoints leave or are gone, of those known here. A
-   * peer that is behind may tell of old registrations: taken over, they would
-   * bring back endpoints that have left, which no later record takes away.
+   * Applies only departures and removals of endpoints known here. A peer that
+   * is behind may report old registrations, which would bring back endpoints
+   * that have left; no later record would remove them.
    */
   #applyDepartures(changes: readonly RegistrationChange[]): void {
     for (const change of changes) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** True where it has changed anything. */
+  /** True if the registry changed. */
   #apply({ endpoint, id, unreadable = false }: RegistrationChange): boolean {
     const { registry } = this.#options;
     if (endpoint !== undefined) return registry.put(endpoint);
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -24,25 +24,28 @@
   waitForChoice,
 } from "./wait_for_choice.ts";
 
-/** When a caller that found no room should come back, milliseconds. */
+/** Retry delay for a caller that is refused for lack of capacity. */
 export const RETRY_AFTER_MILLISECONDS = 250;
 /**
- * The same where only this entry is full: the caller comes back to another one,
- * which can still answer on time.
+ * Retry delay if only this entry is full: the caller reaches another one, which
+ * can still respond on time.
  */
 const OTHER_ENTRY_RETRY_AFTER_MILLISECONDS = 20;
 const OTHER_ENTRY_RETRY_SPREAD_MILLISECONDS = 30;
-/** Spread of the returns, so that a refused burst does not return as one. */
+/**
+ * Jitter of the retry delay, so that a refused burst is not retried at the same
+ * time.
+ */
 const RETRY_AFTER_SPREAD_MILLISECONDS = 250;
-/** Priorities that engines know, the last one for what may wait longest. */
+/** Lowest of the priorities that engines support. */
 const LOWEST_PRIORITY = 9;
 
-/** Endpoints have crashed under requests of these bytes. */
+/** Endpoints have crashed under requests with this digest. */
 const BLOCKED = "crashes_endpoints";
-/** The caller's key was taken away while its request waited. */
+/** The caller's key was removed while its request was waiting. */
 const KEY_REMOVED = "key_removed";
 
-/** What comes next after an attempt. */
+/** Next step after an attempt. */
 type NextStep =
   | "delivered"
   | "again"
@@ -51,7 +54,7 @@
   | "key_removed"
   | "unknown";
 
-/** One caller's request from its arrival to its answer. */
+/** Forwards one request, from its arrival to the end of its response. */
 export class RequestForwarder {
   readonly #context: ForwardContext;
   readonly #sink: CallerSink;
@@ -59,11 +62,11 @@
   readonly #relay: ResponseRelay;
   readonly #deadline: Subscription;
   #attempt: Attempt | undefined;
-  /** Runs that may have begun. */
+  /** Number of sends that may have started to run. */
   #runs = 0;
-  /** True while a send is out that may be running. */
+  /** True while a send is outstanding that may be running. */
   #mayBeRunning = false;
-  /** When the send that is out was sent. */
+  /** Time of the last send. */
   #sentAt = 0;
   #firstByteAt: number | undefined;
 
@@ -140,13 +143,13 @@
     return chooseService(this.#context.preferUntried(healthy), parts);
   }
 
-  /** Waits where every replica is overloaded, and one is not for much longer. */
+  /** Waits if every replica is overloaded and one becomes available in time. */
   async #waitForService(): Promise<RegisteredEndpoint | undefined> {
     if (!this.#isOverloaded() || !this.#isWorthWaiting()) return undefined;
     return await waitForChoice(this.#context, () => this.#chooseService());
   }
 
-  /** True where these have all said that they are overloaded. */
+  /** True if all matching endpoints have reported overload. */
   #isOverloaded(
     matches?: (endpoint: RegisteredEndpoint) => boolean,
   ): boolean {
@@ -154,7 +157,9 @@
     return wait > 0 && Number.isFinite(wait);
   }
 
-  /** False where the caller would have left before one of these takes work. */
+  /**
+   * False if the caller would give up before a matching endpoint accepts work.
+   */
   #isWorthWaiting(
     matches?: (endpoint: RegisteredEndpoint) => boolean,
   ): boolean {
@@ -162,12 +167,12 @@
     return mayStillWait(this.#context, wait);
   }
 
-  /** Undefined where no engine is left, or where the request was refused. */
+  /** Undefined if no engine is left or the request was refused. */
   async #planEngines(prompt: Prompt): Promise<AttemptPlan | undefined> {
     const { parts, pool, route } = this.#context;
     const endpoints = this.#context.endpoints();
     if (endpoints.length === 0) return undefined;
-    // Reading a prompt is wasted where no engine can decode in time.
+    // A prefill is wasted if no engine can decode in time.
     if (this.#isOverloaded(canDecode) && !this.#isWorthWaiting(canDecode)) {
       return undefined;
     }
@@ -201,7 +206,7 @@
     };
   }
 
-  /** Undefined where there is none until the caller leaves. */
+  /** Undefined if no engine becomes available before the caller gives up. */
   async #chooseDecoder(
     prompt: Prompt,
     cacheZone: AvailabilityZoneId | undefined,
@@ -210,7 +215,7 @@
     const refreshed = await this.#refreshDecoderLoad(cacheZone);
     if (this.#context.settled) return undefined;
     const choose = ({ withRoom } = { withRoom: false }) => {
-      // The engines may have changed while the prompt was read.
+      // The engines may have changed during the prefill.
       const decodeEngines = this.#context.endpoints().filter(canDecode);
       const decodeCandidates = this.#decoders(decodeEngines, withRoom);
       const withFreshLoad = decodeCandidates.filter(({ id }) =>
@@ -230,7 +235,7 @@
       await waitForChoice(this.#context, preferCapacity(choose));
   }
 
-  /** Brings the load of some that may decode up to date; gives which. */
+  /** Refreshes the load of some decode engines; returns their ids. */
   async #refreshDecoderLoad(
     cacheZone: AvailabilityZoneId | undefined,
   ): Promise<ReadonlySet<EndpointId>> {
@@ -247,8 +252,8 @@
   }
 
   /**
-   * The engines that may be asked to decode. One that has rejected the request
-   * is asked again only once it has room; otherwise the request uses up its
+   * Engines that may be asked to decode. One that has rejected the request is
+   * asked again only once it has capacity; otherwise the request uses up its
    * retries at one full engine within milliseconds.
    */
   #decoders(
@@ -265,7 +270,7 @@
   async #send(plan: AttemptPlan): Promise<NextStep> {
     const { parts } = this.#context;
     const { endpoint } = plan;
-    // Endpoints may have crashed under it while it waited for this one.
+    // Endpoints may have crashed under the request while it was waiting.
     if (this.#context.blockedMilliseconds > 0) return "blocked";
     if (this.#context.isKeyRemoved) return KEY_REMOVED;
     if (!this.#context.arrivals.cover({ reading: false })) return "refuse";
@@ -299,8 +304,8 @@
 
   #afterFailure(name: string): NextStep {
     if (name === "exchange_not_sent") {
-      // Nothing has left: it is no send, however often it happens. How often
-      // an endpoint is asked that takes no connection is limited elsewhere.
+      // No byte was sent, so this does not count as a send. Connection attempts
+      // to an unreachable endpoint are limited by its recorded outcomes.
       this.#context.sends -= 1;
       this.#mayBeRunning = this.#runs > 0;
       this.#context.arrivals.notArrived();
@@ -319,13 +324,13 @@
     return this.#mayResend("not_run") ? "again" : "refuse";
   }
 
-  /** Asked before anything of an answer that may be passed on is dropped. */
+  /** Called before a response that could be passed on is discarded. */
   #mayResend(reason: string): boolean {
     const reading = this.#handover.needsAnotherPrefill;
     return this.#context.mayResend(reason, { reading });
   }
 
-  /** True where a further run does no harm and the route allows one. */
+  /** True if another run is harmless and the route allows one. */
   #mayRunAgain(): boolean {
     const { mostAttempts, repeat, resumable } = this.#context.route;
     const isRepeatable = repeat === "idempotent" ||
@@ -353,7 +358,7 @@
     return this.#afterBrokenResponse();
   }
 
-  /** An answer has begun: the request has, too. */
+  /** Records that the request has started, as its response has begun. */
   #noteStarted(): void {
     if (this.#isEngineWork) {
       this.#context.noteStarted(this.#context.parts.timer.now());
@@ -361,14 +366,14 @@
   }
 
   /**
-   * A plain service begins a request when it arrives, and answers at its end;
-   * an engine that has not answered is taken not to have begun.
+   * A plain service starts a request on arrival and responds at its end; an
+   * engine that has not responded is assumed not to have started.
    */
   #noteServiceStarted(): void {
     if (!this.#isEngineWork) this.#context.noteStarted(this.#sentAt);
   }
 
-  /** The endpoint broke off in the middle of its answer. */
+  /** Handles a response that the endpoint broke off. */
   #afterBrokenResponse(): NextStep {
     const { repeat } = this.#context.route;
     const mayResume = repeat === "stream" && this.#mayRunAgain() &&
@@ -398,7 +403,7 @@
     return "delivered";
   }
 
-  /** The caller's or the route's time is over. */
+  /** The deadline of the caller or the route has passed. */
   #onDeadline(): void {
     if (this.#context.settled) return;
     this.#settle();
@@ -422,19 +427,20 @@
   }
 
   #refuse(reason: string, facts: AdmissionFacts = {}): void {
-    // A run that was lost before may still be under way: then a refusal that
-    // says "not run" would be a lie.
+    // A lost run may still be in progress, so a refusal that claims that the
+    // request did not run could be false.
     if (this.#runs > 0) return this.#refuseAsUnknown();
     this.#settle();
     if (this.#relay.headSent) return this.#sink.cut();
     if (reason === KEY_REMOVED) return this.#respond({ status: 401, reason });
-    // A caller that comes back finds it blocked at any entry.
+    // A blocked caller is blocked at every entry, so the refusal is not
+    // recorded.
     if (reason !== BLOCKED) this.#context.noteRefusal();
     const retryAfterMilliseconds = this.#retryAfterMilliseconds(reason);
     this.#respond({ status: 503, reason, retryAfterMilliseconds }, facts);
   }
 
-  /** When coming back is worth it, milliseconds. */
+  /** When a retry is useful, in milliseconds. */
   #retryAfterMilliseconds(reason: string): number {
     const { random } = this.#context.parts;
     if (reason === "entry_full") {
@@ -476,13 +482,16 @@
     this.#context.arrivals.release();
   }
 
-  /** A caller's own position, or that behind the last event passed on. */
+  /** The id of the last event passed on, or else the caller's own position. */
   #resumeEventId(): string | undefined {
     return this.#relay.lastEventId ?? this.#context.request.lastEventId;
   }
 }
 
-/** Reads an answer that nobody gets, so that its connection can be kept. */
+/**
+ * Reads a response to its end without using it, so that the connection can be
+ * reused.
+ */
 function discard(response: EndpointAnswer, attempt: Attempt): void {
   response.read(() => {}, (end) => attempt.onEnd(end, response.head.status));
 }
--- a/src/entry/forwarding/response_relay.ts
+++ b/src/entry/forwarding/response_relay.ts
@@ -4,16 +4,16 @@
 
 export interface ResponseRelayOptions {
   readonly sink: CallerSink;
-  /** True: only whole events are passed on, so that another run can go on. */
+  /** True: only whole events are passed on, so that another run can resume. */
   readonly wholeEventsOnly: boolean;
-  /** So many bytes go out to the caller. */
+  /** Called with the number of bytes written to the caller. */
   readonly onBytes: (count: number) => void;
 }
 
 /**
- * Passes an answer's bytes to the caller as they come, over one or several
- * runs of a resumable stream. A caller that reads slowly holds the endpoint
- * back, so that no answer piles up in the entry's memory.
+ * Streams response bytes to the caller, across the runs of a resumable stream.
+ * A caller that reads slowly pauses the endpoint, so that responses are not
+ * buffered in the entry's memory.
  */
 export class ResponseRelay {
   readonly #sink: CallerSink;
@@ -35,15 +35,15 @@
     return this.#headSent;
   }
 
-  /** Id of the last event that the caller has got. */
+  /** Id of the last event written to the caller. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** Settles when the answer's body has ended. */
+  /** Settles when the response body has ended. */
   pipe(response: EndpointAnswer, attempt: Attempt): Promise<BodyEnd> {
     const { head } = response;
-    // A further run goes on under the head of the first one.
+    // A resumed run continues under the response head of the first run.
     if (!this.#headSent) this.#sink.head(head.status, head.headers);
     this.#headSent = true;
     this.#current = response;
--- a/src/entry/forwarding/role_controller.ts
+++ b/src/entry/forwarding/role_controller.ts
@@ -18,44 +18,49 @@
 import { type Random, withJitter } from "../../core/random/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 
-/** How often the roles are looked at. */
+/** Interval of the role checks. */
 const CHECK_INTERVAL_MILLISECONDS = 500;
 /**
- * Jitter of the checks: entries that see the same need in the same second would
+ * Jitter of the checks. Entries that see the same demand at the same time would
  * all claim, and all claims but one are void.
  */
 const CHECK_JITTER_SHARE = 1;
 /**
- * How long the engines must not have changed before roles are first planned:
- * at a start they register one after another within about a heartbeat.
+ * How long the engines must be unchanged before the first plan: at startup they
+ * register one after another within about a heartbeat.
  */
 const INITIAL_SETTLE_MILLISECONDS = 2_000;
-/** The same later on: an engine that crashes is back with its role by then. */
+/**
+ * The same for later plans; an engine that crashes is back with its role by
+ * then.
+ */
 const SETTLE_MILLISECONDS = 7_000;
-/** How often what the engines have to do is counted. */
+/** Interval at which the demand on the engines is sampled. */
 const DEMAND_SAMPLE_MILLISECONDS = 250;
-/** A change that has not shown by then has failed and is planned anew. */
+/**
+ * A role change that is not visible by then has failed and is planned again.
+ */
 const CHANGE_TIMEOUT_MILLISECONDS = 12_000;
 
 /**
- * What became of an order. `refused`: an engine has seen a higher number.
- * `unknown`: it may be carried out, now or seconds later.
+ * Outcome of an order. `refused`: the engine has seen a higher fencing token.
+ * `unknown`: the order may be carried out now or seconds later.
  */
 export type OrderOutcome = "accepted" | "busy" | "refused" | "unknown";
 
-/** Engines that have been told to change, with their new roles. */
+/** Engines that were ordered to change, with their new roles. */
 export type RoleOrders = readonly (readonly [
   endpoint: EndpointId,
   role: "prefill" | "decode",
 ])[];
 
-/** The log that claims stand on, and the engines' door for orders. */
+/** The log of claims and the interface for orders to engines. */
 export interface RoleLink {
-  /** The newest claim, and where the log ends. */
+  /** The latest claim and the end offset of the log. */
   readClaim(): Promise<
     Result<{ claim: StandingClaim | undefined; end: number }, StoreFailure>
   >;
-  /** Appends a claim if the log ends at `at`; gives its offset. */
+  /** Appends a claim if the log ends at `at`; returns its offset. */
   appendClaim(
     holder: string,
     at: number,
@@ -77,11 +82,14 @@
   readonly leaseMilliseconds: number;
   /** Pools of the configuration in force. */
   readonly pools: () => Iterable<Pool>;
-  /** Tells peers which engines are about to change. */
+  /** Informs peers of engines that are about to change. */
   readonly broadcastOrders: (changes: RoleOrders) => void;
 }
 
-/** Brings engines into the roles that the work needs, one holder at a time. */
+/**
+ * Changes the roles of engines to match demand. Only the holder of an exclusive
+ * claim gives orders.
+ */
 export class RoleController {
   readonly #options: RoleControllerOptions;
   readonly #claim: ExclusiveClaim;
@@ -114,17 +122,17 @@
     this.#sampling?.cancel();
   }
 
-  /** True from the order until the engine shows its new role. */
+  /** True from the order until the engine reports its new role. */
   isChanging(endpoint: EndpointId): boolean {
     return this.#changing.has(endpoint);
   }
 
-  /** A peer has given orders: the engines take no new work for a while. */
+  /** Records a peer's orders: the engines accept no new work for a while. */
   onPeerOrders(orders: RoleOrders): void {
     for (const [endpoint, role] of orders) this.#noteOrder(endpoint, role);
   }
 
-  /** An engine has come, gone or changed. */
+  /** Handles an engine that was added, removed or changed. */
   onEngineChange(endpoint: RegisteredEndpoint): void {
     if (endpoint.role === undefined) return;
     this.#lastChangeAt = this.#options.timer.now();
@@ -146,14 +154,15 @@
     const settledFor = this.#options.timer.now() - this.#lastChangeAt;
     const isSettled = settledFor >=
       (this.#hasPlanned ? SETTLE_MILLISECONDS : INITIAL_SETTLE_MILLISECONDS);
-    // What callers ask for does not come back by itself, as a crashed engine.
+    // Demand does not revert by itself, unlike an engine that crashes and
+    // restarts.
     const mayFollowDemand = settledFor >= INITIAL_SETTLE_MILLISECONDS;
     const changes = isSettled
       ? this.#plannedChanges()
       : mayFollowDemand
       ? this.#plannedDecodeChanges()
       : [];
-    // Engines that fit already were planned for as well: from then on a
+    // Engines that already match the plan count as planned: from then on a role
     // change is the exception.
     if (isSettled && this.#options.registry.size > 0) this.#hasPlanned = true;
     if (changes.length > 0) await this.#issueOrders(changes);
@@ -167,8 +176,8 @@
   }
 
   /**
-   * Engines for answers where callers ask for more than a pool starts with. The
-   * loss of an engine alone changes nothing so soon.
+   * Decode engines for pools whose demand exceeds their initial share. The loss
+   * of an engine alone does not trigger a change this early.
    */
   #plannedDecodeChanges(): RoleChange[] {
     return [...this.#options.pools()]
@@ -231,7 +240,7 @@
         fencing,
         outcome,
         ...this.#demands.get(change.endpoint.pool)?.usual,
-      }, "An engine was told to change its role");
+      }, "Sent an order to an engine to change its role");
       if (outcome === "refused") return this.#claim.refused();
       if (outcome === "busy") continue;
       this.#noteOrder(id, change.role);
@@ -247,7 +256,7 @@
     );
   }
 
-  /** A claim of its own for this round; false where it can't be had now. */
+  /** Claims for this round; false if no claim is possible now. */
   async #acquireClaim(): Promise<boolean> {
     const { link, logger, self, timer } = this.#options;
     const read = await link.readClaim();
@@ -257,10 +266,14 @@
     if (!this.#claim.mayClaim()) return false;
     const sentAt = timer.now();
     const appended = await link.appendClaim(self, end);
-    // A lost answer may hide a claim that stands; the next look reads it.
+    // The claim may be in force although its response was lost; the next check
+    // reads it.
     if (appended.isErr() || appended.value === undefined) return false;
     this.#claim.gained(appended.value, sentAt);
-    logger.info({ fencing: appended.value }, "This entry gives orders now");
+    logger.info(
+      { fencing: appended.value },
+      "This entry now holds the claim on role orders",
+    );
     return true;
   }
 
@@ -271,7 +284,7 @@
     }
   }
 
-  /** No change is under way at the engine any more. */
+  /** Discards the pending change of an engine. */
   forget({ id }: { readonly id: EndpointId }): void {
     this.#changing.delete(id);
     this.#changeDeadlines.delete(id);
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -29,36 +29,41 @@
   type UsageNotification,
 } from "./usage_notification.ts";
 
-/** Entries that keep the whole fleet's counts, so that one may be lost. */
+/**
+ * Number of entries that hold the counts of the whole fleet, so that one may be
+ * lost.
+ */
 const COLLECTOR_COUNT = 3;
-/** How often counts that have changed go to the keepers. */
+/** Interval at which changed counts are sent to the collectors. */
 const COPY_INTERVAL_MILLISECONDS = 200;
-/** How often all counts that are not reported yet go to them once more. */
+/** Interval at which all unreported counts are sent again. */
 const FULL_COPY_INTERVAL_MILLISECONDS = 1_000;
-/** How often a keeper checks for windows that are due. */
+/** Interval at which a collector checks for due windows. */
 const CHECK_INTERVAL_MILLISECONDS = 250;
-/** Time behind a window's end until requests that began in it are counted. */
+/**
+ * Delay after a window's end until the requests that started in it are counted.
+ */
 const COUNT_SETTLE_MILLISECONDS = 1_200;
-/** How long behind a window's end entries are waited for that are silent. */
+/** How long after a window's end to wait for silent entries. */
 const SILENT_ENTRY_TIMEOUT_MILLISECONDS = 5_000;
-/** How much later each further keeper takes a window up. */
+/** Additional delay before each further collector reports a window. */
 const COLLECTOR_STAGGER_MILLISECONDS = 1_500;
-/** Time between two tries to report. */
+/** Interval between attempts to report. */
 const RETRY_INTERVAL_MILLISECONDS = 1_000;
 
 /**
- * What became of a report. `refused`: a higher fencing token was seen.
- * `limited`: too many calls. `unknown`: it may be carried out, now or later.
+ * Outcome of a report. `refused`: a higher fencing token was seen. `limited`:
+ * too many calls. `unknown`: the report may be applied now or later.
  */
 export type ReportOutcome = "accepted" | "refused" | "limited" | "unknown";
 
 /** The log of claims on reporting, and the receiver of reports. */
 export interface UsageLink {
-  /** The newest claim, and where the log ends. */
+  /** The latest claim and the end offset of the log. */
   readClaim(): Promise<
     Result<{ claim: UsageClaim | undefined; end: number }, StoreFailure>
   >;
-  /** Appends a claim if the log ends at `at`; gives its offset. */
+  /** Appends a claim if the log ends at `at`; returns its offset. */
   appendClaim(
     claim: Omit<UsageClaim, "offset">,
     at: number,
@@ -78,13 +83,13 @@
   readonly leaseMilliseconds: number;
   /** Length of a window. */
   readonly windowMilliseconds: number;
-  /** Time behind a window's end by which its report is due. */
+  /** Deadline of a window's report, counted from the window's end. */
   readonly dueMilliseconds: number;
-  /** True: no entry has run before, so that no earlier count is missing. */
+  /** True if no entry has run before, so that no earlier counts are missing. */
   readonly isFirstStart: boolean;
-  /** Live entries, this one included, in the order in which they keep counts. */
+  /** Live entries including this one, ranked as collectors. */
   readonly ranking: () => readonly ProcessId[];
-  /** Entries on the fleet's list, this one left out. */
+  /** Entries in the list of the fleet, without this one. */
   readonly listed: () => Iterable<ProcessId>;
   readonly send: (
     peer: ProcessId,
@@ -95,9 +100,9 @@
 }
 
 /**
- * Counts the requests of each workspace that began to run, and reports them
- * once a window. Each entry counts its own and copies its counts to a few
- * keepers; the first keeper that is alive reports.
+ * Counts the requests of each workspace that started to run, and reports them
+ * once per window. Each entry counts its own requests and copies the counts to
+ * a few collectors; the first live collector reports.
  */
 export class UsageKeeper {
   readonly clock: FleetClock;
@@ -108,12 +113,12 @@
   /** The last run of each entry that has sent its counts. */
   readonly #runIds = new Map<ProcessId, string>();
   /**
-   * Reports that claims have fixed. The store may lose a claim when it is
-   * restored from a copy; the receiver has the counts nevertheless.
+   * Reports fixed by claims. The store may lose a claim when it is restored
+   * from a backup, while the receiver already has the counts.
    */
   readonly #fixed = new Map<UsageWindow, WorkspaceCounts>();
   readonly #subscriptions: Subscription[] = [];
-  /** The newest window that is reported or given up. */
+  /** The latest window that was reported or given up. */
   #closedThrough: number;
   #acceptedThrough = -Infinity;
   #lastFullCopyAt = -Infinity;
@@ -139,7 +144,7 @@
     this.#closedThrough = oldestOpenWindow - 1;
   }
 
-  /** Fencing token of the reports that this entry sends; absent: another's. */
+  /** Fencing token of this entry's reports; absent if another entry reports. */
   get fencing(): number | undefined {
     return this.#claim.fencing;
   }
@@ -152,19 +157,19 @@
     );
   }
 
-  /** Hands the last counts on. */
+  /** Sends the last counts to the collectors. */
   stop(): void {
     for (const each of this.#subscriptions) each.cancel();
     this.#subscriptions.length = 0;
     this.#copyCounts();
   }
 
-  /** A request began to run at this moment of the steady clock. */
+  /** Counts a request that started to run at this monotonic time. */
   began(workspace: WorkspaceId, at: number): void {
     this.#ledger.began(workspace, this.clock.timeAt(at));
   }
 
-  /** Takes a peer's notification; anything malformed is dropped. */
+  /** Applies a peer's notification; drops malformed ones. */
   take(method: string, params: unknown): void {
     if (method === USAGE_METHOD && isUsageNotification(params)) {
       this.#onCounts(params);
@@ -215,7 +220,7 @@
     this.#closedThrough = Math.max(this.#closedThrough, window);
   }
 
-  /** Copies this entry's counts to the keepers. */
+  /** Copies this entry's counts to the collectors. */
   #copyCounts(): void {
     const { incarnation, ranking, self, send: send, timer } = this.#options;
     const now = timer.now();
@@ -265,7 +270,7 @@
       this.#options.onOutcome?.("given_up");
       this.#options.logger.warn(
         { window, reason: isKnown ? "overdue" : "counts_unknown" },
-        "Usage of a window is not reported",
+        "Gave up reporting the usage of a window",
       );
     }
   }
@@ -285,7 +290,7 @@
     const { ranking, self } = this.#options;
     const position = ranking().indexOf(self);
     if (position < 0 || position >= COLLECTOR_COUNT) return false;
-    // A keeper that started later knows nothing of entries that are gone.
+    // A collector that started later has no counts of entries that are gone.
     const hasCounted = this.#ledger.isCountedBySelf(window);
     const rank = hasCounted ? position : COLLECTOR_COUNT;
     if (rank === 0 && this.#isComplete(window)) return true;
@@ -294,7 +299,7 @@
     return this.clock.now() >= this.#endOf(window) + wait;
   }
 
-  /** True where every entry that ran in the window has sent all its counts. */
+  /** True if every entry that ran in the window has sent all its counts. */
   #isComplete(window: UsageWindow): boolean {
     const { listed, windowMilliseconds } = this.#options;
     const end = this.#endOf(window);
@@ -322,7 +327,7 @@
     }
   }
 
-  /** Claims the duty and fixes what is reported; undefined: not now. */
+  /** Claims the duty and fixes the reports; undefined if not possible now. */
   async #acquireClaim(
     due: readonly UsageWindow[],
   ): Promise<readonly UsageReport[] | undefined> {
@@ -352,22 +357,26 @@
       { holder: this.#runId, reports },
       end,
     );
-    // A lost answer may hide a claim that stands; the next try reads it.
+    // The claim may be in force although its response was lost; the next
+    // attempt reads it.
     const offset = appended.unwrapOr(undefined);
     if (offset === undefined) {
       const reason = appended.isErr() ? appended.error.message : "overtaken";
-      logger.info({ reason }, "No claim on usage reports was gained");
+      logger.info({ reason }, "The claim on usage reports was not acquired");
       return undefined;
     }
     this.#claim.gained(offset, sentAt);
     for (const { counts, window } of reports) this.#fixed.set(window, counts);
     this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
-    logger.info({ fencing: offset, windows }, "This entry reports usage now");
+    logger.info(
+      { fencing: offset, windows },
+      "This entry now holds the claim on usage reports",
+    );
     return reports;
   }
 
-  /** False where nothing more may be sent under this claim. */
+  /** False if nothing more may be sent under this claim. */
   async #sendReport(report: UsageReport): Promise<boolean> {
     const { link, logger, onOutcome, self } = this.#options;
     const fencing = this.#claim.fencing;
@@ -378,7 +387,7 @@
     const requests = [...counts.values()].reduce((sum, each) => sum + each, 0);
     logger.info(
       { window, fencing, outcome, workspaces: counts.size, requests },
-      "Usage was reported",
+      "Sent a usage report",
     );
     if (outcome === "refused") this.#claim.refused();
     if (outcome !== "accepted") return false;
@@ -387,7 +396,7 @@
     return true;
   }
 
-  /** The reports of the newest claim, and those that the store has lost. */
+  /** Reports of the latest claim, and those that the store has lost. */
   #mergeFixedReports(claimed: readonly UsageReport[]): UsageReport[] {
     const known = new Set(claimed.map(({ window }) => window));
     const lost = [...this.#fixed]
--- a/src/entry/forwarding/usage_notification.ts
+++ b/src/entry/forwarding/usage_notification.ts
@@ -1,9 +1,9 @@
-/** What entries send each other of usage, encoded and decoded. */
+/** Encoding of the usage notifications between entries. */
 import type { StandingClaim, WindowCounts } from "../../core/forwarding/mod.ts";
 
 /** Notification that carries an entry's counts. */
 export const USAGE_METHOD = "entry.usage";
-/** Notification that carries what was reported, and by whom. */
+/** Notification that carries the reported windows and the claim behind them. */
 export const USAGE_REPORTS_METHOD = "entry.usage_reports";
 
 /** An entry's own counts; times are Unix milliseconds. */
@@ -11,7 +11,7 @@
   readonly entry: string;
   readonly incarnation: string;
   readonly since: number;
-  /** Up to then all counts are here; 0 where only what changed is. */
+  /** All counts up to this time are included; 0 if only changes are. */
   readonly until: number;
   readonly usage: readonly WindowCounts[];
 }
@@ -19,13 +19,13 @@
 export interface ReportsNotification {
   /** The claim that the reports were sent under. */
   readonly claim: StandingClaim;
-  /** The newest window whose report was confirmed. */
+  /** The latest window whose report was confirmed. */
   readonly acceptedThrough?: number;
-  /** What the claim has fixed; comes with a new claim. */
+  /** Reports fixed by the claim; sent with a new claim. */
   readonly fixed?: readonly WindowCounts[];
 }
 
-/** True where a peer's counts can be taken in. */
+/** Checks that the value is a valid usage notification. */
 export function isUsageNotification(
   value: unknown,
 ): value is UsageNotification {
@@ -47,7 +47,7 @@
     );
 }
 
-/** True where a peer's notification of reports can be taken in. */
+/** Checks that the value is a valid reports notification. */
 export function isReportsNotification(
   value: unknown,
 ): value is ReportsNotification {
--- a/src/entry/forwarding/wait_for_choice.ts
+++ b/src/entry/forwarding/wait_for_choice.ts
@@ -1,20 +1,24 @@
 import type { ForwardContext } from "./forward_context.ts";
 
-/** How often a request that waits for an engine looks for one. */
+/** Polling interval of a request that waits for an engine. */
 const POLL_INTERVAL_MILLISECONDS = 25;
 /**
- * Share of its time that a request has left when it is refused because no
- * engine is back. Later, the caller would leave unanswered.
+ * Share of the allowed time that must remain for a request to keep waiting for
+ * an engine. If it were refused later, the caller would give up without a
+ * response.
  */
 const MIN_REMAINING_SHARE = 0.15;
 
 /**
- * Checks for an engine with room after which one is taken as it is. Otherwise
- * newer requests, which ask for no room, overtake what has waited.
+ * Checks for an engine with capacity after which any engine is chosen.
+ * Otherwise newer requests, which do not require capacity, overtake the waiting
+ * ones.
  */
 const MAX_CAPACITY_CHECKS = 8;
 
-/** Chooses an engine that has room, for a while, and then any. */
+/**
+ * Chooses only engines with capacity for a limited number of checks, then any.
+ */
 export function preferCapacity<Choice>(
   choose: (options: { readonly withRoom: boolean }) => Choice | undefined,
 ): () => Choice | undefined {
@@ -29,7 +33,7 @@
 }
 
 /**
- * Asks again until there is a choice, as long as the caller can still get a
+ * Polls until there is a choice, as long as the caller can still receive a
  * first byte. Nothing is sent meanwhile.
  */
 export async function waitForChoice<Choice>(
@@ -48,7 +52,7 @@
   return choice;
 }
 
-/** True where the caller can still be answered in so long, milliseconds. */
+/** True if the caller can still be answered after this many milliseconds. */
 export function mayStillWait(
   context: ForwardContext,
   milliseconds = 0,
--- a/src/entry/forwarding/work_notification.ts
+++ b/src/entry/forwarding/work_notification.ts
@@ -1,4 +1,4 @@
-/** What an entry tells its peers of its work, encoded and decoded. */
+/** Encoding of the work notifications between entries. */
 import {
   type CrashReport,
   type EndpointRegistry,
@@ -19,27 +19,33 @@
 /** Notification that carries an entry's open work. */
 export const WORK_METHOD = "entry.work";
 
-/** What an entry tells its peers. */
+/** Report of an entry to its peers. */
 export interface WorkNotification extends Omit<PeerWork, "work"> {
   readonly entry: string;
   readonly work: readonly WorkRowWithRun[];
-  /** Version of the configuration in force there; absent while there is none. */
+  /** Version of the configuration in force there; absent if there is none. */
   readonly version?: number;
-  /** Prompts read since the last report; a lost one costs a part read twice. */
+  /**
+   * Prompts prefilled since the last report. If one is lost, a shared part may
+   * be prefilled twice.
+   */
   readonly prompts: readonly EncodedPrompt[];
-  /** What was learned of engines; comes with whole reports. */
+  /** Speed estimates of engines; sent with full reports. */
   readonly speeds?: readonly ToldSpeed[];
-  /** Prompts refused since the last report; their callers may come to others. */
+  /**
+   * Prompts refused since the last report; their callers may retry elsewhere.
+   */
   readonly refusals: readonly ToldRefusal[];
-  /** The wall clock there, Unix milliseconds; comes with whole reports. */
+  /** The sender's wall clock in Unix milliseconds; sent with full reports. */
   readonly clock?: number;
-  /** Requests lost with endpoints of late; comes with whole reports. */
+  /** Requests recently lost with endpoints; sent with full reports. */
   readonly losses?: readonly ReportedLoss[];
 }
 
 /**
- * Work as it goes to peers: with the start of each endpoint's run, where it
- * tells one. A replica that starts again under its id has none of it.
+ * Work at an endpoint as sent to peers, with the start time of the endpoint's
+ * run if known. A replica that restarts under the same id has none of this
+ * work.
  */
 export type WorkRowWithRun = readonly [
   ...WorkReport[number],
@@ -47,7 +53,7 @@
 ];
 const MIN_WORK_VALUES = 4;
 
-/** Adds to work at endpoints which run of each it stands at. */
+/** Adds the current run of each endpoint to its row. */
 export function withRuns(
   registry: EndpointRegistry,
   report: WorkReport,
@@ -72,7 +78,7 @@
     );
 }
 
-/** True where a peer's notification can be taken in. */
+/** Checks that the value is a valid work notification. */
 export function isWorkNotification(value: unknown): value is WorkNotification {
   if (typeof value !== "object" || value === null) return false;
   const {
@@ -101,7 +107,7 @@
     isWorkRows(work);
 }
 
-/** True where the value is a list of work at endpoints. */
+/** Checks that the value is a list of work rows. */
 export function isWorkRows(value: unknown): value is readonly WorkRowWithRun[] {
   return Array.isArray(value) &&
     value.every((each) =>
@@ -116,7 +122,7 @@
     typeof value[1] === "number";
 }
 
-/** True where the value tells of requests lost with endpoints. */
+/** Checks that the value is a valid crash report. */
 export function isCrashReport(value: unknown): value is CrashReport {
   if (typeof value !== "object" || value === null) return false;
   const { cleared, losses } = value as Partial<CrashReport>;
