--- a/src/entry/forwarding/caller_keys_test.ts
+++ b/src/entry/forwarding/caller_keys_test.ts
@@ -42,7 +42,7 @@
     return bench;
   }
 
-  it("name the workspace to the endpoint, and go no further", async () => {
+  it("identify the workspace to the endpoint and are not forwarded", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
     await bench.take(
       makeRequest({ credentials: KEY, identityHeaders: IDENTITY }),
@@ -52,7 +52,7 @@
     expect(request.identityHeaders).to.deep.equal([]);
   });
 
-  it("are refused where no workspace has them, without a send", async () => {
+  it("are refused without a send if no workspace has them", async () => {
     const bench = portal(configurationFor([makeWorkspace({ keys: [] })]));
     const caller = await bench.take(makeRequest({ credentials: KEY }));
     expect(caller.refusal).to.deep.equal({
@@ -70,13 +70,13 @@
     });
   });
 
-  it("answers 404 before any key is looked at", async () => {
+  it("are not checked before the route, which may be 404", async () => {
     const bench = portal(configurationFor([], { pathPrefix: "/other/" }));
     const caller = await bench.take(makeRequest());
     expect(caller.status).to.equal(404);
   });
 
-  it("are not needed on a public route, and dropped there too", async () => {
+  it("are optional on a public route, and not forwarded either", async () => {
     const bench = portal(configurationFor([], { isPublic: true }));
     await bench.take(
       makeRequest({ credentials: KEY, identityHeaders: IDENTITY }),
@@ -86,13 +86,13 @@
     expect(request.identityHeaders).to.deep.equal([]);
   });
 
-  it("mean nothing where no workspaces are configured", async () => {
+  it("are forwarded unchanged if no workspaces are configured", async () => {
     const bench = portal(configurationFor(undefined));
     await bench.take(makeRequest({ identityHeaders: IDENTITY }));
     expect(bench.sent[0].request.identityHeaders).to.deep.equal(IDENTITY);
   });
 
-  it("let no further send out once they are taken away", async () => {
+  it("prevent further sends once they are removed", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
     bench.parts.registry.put(makeEndpoint("b"));
     const caller = await bench.take(makeRequest({ credentials: KEY }));
@@ -105,7 +105,7 @@
     });
   });
 
-  it("leave an answer alone that has begun when they are taken away", async () => {
+  it("do not interrupt a response that has begun when they are removed", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
     const caller = await bench.take(makeRequest({ credentials: KEY }));
     bench.takeConfiguration(configurationFor([]));
@@ -114,7 +114,7 @@
   });
 
   describe("of a workspace with a rank", () => {
-    it("put the workspace's rank before the route's at engines", async () => {
+    it("send the workspace's rank to engines instead of the route's", async () => {
       const bench = new ForwardingBench(configurationFor(
         [makeWorkspace({ rank: 1 })],
         { rank: 4, repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
@@ -133,7 +133,7 @@
     });
   });
 
-  describe("count a request that began to run", () => {
+  describe("count a request that started to run", () => {
     function keyed(values: Partial<Route> = {}): ForwardingBench {
       return portal(configurationFor([makeWorkspace()], values));
     }
@@ -159,7 +159,7 @@
       expect(bench.began).to.deep.equal([["workspace", 40]]);
     });
 
-    it("once, where it was sent twice", async () => {
+    it("once if it was sent twice", async () => {
       const bench = keyed({ repeat: "idempotent" });
       bench.parts.registry.put(makeEndpoint("b"));
       await bench.take(makeRequest({ credentials: KEY }));
@@ -168,7 +168,7 @@
       expect(bench.began).to.deep.equal([["workspace", 0]]);
     });
 
-    it("where its answer was lost or its caller left", async () => {
+    it("if its response was lost or its caller disconnected", async () => {
       const bench = keyed({ repeat: "once" });
       await bench.take(makeRequest({ credentials: KEY }));
       await bench.sent[0].fail("exchange_lost");
@@ -177,7 +177,7 @@
       expect(bench.began).to.have.length(2);
     });
 
-    it("never where no endpoint has run it", async () => {
+    it("never if no endpoint ran it", async () => {
       const bench = keyed({ repeat: "once" });
       await bench.take(makeRequest({ credentials: KEY }));
       await bench.sent[0].notRun();
--- a/src/entry/forwarding/crashing_requests_test.ts
+++ b/src/entry/forwarding/crashing_requests_test.ts
@@ -18,9 +18,9 @@
 import type { ForwardedRequest, Route } from "../../core/forwarding/mod.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
-/** Retries that may still reach endpoints once a third one has crashed. */
+/** Retries that may still reach endpoints after the third crash. */
 const MAX_RETRIES = 3;
-/** Time after the third crash from which they count. */
+/** Time after the third crash from which retries are counted. */
 const STABLE_MILLISECONDS = 3_000;
 const RETRY_MILLISECONDS = 700;
 const OTHER_REQUEST_MILLISECONDS = 20;
@@ -31,15 +31,15 @@
   readonly entries?: number;
   readonly lostShare?: number;
   readonly route?: Partial<Route>;
-  /** True: long prompts, which one engine reads and another answers. */
+  /** True: long prompts, which one engine prefills and another decodes. */
   readonly isPrompt?: boolean;
 }
 
-/** Entries before replicas; one caller's request crashes what runs it. */
+/** Entries and replicas, with one caller's request that crashes any replica. */
 class CrashScenario {
   readonly fleet: EntryFleet;
   readonly replicas: CrashingReplicas;
-  /** What the callers of all other requests got. */
+  /** Responses to the callers of all other requests. */
   readonly others: RecordingSink[] = [];
   readonly #isPrompt: boolean;
   #count = 0;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** The request comes again and again, each time at the next entry. */
+  /** Repeats the crashing request, each time at the next entry. */
   async retry(
     times: number,
     milliseconds = RETRY_MILLISECONDS,
@@ -85,12 +85,12 @@
     return this.fleet.ask(entry, makeRequest({ id, ...values }));
   }
 
-  /** So many callers ask for the same at once, at entries in turn. */
+  /** Sends `count` identical requests at once, to the entries in turn. */
   askAtOnce(values: Partial<ForwardedRequest>, count: number): RecordingSink[] {
     return Array.from({ length: count }, () => this.#ask(values, "popular"));
   }
 
-  /** Lets other requests come for so long. */
+  /** Sends other requests for this long. */
   async #sendOthers(milliseconds: number): Promise<void> {
     for (let at = 0; at < milliseconds; at += OTHER_REQUEST_MILLISECONDS) {
       const body = Buffer.from(`other ${this.#count}`);
@@ -140,11 +140,11 @@
       isPrompt: true,
       route: { repeat: "stream", resumable: true },
     },
-    "whose endpoints are back under their ids": { keepsId: true },
+    "whose endpoints restart under the same ids": { keepsId: true },
   };
   for (const [kind, options] of Object.entries(kinds)) {
     describe(kind, () => {
-      it("is not sent on once it has crashed three", async () => {
+      it("is not forwarded after three crashes", async () => {
         const scenario = new CrashScenario(options);
         await scenario.retry(30);
         expectFewRetries(scenario);
@@ -152,8 +152,8 @@
     });
   }
 
-  describe("and callers beside it", () => {
-    it("leaves them served while its endpoints crash", async () => {
+  describe("and other callers", () => {
+    it("does not affect them while its endpoints crash", async () => {
       const scenario = new CrashScenario();
       await scenario.retry(30);
       const reasons = scenario.others.map(({ refusal }) => refusal?.reason);
@@ -162,7 +162,7 @@
       expect(answered.length).to.be.greaterThan(0.95 * scenario.others.length);
     });
 
-    it("is refused as not run, with the time until its block ends", async () => {
+    it("is refused as not run, with the remaining block time", async () => {
       const scenario = new CrashScenario();
       const callers = await scenario.retry(12);
       const { refusal } = callers[11];
@@ -174,8 +174,8 @@
     });
   });
 
-  describe("that many callers ask for", () => {
-    it("is not blocked where endpoints die together", async () => {
+  describe("that many callers send", () => {
+    it("is not blocked if endpoints fail together", async () => {
       const scenario = new CrashScenario({ entries: 5 });
       const popular = { method: "GET", body: Buffer.alloc(0) };
       const callers = scenario.askAtOnce(popular, 20);
@@ -191,11 +191,12 @@
     });
   });
 
-  describe("beside a request that many callers ask for", () => {
-    it("does not have that one blocked at any entry", async () => {
+  describe("while many callers send another request", () => {
+    it("does not cause that one to be blocked at any entry", async () => {
       const scenario = new CrashScenario({ entries: 5 });
       const popular = { method: "GET", body: Buffer.alloc(0) };
-      // Each caller of it keeps to one entry; the last one hears of it only.
+      // Each caller uses one entry only; the last entry knows the request from
+      // its peers alone.
       const asking = scenario.fleet.timer.every(10, () => {
         for (const entry of [0, 1, 2, 3]) scenario.askAt(entry, popular);
       });
@@ -210,13 +211,13 @@
   });
 
   describe("in a large fleet", () => {
-    it("is known to all entries, also where datagrams are lost", async () => {
+    it("is known to all entries even if datagrams are lost", async () => {
       const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
       await scenario.retry(30);
       expectFewRetries(scenario);
     });
 
-    it("is known to all entries, also where retries come quickly", async () => {
+    it("is known to all entries even if retries arrive quickly", async () => {
       const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
       await scenario.retry(60, 100);
       expectFewRetries(scenario);
@@ -224,7 +225,7 @@
   });
 
   describe("after its block", () => {
-    it("is known to entries that have started since", async () => {
+    it("is known to entries that have started since then", async () => {
       const scenario = new CrashScenario();
       await scenario.retry(10);
       for (const index of scenario.fleet.entries.keys()) {
--- a/src/entry/forwarding/endpoint_signals_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -32,14 +32,17 @@
 interface SignalScenarioOptions {
   readonly route?: Partial<Route>;
   readonly endpoints?: readonly RegisteredEndpoint[];
-  /** What the request with this number holds. */
+  /** Values of the request with this number. */
   readonly valuesOf?: (count: number) => Partial<ForwardedRequest>;
 }
 
-/** An entry before replicas of a plain service; one has something to say. */
+/**
+ * One entry with replicas of a plain service or engines that set signals in
+ * their response heads.
+ */
 class SignalScenario {
   readonly bench: ForwardingBench;
-  /** What a replica adds to the head of its answers. */
+  /** Additions to the response head of each replica. */
   readonly heads = new Map<string, Partial<AnswerHead>>();
   readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
   #count = 0;
@@ -54,7 +57,10 @@
     this.bench.onSend = (attempt) => void this.#answer(attempt);
   }
 
-  /** Requests come one after another for so long; gives where each was sent. */
+  /**
+   * Sends requests in sequence for this long; returns the endpoints they were
+   * sent to.
+   */
   async run(milliseconds: number): Promise<string[]> {
     const before = this.bench.sent.length;
     for (let at = 0; at < milliseconds; at += STEP_MILLISECONDS) {
@@ -83,7 +89,7 @@
   return REPLICAS.map((id) => makeEndpoint(id));
 }
 
-/** The same with long prompts before engines. */
+/** The same with long prompts and engines. */
 function promptScenario(): SignalScenario {
   return new SignalScenario({
     route: { repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
@@ -95,16 +101,16 @@
   });
 }
 
-describe("what an endpoint says of itself in its answers", () => {
-  describe("that it leaves", () => {
-    it("stops requests to it while the store says nothing", async () => {
+describe("signals in an endpoint's responses", () => {
+  describe("leaving", () => {
+    it("stops requests to it before the store reports it", async () => {
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       expect(await setup.run(1_000)).to.include("a");
       expect(await setup.run(5_000)).not.to.include("a");
     });
 
-    it("stops them although older registrations are read after it", async () => {
+    it("stops them even if older registrations are read later", async () => {
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
@@ -115,7 +121,7 @@
       expect(await setup.run(1_000)).not.to.include("a");
     });
 
-    it("holds where its registration lapses before the answer and is back", async () => {
+    it("stays in effect if its registration expires before the response and returns", async () => {
       const setup = new SignalScenario();
       const startedAt = numbered<ReplicaStart>(7);
       const endpoint = makeEndpoint("a", { startedAt });
@@ -131,21 +137,21 @@
       expect(caller.status).to.equal(503);
     });
 
-    it("is taken from a rejection too", async () => {
+    it("is read from a rejection too", async () => {
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true, status: 503, notRun: true });
       expect(await setup.run(1_000)).to.include("a");
       expect(await setup.run(3_000)).not.to.include("a");
     });
 
-    it("is taken from the reading of a prompt too", async () => {
+    it("is read from the response to a prefill too", async () => {
       const setup = promptScenario();
       setup.heads.set("r1", { leaving: true });
       expect(await setup.run(1_000)).to.include("r1");
       expect(await setup.run(1_000)).not.to.include("r1");
     });
 
-    it("ends with the run that said so", async () => {
+    it("ends with the run that sent it", async () => {
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
@@ -155,7 +161,7 @@
       expect(await setup.run(1_000)).to.include("a");
     });
 
-    it("is known to the other entries as well", async () => {
+    it("is passed on to the other entries", async () => {
       const fleet = new EntryFleet({
         entries: 5,
         zones: 1,
@@ -185,8 +191,8 @@
     });
   });
 
-  describe("that it is overloaded", () => {
-    it("stops requests to it until the time is over", async () => {
+  describe("overload", () => {
+    it("stops requests to it until the retry time has passed", async () => {
       const setup = new SignalScenario();
       for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
       await setup.run(200);
@@ -196,7 +202,7 @@
       expect(new Set(await setup.run(1_000))).to.have.keys(REPLICAS);
     });
 
-    it("leaves its requests to the others", async () => {
+    it("moves its requests to the others", async () => {
       const setup = new SignalScenario();
       setup.heads.set("a", overloadedFor(2_000));
       await setup.run(500);
@@ -213,7 +219,7 @@
       expect(await setup.run(1_000)).not.to.include("a");
     });
 
-    it("refuses a caller at once who would have left before its end", async () => {
+    it("immediately refuses a caller that would give up before its end", async () => {
       const setup = new SignalScenario();
       for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
       await setup.run(200);
@@ -224,7 +230,7 @@
       expect(setup.bench.sent).to.have.length(sentBefore);
     });
 
-    it("is not taken for replicas that refuse connections", async () => {
+    it("is not assumed for replicas that refuse connections", async () => {
       const setup = new SignalScenario();
       setup.bench.onSend = (attempt) => void attempt.fail("exchange_not_sent");
       await setup.run(200);
@@ -232,7 +238,7 @@
       expect(refusal?.reason).to.equal("no_endpoint_reachable");
     });
 
-    it("lets a caller wait for its end who can still be answered", async () => {
+    it("lets a caller wait for its end that can still be answered", async () => {
       const setup = new SignalScenario();
       for (const id of REPLICAS) setup.heads.set(id, overloadedFor(400));
       await setup.run(100);
@@ -243,21 +249,21 @@
       expect(caller.status).to.equal(200);
     });
 
-    it("stops readings of prompts at an engine", async () => {
+    it("stops prefills at an engine", async () => {
       const setup = promptScenario();
       setup.heads.set("r1", overloadedFor(2_000));
       expect(await setup.run(500)).to.include("r1");
       expect(await setup.run(1_000)).not.to.include("r1");
     });
 
-    it("stops answers by an engine", async () => {
+    it("stops decoding at an engine", async () => {
       const setup = promptScenario();
       setup.heads.set("d1", overloadedFor(2_000));
       expect(await setup.run(500)).to.include("d1");
       expect(await setup.run(1_000)).not.to.include("d1");
     });
 
-    it("has no prompt read that nobody could answer in time", async () => {
+    it("prevents a prefill if no engine could decode in time", async () => {
       const setup = promptScenario();
       for (const id of ["d1", "d2"]) setup.heads.set(id, overloadedFor(9_000));
       await setup.run(500);
@@ -267,7 +273,7 @@
       expect(setup.bench.sent).to.have.length(sentBefore);
     });
 
-    it("puts off freeing a kept prompt at the engine", async () => {
+    it("delays the release of a cached prompt at the engine", async () => {
       const { bench } = promptScenario();
       const run = bench.take(makeRequest({ prompt: makePrompt("subject") }));
       bench.onSend = undefined;
@@ -284,7 +290,7 @@
   });
 });
 
-/** The head by which an overloaded endpoint turns a request away. */
+/** Response head of an overloaded endpoint that rejects a request. */
 function overloadedFor(milliseconds: number): Partial<AnswerHead> {
   return { status: 503, notRun: true, retryAfterMilliseconds: milliseconds };
 }
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -25,14 +25,17 @@
 import { ForwardingEntry, type RoleLink } from "./mod.ts";
 import { RoleController } from "./role_controller.ts";
 
-/** A log that never answers: no order is given. */
+/** A log that never responds, so that no order is given. */
 const SILENT_ROLE_LINK: RoleLink = {
   readClaim: () => new Promise(() => {}),
   appendClaim: () => new Promise(() => {}),
   order: () => new Promise(() => {}),
 };
 
-/** Entries that hear each other at once; all readers stand at `position`. */
+/**
+ * Entries that exchange notifications without delay; every registration reader
+ * is at `position`.
+ */
 function makeEntries(
   count: number,
   {
@@ -94,7 +97,7 @@
   return entries;
 }
 
-/** Everything that remembers endpoints; a new part belongs on this list. */
+/** Every component with state per endpoint; add new ones here. */
 const ENDPOINT_MEMORIES = {
   "open work": LoadPicture,
   "kept prompts": PrefixDirectory,
@@ -108,7 +111,10 @@
   "connections",
 ];
 
-/** Calls back when the part forgets an endpoint; gives what ends that. */
+/**
+ * Calls back when the component forgets an endpoint; returns a function that
+ * removes the spy.
+ */
 function spyOnForget(part: string, onForget: () => void): () => void {
   if (!(part in ENDPOINT_MEMORIES)) return () => {};
   const { prototype } =
@@ -125,9 +131,10 @@
   const endpoint = makeEndpoint("a");
   const { id } = endpoint;
 
-  // One entry of many has read that an endpoint leaves; the next reading of the
-  // others is a second away. Without its word they send there until then.
-  it("tells peers of an endpoint that leaves", () => {
+  // One entry has read that an endpoint is leaving, while the next read of the
+  // others is a second away. Without the notification they keep sending to it
+  // until then.
+  it("notifies peers of a leaving endpoint", () => {
     const [first, second] = makeEntries(2);
     for (const entry of [first, second]) {
       entry.registrations.read([{ id, endpoint }]);
@@ -140,9 +147,9 @@
   });
 
   // An entry that is behind reads the registration of an endpoint that the
-  // others know to be gone. Told of it, they would send there for good: the
-  // record that took it away lies behind them.
-  it("does not bring back an endpoint through a peer that is behind", () => {
+  // others know to be removed. If they applied its notification, they would
+  // send there indefinitely: they have already read past the removal.
+  it("does not restore an endpoint from a peer that is behind", () => {
     const [late, ahead] = makeEntries(2);
     ahead.registrations.read([{ id, endpoint }]);
     ahead.registrations.read([{ id }]);
@@ -151,36 +158,36 @@
     expect(late.registry.size).to.equal(1);
   });
 
-  describe("of several entries one reads the registrations for all", () => {
+  describe("when one entry reads the registrations for all", () => {
     const span = { from: 10, to: 14 };
 
-    // An endpoint registers, and the other entries do not look for a second:
-    // callers wait at endpoints that are full beside one that is free.
-    it("takes a new endpoint from a peer whose reading goes on from its own", () => {
+    // An endpoint registers, and the other entries do not read for a second.
+    // Until then callers wait at full endpoints although one is free.
+    it("applies a new endpoint from a peer whose span continues its own", () => {
       const [first, second] = makeEntries(2, { position: 10 });
       first.registrations.read([{ id, endpoint }], span);
       expect(second.registry.get(id)).to.deep.equal(endpoint);
     });
 
-    it("takes nothing new where records lie between", () => {
+    it("applies no new endpoint if there are records in between", () => {
       const [first, second] = makeEntries(2, { position: 9 });
       first.registrations.read([{ id, endpoint }], span);
       expect(second.registry.get(id)).to.equal(undefined);
     });
 
-    // An endpoint lapses and is back, and the peer's datagram about its lapse is
-    // overtaken. Taken late, it removes an endpoint whose record lies behind
-    // this entry: the entry sends nothing there for good.
-    it("takes nothing from a span that it is ahead of", () => {
+    // An endpoint expires and registers again, and the peer's datagram on the
+    // expiry is delayed. Applied late, it removes an endpoint whose record this
+    // entry has already read past, so the entry never sends to it again.
+    it("applies nothing from a span that it has read past", () => {
       const [first, second] = makeEntries(2, { position: 20 });
       for (const entry of [first, second]) entry.registry.put(endpoint);
       first.registrations.read([{ id }], span);
       expect(second.registry.get(id)).to.deep.equal(endpoint);
     });
 
-    // A peer stands between two records of the span. For the entry that has
-    // read nothing has changed, as the second takes back the first.
-    it("tells of what has changed and changed back", () => {
+    // A peer is between two records of the span. For the entry that has read
+    // both nothing has changed, as the second record reverts the first.
+    it("sends a change that was reverted within the span", () => {
       const [first, second] = makeEntries(2, { position: 10 });
       first.registrations.read([{ id, endpoint }], span);
       const other = { ...endpoint, slots: 99 };
@@ -193,9 +200,9 @@
     });
   });
 
-  // All entries are killed at once and come back while callers go on. Each
-  // reads the fleet's list before the others have put themselves on it.
-  it("takes others to share its limits while it is young", async () => {
+  // All entries are killed at once and restart under load. Each reads the list
+  // of the fleet before the others have registered in it.
+  it("assumes that others share its limits during startup", async () => {
     const timer = new ManualTimerService();
     const [entry] = makeEntries(1, { timer });
     entry.peers.setPeers(new Map());
@@ -204,10 +211,10 @@
     expect(entry.entriesSharingLimits).to.equal(1);
   });
 
-  // An engine crashes with caches, open prompts and failures to its name and
-  // starts again under its id. What an entry still believes of the former run
-  // sends callers to caches that are gone, or passes over a healthy engine.
-  describe("an engine that starts again under its id", () => {
+  // An engine with caches, open prompts and recorded failures crashes and
+  // restarts under the same id. State kept from the previous run sends callers
+  // to caches that are gone or excludes a healthy engine.
+  describe("an engine that restarts under the same id", () => {
     const startedAt = (time: number) => numbered<ReplicaStart>(time);
     const first = makeEngine("e", "prefill", { startedAt: startedAt(1_000) });
     const second = { ...first, startedAt: startedAt(2_000) };
@@ -238,7 +245,7 @@
       });
     }
 
-    it("takes nothing from a peer that knows only the former run", () => {
+    it("ignores work of a peer that only knows the previous run", () => {
       const [entry] = makeEntries(1);
       entry.registry.put(second);
       entry.takeNotification("entry.work", workAt(first));
--- a/src/entry/forwarding/large_fleet_test.ts
+++ b/src/entry/forwarding/large_fleet_test.ts
@@ -27,7 +27,7 @@
 const SUBJECTS = 600;
 const URGENT_TARGET_MILLISECONDS = 120;
 
-/** What became of the requests of one kind. */
+/** Response times of the requests of one kind. */
 class ResponseTimes {
   asked = 0;
   readonly #firstByteTimes: number[] = [];
@@ -36,7 +36,7 @@
     this.#firstByteTimes.push(milliseconds);
   }
 
-  /** Share of the requests whose first byte came within so long. */
+  /** Share of the requests with a first byte within this time. */
   within(milliseconds: number): number {
     const inTime = this.#firstByteTimes.filter((each) => each <= milliseconds);
     return inTime.length / this.asked;
@@ -66,7 +66,7 @@
   });
 }
 
-/** Long summaries and short urgent prompts at a large fleet's entries. */
+/** Long summaries and short urgent prompts at the entries of a large fleet. */
 class LargeFleet {
   readonly fleet: EntryFleet;
   readonly engines: PlayedEngines;
@@ -105,13 +105,13 @@
     this.engines = new PlayedEngines(this.fleet, { slots: SLOTS });
   }
 
-  /** Counts anew from here on. */
+  /** Resets the response times. */
   resetCounts(): void {
     this.summaries = new ResponseTimes();
     this.urgent = new ResponseTimes();
   }
 
-  /** So many a second of each for so long. */
+  /** Sends the given number of each kind per second for this long. */
   async run({ milliseconds, summaries, urgent = 0 }: Load): Promise<void> {
     const { timer } = this.fleet;
     for (let passed = 0; passed < milliseconds; passed += 1) {
@@ -122,14 +122,14 @@
     await timer.advance(TARGET_MILLISECONDS);
   }
 
-  /** Every engine of the zone dies in this moment. */
+  /** Kills every engine of the zone at once. */
   killZone(zone: number): void {
     for (let index = zone; index < ENGINE_COUNT; index += ZONES) {
       this.engines.kill(`engine-${index}`);
     }
   }
 
-  /** Empty engines that read register with every entry; gives their ids. */
+  /** Registers idle prefill engines with every entry; returns their ids. */
   join(count: number): string[] {
     const joined = Array.from(
       { length: count },
@@ -171,29 +171,29 @@
 }
 
 describe("A fleet of many entries", () => {
-  // Sixty-eight entries place summaries on thirty-four engines. By reports
-  // alone each knows what the others had open 0.4 s before, in which an engine
-  // reads a dozen prompts: all take the same engines for free, prompts wait
-  // there behind each other, and callers are answered late beside idle engines.
-  it("answers on time at two thirds of what its engines can read", async () => {
+  // 68 entries place summaries on 34 engines. With reports alone each entry
+  // knows the load of the others as of 0.4 s before, in which an engine
+  // prefills a dozen prompts: all choose the same engines, prompts queue there,
+  // and callers are answered late although other engines are idle.
+  it("answers on time at two thirds of its prefill capacity", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
     await large.run({ summaries: 700, milliseconds: 2_000 });
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.9);
   }).timeout(60_000);
 
-  // Datagrams are lost, on links that are full or lossy. What an owner was not
-  // told of, it hears with the next whole report.
-  it("does so too where one datagram in twenty is lost", async () => {
+  // Datagrams are lost on congested or lossy links. An update that an owner
+  // missed arrives with the next full report.
+  it("answers on time if one datagram in twenty is lost", async () => {
     const large = new LargeFleet(0.05);
     await large.fleet.timer.advance(2_500);
     await large.run({ summaries: 700, milliseconds: 2_000 });
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.9);
   }).timeout(60_000);
 
-  // Some entries freeze; they own a tenth of the engines' load. The others wait
-  // for their word in vain a few times, and then go by the reports.
-  it("loses little when entries are cut off at the same moment", async () => {
+  // Some entries freeze that own a tenth of the engines' load. The others time
+  // out on queries to them a few times and then use the reports.
+  it("degrades little when several entries are partitioned at once", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
     for (let index = 0; index < 7; index++) large.fleet.cutOff.add(index);
@@ -201,10 +201,10 @@
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.8);
   }).timeout(60_000);
 
-  // All engines of one zone die in the same millisecond, with streams open on
-  // them. Urgent callers must not wait behind the summaries that crowd on the
-  // engines that are left, and no summary may run twice.
-  it("answers urgent callers on time beside a hall that dies", async () => {
+  // All engines of one zone fail in the same millisecond with open streams.
+  // Urgent callers must not wait behind the summaries that are queued at the
+  // remaining engines, and no summary may run twice.
+  it("answers urgent callers on time when a zone fails", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
     await large.run({ summaries: 400, urgent: 15, milliseconds: 1_500 });
@@ -219,10 +219,10 @@
     expect(Math.max(...large.engines.runs.values())).to.be.at.most(2);
   }).timeout(60_000);
 
-  // Half of the fleet's size joins empty under load. Every entry sees the same
-  // idle engines in the same moment; if all went there, prompts would wait at
-  // them while the others stand idle.
-  it("does not crowd on empty engines that join", async () => {
+  // Idle engines, half as many as the fleet has, join under load. Every entry
+  // sees the same idle engines at the same time; if all chose them, prompts
+  // would queue there while other engines are idle.
+  it("does not overload idle engines that join", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
     await large.run({ summaries: 700, milliseconds: 1_000 });
--- a/src/entry/forwarding/load_queries_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -25,7 +25,7 @@
 });
 const ONE_WAY_MILLISECONDS = 1;
 
-/** One entry with its picture, among others that it can tell things. */
+/** One entry with its load state, connected to other entries. */
 class Member {
   readonly load: LoadPicture;
   readonly owners: LoadOwners;
@@ -53,12 +53,12 @@
   }
 }
 
-describe("LoadQuestions", () => {
+describe("LoadQueries", () => {
   let timer: ManualTimerService;
   let members: Map<ProcessId, Member>;
   let asker: Member;
   let owner: Member;
-  /** Changes what is sent; undefined loses it. */
+  /** Modifies a message in transit; undefined drops it. */
   let intercept: (params: unknown) => unknown;
 
   function send(peer: ProcessId, method: string, params: unknown): void {
@@ -91,7 +91,7 @@
     asker = [...members.values()].find((each) => each !== owner) as Member;
   });
 
-  /** Asks, and gives how long it took. */
+  /** Runs a query and returns its duration in milliseconds. */
   async function ask(member = asker): Promise<number> {
     const before = timer.now();
     let took = -1;
@@ -106,7 +106,7 @@
     member.load.started(ENGINE.id, { milliseconds, tokens: 100 });
   }
 
-  it("brings the others' work, to which the own is added", async () => {
+  it("returns the work of the others, to which its own is added", async () => {
     startWork(owner, 30);
     startWork(asker, 10);
     owner.load.peerReported(asker.name, {
@@ -122,13 +122,13 @@
     expect(asker.load.total(ENGINE.id).prefillMilliseconds).to.equal(45);
   });
 
-  it("asks nobody for what this entry owns", async () => {
+  it("sends no query for endpoints that this entry owns", async () => {
     expect(await ask(owner)).to.equal(0);
   });
 
-  // The owner is frozen. A request that waits for its word is late by it, and
-  // so are all that come behind.
-  it("waits for few milliseconds, and after three times not at all", async () => {
+  // The owner is frozen. A request that waits for its answer is delayed by it,
+  // and so are all requests behind it.
+  it("waits for a few milliseconds, and not at all after three timeouts", async () => {
     intercept = () => undefined;
     expect(await ask()).to.equal(6);
     await ask();
@@ -136,7 +136,7 @@
     expect(await ask()).to.equal(0);
   });
 
-  it("goes by the peers' reports once the owner's word is old", async () => {
+  it("uses the peers' reports once the owner's answer is old", async () => {
     startWork(owner, 30);
     await ask();
     expect(asker.load.total(ENGINE.id).requests).to.equal(1);
@@ -144,9 +144,9 @@
     expect(asker.load.total(ENGINE.id).requests).to.equal(0);
   });
 
-  // A replica starts again under its id while the owner answers for the run
-  // before. Its work there has ended with it.
-  it("passes over the word on another run of the replica", async () => {
+  // A replica restarts under the same id while the owner answers for the
+  // previous run, whose work ended with it.
+  it("ignores an answer for another run of the replica", async () => {
     startWork(owner, 30);
     intercept = (params) => {
       const { work } = params as { work?: unknown[][] };
@@ -157,7 +157,7 @@
     expect(asker.load.total(ENGINE.id).requests).to.equal(0);
   });
 
-  describe("passes over what can't be read", () => {
+  describe("ignores malformed data", () => {
     const malformedQueries: Record<
       string,
       (params: Record<string, unknown>) => unknown
@@ -171,7 +171,7 @@
       "an id that is no number": (params) => ({ ...params, id: "1" }),
     };
     for (const [what, corrupt] of Object.entries(malformedQueries)) {
-      it(`in a question: ${what}`, async () => {
+      it(`in a query: ${what}`, async () => {
         startWork(owner, 30);
         intercept = (params) => corrupt(params as Record<string, unknown>);
         expect(await ask()).to.equal(6);
@@ -201,7 +201,7 @@
     }
   });
 
-  it("takes no answer from an entry that was not asked", async () => {
+  it("ignores an answer from an entry that was not queried", async () => {
     const third = [...members.values()].find((each) =>
       each !== owner && each !== asker
     ) as Member;
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -21,12 +21,12 @@
 const TARGET_MILLISECONDS = 150;
 const SUMMARY_DEADLINE_MILLISECONDS = 2_000;
 
-/** What became of the requests of one kind. */
+/** Outcomes of the requests of one kind. */
 interface Outcomes {
   onTime: number;
   late: number;
   refused: number;
-  /** Refusals that came later than a tenth of a second. */
+  /** Refusals later than 100 ms after arrival. */
   refusedLate: number;
 }
 
@@ -35,15 +35,15 @@
 }
 
 interface OverloadScenarioOptions {
-  /** What the entry believes of the engines at the start. */
+  /** The entry's initial speed estimates of the engines. */
   readonly estimates?: EngineEstimates;
   readonly tokensPerMillisecond?: number;
   readonly targetMilliseconds?: number;
 }
 
 /**
- * Plays arrivals of long summaries and short urgent prompts against seven
- * engines that read and three that decode.
+ * Simulates long summaries and short urgent prompts against seven prefill
+ * engines and three decode engines.
  */
 class OverloadScenario {
   readonly bench: ForwardingBench;
@@ -89,7 +89,9 @@
     }
   }
 
-  /** `perSecond` of summaries for so long, with 20 urgent prompts a second. */
+  /**
+   * Sends `perSecond` summaries and 20 urgent prompts a second for this long.
+   */
   async run(options: {
     readonly perSecond: number;
     readonly seconds: number;
@@ -162,17 +164,17 @@
 }
 
 describe("forward under load", () => {
-  it("answers everything on time at half of what the engines can read", async () => {
+  it("answers everything on time at half of the prefill capacity", async () => {
     const scenario = new OverloadScenario();
     await scenario.run({ perSecond: 150, seconds: 2 });
     expect(scenario.summaries).to.deep.equal({ ...noOutcomes(), onTime: 300 });
     expect(scenario.urgent).to.deep.equal({ ...noOutcomes(), onTime: 40 });
   });
 
-  // Twice as many summaries come as the engines can read. Read in turn, every
-  // answer would be late after a second; the village head's urgent report
-  // would wait behind them.
-  it("goes on answering on time in an overload, and refuses the rest at once", async () => {
+  // Twice as many summaries arrive as the engines can prefill. If they were
+  // served in order, every response would be late after a second, and urgent
+  // prompts would wait behind them.
+  it("keeps answering on time in an overload, and refuses the rest immediately", async () => {
     const scenario = new OverloadScenario();
     await scenario.run({ perSecond: 700, seconds: 3 });
     const { summaries, urgent, engines } = scenario;
@@ -181,16 +183,16 @@
     expect(summaries.onTime).to.be.greaterThan(0.4 * asked);
     expect(summaries.refused).to.be.greaterThan(0);
     expect(summaries.refusedLate).to.be.lessThan(0.02 * asked);
-    // The engines are not left idle by what is refused.
+    // Refusals must not leave the engines idle.
     expect(engines.readMilliseconds).to.be.greaterThan(0.85 * 7 * 3_000);
   });
 
-  // A new customer's engines read five times slower than those of the first
-  // ones, and more summaries come than they can read. By the first ones' speed
-  // too many are let in: of 540 callers 192 are answered on time, 153 late, and
-  // 105 are held before they are refused. With the speed learned from the
-  // answers it is 229, 85 and 17.
-  it("answers on time on engines that nobody has told it of", async () => {
+  // Engines prefill five times slower than the default estimate, and more
+  // summaries arrive than they can serve. By that estimate too many are
+  // admitted: of 540 callers 192 are answered on time, 153 late, and 105 are
+  // held before they are refused. With the speed learned from responses it is
+  // 229, 85 and 17.
+  it("answers on time on engines of unknown speed", async () => {
     const scenario = new OverloadScenario({
       estimates: new EngineEstimates(),
       tokensPerMillisecond: 61,
--- a/src/entry/forwarding/peer_state_fallback_test.ts
+++ b/src/entry/forwarding/peer_state_fallback_test.ts
@@ -23,7 +23,7 @@
   asked: number;
 }
 
-describe("StateRelay", () => {
+describe("PeerStateFallback", () => {
   let timer: ManualTimerService;
   let connected: EntryNode;
   let disconnected: EntryNode;
@@ -82,9 +82,9 @@
     }
   }
 
-  // An entry starts while the store is down. Without its peers it refuses
-  // every caller until the store is back.
-  it("gives a starting entry configuration and endpoints", async () => {
+  // An entry starts while the store is down. Without its peers it refuses every
+  // caller until the store recovers.
+  it("provides a starting entry with configuration and endpoints", async () => {
     await advanceConnected(1_000);
     expect(disconnected.configuration?.version).to.equal(9);
     expect(disconnected.configuration?.pools.get(PORTAL)?.mostConnections)
@@ -92,18 +92,18 @@
     expect(disconnected.registry.inPool(PORTAL)).to.have.length(1);
   });
 
-  // The store turns this entry away, and an endpoint begins to leave. Without
-  // the relay the entry sends to it until it is gone, and callers are cut.
-  it("tells of an endpoint that leaves meanwhile", async () => {
+  // The store rejects this entry, and an endpoint starts to leave. Without the
+  // fallback the entry sends to it until it has ended, and responses are cut.
+  it("passes on that an endpoint is leaving", async () => {
     await advanceConnected(1_000);
     connected.registry.put(makeEndpoint("a", { leaving: true }));
     await advanceConnected(1_000);
     expect(disconnected.registry.inPool(PORTAL)).to.deep.equal([]);
   });
 
-  // Both entries have lost the store, and the peer's listing is old. Taken for
-  // current it would bring back endpoints that have ended.
-  it("takes no endpoints from a peer that is behind as well", async () => {
+  // Both entries have lost the store, and the peer's list is old. If it were
+  // treated as current, it would bring back endpoints that have ended.
+  it("takes no endpoints from a peer that is behind too", async () => {
     disconnected.configuration = makeConfiguration({ version: 9 });
     disconnected.relay.stop();
     connected.relay.storeReached();
@@ -114,7 +114,7 @@
     expect(disconnected.registry.size).to.equal(0);
   });
 
-  it("asks nobody while the store answers", async () => {
+  it("sends no query while the store responds", async () => {
     for (let count = 0; count < 20; count++) {
       disconnected.relay.storeReached();
       await timer.advance(300);
@@ -122,9 +122,9 @@
     expect(disconnected.asked).to.equal(0);
   });
 
-  // The connection on which the entry waits for a configuration has gone
-  // silent, and everything else works. Callers get 404 for a new route.
-  it("asks a peer that has a newer configuration than its own", async () => {
+  // The connection on which the entry waits for a configuration has stalled
+  // silently, while everything else works. Callers get 404 for a new route.
+  it("queries a peer that has a newer configuration", async () => {
     disconnected.configuration = makeConfiguration({ version: 8 });
     disconnected.relay.onPeerVersion(9);
     for (let passed = 0; passed < 1_000; passed += 100) {
@@ -135,7 +135,7 @@
     }
     expect(disconnected.configuration?.version).to.equal(9);
     expect(disconnected.asked).to.equal(1);
-    // Its own reading of the endpoints is as good as the peer's.
+    // The entry's own read of the endpoints is as recent as the peer's.
     expect(disconnected.registry.size).to.equal(0);
   });
 });
--- a/src/entry/forwarding/prefix_cache_survey_test.ts
+++ b/src/entry/forwarding/prefix_cache_survey_test.ts
@@ -12,7 +12,7 @@
 
 const PARTS: readonly PromptPart[] = [{ id: "catalogue", tokens: 6_000 }];
 
-describe("KeptPartsSurvey", () => {
+describe("PrefixCacheSurvey", () => {
   const engine = makeEngine("reader", "prefill");
   let timer: ManualTimerService;
   let prefixes: PrefixDirectory;
@@ -44,9 +44,10 @@
     queried = [];
   });
 
-  // All entries are killed at once and start again. Without the engines' lists
-  // every prompt goes to an engine that has to read its shared parts again.
-  it("learns what an engine keeps when the entry has been restarted", async () => {
+  // All entries are killed at once and restart. Without the lists of the
+  // engines every prompt goes to an engine that has to prefill its shared parts
+  // again.
+  it("reads an engine's cached parts after a restart of the entry", async () => {
     const survey = makeSurvey();
     survey.onEngineSeen(engine);
     survey.onEngineSeen(engine);
@@ -55,13 +56,13 @@
     expect(prefixes.keptTokens(engine.id, PARTS)).to.equal(6_000);
   });
 
-  it("asks nobody where the engines have just been started as well", async () => {
+  it("sends no query if the engines have just started as well", async () => {
     makeSurvey({ isNeeded: false }).onEngineSeen(engine);
     await timer.advance(100);
     expect(queried).to.deep.equal([]);
   });
 
-  it("asks no engine that appears later, and no plain service", async () => {
+  it("queries no engine that appears later, and no plain service", async () => {
     const survey = makeSurvey();
     survey.onEngineSeen(makeEndpoint("portal"));
     await timer.advance(5_000);
@@ -70,15 +71,15 @@
     expect(queried).to.deep.equal([]);
   });
 
-  it("goes on without an answer", async () => {
+  it("tolerates a missing answer", async () => {
     makeSurvey({ answers: false }).onEngineSeen(engine);
     await timer.advance(100);
     expect(prefixes.keptTokens(engine.id, PARTS)).to.equal(0);
   });
 
-  // Four hundred entries start again at once. Asked by each of them, an engine
-  // does nothing else for as long.
-  it("asks an engine from few entries of a large fleet", async () => {
+  // 400 entries restart at once. If each of them queried an engine, it could do
+  // no other work meanwhile.
+  it("queries an engine from few entries of a large fleet", async () => {
     for (let entry = 0; entry < 400; entry++) {
       const random = seededRandom(1_000 + 7_919 * entry);
       const survey = new PrefixCacheSurvey({
--- a/src/entry/forwarding/request_forwarder_test.ts
+++ b/src/entry/forwarding/request_forwarder_test.ts
@@ -58,18 +58,17 @@
       });
     });
 
-    it("is 404 where no route matches", async () => {
+    it("is refused with 404 if no route matches", async () => {
       const bench = portal({ pathPrefix: "/other/" });
       const caller = await bench.take(makeRequest());
       expect(caller.refusal?.status).to.equal(404);
     });
 
-    // A booking was sent, and its connection broke. Nobody knows whether it
-    // ran; sent again, the permit is booked twice.
-    // The replica crashes while it works on a booking and starts again under
-    // its id. Nobody can tell whether the booking was made; sent once more or
-    // called "not run", it would be made twice.
-    it("has an unknown outcome where its replica has started again", async () => {
+    // The replica crashes while it works on a booking and restarts under the
+    // same id, and the connection breaks. It is unknown whether the booking was
+    // made; sent again, or reported as "not run" and retried by the caller, it
+    // would be made twice.
+    it("has an unknown outcome if its replica restarts", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       const [first] = bench.sent;
@@ -85,9 +84,10 @@
       });
     });
 
-    // The connections to the former run break after the new one has registered.
-    // Counted against it, a healthy replica would be passed over.
-    it("does not count a former run's failures against the new one", async () => {
+    // Connections to the previous run break after the new run has registered.
+    // If these failures counted against it, a healthy replica would be
+    // excluded.
+    it("does not count failures of a previous run against the new one", async () => {
       const bench = portal({ repeat: "idempotent", mostAttempts: 1 });
       const startedAt = numbered<ReplicaStart>(1_000);
       for (let count = 0; count < 36; count++) {
@@ -103,7 +103,7 @@
       expect(outcomes.wellAmong([...registry.all])).to.have.length(3);
     });
 
-    it("names the endpoint that it was lost with, and what it asked", async () => {
+    it("logs the endpoint that it was lost with, and its digest", async () => {
       const bench = portal({ repeat: "once" });
       const request = makeRequest();
       await bench.take(request);
@@ -120,7 +120,7 @@
       });
     });
 
-    it("is not sent again where it may run once only", async () => {
+    it("is not sent again if it may run only once", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].fail("exchange_lost");
@@ -128,7 +128,7 @@
       expect(caller.refusal?.status).to.equal(502);
     });
 
-    it("is sent again where the endpoint vouches that it did not run", async () => {
+    it("is sent again if the endpoint confirms that it did not run", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].notRun();
@@ -138,9 +138,9 @@
       expect(caller.body).to.equal("done");
     });
 
-    // The first endpoint lost the answer of a lookup, the second rejects it.
-    // "Not run" would be untrue: the first may still be at work on it.
-    it("is not called unrun after an earlier send that may have run", async () => {
+    // The first endpoint lost the response to a lookup, and the others reject
+    // it. "Not run" would be false, as the first may still be working on it.
+    it("is not reported as not run after an earlier send that may have run", async () => {
       const bench = portal({ repeat: "idempotent", mostAttempts: 3 });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].fail("exchange_lost");
@@ -148,7 +148,7 @@
       expect(caller.refusal?.status).to.equal(502);
     });
 
-    it("is repeated after a failure where that does no harm", async () => {
+    it("is retried after a failure if it is idempotent", async () => {
       const bench = portal({ repeat: "idempotent" });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].answer("sorry", { status: 500 });
@@ -156,9 +156,9 @@
       expect(caller.body).to.equal("fine");
     });
 
-    // Every endpoint rejects everything. Without the allowance each request
-    // would go round until its deadline and multiply the load.
-    it("is refused with a time to come back once the allowance is used", async () => {
+    // Every endpoint rejects everything. Without the retry budget each request
+    // would be retried until its deadline and multiply the load.
+    it("is refused with a retry time once the retry budget is used up", async () => {
       const bench = portal({ repeat: "once" }, { repeats: 0 });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].notRun();
@@ -167,8 +167,8 @@
       expect(caller.refusal?.retryAfterMilliseconds).to.be.greaterThan(0);
     });
 
-    // The member hangs up. Without the abort the portal works on for nobody.
-    it("is aborted when its caller leaves", async () => {
+    // Without the abort the portal would continue work whose result is unused.
+    it("is aborted when its caller disconnects", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       caller.leave();
@@ -177,7 +177,7 @@
         .to.equal(0);
     });
 
-    it("is answered at the route's time, truthfully", async () => {
+    it("is refused with 504 at the route's timeout", async () => {
       const bench = portal({ repeat: "once", timeoutMilliseconds: 500 });
       const caller = await bench.take(makeRequest());
       await bench.timer.advance(500);
@@ -185,7 +185,7 @@
       expect(bench.sent[0].aborted).to.equal(true);
     });
 
-    it("hands on the time that is left, not the caller's whole time", async () => {
+    it("forwards the remaining time, not the caller's whole deadline", async () => {
       const bench = portal({ repeat: "idempotent" });
       await bench.take(makeRequest({ deadlineMilliseconds: 900 }));
       await bench.timer.advance(300);
@@ -194,7 +194,7 @@
       expect(bench.sent[1].options.deadlineMilliseconds).to.equal(600);
     });
 
-    it("looks cut off where the endpoint broke off", async () => {
+    it("is visibly truncated if the endpoint breaks off", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       await bench.sent[0].head();
@@ -203,7 +203,7 @@
       expect(caller.ended).to.equal("cut");
     });
 
-    it("holds the endpoint back while the caller reads slowly", async () => {
+    it("pauses the endpoint while the caller reads slowly", async () => {
       const bench = portal({ repeat: "once" });
       const caller = await bench.take(makeRequest());
       caller.readsFast = false;
@@ -215,7 +215,7 @@
     });
   });
 
-  describe("a stream that may be resumed", () => {
+  describe("a resumable stream", () => {
     const route: Partial<Route> = {
       repeat: "stream",
       resumable: true,
@@ -231,9 +231,9 @@
       return bench;
     }
 
-    // An engine crashes in the middle of its third event. The foreman's answer
-    // goes on at another engine, and he sees neither a gap nor half an event.
-    it("goes on at another engine behind the last whole event", async () => {
+    // An engine crashes in the middle of its third event. The stream resumes at
+    // another engine without a gap and without a partial event.
+    it("resumes at another engine after the last whole event", async () => {
       const bench = engines();
       const caller = await bench.take(makeRequest({ prompt }));
       const [first] = bench.sent;
@@ -256,7 +256,7 @@
       expect(caller.ended).to.equal("whole");
     });
 
-    it("is cut where no further run is allowed", async () => {
+    it("is cut if no further run is allowed", async () => {
       const bench = engines();
       const caller = await bench.take(makeRequest({ prompt }));
       for (const attempt of [0, 1]) {
@@ -285,7 +285,7 @@
     }
 
     const BODY_BYTES = 9_200;
-    /** Tokens of a prompt that takes an engine longer than the target. */
+    /** Size of a prompt whose prefill takes longer than the target. */
     const LONGEST_PROMPT = { shared: 1_000, own: 55_000 };
 
     function ask(
@@ -300,7 +300,7 @@
       }));
     }
 
-    it("is read by one engine and answered by another", async () => {
+    it("is prefilled by one engine and decoded by another", async () => {
       const bench = fleet();
       const caller = await ask(bench);
       expect(bench.sent[0].options.prefillOnly).to.equal(true);
@@ -314,9 +314,10 @@
       expect(bench.released).to.deep.equal([]);
     });
 
-    // The engine that should read goes dark. Reading runs nothing, so another
-    // one may read at once; without that the verdict waits for its deadline.
-    it("is read by a second engine where the first says nothing", async () => {
+    // The prefill engine stops responding. A prefill runs nothing, so another
+    // engine may repeat it immediately; otherwise the caller waits until its
+    // deadline.
+    it("is prefilled by a second engine if the first does not respond", async () => {
       const bench = fleet();
       await ask(bench);
       await bench.timer.advance(500);
@@ -326,9 +327,9 @@
         .to.not.equal(bench.sent[0].options.endpoint);
     });
 
-    // Both engines fail to read. An engine that decodes could read the prompt
-    // as well, and every urgent stream on it would pause meanwhile.
-    it("is refused rather than read by an engine that decodes", async () => {
+    // Both prefills fail. A decode engine could prefill the prompt as well, but
+    // every urgent stream on it would pause meanwhile.
+    it("is refused rather than prefilled by a decode engine", async () => {
       const bench = fleet();
       const caller = await ask(bench);
       await bench.sent[0].notRun();
@@ -337,10 +338,11 @@
       expect(caller.refusal?.status).to.equal(503);
     });
 
-    // One engine is silent while the other one begins to leave. Two seconds
-    // later the first one fails, and the prompt is sent to the other by what was
-    // known at its arrival; that engine ends, and the caller's answer with it.
-    it("is not read by an engine that has begun to leave meanwhile", async () => {
+    // One engine is silent while the other one starts to leave. Two seconds
+    // later the first one fails, and with the engines known at arrival the
+    // prompt is sent to the other. That engine ends, and the caller's response
+    // with it.
+    it("is not prefilled by an engine that has started to leave", async () => {
       const bench = fleet();
       const caller = await ask(bench);
       const asked = bench.sent[0].options.endpoint;
@@ -352,10 +354,10 @@
       expect(caller.refusal?.status).to.equal(503);
     });
 
-    // The engine that has read the prompt crashes and starts again under its
-    // id while the answer is turned away elsewhere. Its cache is gone: an answer
-    // that is sent after it is turned away until the caller gives up.
-    it("is read anew where its cache was lost with the engine's run", async () => {
+    // The engine that prefilled the prompt crashes and restarts under the same
+    // id while a decode engine rejects the request. The cache is gone, so every
+    // further decode with it is rejected until the caller gives up.
+    it("is prefilled again if its cache was lost with the engine's run", async () => {
       const bench = fleet();
       const { registry } = bench.parts;
       await ask(bench);
@@ -367,9 +369,9 @@
       expect(bench.sent[2].options.prefillOnly).to.equal(true);
     });
 
-    // An engine whose role has just changed turns the answer away. Reading the
-    // prompt again would cost an engine 25 ms for nothing.
-    it("keeps its cache when an engine turns the answer away", async () => {
+    // An engine whose role has just changed rejects the request. Another
+    // prefill would cost an engine 25 ms without need.
+    it("keeps its cache when a decode engine rejects it", async () => {
       const bench = fleet();
       await ask(bench);
       await bench.sent[0].answer("handle-1");
@@ -379,9 +381,10 @@
         .to.not.equal(bench.sent[1].options.endpoint);
     });
 
-    // An engine answers 421 for seconds, until its registration tells of its
-    // new role. Asked again by every request, it used up the repeats of all.
-    it("leaves an engine alone that has turned one away as misdirected", async () => {
+    // An engine responds with 421 for seconds, until its registration shows its
+    // new role. If every request tried it again, it would use up the retry
+    // budget for all.
+    it("avoids an engine that has rejected one as misdirected", async () => {
       const bench = fleet();
       await ask(bench);
       await bench.sent[0].answer("handle-1");
@@ -396,10 +399,10 @@
       }
     });
 
-    // Both engines that decode crash at once and are back after 1.2 s. Asked
-    // again by every request in turn, they cost hundreds of connections, and
-    // callers are refused whose prompts are read and who would have waited.
-    it("waits for an engine that decodes, and asks few times", async () => {
+    // Both decode engines crash at once and recover after 1.2 s. If every
+    // request tried them in turn, it would cost hundreds of connections, and
+    // callers whose prompts are prefilled and who could wait would be refused.
+    it("waits for a decode engine with few connection attempts", async () => {
       const bench = fleet();
       let isDown = true;
       let refusedConnections = 0;
@@ -419,20 +422,20 @@
       await settled();
       const served = callers.filter(({ body }) => body === "verdict");
       expect(served).to.have.length(40);
-      // Two engines, one question each 200 ms.
+      // Two engines, one connection attempt every 200 ms each.
       expect(refusedConnections).to.be.below(20);
     });
 
-    // No engine is back before callers leave. Held to the end they would hear
-    // nothing at all, and not come back in time.
-    it("is refused in time where no engine that decodes comes back", async () => {
+    // No engine recovers before callers give up. If they were held to the end,
+    // they would get no response and could not retry in time.
+    it("is refused in time if no decode engine recovers", async () => {
       const bench = fleet();
       bench.onSend = (attempt) => {
         if (attempt.options.prefillOnly) return void attempt.answer("handle");
         void attempt.fail("exchange_not_sent");
       };
       const caller = await ask(bench);
-      // The stand-in answers piece by piece, a turn of the loop each.
+      // The fake engine responds in chunks, one per turn of the event loop.
       await settled();
       await bench.timer.advance(1_600);
       expect(caller.refusal).to.equal(undefined);
@@ -441,7 +444,7 @@
       expect(bench.released).to.deep.equal(["handle"]);
     });
 
-    it("frees its cache when the caller leaves", async () => {
+    it("releases its cache when the caller disconnects", async () => {
       const bench = fleet();
       const caller = await ask(bench);
       await bench.sent[0].answer("handle-1");
@@ -449,10 +452,10 @@
       expect(bench.released).to.deep.equal(["handle-1"]);
     });
 
-    // Callers have different time budgets. One with little time passed for a
-    // caller that had waited before, and its prompt was read behind all others
-    // on engines that stood idle.
-    it("is read at once for a caller with a shorter deadline than others", async () => {
+    // Callers have different deadlines. One with a short deadline was mistaken
+    // for a caller that had waited before, and its prompt was prefilled behind
+    // all others although engines were idle.
+    it("is prefilled immediately for a caller with a shorter deadline than others", async () => {
       const bench = fleet();
       await ask(bench, "first");
       await bench.take(makeRequest({
@@ -462,9 +465,9 @@
       expect(bench.decisions[1]).to.include({ step: "prefill", late: false });
     });
 
-    // A caller was refused in an overload and comes back. Its answer is late
-    // anyhow; read first, it makes another one late as well.
-    it("is read behind others for a caller that was refused before", async () => {
+    // A caller was refused during an overload and retries. Its response is late
+    // in any case; prefilled first, it would make another one late as well.
+    it("is prefilled after others for a caller that was refused before", async () => {
       const bench = fleet();
       bench.parts.returning.refused("river-own", 0);
       await bench.timer.advance(400);
@@ -476,10 +479,11 @@
       });
     });
 
-    // The caller hangs up while the owners of engines are asked for their load.
-    // An engine would read its prompt for nobody, and callers behind it wait.
+    // The caller disconnects while the owners of engines are queried for their
+    // load. An engine would prefill its prompt without need and delay other
+    // callers.
     for (const kind of ["on time", "late"]) {
-      it(`is not sent on for a caller that leaves meanwhile, ${kind}`, async () => {
+      it(`is not forwarded if the caller disconnects meanwhile, ${kind}`, async () => {
         const bench = fleet();
         Object.assign(bench.parts, {
           isLoadStale: () => true,
@@ -498,10 +502,11 @@
       });
     }
 
-    // A burst comes to an entry on a thin link; the engines have room. Sent on
-    // as they come, the last ones reach an engine after half a second, when
-    // each of them is late, and the engine reads them for nothing.
-    it("is refused at once where it would wait for the entry's link", async () => {
+    // A burst arrives at an entry with a slow link while the engines have
+    // capacity. If all prompts were forwarded, the last ones would reach an
+    // engine after half a second, when each of them is late, and the prefill
+    // would be wasted.
+    it("is refused immediately if it would wait for the entry's link", async () => {
       const bench = fleet({ linkMegabitsPerSecond: 7 });
       const callers = [];
       for (let index = 0; index < 30; index++) {
@@ -512,27 +517,27 @@
       expect(admitted).to.be.within(4, 10);
       expect(refused).to.have.length(30 - admitted);
       expect(refused[0].refusal?.reason).to.equal("entry_full");
-      // The line that tells of it has what decided: the engines alone would
-      // have been in time for the target of 150 ms.
+      // The log line contains the figures behind the decision: the engines
+      // alone would have met the target of 150 ms.
       const line = bench.decisions.find((each) => each.decision === "refused");
       expect(line?.entryMilliseconds).to.be.greaterThan(75);
       expect(line?.onTimeMilliseconds).to.be.lessThan(0.85 * 150);
-      // Soon enough that another entry can still answer on time.
+      // Short enough that another entry can still respond on time.
       expect(refused[0].refusal?.retryAfterMilliseconds).to.be.within(20, 50);
       await bench.timer.advance(200);
       expect((await ask(bench, "next")).refusal).to.equal(undefined);
     });
 
-    it("is refused at once where the entry's loop is late", async () => {
+    it("is refused immediately if the entry's event loop is delayed", async () => {
       const bench = fleet();
       bench.loopDelay = 100;
       expect((await ask(bench)).refusal?.reason).to.equal("entry_full");
     });
 
-    // A prompt of 55,000 tokens takes longer to read than its target allows,
-    // on engines that stand idle. One of two dozen entries, which has a few
-    // repeats only, refused such prompts for its first seconds.
-    it("is read for a late answer where few repeats are allowed", async () => {
+    // A prompt of 55,000 tokens takes longer to prefill than its target allows,
+    // even on idle engines. One of two dozen entries, whose share of the retry
+    // budget is small, refused such prompts during its first seconds.
+    it("is prefilled for a late response if few retries are allowed", async () => {
       const bench = fleet({ repeats: 4 });
       const caller = await ask(bench, "letter", LONGEST_PROMPT);
       expect(caller.refusal).to.equal(undefined);
@@ -540,10 +545,11 @@
       expect(bench.decisions[0]).to.include({ step: "prefill", late: true });
     });
 
-    // Late prompts that wait at engines are rejected at their deadline, each
-    // rejection counts as a repeat, and none are left for requests whose engine
-    // failed. Held back here they cost no repeat, however many there are.
-    it("is held back and costs no repeat where it would be late", async () => {
+    // Late prompts that wait at engines are rejected at their deadline. Each
+    // rejection counts as a retry, which leaves no budget for requests whose
+    // engine failed. Prompts that are held at the entry cost no retries,
+    // however many there are.
+    it("is held and costs no retry if it would be late", async () => {
       const bench = fleet({ repeats: 0 });
       for (const reader of ["reader-1", "reader-2"]) {
         bench.parts.load.started(identifier<EndpointId>(reader), {
@@ -561,7 +567,7 @@
       });
     });
 
-    it("is read once an engine is nearly idle, the most urgent first", async () => {
+    it("is prefilled once an engine is nearly idle, in order of urgency", async () => {
       const bench = fleet();
       const tickets = ["reader-1", "reader-2"].map((reader) =>
         bench.parts.load.started(identifier<EndpointId>(reader), {
@@ -579,7 +585,7 @@
       expect(bench.sent[0].options.endpoint).to.equal("reader-1");
     });
 
-    it("is refused at once where it can't be answered by its deadline", async () => {
+    it("is refused immediately if it can't be answered by its deadline", async () => {
       const bench = fleet();
       for (let index = 0; index < 200; index++) await ask(bench, `s${index}`);
       const caller = await ask(bench, "last");
--- a/src/entry/forwarding/retry_budget_test.ts
+++ b/src/entry/forwarding/retry_budget_test.ts
@@ -13,21 +13,21 @@
 } from "../../../test/support/forwarding_values.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
-/** The operators' limit on repeats, as the bench below is given it. */
+/** Configured retry budget, as passed to the test bench. */
 const RATIO = 0.2;
 const MINIMUM = 100;
 const WINDOW_MILLISECONDS = 10_000;
 const DEADLINE_MILLISECONDS = 6_000;
 
-/** Something that has reached an engine, as the engine counts it. */
+/** An arrival at an engine, as the engine counts it. */
 interface Arrival {
   readonly at: number;
   readonly request: string;
-  /** True for the first reading of a prompt that was accepted. */
+  /** True for the first accepted prefill of a prompt. */
   isFree: boolean;
 }
 
-/** Counts what reaches the engines, from the engines' side. */
+/** Counts arrivals at the engines from the engines' side. */
 class ArrivalCounter {
   readonly requestTimes: number[] = [];
   readonly #arrivals: Arrival[] = [];
@@ -39,18 +39,18 @@
     return arrival;
   }
 
-  /** The engine has read the prompt and keeps its cache. */
+  /** The engine has prefilled the prompt and keeps its cache. */
   accepted(arrival: Arrival): void {
     arrival.isFree = !this.#read.has(arrival.request);
     this.#read.add(arrival.request);
   }
 
-  /** Everything that has reached the engines, free or not. */
+  /** All arrivals at the engines, free or not. */
   get count(): number {
     return this.#arrivals.length;
   }
 
-  /** Times of the arrivals beyond the first of their request. */
+  /** Times of the arrivals after the first one of each request. */
   get repeats(): number[] {
     const seen = new Set<string>();
     return this.#arrivals.filter(({ isFree, request }) => {
@@ -61,7 +61,7 @@
     }).map(({ at }) => at);
   }
 
-  /** By how many the worst span of a window's length exceeds the limit. */
+  /** Maximum excess over the budget in any span of one window. */
   get worstExcess(): number {
     const { repeats } = this;
     return Math.max(
@@ -81,25 +81,25 @@
   }
 }
 
-/** An entry before engines of which those that decode are played by a test. */
+/** One entry and its engines, whose decode engine is controlled by the test. */
 class RetryScenario {
   readonly arrivals = new ArrivalCounter();
   bench = this.#makeBench();
-  /** What an engine that decodes does with a request. */
+  /** How the decode engine handles a request. */
   decode: (attempt: SentAttempt) => void = (attempt) => void attempt.notRun();
-  /** How long a prompt is read. */
+  /** Duration of a prefill. */
   readMilliseconds = 40;
   #asked = 0;
   #elapsed = 0;
 
-  /** An entry that has been up for as long as the limit looks back. */
+  /** Creates an entry that has been up for a whole budget window. */
   static async start(): Promise<RetryScenario> {
     const scenario = new RetryScenario();
     await scenario.bench.timer.advance(WINDOW_MILLISECONDS);
     return scenario;
   }
 
-  /** `perSecond` long prompts a second come for so long. */
+  /** Sends `perSecond` long prompts a second for this long. */
   async run(
     options: { readonly perSecond: number; readonly milliseconds: number },
   ): Promise<void> {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** The entry's process is killed, and another one starts in its place. */
+  /** Replaces the entry with a new process, as after a kill. */
   restart(): void {
     this.bench.onSend = undefined;
     this.bench = this.#makeBench();
@@ -160,36 +160,37 @@
   }
 }
 
-describe("repeats of requests against the limit of the fleet", () => {
-  // All engines that decode but one are gone, and that one is full. Long
-  // prompts were turned away by it four times within a tenth of a second and
-  // read twice on the way. The repeats passed the limit of the fleet, took the
-  // engines' time, and their callers were refused all the same. What the
-  // entries counted was three of each four arrivals beyond the first.
-  it("keep it while the last engine that decodes is full", async () => {
+describe("retries of requests within the budget of the fleet", () => {
+  // All decode engines but one are gone, and that one is full. It rejected long
+  // prompts four times within a tenth of a second, and each was prefilled
+  // twice. The retries exceeded the fleet's budget and took the engines' time,
+  // and the callers were refused anyway. The entries had counted three of every
+  // four arrivals after the first.
+  it("stay within it while the last decode engine is full", async () => {
     const scenario = await RetryScenario.start();
     await scenario.run({ perSecond: 110, milliseconds: 12_000 });
-    // Nearly all of the 1,320 requests were read and turned away at least once.
+    // Nearly all of the 1,320 requests are prefilled and rejected at least
+    // once.
     expect(scenario.arrivals.count).to.be.greaterThan(2_400);
     expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
-  // Every request that an engine turns away is sent to it once more within a
-  // few milliseconds, while the engine is as full as before. It takes repeats
-  // that requests of a crashed engine need, and helps nobody.
-  it("are not made at an engine that has just turned the request away", async () => {
+  // Every rejected request was sent to the same full engine again within a few
+  // milliseconds. That uses retries that requests of a crashed engine need,
+  // without any benefit.
+  it("are not sent to an engine that has just rejected the request", async () => {
     const scenario = await RetryScenario.start();
     await scenario.run({ perSecond: 110, milliseconds: 3_000 });
-    // One of ten requests, where the fleet's limit allows 256 in ten seconds.
+    // One in ten requests; the fleet's budget allows 256 in ten seconds.
     expect(scenario.arrivals.repeats.length).to.be.below(0.1 * 330);
   });
 
-  // The engine that decodes crashes with streams on it and is back at once. Each
-  // stream goes on there once its prompt has been read anew, since the crashed
-  // engine has taken the first cache over: two arrivals, of which the entry
-  // asked for one and only noted the other. With as many streams as the limit
-  // allowed to go on, the engines got twice as many repeats.
-  it("are asked for also where a prompt is read anew", async () => {
+  // The decode engine crashes with open streams and restarts immediately. Each
+  // stream resumes there after another prefill, since the crashed engine had
+  // taken over the first cache. Those are two arrivals, of which the entry
+  // requested only one from the budget and merely recorded the other. With as
+  // many streams as the budget allowed, the engines got twice as many retries.
+  it("include another prefill of a prompt", async () => {
     const scenario = await RetryScenario.start();
     const open: SentAttempt[] = [];
     scenario.decode = (attempt) => startStream(attempt, open);
@@ -200,12 +201,12 @@
     expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
-  // The engine that decodes crashes with three seconds of streams on it. They
-  // wait until it is back and go on there, 1.5 s after they were allowed to.
-  // Ten seconds after the first crash it crashes again and is back at once.
-  // Counted when they were allowed, the first ones are forgotten by then; the
-  // engine gets both within nine seconds, and the repeats are beyond the limit.
-  it("are counted when they are sent, not when they are allowed", async () => {
+  // The decode engine crashes with three seconds of streams. They wait until it
+  // recovers and resume 1.5 s after they were granted a retry. Ten seconds
+  // after the first crash it crashes again and restarts immediately. If retries
+  // counted when granted, the first ones would have expired by then; the engine
+  // gets both within nine seconds, which exceeds the budget.
+  it("count when they are sent, not when they are granted", async () => {
     const scenario = await RetryScenario.start();
     const open: SentAttempt[] = [];
     scenario.decode = (attempt) => startStream(attempt, open);
@@ -221,10 +222,10 @@
     expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
-  // An entry uses up its part of the limit at a full engine and is killed. The
-  // process that starts in its place knows nothing of that and has a part of
-  // its own; an engine that is in trouble gets both.
-  it("are not forgotten with the process that made them", async () => {
+  // An entry uses up its share of the budget at a full engine and is killed.
+  // The process that replaces it does not know that and has a share of its own,
+  // so a failing engine gets both.
+  it("still count after a restart of the process that sent them", async () => {
     const scenario = await RetryScenario.start();
     await scenario.run({ perSecond: 110, milliseconds: 4_000 });
     scenario.restart();
@@ -233,13 +234,13 @@
   });
 });
 
-/** An engine takes the request and goes on working on it. */
+/** The engine accepts the request and keeps its stream open. */
 function startStream(attempt: SentAttempt, open: SentAttempt[]): void {
   open.push(attempt);
   void attempt.head();
 }
 
-/** The engine crashes: its streams break off. */
+/** The engine crashes, which breaks its streams. */
 async function breakStreams(open: SentAttempt[]): Promise<void> {
   for (const attempt of open.splice(0)) await attempt.end("cut");
 }
--- a/src/entry/forwarding/role_controller_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -29,13 +29,13 @@
   hint: "",
 };
 
-/** The log of claims and the engines, as all keepers see them. */
+/** The log of claims and the engines, shared by all controllers. */
 class Platform {
   claims: StandingClaim[] = [];
   orders: { holder: string; fencing: number; endpoint: string; at: number }[] =
     [];
   answer: OrderOutcome = "accepted";
-  /** Appends take effect, and their answers are lost. */
+  /** Appends take effect, but their responses are lost. */
   losesAnswers = false;
   readonly #timer: ManualTimerService;
 
@@ -64,7 +64,7 @@
   };
 }
 
-describe("RoleKeeper", () => {
+describe("RoleController", () => {
   let timer: ManualTimerService;
   let platform: Platform;
   let keepers: RoleController[];
@@ -114,7 +114,7 @@
     for (const keeper of keepers) keeper.stop();
   });
 
-  it("gives the order that is missing, once, whoever is first", async () => {
+  it("gives a missing order once, from any entry", async () => {
     startKeepers(5);
     await advance(10_000);
     expect(platform.orders).to.have.length(1);
@@ -122,10 +122,10 @@
       .to.equal(true);
   });
 
-  // The word to the peers is lost, and the engine takes long to change. Another
-  // entry gives the order again: never within the lease of the first, and
-  // never with its number.
-  it("keeps two holders apart by lease and number", async () => {
+  // The notification to the peers is lost, and the engine takes long to change.
+  // Another entry repeats the order, but never within the lease of the first
+  // and never with its fencing token.
+  it("separates two holders by lease and fencing token", async () => {
     startKeepers(3, false);
     await advance(40_000);
     const { orders } = platform;
@@ -137,9 +137,10 @@
     }
   });
 
-  // The claim took effect and its answer was lost. An order with a guessed
-  // number could be another holder's; the next look reads the claim.
-  it("gives no order under a claim whose answer was lost", async () => {
+  // The claim took effect but its response was lost. An order with a guessed
+  // fencing token could use that of another holder; the next check reads the
+  // claim.
+  it("gives no order under a claim whose response was lost", async () => {
     platform.losesAnswers = true;
     startKeepers(1);
     await advance(4_000);
@@ -147,15 +148,16 @@
     expect(platform.orders).to.deep.equal([]);
   });
 
-  // An engine has seen a higher number: somebody else holds the claim now.
-  it("gives up when an engine refuses its number", async () => {
+  // An engine has seen a higher fencing token, so another entry holds the
+  // claim.
+  it("stops when an engine refuses its fencing token", async () => {
     platform.answer = "refused";
     startKeepers(1);
     await advance(6_000);
     expect(platform.orders).to.have.length(1);
   });
 
-  it("gives no orders for seconds when engines that decode are lost", async () => {
+  it("gives no orders for seconds when decode engines are lost", async () => {
     startKeepers(1);
     await advance(6_000);
     const before = platform.orders.length;
@@ -168,10 +170,10 @@
     expect(platform.orders).to.have.length(before);
   });
 
-  describe("an engine that starts again while its change is under way", () => {
+  describe("an engine that restarts during a role change", () => {
     const id = identifier<EndpointId>("engine-5");
 
-    /** The engine registers anew, in this role, as a run of its own. */
+    /** Registers the engine as a new run with this role. */
     function restart(role: "prefill" | "decode", startedAt: number): void {
       const engine = makeEngine(id, role, {
         startedAt: numbered<ReplicaStart>(startedAt),
@@ -181,9 +183,10 @@
       keepers[0].onEngineChange(engine);
     }
 
-    // The order went to the former run and ended with it. Taken for under way,
-    // the engine would get no work for twelve seconds, and no order either.
-    it("gets work at once, and a new order with a number of its own", async () => {
+    // The order went to the previous run and ended with it. If the change
+    // counted as pending, the engine would get neither work nor another order
+    // for twelve seconds.
+    it("gets work immediately, and a new order with a new fencing token", async () => {
       startKeepers(1);
       await advance(6_000);
       expect(platform.orders).to.have.length(1);
@@ -195,9 +198,10 @@
       expect(second.fencing).to.be.greaterThan(first.fencing);
     });
 
-    // The former run's order reaches the new one, and is carried out there. The
-    // engine is what was wanted; one more order would only take it away again.
-    it("gets no further order where the late one is carried out", async () => {
+    // The order to the previous run reaches the new one and is carried out
+    // there. The engine then has the planned role; another order would revert
+    // it.
+    it("gets no further order if the late one is carried out", async () => {
       startKeepers(1);
       await advance(6_000);
       restart("decode", 2);
--- a/src/entry/forwarding/role_share_test.ts
+++ b/src/entry/forwarding/role_share_test.ts
@@ -29,7 +29,7 @@
   );
 }
 
-/** Share of a burst of urgent answers that begin within their target. */
+/** Share of a burst of urgent responses that start within their target. */
 async function onTimeShare(prefillShare: number): Promise<number> {
   const bench = new ForwardingBench(
     makeConfiguration({
@@ -69,11 +69,11 @@
 describe("roles in a burst of urgent answers", () => {
   const share = prefillShareFor(makeEngines(0.7), undefined);
 
-  it("leave a slot for nearly every one from the start", async () => {
+  it("provide a slot for nearly every one from the start", async () => {
     expect(await onTimeShare(share)).to.be.at.least(0.95);
   });
 
-  it("would leave many without a slot with seven of ten readers", async () => {
+  it("would leave many without a slot with seven of ten as prefill engines", async () => {
     expect(await onTimeShare(0.7)).to.be.below(0.95);
   });
 });
--- a/src/entry/forwarding/usage_keeper_test.ts
+++ b/src/entry/forwarding/usage_keeper_test.ts
@@ -28,17 +28,17 @@
   });
 
   for (const entries of [22, 68]) {
-    it(`loses nothing at ${entries} entries with a tenth of the datagrams lost`, async () => {
+    it(`loses no counts at ${entries} entries with a tenth of the datagrams lost`, async () => {
       const fleet = new UsageFleet({ entries, lostShare: 0.1 });
       await fleet.serve(30_000);
       expectConsistent(fleet);
     });
   }
 
-  // Killed at each of these moments of a window, the holder has not claimed,
-  // has fixed the counts, or has reported.
+  // Killed at these points of a window, the holder has not claimed yet, has
+  // fixed the counts, or has reported.
   for (const moment of [900, 1_300, 2_000, 2_250, 2_500, 3_000, 4_500]) {
-    it(`survives the holder's kill ${moment} ms behind a window's end`, async () => {
+    it(`survives a kill of the holder ${moment} ms after a window's end`, async () => {
       const fleet = new UsageFleet({ entries: 4 });
       const begun = WINDOW_MILLISECONDS -
         fleet.timer.wallClock() % WINDOW_MILLISECONDS;
@@ -51,7 +51,7 @@
     });
   }
 
-  it("goes on at another entry while the holder is cut off", async () => {
+  it("continues at another entry while the holder is partitioned", async () => {
     const fleet = new UsageFleet({ entries: 4 });
     await fleet.serve(11_000);
     fleet.members[0].isCut = true;
@@ -62,7 +62,7 @@
   });
 
   for (const outcome of ["unknown", "limited"] as const) {
-    it(`reports the oldest window first once ${outcome} calls pass again`, async () => {
+    it(`reports the oldest window first once ${outcome} calls succeed again`, async () => {
       const fleet = new UsageFleet({ entries: 4 });
       await fleet.serve(11_000);
       fleet.platform.failsWith = outcome;
@@ -75,7 +75,7 @@
     });
   }
 
-  it("repeats a report with the very same counts where its answer is lost", async () => {
+  it("repeats a report with identical counts if its response is lost", async () => {
     const fleet = new UsageFleet({ entries: 4, lostShare: 0.1 });
     fleet.platform.losesAnswers = true;
     await fleet.serve(13_000);
@@ -87,7 +87,7 @@
     );
   });
 
-  it("reports no window that all entries together have not counted whole", async () => {
+  it("reports no window that the entries have not counted completely", async () => {
     const fleet = new UsageFleet({ entries: 3 });
     await fleet.serve(13_000);
     for (const index of [0, 1, 2]) fleet.kill(index);
--- a/src/entry/forwarding/usage_schedules_test.ts
+++ b/src/entry/forwarding/usage_schedules_test.ts
@@ -13,7 +13,7 @@
 const RUNS = Number(process.env.SCHEDULE_RUNS ?? 40);
 const SEED = Number(process.env.SCHEDULE_SEED ?? 37);
 
-/** What goes wrong, or right again, at one moment of a schedule. */
+/** A fault or recovery at one step of a schedule. */
 type Fault =
   | {
     readonly kind:
@@ -93,7 +93,7 @@
       platform.storeMilliseconds = fault.milliseconds;
       return;
     case "late":
-      // Calls are carried out late only where tokens are checked.
+      // Calls may be applied late only where fencing tokens are checked.
       if (!platform.checksNoFencing) {
         platform.lateMilliseconds = fault.milliseconds;
       }
@@ -124,7 +124,7 @@
 
   for (const checksNoFencing of [false, true]) {
     const kind = checksNoFencing ? "checks no tokens" : "checks tokens";
-    it(`break no rule at a receiver that ${kind}`, async () => {
+    it(`violate no rule at a receiver that ${kind}`, async () => {
       await fc.assert(
         fc.asyncProperty(schedule, async (steps) => {
           const fleet = new UsageFleet({ entries: ENTRIES, lostShare: 0.1 });
--- a/src/entry/forwarding/wait_for_choice_test.ts
+++ b/src/entry/forwarding/wait_for_choice_test.ts
@@ -1,14 +1,15 @@
 import { expect } from "chai";
 import { preferCapacity } from "./wait_for_choice.ts";
 
-describe("pacedByRoom", () => {
-  it("takes what has room at once", () => {
+describe("preferCapacity", () => {
+  it("chooses an engine with capacity immediately", () => {
     expect(preferCapacity(() => "one")()).to.equal("one");
   });
 
-  // Engines can be reached and stay full for newer requests go there without
-  // asking for room. What has waited would wait on until its caller leaves.
-  it("takes a full engine after some looks, and not before", () => {
+  // Engines are reachable but stay full, since newer requests are sent there
+  // without requiring capacity. A waiting request would wait until its caller
+  // gives up.
+  it("chooses a full engine after several checks, and not before", () => {
     const choose = preferCapacity(({ withRoom }) =>
       withRoom ? undefined : "full"
     );
@@ -17,7 +18,7 @@
     expect(looks[8]).to.equal("full");
   });
 
-  it("counts no look while nothing can be reached", () => {
+  it("counts no check while no engine is reachable", () => {
     let isBack = false;
     const choose = preferCapacity(({ withRoom }) =>
       isBack && !withRoom ? "full" : undefined
