--- a/src/entry/forwarding/role_controller_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -67,12 +67,12 @@
 describe("RoleController", () => {
   let timer: ManualTimerService;
   let platform: Platform;
-  let keepers: RoleController[];
+  let controllers: RoleController[];
   let registries: EndpointRegistry[];
 
-  function startKeepers(count: number, isBroadcasting = true): void {
+  function startControllers(count: number, isBroadcasting = true): void {
     registries = [];
-    keepers = Array.from({ length: count }, (_, index) => {
+    controllers = Array.from({ length: count }, (_, index) => {
       const registry = new EndpointRegistry({ timer });
       registries.push(registry);
       for (let engine = 0; engine < 10; engine++) {
@@ -91,11 +91,11 @@
         pools: () => [ENGINE_POOL],
         broadcastOrders: (orders) => {
           if (!isBroadcasting) return;
-          for (const keeper of keepers) keeper.onPeerOrders(orders);
+          for (const controller of controllers) controller.onPeerOrders(orders);
         },
       });
     });
-    for (const keeper of keepers) keeper.start();
+    for (const controller of controllers) controller.start();
   }
 
   async function advance(milliseconds: number): Promise<void> {
@@ -111,14 +111,18 @@
   });
 
   afterEach(() => {
-    for (const keeper of keepers) keeper.stop();
+    for (const controller of controllers) controller.stop();
   });
 
   it("gives a missing order once, from any entry", async () => {
-    startKeepers(5);
+    startControllers(5);
     await advance(10_000);
     expect(platform.orders).to.have.length(1);
-    expect(keepers.every((keeper) => keeper.isChanging("engine-5" as never)))
+    expect(
+      controllers.every((controller) =>
+        controller.isChanging("engine-5" as never)
+      ),
+    )
       .to.equal(true);
   });
 
@@ -126,7 +130,7 @@
   // Another entry repeats the order, but never within the lease of the first
   // and never with its fencing token.
   it("separates two holders by lease and fencing token", async () => {
-    startKeepers(3, false);
+    startControllers(3, false);
     await advance(40_000);
     const { orders } = platform;
     for (let index = 1; index < orders.length; index++) {
@@ -142,7 +146,7 @@
   // claim.
   it("gives no order under a claim whose response was lost", async () => {
     platform.losesAnswers = true;
-    startKeepers(1);
+    startControllers(1);
     await advance(4_000);
     expect(platform.claims.length).to.be.greaterThan(0);
     expect(platform.orders).to.deep.equal([]);
@@ -152,19 +156,19 @@
   // claim.
   it("stops when an engine refuses its fencing token", async () => {
     platform.answer = "refused";
-    startKeepers(1);
+    startControllers(1);
     await advance(6_000);
     expect(platform.orders).to.have.length(1);
   });
 
   it("gives no orders for seconds when decode engines are lost", async () => {
-    startKeepers(1);
+    startControllers(1);
     await advance(6_000);
     const before = platform.orders.length;
     for (const lost of ["engine-8", "engine-9"]) {
       const engine = makeEngine(lost, "decode", { leaving: true });
       registries[0].put(engine);
-      keepers[0].onEngineChange(engine);
+      controllers[0].onEngineChange(engine);
     }
     await advance(5_000);
     expect(platform.orders).to.have.length(before);
@@ -179,19 +183,19 @@
         startedAt: numbered<ReplicaStart>(startedAt),
       });
       registries[0].put(engine);
-      keepers[0].forget(engine);
-      keepers[0].onEngineChange(engine);
+      controllers[0].forget(engine);
+      controllers[0].onEngineChange(engine);
     }
 
     // The order went to the previous run and ended with it. If the change
     // counted as pending, the engine would get neither work nor another order
     // for twelve seconds.
     it("gets work immediately, and a new order with a new fencing token", async () => {
-      startKeepers(1);
+      startControllers(1);
       await advance(6_000);
       expect(platform.orders).to.have.length(1);
       restart("decode", 2);
-      expect(keepers[0].isChanging(id)).to.equal(false);
+      expect(controllers[0].isChanging(id)).to.equal(false);
       await advance(12_000);
       const [first, second] = platform.orders;
       expect(second.endpoint).to.equal(id);
@@ -202,14 +206,14 @@
     // there. The engine then has the planned role; another order would revert
     // it.
     it("gets no further order if the late one is carried out", async () => {
-      startKeepers(1);
+      startControllers(1);
       await advance(6_000);
       restart("decode", 2);
       await advance(2_000);
       restart("prefill", 2);
       await advance(20_000);
       expect(platform.orders).to.have.length(1);
-      expect(keepers[0].isChanging(id)).to.equal(false);
+      expect(controllers[0].isChanging(id)).to.equal(false);
     });
   });
 });
--- a/src/entry/forwarding/wait_for_choice_test.ts
+++ b/src/entry/forwarding/wait_for_choice_test.ts
@@ -13,9 +13,9 @@
     const choose = preferCapacity(({ withRoom }) =>
       withRoom ? undefined : "full"
     );
-    const looks = Array.from({ length: 9 }, () => choose());
-    expect(looks.slice(0, 8)).to.deep.equal(new Array(8).fill(undefined));
-    expect(looks[8]).to.equal("full");
+    const choices = Array.from({ length: 9 }, () => choose());
+    expect(choices.slice(0, 8)).to.deep.equal(new Array(8).fill(undefined));
+    expect(choices[8]).to.equal("full");
   });
 
   it("counts no check while no engine is reachable", () => {
@@ -23,7 +23,7 @@
     const choose = preferCapacity(({ withRoom }) =>
       isBack && !withRoom ? "full" : undefined
     );
-    for (let look = 0; look < 50; look++) choose();
+    for (let check = 0; check < 50; check++) choose();
     isBack = true;
     expect(choose()).to.equal(undefined);
   });
