--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -117,7 +117,7 @@
       this.#note(sink, {
         outcomes,
         after: this.bench.timer.now() - at,
-        seen: seen,
+        seen,
       });
     };
     check();
@@ -149,7 +149,7 @@
       readonly seen: { refused: boolean; headed: boolean };
     },
   ): void {
-    const { outcomes, after, seen: seen } = context;
+    const { outcomes, after, seen } = context;
     if (seen.refused || seen.headed) return;
     if (sink.refusal !== undefined) {
       seen.refused = true;
--- a/src/entry/forwarding/peer_state_fallback.ts
+++ b/src/entry/forwarding/peer_state_fallback.ts
@@ -166,7 +166,7 @@
       configuration,
       logger,
       registry,
-      applyConfiguration: applyConfiguration,
+      applyConfiguration,
     } = this.#options;
     const { pools, ...rest } = value.configuration;
     const isFirst = configuration() === undefined;
--- a/src/entry/forwarding/prefix_cache_survey.ts
+++ b/src/entry/forwarding/prefix_cache_survey.ts
@@ -70,7 +70,7 @@
 
   async #query(engine: RegisteredEndpoint): Promise<void> {
     const {
-      endpointClient: endpointClient,
+      endpointClient,
       entries,
       logger,
       prefixes,
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -222,7 +222,7 @@
 
   /** Copies this entry's counts to the collectors. */
   #copyCounts(): void {
-    const { incarnation, ranking, self, send: send, timer } = this.#options;
+    const { incarnation, ranking, self, send, timer } = this.#options;
     const now = timer.now();
     const isFull =
       now - this.#lastFullCopyAt >= FULL_COPY_INTERVAL_MILLISECONDS;
