--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -8,11 +8,14 @@
 import type { BodyEnd, EndpointAnswer, ExchangeFailure } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 
-/** Another replica has the endpoint's address, or its role has changed. */
+/**
+ * Status by which an endpoint rejects a request that was addressed to another
+ * replica or to its former role.
+ */
 const MISDIRECTED_STATUS = 421;
 
-/** Bytes of a request's head, about. */
-export const HEAD_BYTES = 700;
+/** Approximate size of a request's head, in bytes. */
+export const REQUEST_HEAD_BYTES = 700;
 
 export interface AttemptPlan {
   readonly endpoint: RegisteredEndpoint;
@@ -21,8 +24,8 @@
 }
 
 /**
- * One send of a request to one endpoint. It keeps the books: what is open at
- * the endpoint, and how the endpoint has treated it, each exactly once.
+ * One send of a request to one endpoint. Records the open work at the endpoint
+ * and the outcome of the send, each exactly once.
  */
 export class Attempt {
   readonly endpoint: RegisteredEndpoint;
@@ -31,7 +34,7 @@
   readonly #context: ForwardContext;
   readonly #plan: AttemptPlan;
   readonly #sentAt: number;
-  /** Crashes under the request that were known when it was sent. */
+  /** Crashes attributed to the request at the time it was sent. */
   readonly #knownCrashes: number;
   readonly #abort: () => void;
   readonly #endWork: () => void;
@@ -49,7 +52,7 @@
     const ticket = parts.load.started(endpoint.id, plan.work);
     this.#endWork = () => ticket.end();
     parts.outcomes.started(endpoint.id);
-    parts.link.sent(request.body.length + HEAD_BYTES);
+    parts.link.sent(request.body.length + REQUEST_HEAD_BYTES);
     const exchange = parts.door.send(request, {
       ...plan.options,
       endpoint: endpoint.id,
@@ -57,63 +60,67 @@
       address: endpoint.address,
     });
     this.#abort = () => exchange.abort();
-    this.answer = exchange.answer.then((answer) => {
-      this.#noteHead(answer);
-      return answer;
+    this.answer = exchange.answer.then((result) => {
+      this.#onHead(result);
+      return result;
     });
   }
 
-  /** The answer's body has ended. */
-  ended(end: BodyEnd, status: number): void {
+  /** Records the outcome once the response body has ended. */
+  onEnd(end: BodyEnd, status: number): void {
     if (this.#closed) return;
     const { outcomes } = this.#parts;
-    if (end === "cut") this.#noteLoss();
-    else if (status < 500) this.#noteCompletion();
-    if (this.#tellsOfEndpoint) {
+    if (end === "cut") this.#recordLoss();
+    else if (status < 500) this.#recordCompletion();
+    if (this.#isSameRun) {
       if (end === "whole" && status < 500) outcomes.succeeded(this.endpoint.id);
       else outcomes.failed(this.endpoint.id);
     }
     this.#close();
   }
 
-  /** The caller or the system has given it up; the endpoint ends its work. */
+  /**
+   * Aborts the send for the caller or the system; the endpoint cancels its
+   * work.
+   */
   abort(): void {
     if (this.#closed) return;
-    if (this.#tellsOfEndpoint) this.#parts.outcomes.untold(this.endpoint.id);
+    if (this.#isSameRun) this.#parts.outcomes.untold(this.endpoint.id);
     this.#close();
     this.#abort();
   }
 
   /**
-   * False once the endpoint has started again under its id: the connections to
-   * its former run break then, and the new one would be passed over for it.
+   * False once the endpoint has restarted under the same id. Connections to its
+   * previous run break at that point, and counting those failures would exclude
+   * the new run.
    */
-  get #tellsOfEndpoint(): boolean {
+  get #isSameRun(): boolean {
     return this.#parts.registry.isSameRun(this.endpoint);
   }
 
-  #noteHead(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #onHead(result: Result<EndpointAnswer, ExchangeFailure>): void {
     if (this.#closed) return;
-    this.#noteCrashSigns(answer);
-    if (answer.isOk() && answer.value.head.leaving) this.#noteLeaving();
-    if (this.#tellsOfEndpoint) this.#tellHead(answer);
-    if (answer.isErr() || answer.value.head.notRun) this.#close();
+    this.#recordCrashSignals(result);
+    if (result.isOk() && result.value.head.leaving) this.#reportLeaving();
+    if (this.#isSameRun) this.#recordOutcome(result);
+    if (result.isErr() || result.value.head.notRun) this.#close();
   }
 
-  #noteCrashSigns(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordCrashSignals(result: Result<EndpointAnswer, ExchangeFailure>): void {
     const { crashes } = this.#parts;
-    if (answer.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
-    const { name } = answer.error;
-    if (name === "exchange_lost") this.#noteLoss();
+    if (result.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
+    const { name } = result.error;
+    if (name === "exchange_lost") this.#recordLoss();
     if (name === "exchange_not_sent") crashes.refusedConnection(this.endpoint);
   }
 
-  /** The endpoint has broken the connection off with the request on it. */
-  #noteLoss(): void {
+  /** Records that the endpoint broke the connection with the request open. */
+  #recordLoss(): void {
     const { crashes, timer } = this.#parts;
     const { digest } = this.#context;
     crashes.lost(this.endpoint, { digest, knownBefore: this.#knownCrashes });
-    this.#context.tell("endpoint_lost", {
+    this.#context.report("endpoint_lost", {
       digest,
       crashes: crashes.crashesUnder(digest),
       endpoint: this.endpoint.id,
@@ -123,38 +130,41 @@
     });
   }
 
-  /** A reading alone runs nothing, so that it clears nobody. */
-  #noteCompletion(): void {
+  /**
+   * A prefill alone does not run the request, so its completion does not clear
+   * the request of suspicion.
+   */
+  #recordCompletion(): void {
     const { crashes } = this.#parts;
     if (crashes.size === 0 || this.#plan.options.prefillOnly) return;
     crashes.completed(this.#context.digest);
   }
 
-  #tellHead(answer: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordOutcome(result: Result<EndpointAnswer, ExchangeFailure>): void {
     const { outcomes } = this.#parts;
     const { id } = this.endpoint;
-    if (answer.isErr()) {
-      if (answer.error.name !== "exchange_not_sent") return outcomes.failed(id);
+    if (result.isErr()) {
+      if (result.error.name !== "exchange_not_sent") return outcomes.failed(id);
       return outcomes.refusedConnection(id);
     }
     outcomes.heard(id);
-    const { notRun, retryAfterMilliseconds, status } = answer.value.head;
+    const { notRun, retryAfterMilliseconds, status } = result.value.head;
     if (retryAfterMilliseconds !== undefined) {
-      return this.#noteOverload(retryAfterMilliseconds);
+      return this.#recordOverload(retryAfterMilliseconds);
     }
     if (!notRun) return;
     if (status === MISDIRECTED_STATUS) outcomes.misdirected(id);
     else outcomes.rejected(id);
   }
 
-  #noteLeaving(): void {
+  #reportLeaving(): void {
     if (!this.#parts.saidLeaving(this.endpoint)) return;
-    this.#context.tell("endpoint_leaving", { endpoint: this.endpoint.id });
+    this.#context.report("endpoint_leaving", { endpoint: this.endpoint.id });
   }
 
-  #noteOverload(milliseconds: number): void {
+  #recordOverload(milliseconds: number): void {
     this.#parts.outcomes.overloaded(this.endpoint.id, milliseconds);
-    this.#context.tell("endpoint_overloaded", {
+    this.#context.report("endpoint_overloaded", {
       endpoint: this.endpoint.id,
       retryAfterMilliseconds: milliseconds,
     });
@@ -162,7 +172,7 @@
 
   #close(): void {
     this.#closed = true;
-    if (this.#tellsOfEndpoint) this.#parts.outcomes.ended(this.endpoint.id);
+    if (this.#isSameRun) this.#parts.outcomes.ended(this.endpoint.id);
     this.#endWork();
   }
 }
--- /dev/null
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -0,0 +1,296 @@
+import { expect } from "chai";
+import {
+  ForwardingBench,
+  type SentAttempt,
+} from "../../../test/support/forwarding_bench.ts";
+import { EntryFleet } from "../../../test/support/entry_fleet.ts";
+import {
+  ENGINES,
+  makeConfiguration,
+  makeEndpoint,
+  makeEngine,
+  makePrompt,
+  makeRequest,
+  makeRoute,
+} from "../../../test/support/forwarding_values.ts";
+import type {
+  AnswerHead,
+  ForwardedRequest,
+  RegisteredEndpoint,
+  Route,
+} from "../../core/forwarding/mod.ts";
+import {
+  identifier,
+  numbered,
+  type ReplicaStart,
+  type RequestId,
+} from "../../core/identity/mod.ts";
+
+const REPLICAS = ["a", "b", "c"];
+const STEP_MILLISECONDS = 20;
+
+interface SignalScenarioOptions {
+  readonly route?: Partial<Route>;
+  readonly endpoints?: readonly RegisteredEndpoint[];
+  /** Values of the request with this number. */
+  readonly valuesOf?: (count: number) => Partial<ForwardedRequest>;
+}
+
+/**
+ * One entry with replicas of a plain service or engines that set signals in
+ * their response heads.
+ */
+class SignalScenario {
+  readonly bench: ForwardingBench;
+  /** Additions to the response head of each replica. */
+  readonly heads = new Map<string, Partial<AnswerHead>>();
+  readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
+  #count = 0;
+
+  constructor(options: SignalScenarioOptions = {}) {
+    const { endpoints = portals(), route, valuesOf = () => ({}) } = options;
+    this.#valuesOf = valuesOf;
+    this.bench = new ForwardingBench(
+      makeConfiguration({ routes: [makeRoute(route)] }),
+    );
+    for (const each of endpoints) this.bench.parts.registry.put(each);
+    this.bench.onSend = (attempt) => void this.#answer(attempt);
+  }
+
+  /**
+   * Sends requests in sequence for this long; returns the endpoints they were
+   * sent to.
+   */
+  async run(milliseconds: number): Promise<string[]> {
+    const before = this.bench.sent.length;
+    for (let at = 0; at < milliseconds; at += STEP_MILLISECONDS) {
+      await this.ask();
+      await this.bench.timer.advance(STEP_MILLISECONDS);
+    }
+    return this.bench.sent.slice(before)
+      .map(({ options }) => String(options.endpoint));
+  }
+
+  async ask() {
+    this.#count += 1;
+    const id = identifier<RequestId>(`request-${this.#count}`);
+    return await this.bench.take(
+      makeRequest({ id, ...this.#valuesOf(this.#count) }),
+    );
+  }
+
+  async #answer(attempt: SentAttempt): Promise<void> {
+    const head = this.heads.get(String(attempt.options.endpoint)) ?? {};
+    await attempt.answer("done", head);
+  }
+}
+
+function portals(): RegisteredEndpoint[] {
+  return REPLICAS.map((id) => makeEndpoint(id));
+}
+
+/** The same with long prompts and engines. */
+function promptScenario(): SignalScenario {
+  return new SignalScenario({
+    route: { repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
+    endpoints: [
+      ...["r1", "r2"].map((id) => makeEngine(id, "prefill")),
+      ...["d1", "d2"].map((id) => makeEngine(id, "decode")),
+    ],
+    valuesOf: (count) => ({ prompt: makePrompt(`subject-${count}`) }),
+  });
+}
+
+describe("signals in an endpoint's responses", () => {
+  describe("leaving", () => {
+    it("stops requests to it before the store reports it", async () => {
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      expect(await setup.run(1_000)).to.include("a");
+      expect(await setup.run(5_000)).not.to.include("a");
+    });
+
+    it("stops them even if older registrations are read later", async () => {
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      await setup.run(1_000);
+      setup.bench.parts.registry.put(makeEndpoint("a"));
+      setup.bench.parts.registry.replaceAll(
+        portals(),
+      );
+      expect(await setup.run(1_000)).not.to.include("a");
+    });
+
+    it("stays in effect if its registration expires before the response and returns", async () => {
+      const setup = new SignalScenario();
+      const startedAt = numbered<ReplicaStart>(7);
+      const endpoint = makeEndpoint("a", { startedAt });
+      const { registry } = setup.bench.parts;
+      setup.bench.onSend = undefined;
+      registry.replaceAll([endpoint]);
+      await setup.ask();
+      registry.remove(endpoint.id);
+      await setup.bench.sent[0].answer("done", { leaving: true });
+      registry.put(endpoint);
+      const caller = await setup.ask();
+      expect(setup.bench.sent).to.have.length(1);
+      expect(caller.status).to.equal(503);
+    });
+
+    it("is read from a rejection too", async () => {
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true, status: 503, notRun: true });
+      expect(await setup.run(1_000)).to.include("a");
+      expect(await setup.run(3_000)).not.to.include("a");
+    });
+
+    it("is read from the response to a prefill too", async () => {
+      const setup = promptScenario();
+      setup.heads.set("r1", { leaving: true });
+      expect(await setup.run(1_000)).to.include("r1");
+      expect(await setup.run(1_000)).not.to.include("r1");
+    });
+
+    it("ends with the run that sent it", async () => {
+      const setup = new SignalScenario();
+      setup.heads.set("a", { leaving: true });
+      await setup.run(1_000);
+      setup.heads.clear();
+      const startedAt = numbered<ReplicaStart>(7);
+      setup.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
+      expect(await setup.run(1_000)).to.include("a");
+    });
+
+    it("is passed on to the other entries", async () => {
+      const fleet = new EntryFleet({
+        entries: 5,
+        zones: 1,
+        configuration: makeConfiguration(),
+        endpoints: portals(),
+      });
+      const sent = new Set<string>();
+      let leaving = false;
+      fleet.onSend = (attempt) => {
+        const endpoint = String(attempt.options.endpoint);
+        sent.add(endpoint);
+        const isLeaving = leaving && endpoint === "a";
+        void attempt.answer("done", { leaving: isLeaving });
+      };
+      const ask = async (entry: number) => {
+        for (let index = 0; index < 20; index++) {
+          fleet.ask(entry, makeRequest());
+          await fleet.timer.advance(5);
+        }
+      };
+      leaving = true;
+      await ask(0);
+      expect(sent).to.include("a");
+      sent.clear();
+      for (const entry of fleet.entries.keys()) await ask(entry);
+      expect(sent).not.to.include("a");
+    });
+  });
+
+  describe("overload", () => {
+    it("stops requests to it until the retry time has passed", async () => {
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
+      await setup.run(200);
+      setup.heads.clear();
+      expect(await setup.run(2_500)).to.deep.equal([]);
+      await setup.bench.timer.advance(500);
+      expect(new Set(await setup.run(1_000))).to.have.keys(REPLICAS);
+    });
+
+    it("moves its requests to the others", async () => {
+      const setup = new SignalScenario();
+      setup.heads.set("a", overloadedFor(2_000));
+      await setup.run(500);
+      const callers = [
+        await setup.ask(),
+        await setup.ask(),
+        await setup.ask(),
+      ];
+      expect(callers.map(({ status }) => status)).to.deep.equal([
+        200,
+        200,
+        200,
+      ]);
+      expect(await setup.run(1_000)).not.to.include("a");
+    });
+
+    it("immediately refuses a caller that would give up before its end", async () => {
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
+      await setup.run(200);
+      const sentBefore = setup.bench.sent.length;
+      const { refusal } = await setup.ask();
+      expect(refusal?.status).to.equal(503);
+      expect(refusal?.retryAfterMilliseconds).to.be.within(2_700, 3_300);
+      expect(setup.bench.sent).to.have.length(sentBefore);
+    });
+
+    it("is not assumed for replicas that refuse connections", async () => {
+      const setup = new SignalScenario();
+      setup.bench.onSend = (attempt) => void attempt.fail("exchange_not_sent");
+      await setup.run(200);
+      const { refusal } = await setup.ask();
+      expect(refusal?.reason).to.equal("no_endpoint_reachable");
+    });
+
+    it("lets a caller wait for its end that can still be answered", async () => {
+      const setup = new SignalScenario();
+      for (const id of REPLICAS) setup.heads.set(id, overloadedFor(400));
+      await setup.run(100);
+      setup.heads.clear();
+      const caller = await setup.ask();
+      expect(caller.status).to.equal(undefined);
+      await setup.bench.timer.advance(500);
+      expect(caller.status).to.equal(200);
+    });
+
+    it("stops prefills at an engine", async () => {
+      const setup = promptScenario();
+      setup.heads.set("r1", overloadedFor(2_000));
+      expect(await setup.run(500)).to.include("r1");
+      expect(await setup.run(1_000)).not.to.include("r1");
+    });
+
+    it("stops decoding at an engine", async () => {
+      const setup = promptScenario();
+      setup.heads.set("d1", overloadedFor(2_000));
+      expect(await setup.run(500)).to.include("d1");
+      expect(await setup.run(1_000)).not.to.include("d1");
+    });
+
+    it("prevents a prefill if no engine could decode in time", async () => {
+      const setup = promptScenario();
+      for (const id of ["d1", "d2"]) setup.heads.set(id, overloadedFor(9_000));
+      await setup.run(500);
+      const sentBefore = setup.bench.sent.length;
+      const { refusal } = await setup.ask();
+      expect(refusal?.status).to.equal(503);
+      expect(setup.bench.sent).to.have.length(sentBefore);
+    });
+
+    it("delays the release of a cached prompt at the engine", async () => {
+      const { bench } = promptScenario();
+      const run = bench.take(makeRequest({ prompt: makePrompt("subject") }));
+      bench.onSend = undefined;
+      await run;
+      const [reading] = bench.sent;
+      await reading.answer("handle");
+      bench.parts.outcomes.overloaded(reading.options.endpoint, 3_000);
+      (await run).leave();
+      await bench.timer.advance(2_900);
+      expect(bench.released).to.deep.equal([]);
+      await bench.timer.advance(200);
+      expect(bench.released).to.deep.equal(["handle"]);
+    });
+  });
+});
+
+/** Response head of an overloaded endpoint that rejects a request. */
+function overloadedFor(milliseconds: number): Partial<AnswerHead> {
+  return { status: 503, notRun: true, retryAfterMilliseconds: milliseconds };
+}
--- a/src/entry/forwarding/forward.ts
+++ b/src/entry/forwarding/forward.ts
@@ -8,11 +8,17 @@
   type Workspace,
 } from "../../core/forwarding/mod.ts";
 import { err, ok, type Result } from "neverthrow";
-import { ForwardRun, RETRY_AFTER_MILLISECONDS } from "./forward_run.ts";
+import {
+  RequestForwarder,
+  RETRY_AFTER_MILLISECONDS,
+} from "./request_forwarder.ts";
 import type { CallerSink, Refusal } from "./links.ts";
 import type { ForwardingParts } from "./parts.ts";
 
-/** Takes a request: finds its route and runs it, or answers at once. */
+/**
+ * Forwards a request: finds its route, authenticates the caller and runs the
+ * request, or refuses it immediately.
+ */
 export async function forward(
   parts: ForwardingParts,
   options: { readonly request: ForwardedRequest; readonly sink: CallerSink },
@@ -37,16 +43,16 @@
   if (route === undefined) return refuse({ status: 404, reason: "no_route" });
   const caller = identify(routes, { request, route });
   if (caller.isErr()) return refuse({ status: 401, reason: caller.error });
-  const name = drawPool(route, parts.random);
-  const pool = name === undefined
+  const poolName = drawPool(route, parts.random);
+  const pool = poolName === undefined
     ? undefined
-    : routes.configuration.pools.get(name);
+    : routes.configuration.pools.get(poolName);
   if (pool === undefined) return refuse({ status: 503, reason: "no_pool" });
   const task = { ...caller.value, route, pool };
-  await new ForwardRun(parts, { task, sink }).run();
+  await new RequestForwarder(parts, { task, sink }).run();
 }
 
-/** A caller that is let in, and its request without the key. */
+/** An authenticated caller's request, with the key removed from its headers. */
 interface IdentifiedRequest {
   readonly request: ForwardedRequest;
   readonly workspace?: Workspace;
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -38,10 +38,13 @@
 import type { CallerSink, EndpointDoor } from "./links.ts";
 import type { ObserveForwarding } from "./observer.ts";
 import type { ForwardingParts } from "./parts.ts";
-import { KeptPartsSurvey } from "./kept_parts_survey.ts";
-import { RegistrationIntake } from "./registration_intake.ts";
-import { StateRelay, type StateRelayOptions } from "./state_relay.ts";
-import { RoleKeeper, type RoleLink } from "./role_keeper.ts";
+import { PrefixCacheSurvey } from "./prefix_cache_survey.ts";
+import { RegistrationSync } from "./registration_sync.ts";
+import {
+  PeerStateFallback,
+  type PeerStateFallbackOptions,
+} from "./peer_state_fallback.ts";
+import { RoleController, type RoleLink } from "./role_controller.ts";
 import { UsageKeeper, type UsageKeeperOptions } from "./usage_keeper.ts";
 import { USAGE_METHOD, USAGE_REPORTS_METHOD } from "./usage_notification.ts";
 import {
@@ -53,10 +56,10 @@
 } from "./peer_exchange.ts";
 import {
   LOAD_ANSWER_METHOD,
-  LOAD_QUESTION_METHOD,
+  LOAD_QUERY_METHOD,
+  LoadQueries,
   type LoadQuestionOutcome,
-  LoadQuestions,
-} from "./load_questions.ts";
+} from "./load_queries.ts";
 import { WORK_METHOD } from "./work_notification.ts";
 
 export interface ForwardingEntryOptions {
@@ -66,28 +69,31 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly door: EndpointDoor;
-  /** By what a request is known again when its caller sends it once more. */
+  /** Digest by which a retried request is recognized. */
   readonly digestOf: (request: ForwardedRequest) => RequestDigest;
   readonly sendToPeers: SendToPeers;
   readonly observe: ObserveForwarding;
   readonly logger: Logger;
-  /** True: the whole fleet starts for the first time; engines keep nothing. */
+  /**
+   * True on the first start of the whole fleet, when engines hold no cached
+   * prompts.
+   */
   readonly isFirstStart: boolean;
   readonly retry: {
     readonly ratio: number;
     readonly windowMilliseconds: number;
     readonly minimum: number;
   };
-  /** Speed of this machine's own link; absent where it is not known. */
+  /** Bandwidth of this machine's link; absent if unknown. */
   readonly linkMegabitsPerSecond: number | undefined;
-  /** How late this process is in taking up what comes, milliseconds. */
+  /** Event loop delay of this process, in milliseconds. */
   readonly loopDelay: () => number;
-  /** Absent: engines keep the roles that they have. */
+  /** Absent: engines keep their current roles. */
   readonly roles?: {
     readonly link: RoleLink;
     readonly leaseMilliseconds: number;
   };
-  /** Absent: nobody wants to know what workspaces use. */
+  /** Absent: usage of workspaces is not reported. */
   readonly usage?: Pick<
     UsageKeeperOptions,
     | "dueMilliseconds"
@@ -96,43 +102,43 @@
     | "onOutcome"
     | "windowMilliseconds"
   >;
-  /** How peers are asked for what the store does not tell. */
-  readonly relay: Pick<StateRelayOptions, "ask" | "peers">;
+  /** How to query peers while the store is unreachable. */
+  readonly relay: Pick<PeerStateFallbackOptions, "ask" | "peers">;
   /** The endpoint's connections are no longer needed. */
   readonly onEndpointGone: (address: string) => void;
-  /** A peer has read this span of the registrations. */
+  /** Records that a peer has read this span of the registrations. */
   readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
-  /** A question for an endpoint's load has been answered, or not. */
+  /** Called with the outcome of each load query. */
   readonly onLoadQuestion: (outcome: LoadQuestionOutcome) => void;
-  /** Keeps a blocked request for entries that start when no other runs. */
+  /** Persists a blocked request for entries that start while no other runs. */
   readonly keepBlocked: (blocked: BlockedRequest) => void;
-  /** A request that was blocked has been run to its end. */
+  /** Removes a persisted request that has completed since it was blocked. */
   readonly dropBlocked: (digest: RequestDigest) => void;
-  /** An entry has told of itself that is not on the fleet's list yet. */
+  /** Called when an entry reports that is not in the list of the fleet yet. */
   readonly onUnlistedPeer: () => void;
 }
 
 /**
- * Entries that are assumed to share the retry budget while this one is young.
- * After a restart of the whole fleet each finds itself alone on the list and
- * would take the whole minimum.
+ * Minimum number of entries that are assumed to share the retry budget during
+ * startup. After a restart of the whole fleet each entry first sees only itself
+ * in the list and would use the whole minimum budget.
  */
-const ASSUMED_ENTRIES = 8;
-/** By then entries that started together know each other. */
-const YOUNG_MILLISECONDS = 5_000;
+const ASSUMED_STARTUP_ENTRIES = 8;
+/** Startup time after which entries that started together know each other. */
+const STARTUP_MILLISECONDS = 5_000;
 
-/** An entry that forwards requests to endpoints which register themselves. */
+/** An entry that forwards requests to endpoints, which register themselves. */
 export class ForwardingEntry {
   readonly registry: EndpointRegistry;
   readonly peers: PeerExchange;
-  readonly relay: StateRelay;
-  readonly registrations: RegistrationIntake;
+  readonly relay: PeerStateFallback;
+  readonly registrations: RegistrationSync;
   readonly #options: ForwardingEntryOptions;
   readonly #parts: ForwardingParts;
-  readonly #roles: RoleKeeper | undefined;
+  readonly #roleController: RoleController | undefined;
   readonly #usage: UsageKeeper | undefined;
-  readonly #survey: KeptPartsSurvey;
-  readonly #questions: LoadQuestions;
+  readonly #survey: PrefixCacheSurvey;
+  readonly #loadQueries: LoadQueries;
   readonly #startedAt: number;
   #routes: RouteTable | undefined;
   #stopping = false;
@@ -153,7 +159,7 @@
         const endpoints = losses.map(([, endpoint]) => endpoint);
         options.logger.warn(
           { digest, endpoints },
-          "A request crashes endpoints and is blocked",
+          "Blocked a request that crashes endpoints",
         );
         if (isOwn) options.keepBlocked(blocked);
       },
@@ -164,7 +170,7 @@
       forget: ({ address }) => options.onEndpointGone(address),
     };
     const orders: EndpointMemory = {
-      forget: (endpoint) => this.#roles?.forget(endpoint),
+      forget: (endpoint) => this.#roleController?.forget(endpoint),
     };
     this.registry = new EndpointRegistry({
       timer,
@@ -179,15 +185,15 @@
       ],
       onChange: (change, endpoint) => {
         options.logger.info({ change, ...endpoint }, "An endpoint changed");
-        this.#roles?.engineChanged(endpoint);
-        if (change === "registered") this.#survey.engineSeen(endpoint);
+        this.#roleController?.onEngineChange(endpoint);
+        if (change === "registered") this.#survey.onEngineSeen(endpoint);
       },
     });
-    this.#survey = new KeptPartsSurvey({
+    this.#survey = new PrefixCacheSurvey({
       timer,
       random,
       logger: options.logger,
-      door: options.door,
+      endpointClient: options.door,
       prefixes,
       configuration: () => this.configuration,
       entries: () => this.entriesSharingLimits,
@@ -195,13 +201,13 @@
     });
     const self = identifier<ProcessId>(options.process);
     const owners = new LoadOwners({ self, timer });
-    this.#questions = new LoadQuestions({
+    this.#loadQueries = new LoadQueries({
       self,
       timer,
       registry: this.registry,
       load,
       owners,
-      send: (peer, notification) => this.peers.tellOne(peer, notification),
+      send: (peer, notification) => this.peers.sendTo(peer, notification),
       onOutcome: options.onLoadQuestion,
     });
     this.#usage = options.usage && new UsageKeeper({
@@ -212,9 +218,9 @@
       logger: options.logger,
       isFirstStart: options.isFirstStart,
       ranking: () => owners.liveRanking(USAGE_METHOD),
-      listed: () => this.peers.listed,
-      send: (peer, notification) => this.peers.tellOne(peer, notification),
-      broadcast: (method, params) => this.peers.tell(method, params),
+      listed: () => this.peers.listedPeers,
+      send: (peer, notification) => this.peers.sendTo(peer, notification),
+      broadcast: (method, params) => this.peers.broadcast(method, params),
     });
     const clock = this.#usage?.clock;
     this.peers = new PeerExchange({
@@ -228,36 +234,39 @@
       returning,
       crashes,
       version: () => this.configuration?.version,
-      onVersion: (version) => this.relay.heardOf(version),
+      onVersion: (version) => this.relay.onPeerVersion(version),
     });
-    this.relay = new StateRelay({
+    this.relay = new PeerStateFallback({
       ...options.relay,
       timer,
       random,
       logger: options.logger,
       registry: this.registry,
       configuration: () => this.configuration,
-      takeConfiguration: (configuration) => {
+      applyConfiguration: (configuration) => {
         this.takeConfiguration(configuration);
       },
     });
-    this.registrations = new RegistrationIntake({
+    this.registrations = new RegistrationSync({
       registry: this.registry,
       peerReadRegistrations: options.peerReadRegistrations,
-      onReached: () => this.relay.storeReached(),
-      tellPeers: (told) => this.peers.tell(REGISTRATIONS_METHOD, told),
-    });
-    this.#roles = options.roles === undefined ? undefined : new RoleKeeper({
-      ...options.roles,
-      self: `${options.process}#${options.incarnation}`,
-      timer,
-      random,
-      registry: this.registry,
-      load,
-      logger: options.logger,
-      pools: () => this.configuration?.pools.values() ?? [],
-      tellPeers: (orders) => this.peers.tell(ROLES_METHOD, { orders }),
+      onStoreReached: () => this.relay.storeReached(),
+      broadcast: (update) => this.peers.broadcast(REGISTRATIONS_METHOD, update),
     });
+    this.#roleController = options.roles === undefined
+      ? undefined
+      : new RoleController({
+        ...options.roles,
+        self: `${options.process}#${options.incarnation}`,
+        timer,
+        random,
+        registry: this.registry,
+        load,
+        logger: options.logger,
+        pools: () => this.configuration?.pools.values() ?? [],
+        broadcastOrders: (orders) =>
+          this.peers.broadcast(ROLES_METHOD, { orders }),
+      });
     this.#parts = {
       timer,
       random,
@@ -289,51 +298,57 @@
       entries: () => this.peers.knownEntries ?? 1,
       link: new LinkQueue(timer, options.linkMegabitsPerSecond),
       loopDelay: options.loopDelay,
-      refreshLoad: (endpoints) => this.#questions.ask(endpoints),
+      refreshLoad: (endpoints) => this.#loadQueries.refresh(endpoints),
       isLoadStale: () => this.peers.isLoadStale,
       door: options.door,
       digestOf: options.digestOf,
       observe: options.observe,
       routes: () => this.#routes,
-      saidLeaving: (run) => this.registrations.saidLeaving(run),
+      saidLeaving: (run) => this.registrations.reportLeaving(run),
       began: (workspace, at) => this.#usage?.began(workspace, at),
-      isChanging: (endpoint) => this.#roles?.isChanging(endpoint) ?? false,
+      isChanging: (endpoint) =>
+        this.#roleController?.isChanging(endpoint) ?? false,
     };
   }
 
-  /** The configuration in force; undefined while none is known. */
+  /** The configuration in force; undefined until one is known. */
   get configuration(): ForwardingConfiguration | undefined {
     return this.#routes?.configuration;
   }
 
-  /** Entries that limits of the whole fleet are divided by. */
+  /** Number of entries that share the fleet-wide limits. */
   get entriesSharingLimits(): number {
     const known = this.peers.knownEntries ?? 1;
     const age = this.#options.timer.now() - this.#startedAt;
-    return age < YOUNG_MILLISECONDS ? Math.max(known, ASSUMED_ENTRIES) : known;
+    return age < STARTUP_MILLISECONDS
+      ? Math.max(known, ASSUMED_STARTUP_ENTRIES)
+      : known;
   }
 
-  /** How far each pool's repeats have used up this entry's part. */
+  /** Use of this entry's share of the retry budget, by pool. */
   repeatUses(): RepeatUse[] {
     return this.#parts.allowance.uses();
   }
 
-  /** Requests that are refused for crashing endpoints. */
+  /** Number of requests that are blocked for crashing endpoints. */
   get blockedRequests(): number {
     return this.#parts.crashes.blocked;
   }
 
-  /** Fencing token of this entry's usage reports; absent: another reports. */
+  /**
+   * Fencing token of this entry's usage reports; absent if another entry
+   * reports.
+   */
   get usageFencing(): number | undefined {
     return this.#usage?.fencing;
   }
 
-  /** Work of all entries at the endpoint. */
+  /** Open work of all entries at the endpoint. */
   openWorkAt(endpoint: EndpointId): OpenWork {
     return this.#parts.load.total(endpoint);
   }
 
-  /** True while the balancer should send callers here. */
+  /** True while the load balancer should send callers here. */
   get ready(): boolean {
     return this.#routes !== undefined && this.registry.size > 0 &&
       !this.#stopping;
@@ -341,15 +356,18 @@
 
   start(): void {
     this.peers.start();
-    this.#roles?.start();
+    this.#roleController?.start();
     this.#usage?.start();
     this.relay.start();
   }
 
-  /** Takes no new callers; what is open goes on. */
+  /**
+   * Reports the entry as not ready and stops role orders; open requests
+   * continue.
+   */
   stop(): void {
     this.#stopping = true;
-    this.#roles?.stop();
+    this.#roleController?.stop();
   }
 
   close(): void {
@@ -359,8 +377,8 @@
   }
 
   /**
-   * Puts a configuration in force. A version that is not newer is passed over:
-   * a late read would else take back what callers have already seen.
+   * Puts a configuration in force. Versions that are not newer are ignored: a
+   * late read would otherwise revert what callers have already seen.
    */
   takeConfiguration(configuration: ForwardingConfiguration): boolean {
     const known = this.configuration?.version ?? -Infinity;
@@ -374,7 +392,7 @@
     return true;
   }
 
-  /** Takes a request that was kept as blocked; false where that is over. */
+  /** Restores a persisted blocked request; false if its block has expired. */
   restoreBlocked(
     losses: readonly ReportedLoss[],
     options: { readonly ageMilliseconds: number },
@@ -382,15 +400,15 @@
     return this.#parts.crashes.restore(losses, options);
   }
 
-  /** Takes a peer's notification. */
+  /** Handles a notification from a peer. */
   takeNotification(method: string, params: unknown): void {
-    if (method === WORK_METHOD) this.peers.take(params);
-    if (method === CRASHES_METHOD) this.peers.takeCrashes(params);
+    if (method === WORK_METHOD) this.peers.onWork(params);
+    if (method === CRASHES_METHOD) this.peers.onCrashes(params);
     if (method === USAGE_METHOD || method === USAGE_REPORTS_METHOD) {
       this.#usage?.take(method, params);
     }
-    if (method === LOAD_QUESTION_METHOD) this.#questions.takeQuestion(params);
-    if (method === LOAD_ANSWER_METHOD) this.#questions.takeAnswer(params);
+    if (method === LOAD_QUERY_METHOD) this.#loadQueries.onQuery(params);
+    if (method === LOAD_ANSWER_METHOD) this.#loadQueries.onAnswer(params);
     if (typeof params !== "object" || params === null) return;
     const { orders, changes, span } = params as {
       readonly orders?: unknown;
@@ -398,10 +416,10 @@
       readonly span?: unknown;
     };
     if (method === ROLES_METHOD && Array.isArray(orders)) {
-      this.#roles?.peerOrdered(orders);
+      this.#roleController?.onPeerOrders(orders);
     }
     if (method === REGISTRATIONS_METHOD && Array.isArray(changes)) {
-      this.registrations.peerRead(changes, span);
+      this.registrations.onPeerChanges(changes, span);
     }
   }
 
--- a/src/entry/forwarding/load_questions_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -15,21 +15,21 @@
 import { ManualTimerService } from "../../core/time/mod.ts";
 import {
   LOAD_ANSWER_METHOD,
-  LOAD_QUESTION_METHOD,
+  LOAD_QUERY_METHOD,
+  LoadQueries,
   type LoadQuestionOutcome,
-  LoadQuestions,
-} from "./load_questions.ts";
+} from "./load_queries.ts";
 
 const ENGINE = makeEngine("engine", "prefill", {
   startedAt: numbered<ReplicaStart>(5),
 });
 const ONE_WAY_MILLISECONDS = 1;
 
-/** One entry with its picture, among others that it can tell things. */
+/** One entry with its load state, connected to other entries. */
 class Member {
   readonly load: LoadPicture;
   readonly owners: LoadOwners;
-  readonly questions: LoadQuestions;
+  readonly questions: LoadQueries;
   readonly outcomes: LoadQuestionOutcome[] = [];
 
   constructor(
@@ -41,7 +41,7 @@
     this.owners = new LoadOwners({ self: name, timer });
     const registry = new EndpointRegistry({ timer });
     registry.put(ENGINE);
-    this.questions = new LoadQuestions({
+    this.questions = new LoadQueries({
       self: name,
       timer,
       registry,
@@ -53,27 +53,27 @@
   }
 }
 
-describe("LoadQuestions", () => {
+describe("LoadQueries", () => {
   let timer: ManualTimerService;
   let members: Map<ProcessId, Member>;
   let asker: Member;
   let owner: Member;
-  /** Changes what is sent; undefined loses it. */
-  let onTheWay: (params: unknown) => unknown;
+  /** Modifies a message in transit; undefined drops it. */
+  let intercept: (params: unknown) => unknown;
 
   function send(peer: ProcessId, method: string, params: unknown): void {
-    const sent = onTheWay(JSON.parse(JSON.stringify(params)));
+    const sent = intercept(JSON.parse(JSON.stringify(params)));
     if (sent === undefined) return;
     timer.after(ONE_WAY_MILLISECONDS, () => {
       const { questions } = members.get(peer) as Member;
-      if (method === LOAD_QUESTION_METHOD) questions.takeQuestion(sent);
-      if (method === LOAD_ANSWER_METHOD) questions.takeAnswer(sent);
+      if (method === LOAD_QUERY_METHOD) questions.onQuery(sent);
+      if (method === LOAD_ANSWER_METHOD) questions.onAnswer(sent);
     });
   }
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    onTheWay = (params) => params;
+    intercept = (params) => params;
     const names = ["one", "two", "three"].map((name) =>
       identifier<ProcessId>(name)
     );
@@ -91,24 +91,24 @@
     asker = [...members.values()].find((each) => each !== owner) as Member;
   });
 
-  /** Asks, and gives how long it took. */
+  /** Runs a query and returns its duration in milliseconds. */
   async function ask(member = asker): Promise<number> {
     const before = timer.now();
     let took = -1;
-    void member.questions.ask([ENGINE.id]).then(() => {
+    void member.questions.refresh([ENGINE.id]).then(() => {
       took = timer.now() - before;
     });
     await timer.advance(20);
     return took;
   }
 
-  function begin(member: Member, milliseconds: number): void {
+  function startWork(member: Member, milliseconds: number): void {
     member.load.started(ENGINE.id, { milliseconds, tokens: 100 });
   }
 
-  it("brings the others' work, to which the own is added", async () => {
-    begin(owner, 30);
-    begin(asker, 10);
+  it("returns the work of the others, to which its own is added", async () => {
+    startWork(owner, 30);
+    startWork(asker, 10);
     owner.load.peerReported(asker.name, {
       incarnation: "1",
       sequence: 1,
@@ -118,37 +118,37 @@
     expect(await ask()).to.equal(2 * ONE_WAY_MILLISECONDS);
     expect(asker.outcomes).to.deep.equal(["answered"]);
     expect(asker.load.total(ENGINE.id).prefillMilliseconds).to.equal(40);
-    begin(asker, 5);
+    startWork(asker, 5);
     expect(asker.load.total(ENGINE.id).prefillMilliseconds).to.equal(45);
   });
 
-  it("asks nobody for what this entry owns", async () => {
+  it("sends no query for endpoints that this entry owns", async () => {
     expect(await ask(owner)).to.equal(0);
   });
 
-  // The owner is frozen. A request that waits for its word is late by it, and
-  // so are all that come behind.
-  it("waits for few milliseconds, and after three times not at all", async () => {
-    onTheWay = () => undefined;
+  // The owner is frozen. A request that waits for its answer is delayed by it,
+  // and so are all requests behind it.
+  it("waits for a few milliseconds, and not at all after three timeouts", async () => {
+    intercept = () => undefined;
     expect(await ask()).to.equal(6);
     await ask();
     await ask();
     expect(await ask()).to.equal(0);
   });
 
-  it("goes by the peers' reports once the owner's word is old", async () => {
-    begin(owner, 30);
+  it("uses the peers' reports once the owner's answer is old", async () => {
+    startWork(owner, 30);
     await ask();
     expect(asker.load.total(ENGINE.id).requests).to.equal(1);
     await timer.advance(200);
     expect(asker.load.total(ENGINE.id).requests).to.equal(0);
   });
 
-  // A replica starts again under its id while the owner answers for the run
-  // before. Its work there has ended with it.
-  it("passes over the word on another run of the replica", async () => {
-    begin(owner, 30);
-    onTheWay = (params) => {
+  // A replica restarts under the same id while the owner answers for the
+  // previous run, whose work ended with it.
+  it("ignores an answer for another run of the replica", async () => {
+    startWork(owner, 30);
+    intercept = (params) => {
       const { work } = params as { work?: unknown[][] };
       if (work !== undefined) work[0][4] = 4;
       return params;
@@ -157,8 +157,11 @@
     expect(asker.load.total(ENGINE.id).requests).to.equal(0);
   });
 
-  describe("passes over what can't be read", () => {
-    const bad: Record<string, (params: Record<string, unknown>) => unknown> = {
+  describe("ignores malformed data", () => {
+    const malformedQueries: Record<
+      string,
+      (params: Record<string, unknown>) => unknown
+    > = {
       "no object": () => null,
       "no endpoints": ({ entry, id }) => ({ entry, id }),
       "an endpoint that is no text": (params) => ({
@@ -167,10 +170,10 @@
       }),
       "an id that is no number": (params) => ({ ...params, id: "1" }),
     };
-    for (const [what, spoil] of Object.entries(bad)) {
-      it(`in a question: ${what}`, async () => {
-        begin(owner, 30);
-        onTheWay = (params) => spoil(params as Record<string, unknown>);
+    for (const [what, corrupt] of Object.entries(malformedQueries)) {
+      it(`in a query: ${what}`, async () => {
+        startWork(owner, 30);
+        intercept = (params) => corrupt(params as Record<string, unknown>);
         expect(await ask()).to.equal(6);
         expect(owner.outcomes).to.deep.equal(["unreadable"]);
         expect(asker.outcomes).to.deep.equal(["unanswered"]);
@@ -178,17 +181,17 @@
       });
     }
 
-    const badWork: Record<string, unknown> = {
+    const malformedWork: Record<string, unknown> = {
       "no list": "work",
       "a row that is no list": [7],
       "a short row": [[ENGINE.id, 1]],
       "a number that is a text": [[ENGINE.id, "1", 2, 3]],
       "another engine": [["other", 1, 2, 3]],
     };
-    for (const [what, work] of Object.entries(badWork)) {
+    for (const [what, work] of Object.entries(malformedWork)) {
       it(`in an answer: ${what}`, async () => {
-        begin(owner, 30);
-        onTheWay = (params) => {
+        startWork(owner, 30);
+        intercept = (params) => {
           const isAnswer = "work" in (params as object);
           return isAnswer ? { ...params as object, work } : params;
         };
@@ -198,15 +201,15 @@
     }
   });
 
-  it("takes no answer from an entry that was not asked", async () => {
+  it("ignores an answer from an entry that was not queried", async () => {
     const third = [...members.values()].find((each) =>
       each !== owner && each !== asker
     ) as Member;
-    onTheWay = (params) => {
+    intercept = (params) => {
       const isAnswer = "work" in (params as object);
       return isAnswer ? { ...params as object, entry: third.name } : params;
     };
-    begin(owner, 30);
+    startWork(owner, 30);
     await ask();
     expect(asker.load.total(identifier<EndpointId>("engine")).requests)
       .to.equal(0);
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -21,39 +21,39 @@
 const TARGET_MILLISECONDS = 150;
 const SUMMARY_DEADLINE_MILLISECONDS = 2_000;
 
-/** What became of the requests of one kind. */
+/** Outcomes of the requests of one kind. */
 interface Outcomes {
   onTime: number;
   late: number;
   refused: number;
-  /** Refusals that came later than a tenth of a second. */
+  /** Refusals later than 100 ms after arrival. */
   refusedLate: number;
 }
 
-function none(): Outcomes {
+function noOutcomes(): Outcomes {
   return { onTime: 0, late: 0, refused: 0, refusedLate: 0 };
 }
 
-interface PlayOptions {
-  /** What the entry believes of the engines at the start. */
+interface OverloadScenarioOptions {
+  /** The entry's initial speed estimates of the engines. */
   readonly estimates?: EngineEstimates;
   readonly tokensPerMillisecond?: number;
   readonly targetMilliseconds?: number;
 }
 
 /**
- * Plays arrivals of long summaries and short urgent prompts against seven
- * engines that read and three that decode.
+ * Simulates long summaries and short urgent prompts against seven prefill
+ * engines and three decode engines.
  */
-class Play {
+class OverloadScenario {
   readonly bench: ForwardingBench;
   readonly engines: PlayedEngines;
-  readonly summaries = none();
-  readonly urgent = none();
+  readonly summaries = noOutcomes();
+  readonly urgent = noOutcomes();
   readonly #random = seededRandom(5);
   readonly #targetMilliseconds: number;
 
-  constructor(options: PlayOptions = {}) {
+  constructor(options: OverloadScenarioOptions = {}) {
     const { estimates, targetMilliseconds = TARGET_MILLISECONDS } = options;
     this.#targetMilliseconds = targetMilliseconds;
     const shares = [{ pool: ENGINES, weight: 1 }];
@@ -89,7 +89,9 @@
     }
   }
 
-  /** `perSecond` of summaries for so long, with 20 urgent prompts a second. */
+  /**
+   * Sends `perSecond` summaries and 20 urgent prompts a second for this long.
+   */
   async run(options: {
     readonly perSecond: number;
     readonly seconds: number;
@@ -110,14 +112,18 @@
     const outcomes = kind === "summary" ? this.summaries : this.urgent;
     const at = this.bench.timer.now();
     const sink = await this.bench.take(this.#request(kind));
-    const told = { refused: false, headed: false };
-    const look = () => {
-      this.#note(sink, { outcomes, after: this.bench.timer.now() - at, told });
+    const seen = { refused: false, headed: false };
+    const check = () => {
+      this.#note(sink, {
+        outcomes,
+        after: this.bench.timer.now() - at,
+        seen,
+      });
     };
-    look();
-    const looking = this.bench.timer.every(5, () => {
-      look();
-      if (told.headed || told.refused) looking.cancel();
+    check();
+    const polling = this.bench.timer.every(5, () => {
+      check();
+      if (seen.headed || seen.refused) polling.cancel();
     });
   }
 
@@ -140,17 +146,17 @@
     context: {
       readonly outcomes: Outcomes;
       readonly after: number;
-      readonly told: { refused: boolean; headed: boolean };
+      readonly seen: { refused: boolean; headed: boolean };
     },
   ): void {
-    const { outcomes, after, told } = context;
-    if (told.refused || told.headed) return;
+    const { outcomes, after, seen } = context;
+    if (seen.refused || seen.headed) return;
     if (sink.refusal !== undefined) {
-      told.refused = true;
+      seen.refused = true;
       outcomes.refused += 1;
       if (after > 100) outcomes.refusedLate += 1;
     } else if (sink.body !== "") {
-      told.headed = true;
+      seen.headed = true;
       if (after <= this.#targetMilliseconds) outcomes.onTime += 1;
       else outcomes.late += 1;
     }
@@ -158,43 +164,43 @@
 }
 
 describe("forward under load", () => {
-  it("answers everything on time at half of what the engines can read", async () => {
-    const play = new Play();
-    await play.run({ perSecond: 150, seconds: 2 });
-    expect(play.summaries).to.deep.equal({ ...none(), onTime: 300 });
-    expect(play.urgent).to.deep.equal({ ...none(), onTime: 40 });
+  it("answers everything on time at half of the prefill capacity", async () => {
+    const scenario = new OverloadScenario();
+    await scenario.run({ perSecond: 150, seconds: 2 });
+    expect(scenario.summaries).to.deep.equal({ ...noOutcomes(), onTime: 300 });
+    expect(scenario.urgent).to.deep.equal({ ...noOutcomes(), onTime: 40 });
   });
 
-  // Twice as many summaries come as the engines can read. Read in turn, every
-  // answer would be late after a second; the village head's urgent report
-  // would wait behind them.
-  it("goes on answering on time in an overload, and refuses the rest at once", async () => {
-    const play = new Play();
-    await play.run({ perSecond: 700, seconds: 3 });
-    const { summaries, urgent, engines } = play;
+  // Twice as many summaries arrive as the engines can prefill. If they were
+  // served in order, every response would be late after a second, and urgent
+  // prompts would wait behind them.
+  it("keeps answering on time in an overload, and refuses the rest immediately", async () => {
+    const scenario = new OverloadScenario();
+    await scenario.run({ perSecond: 700, seconds: 3 });
+    const { summaries, urgent, engines } = scenario;
     const asked = 700 * 3;
-    expect(urgent).to.deep.equal({ ...none(), onTime: 60 });
+    expect(urgent).to.deep.equal({ ...noOutcomes(), onTime: 60 });
     expect(summaries.onTime).to.be.greaterThan(0.4 * asked);
     expect(summaries.refused).to.be.greaterThan(0);
     expect(summaries.refusedLate).to.be.lessThan(0.02 * asked);
-    // The engines are not left idle by what is refused.
+    // Refusals must not leave the engines idle.
     expect(engines.readMilliseconds).to.be.greaterThan(0.85 * 7 * 3_000);
   });
 
-  // A new customer's engines read five times slower than those of the first
-  // ones, and more summaries come than they can read. By the first ones' speed
-  // too many are let in: of 540 callers 192 are answered on time, 153 late, and
-  // 105 are held before they are refused. With the speed learned from the
-  // answers it is 229, 85 and 17.
-  it("answers on time on engines that nobody has told it of", async () => {
-    const play = new Play({
+  // Engines prefill five times slower than the default estimate, and more
+  // summaries arrive than they can serve. By that estimate too many are
+  // admitted: of 540 callers 192 are answered on time, 153 late, and 105 are
+  // held before they are refused. With the speed learned from responses it is
+  // 229, 85 and 17.
+  it("answers on time on engines of unknown speed", async () => {
+    const scenario = new OverloadScenario({
       estimates: new EngineEstimates(),
       tokensPerMillisecond: 61,
       targetMilliseconds: 500,
     });
-    await play.run({ perSecond: 180, seconds: 3 });
-    expect(play.summaries.onTime).to.be.greaterThan(0.4 * 540);
-    expect(play.summaries.late).to.be.lessThan(0.2 * 540);
-    expect(play.summaries.refusedLate).to.be.lessThan(0.05 * 540);
+    await scenario.run({ perSecond: 180, seconds: 3 });
+    expect(scenario.summaries.onTime).to.be.greaterThan(0.4 * 540);
+    expect(scenario.summaries.late).to.be.lessThan(0.2 * 540);
+    expect(scenario.summaries.refusedLate).to.be.lessThan(0.05 * 540);
   });
 });
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -14,42 +14,42 @@
   type ProcessId,
 } from "../../core/identity/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
-import { decodePrompt, encodePrompt } from "./told_prompt.ts";
+import { decodePrompt, encodePrompt } from "./prompt_encoding.ts";
 import {
   isCrashReport,
   isWorkNotification,
+  withRuns,
   WORK_METHOD,
-  workHere,
   type WorkNotification,
-  workWithRuns,
+  workOfSameRuns,
 } from "./work_notification.ts";
 
 /**
- * Interval between reports of open work, for each peer. It grows with the
- * fleet, so that the datagrams of a thin machine stay bounded.
+ * Reporting interval for each peer. The interval grows with the fleet, which
+ * bounds the datagrams of a machine with a slow link.
  */
-const TELL_MILLISECONDS_PER_PEER = 6;
-const SHORTEST_TELL_MILLISECONDS = 15;
-/** Fleets up to this size tell at the shortest interval. */
-const FEW_PEERS = 5;
-/** Everything is told again so often: a lost datagram is made up for. */
-const WHOLE_TELL_MILLISECONDS = 700;
+const REPORT_MILLISECONDS_PER_PEER = 6;
+const MIN_REPORT_INTERVAL_MILLISECONDS = 15;
+/** Fleets with up to this many peers report at the shortest interval. */
+const SMALL_FLEET_PEERS = 5;
+/** Interval of full reports, which make up for lost datagrams. */
+const FULL_REPORT_INTERVAL_MILLISECONDS = 700;
 /**
- * Interval of the reports beyond which the owners of endpoints are told of work
- * at once, and asked for it. With shorter ones entries miss less than one
- * prompt of each other's work.
+ * Reporting interval above which the owners of endpoints are updated
+ * immediately and queried for their load. At shorter intervals entries miss
+ * less than one prompt of each other's work.
  */
-const FRESH_MILLISECONDS = 30;
-/** How long changes of work are gathered before owners are told. */
-const OWNERS_TELL_MILLISECONDS = 1;
-/** Notification that carries orders to engines. */
+const MAX_FRESH_INTERVAL_MILLISECONDS = 30;
+/** How long changes of load are batched before owners are updated. */
+const OWNER_UPDATE_DELAY_MILLISECONDS = 1;
+/** Notification that carries role orders to engines. */
 export const ROLES_METHOD = "entry.roles";
-/** Notification that carries registrations that have changed. */
+/** Notification that carries changed registrations. */
 export const REGISTRATIONS_METHOD = "entry.registrations";
 
-/** How long losses are gathered: those of one crash come together. */
-const CRASHES_TELL_MILLISECONDS = 5;
-/** Notification that carries requests lost with endpoints. */
+/** How long losses are batched; the losses of one crash arrive together. */
+const CRASH_REPORT_DELAY_MILLISECONDS = 5;
+/** Notification that carries requests that were lost with endpoints. */
 export const CRASHES_METHOD = "entry.crashes";
 
 /** Sends a notification to peers. */
@@ -72,66 +72,69 @@
   readonly sendToPeers: SendToPeers;
   /** Version of the configuration in force here. */
   readonly version: () => number | undefined;
-  /** A peer has a configuration of this version. */
+  /** Called with the configuration version of a peer. */
   readonly onVersion: (version: number) => void;
-  /** A peer's wall clock shows this; absent where clocks don't matter. */
+  /** Called with a peer's wall clock; absent where clocks are not compared. */
   readonly onClock?: (peer: ProcessId, wallClock: number) => void;
-  /** An entry has told of itself that the fleet's list does not name yet. */
+  /** Called when an entry reports that is not in the list of the fleet yet. */
   readonly onUnlistedPeer: () => void;
 }
 
-/** Tells peers of this entry's open work, and takes in theirs. */
+/** Reports this entry's open work to its peers and applies their reports. */
 export class PeerExchange {
   readonly #options: PeerExchangeOptions;
   #addresses: readonly string[] = [];
   #peers: ReadonlyMap<string, string> = new Map();
-  /** Endpoints whose owners are to be told of changed work. */
-  readonly #changed = new Set<EndpointId>();
-  #tellingOwners: Subscription | undefined;
-  #tellingCrashes: Subscription | undefined;
-  /** The last run of each peer that has told of itself. */
+  /** Endpoints with load changes that their owners have not received yet. */
+  readonly #changedEndpoints = new Set<EndpointId>();
+  #ownerUpdate: Subscription | undefined;
+  #crashReport: Subscription | undefined;
+  /** Incarnation of each peer that has reported. */
   readonly #incarnations = new Map<string, string>();
   #knownEntries: number | undefined;
-  #telling: Subscription | undefined;
+  #nextReport: Subscription | undefined;
   #sequence = 0;
-  #lastWhole = -Infinity;
+  #lastFullReportAt = -Infinity;
 
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
-    options.load.onOwnChange((endpoint) => this.#noteChange(endpoint));
-    options.crashes.reports.onNews(() => this.#tellCrashesSoon());
+    options.load.onOwnChange((endpoint) => this.#onOwnChange(endpoint));
+    options.crashes.reports.onNews(() => this.#scheduleCrashReport());
   }
 
-  /** Entries of the fleet, this one included; undefined while unknown. */
+  /**
+   * Number of entries in the fleet, including this one; undefined if unknown.
+   */
   get knownEntries(): number | undefined {
     return this.#knownEntries;
   }
 
-  /** How often peers are told of this entry's work, milliseconds. */
+  /** Interval of the reports to peers, in milliseconds. */
   get #interval(): number {
-    const beyondFew = Math.max(0, this.#addresses.length - FEW_PEERS);
-    return SHORTEST_TELL_MILLISECONDS + TELL_MILLISECONDS_PER_PEER * beyondFew;
+    const beyondFew = Math.max(0, this.#addresses.length - SMALL_FLEET_PEERS);
+    return MIN_REPORT_INTERVAL_MILLISECONDS +
+      REPORT_MILLISECONDS_PER_PEER * beyondFew;
   }
 
-  /** True where reports come too seldom to place work by them alone. */
+  /** True if reports are too infrequent to place work by them alone. */
   get isLoadStale(): boolean {
-    return this.#interval > FRESH_MILLISECONDS;
+    return this.#interval > MAX_FRESH_INTERVAL_MILLISECONDS;
   }
 
   start(): void {
-    this.#telling = this.#options.timer.after(this.#interval, () => {
-      this.#tellWork();
+    this.#nextReport = this.#options.timer.after(this.#interval, () => {
+      this.#reportWork();
       this.start();
     });
   }
 
   stop(): void {
-    this.#telling?.cancel();
-    this.#tellingOwners?.cancel();
-    this.#tellingCrashes?.cancel();
+    this.#nextReport?.cancel();
+    this.#ownerUpdate?.cancel();
+    this.#crashReport?.cancel();
   }
 
-  /** Takes the fleet's list: the others' addresses by their names. */
+  /** Sets the fleet's list: addresses of the peers by name. */
   setPeers(peers: ReadonlyMap<string, string>): void {
     this.#peers = peers;
     this.#addresses = [...peers.values()];
@@ -143,19 +146,19 @@
     this.#options.owners.setMembers(names);
   }
 
-  /** The others on the fleet's list. */
-  get listed(): readonly ProcessId[] {
+  /** Peers in the list of the fleet. */
+  get listedPeers(): readonly ProcessId[] {
     return [...this.#peers.keys()].map((name) => identifier<ProcessId>(name));
   }
 
-  /** Tells peers of something that does not wait for the next report. */
-  tell(method: string, params: unknown): void {
+  /** Sends a notification to all peers without waiting for the next report. */
+  broadcast(method: string, params: unknown): void {
     if (this.#addresses.length === 0) return;
     this.#options.sendToPeers(this.#addresses, { method, params });
   }
 
-  /** Tells one peer. */
-  tellOne(
+  /** Sends a notification to one peer. */
+  sendTo(
     peer: ProcessId,
     notification: { readonly method: string; readonly params: unknown },
   ): void {
@@ -164,8 +167,8 @@
     this.#options.sendToPeers([address], notification);
   }
 
-  /** Takes a peer's notification; anything malformed is passed over. */
-  take(params: unknown): void {
+  /** Applies a peer's report; ignores malformed ones. */
+  onWork(params: unknown): void {
     if (!isWorkNotification(params)) return;
     if (params.entry === this.#options.process) return;
     if (!this.#peers.has(params.entry)) this.#options.onUnlistedPeer();
@@ -178,15 +181,15 @@
     for (const speed of params.speeds ?? []) estimates.peerTold(speed);
     load.peerReported(params.entry, {
       ...params,
-      work: workHere(registry, params.work),
+      work: workOfSameRuns(registry, params.work),
     });
-    for (const told of params.prompts) {
-      const prompt = decodePrompt(told);
-      const isHere = prompt !== undefined && registry.isSameRun({
+    for (const encoded of params.prompts) {
+      const prompt = decodePrompt(encoded);
+      const isSameRun = prompt !== undefined && registry.isSameRun({
         id: prompt.engine,
         startedAt: prompt.engineStartedAt,
       });
-      if (isHere) prefixes.peerRead(prompt);
+      if (isSameRun) prefixes.peerRead(prompt);
     }
     for (const refusal of params.refusals) {
       this.#options.returning.peerRefused(refusal);
@@ -194,29 +197,29 @@
     for (const loss of params.losses ?? []) {
       this.#options.crashes.peerLost(loss);
     }
-    this.#welcome(params);
+    this.#syncBlockedRequests(params);
   }
 
-  /** Takes what a peer tells of requests lost with endpoints. */
-  takeCrashes(params: unknown): void {
+  /** Applies a peer's report of requests that were lost with endpoints. */
+  onCrashes(params: unknown): void {
     if (!isCrashReport(params)) return;
     const { crashes } = this.#options;
     for (const loss of params.losses) crashes.peerLost(loss);
     for (const digest of params.cleared) crashes.peerCompleted(digest);
   }
 
-  /** Tells a peer that has started which requests crash endpoints. */
-  #welcome({ entry, incarnation }: WorkNotification): void {
+  /** Sends the blocked requests to a peer that has started or restarted. */
+  #syncBlockedRequests({ entry, incarnation }: WorkNotification): void {
     if (this.#incarnations.get(entry) === incarnation) return;
     this.#incarnations.set(entry, incarnation);
     const losses = this.#options.crashes.lossesOfBlocked();
     if (losses.length === 0) return;
     const peer = identifier<ProcessId>(entry);
     const report: CrashReport = { losses, cleared: [] };
-    this.tellOne(peer, { method: CRASHES_METHOD, params: report });
+    this.sendTo(peer, { method: CRASHES_METHOD, params: report });
   }
 
-  #tellWork(): void {
+  #reportWork(): void {
     const {
       crashes,
       estimates,
@@ -227,33 +230,34 @@
       timer,
     } = this.#options;
     const now = timer.now();
-    const whole = now - this.#lastWhole >= WHOLE_TELL_MILLISECONDS;
-    if (!whole && !load.hasChanged && !returning.hasUntold) return;
-    if (whole) this.#lastWhole = now;
-    const losses = whole ? crashes.reports.recentLosses() : [];
-    this.tell(WORK_METHOD, {
-      ...this.#notification(whole),
+    const isFull =
+      now - this.#lastFullReportAt >= FULL_REPORT_INTERVAL_MILLISECONDS;
+    if (!isFull && !load.hasChanged && !returning.hasUntold) return;
+    if (isFull) this.#lastFullReportAt = now;
+    const losses = isFull ? crashes.reports.recentLosses() : [];
+    this.broadcast(WORK_METHOD, {
+      ...this.#baseNotification(isFull),
       version: this.#options.version(),
-      work: workWithRuns(registry, load.report({ whole })),
+      work: withRuns(registry, load.report({ whole: isFull })),
       prompts: prefixes.takeUntold().map(encodePrompt),
       refusals: returning.takeUntold(),
       ...(losses.length > 0 && { losses }),
-      ...(whole && {
+      ...(isFull && {
         speeds: estimates.tell(),
         ...(this.#options.onClock && { clock: timer.wallClock() }),
       }),
     });
   }
 
-  /** What tells nothing yet, with the next number in turn. */
-  #notification(whole: boolean): WorkNotification {
+  /** An empty notification with the next sequence number. */
+  #baseNotification(isFull: boolean): WorkNotification {
     const { incarnation, process } = this.#options;
     this.#sequence += 1;
     return {
       entry: process,
       incarnation,
       sequence: this.#sequence,
-      whole,
+      whole: isFull,
       work: [],
       prompts: [],
       refusals: [],
@@ -261,41 +265,44 @@
   }
 
   /**
-   * A retry may come to another entry within milliseconds; sent on there in
-   * ignorance of the crash before, it does not count as one more.
+   * Reports crashes after a short delay. A retry may reach another entry within
+   * milliseconds; if that entry sends it on without knowing of the crash, the
+   * next crash is not counted as a further one.
    */
-  #tellCrashesSoon(): void {
-    this.#tellingCrashes ??= this.#options.timer.after(
-      CRASHES_TELL_MILLISECONDS,
+  #scheduleCrashReport(): void {
+    this.#crashReport ??= this.#options.timer.after(
+      CRASH_REPORT_DELAY_MILLISECONDS,
       () => {
-        this.#tellingCrashes = undefined;
+        this.#crashReport = undefined;
         const report = this.#options.crashes.reports.take();
         if (report === undefined) return;
-        this.tell(CRASHES_METHOD, report);
-        this.#tellCrashesSoon();
+        this.broadcast(CRASHES_METHOD, report);
+        this.#scheduleCrashReport();
       },
     );
   }
 
-  #noteChange(endpoint: EndpointId): void {
+  #onOwnChange(endpoint: EndpointId): void {
     if (!this.isLoadStale) return;
-    this.#changed.add(endpoint);
-    this.#tellingOwners ??= this.#options.timer.after(
-      OWNERS_TELL_MILLISECONDS,
+    this.#changedEndpoints.add(endpoint);
+    this.#ownerUpdate ??= this.#options.timer.after(
+      OWNER_UPDATE_DELAY_MILLISECONDS,
       () => {
-        this.#tellingOwners = undefined;
-        this.#tellOwners();
+        this.#ownerUpdate = undefined;
+        this.#updateOwners();
       },
     );
   }
 
-  #tellOwners(): void {
+  #updateOwners(): void {
     const { load, owners, registry } = this.#options;
-    for (const [owner, endpoints] of owners.byOtherOwner(this.#changed)) {
-      const work = workWithRuns(registry, load.reportOf(endpoints));
-      const params = { ...this.#notification(false), work };
-      this.tellOne(owner, { method: WORK_METHOD, params });
+    for (
+      const [owner, endpoints] of owners.byOtherOwner(this.#changedEndpoints)
+    ) {
+      const work = withRuns(registry, load.reportOf(endpoints));
+      const params = { ...this.#baseNotification(false), work };
+      this.sendTo(owner, { method: WORK_METHOD, params });
     }
-    this.#changed.clear();
+    this.#changedEndpoints.clear();
   }
 }
--- /dev/null
+++ b/src/entry/forwarding/peer_state_fallback.ts
@@ -0,0 +1,199 @@
+import type { Result } from "neverthrow";
+import type {
+  EndpointRegistry,
+  ForwardingConfiguration,
+  Pool,
+  RegisteredEndpoint,
+} from "../../core/forwarding/mod.ts";
+import type {
+  LinkFailure,
+  PeerAddress,
+  StreamSnapshot,
+} from "../../core/links/mod.ts";
+import type { Logger } from "../../core/observation/mod.ts";
+import type { Random } from "../../core/random/mod.ts";
+import type { Subscription, TimerService } from "../../core/time/mod.ts";
+
+/** Stream name under which peers request the forwarding state of an entry. */
+export const FORWARDING_STATE = "forwarding";
+/**
+ * How long the store may be silent before peers are queried: a pause between
+ * two reads plus a read that times out.
+ */
+const STORE_SILENCE_MILLISECONDS = 1_500;
+/**
+ * How long to wait for this entry's own read after a peer reports a newer
+ * configuration. All entries read a new version within milliseconds of each
+ * other, and their reports cross.
+ */
+const OWN_READ_GRACE_MILLISECONDS = 250;
+/** Interval of queries to peers while the store fails. */
+const POLL_INTERVAL_MILLISECONDS = 500;
+/**
+ * Maximum age of a peer's state that still counts as current. A leaving
+ * endpoint has to be known within two seconds of its record in the store; reads
+ * every 400 ms at the peer, this age and the next query stay below that.
+ */
+const MAX_STATE_AGE_MILLISECONDS = 800;
+
+/** Forwarding state of an entry as sent to a peer. */
+interface ForwardingState {
+  /** Time since the store was last read, in milliseconds. */
+  readonly age: number;
+  readonly configuration:
+    & Omit<ForwardingConfiguration, "pools">
+    & { readonly pools: readonly Pool[] };
+  readonly endpoints: readonly RegisteredEndpoint[];
+}
+
+export interface PeerStateFallbackOptions {
+  readonly timer: TimerService;
+  readonly random: Random;
+  readonly logger: Logger;
+  readonly registry: EndpointRegistry;
+  readonly configuration: () => ForwardingConfiguration | undefined;
+  readonly applyConfiguration: (configuration: ForwardingConfiguration) => void;
+  /** Addresses where peers respond; some may be outdated. */
+  readonly peers: () => readonly PeerAddress[];
+  readonly ask: (
+    peer: PeerAddress,
+    stream: string,
+  ) => Promise<Result<StreamSnapshot, LinkFailure>>;
+}
+
+/**
+ * Reads configuration and endpoints from a peer while this entry cannot read
+ * the store. The store may reject some machines and serve others, or be down
+ * when an entry starts.
+ */
+export class PeerStateFallback {
+  readonly #options: PeerStateFallbackOptions;
+  #storeReachedAt: number;
+  #polling: Subscription | undefined;
+  #isUsingPeer = false;
+  #newestPeerVersion = -Infinity;
+  #newestPeerVersionAt = 0;
+
+  constructor(options: PeerStateFallbackOptions) {
+    this.#options = options;
+    this.#storeReachedAt = -Infinity;
+  }
+
+  start(): void {
+    this.#polling = this.#options.timer.every(
+      POLL_INTERVAL_MILLISECONDS,
+      () => void this.#poll(),
+    );
+  }
+
+  stop(): void {
+    this.#polling?.cancel();
+  }
+
+  /** Records that the store has returned the current registrations. */
+  storeReached(): void {
+    this.#storeReachedAt = this.#options.timer.now();
+    if (!this.#isUsingPeer) return;
+    this.#isUsingPeer = false;
+    this.#options.logger.info(
+      {},
+      "The store is reachable again; stopped reading from peers",
+    );
+  }
+
+  /**
+   * Records the configuration version of a peer. The connection on which this
+   * entry waits for the next version may have stalled silently.
+   */
+  onPeerVersion(version: number): void {
+    if (version <= this.#newestPeerVersion) return;
+    this.#newestPeerVersion = version;
+    this.#newestPeerVersionAt = this.#options.timer.now();
+  }
+
+  get #isBehind(): boolean {
+    const { configuration, timer } = this.#options;
+    const own = configuration()?.version ?? -Infinity;
+    return this.#newestPeerVersion > own &&
+      timer.now() - this.#newestPeerVersionAt >= OWN_READ_GRACE_MILLISECONDS;
+  }
+
+  /**
+   * State for a peer; undefined if this entry has no configuration or has never
+   * read the store.
+   */
+  snapshot(): StreamSnapshot | undefined {
+    const configuration = this.#options.configuration();
+    const age = this.#options.timer.now() - this.#storeReachedAt;
+    if (configuration === undefined || !Number.isFinite(age)) return undefined;
+    const state: ForwardingState = {
+      age,
+      configuration: {
+        ...configuration,
+        pools: [...configuration.pools.values()],
+      },
+      endpoints: [...this.#options.registry.all],
+    };
+    return { upTo: configuration.version, state: { ...state } };
+  }
+
+  async #poll(): Promise<void> {
+    const { ask, peers, random, timer } = this.#options;
+    const silentMilliseconds = timer.now() - this.#storeReachedAt;
+    const addresses = peers();
+    const needsPeers = silentMilliseconds >= STORE_SILENCE_MILLISECONDS ||
+      this.#isBehind;
+    if (!needsPeers || addresses.length === 0) return;
+    const peer = addresses[Math.floor(random() * addresses.length)];
+    const answer = await ask(peer, FORWARDING_STATE);
+    if (answer.isErr()) return;
+    // The store may have responded during the query; its data is newer.
+    const isCurrent = silentMilliseconds < STORE_SILENCE_MILLISECONDS ||
+      timer.now() - this.#storeReachedAt < silentMilliseconds;
+    this.#apply(answer.value.state, { peer, isCurrent });
+  }
+
+  /**
+   * With `isCurrent`, this entry's endpoints are more recent than the peer's.
+   */
+  #apply(
+    value: unknown,
+    options: { readonly peer: PeerAddress; readonly isCurrent: boolean },
+  ): void {
+    if (!isForwardingState(value)) return;
+    const { isCurrent, peer } = options;
+    const {
+      configuration,
+      logger,
+      registry,
+      applyConfiguration,
+    } = this.#options;
+    const { pools, ...rest } = value.configuration;
+    const isFirst = configuration() === undefined;
+    applyConfiguration({
+      ...rest,
+      pools: new Map(pools.map((pool) => [pool.name, pool])),
+    });
+    if (isCurrent) return;
+    // An outdated list is better than none, but worse than this entry's own.
+    const mayReplaceEndpoints = value.age <= MAX_STATE_AGE_MILLISECONDS ||
+      isFirst;
+    if (mayReplaceEndpoints) registry.replaceAll(value.endpoints);
+    if (this.#isUsingPeer) return;
+    this.#isUsingPeer = true;
+    logger.info({
+      peer,
+      age: Math.round(value.age),
+      version: value.configuration.version,
+      endpoints: value.endpoints.length,
+    }, "The store is unavailable; reading the state from a peer");
+  }
+}
+
+function isForwardingState(value: unknown): value is ForwardingState {
+  if (typeof value !== "object" || value === null) return false;
+  const { age, configuration, endpoints } = value as Partial<ForwardingState>;
+  return typeof age === "number" && Array.isArray(endpoints) &&
+    typeof configuration?.version === "number" &&
+    Array.isArray(configuration.routes) && Array.isArray(configuration.pools);
+}
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -9,31 +9,31 @@
 import { Attempt } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 import type { ForwardingParts } from "./parts.ts";
-import { readWhole } from "./whole_body.ts";
+import { readWhole } from "./read_body.ts";
 
 /**
- * How much longer than predicted an engine may take to read a prompt before
- * another one is asked. Reading a prompt runs nothing, so it may be repeated;
- * an engine that went dark would else hold the caller for its whole deadline.
+ * Ratio of the prefill timeout to the predicted time, after which another
+ * engine is tried. A prefill runs nothing and may be repeated; without the
+ * timeout an unresponsive engine would hold the caller until its deadline.
  */
-const PATIENCE_TO_PREDICTION = 4;
-const LEAST_PATIENCE_MILLISECONDS = 400;
+const TIMEOUT_TO_PREDICTION_RATIO = 4;
+const MIN_PREFILL_TIMEOUT_MILLISECONDS = 400;
 /**
- * Time of the deadline that is left to the answer itself: a prompt whose answer
- * can't be whole by then is not read.
+ * Part of the deadline that is reserved for the response. A prompt is not read
+ * if its response cannot be complete by then.
  */
-const ANSWER_MILLISECONDS = 120;
-/** Longest answer to a call that only reads a prompt. */
-const MOST_ANSWER_BYTES = 64 * 1024;
+const DECODE_RESERVE_MILLISECONDS = 120;
+/** Maximum size of a response to a prefill. */
+const MAX_RESPONSE_BYTES = 64 * 1024;
 
-/** `failed`: nothing has run, and another way may be tried. */
+/** `failed`: nothing has run, and another engine may be tried. */
 export type PrefillOutcome =
   | { readonly kind: "kept"; readonly kept: KeptPrompt }
   | {
     readonly kind: "failed";
     readonly reason: string;
     readonly engine: EndpointId;
-    /** False: it took no connection, and nothing has arrived there. */
+    /** False if the engine refused the connection and received nothing. */
     readonly arrived: boolean;
   };
 
@@ -42,12 +42,12 @@
   readonly choice: PrefillChoice;
   readonly priority: number;
   readonly deadlineMilliseconds: number;
-  /** Takes the attempt, so that it can be aborted from outside. */
+  /** Receives the attempt, so that it can be aborted from outside. */
   readonly onAttempt: (attempt: Attempt) => void;
 }
 
-/** Has an engine read a prompt and keep its cache for a hand-over. */
-export async function readPrompt(
+/** Prefills a prompt on an engine, which keeps the cache for the handover. */
+export async function prefillPrompt(
   context: ForwardContext,
   options: PrefillStepOptions,
 ): Promise<PrefillOutcome> {
@@ -55,7 +55,7 @@
   const { prompt, choice } = options;
   const { endpoint } = choice;
   const deadlineMilliseconds = options.deadlineMilliseconds -
-    ANSWER_MILLISECONDS;
+    DECODE_RESERVE_MILLISECONDS;
   const attempt = new Attempt(context, {
     endpoint,
     work: {
@@ -71,24 +71,28 @@
   });
   options.onAttempt(attempt);
   const predicted = choice.predictedMilliseconds;
-  const patience = Math.min(
+  const timeoutMilliseconds = Math.min(
     deadlineMilliseconds,
-    Math.max(LEAST_PATIENCE_MILLISECONDS, PATIENCE_TO_PREDICTION * predicted),
+    Math.max(
+      MIN_PREFILL_TIMEOUT_MILLISECONDS,
+      TIMEOUT_TO_PREDICTION_RATIO * predicted,
+    ),
   );
   const read = await beforeDeadline(readHandle(parts, attempt), {
     timer: parts.timer,
-    milliseconds: patience,
+    milliseconds: timeoutMilliseconds,
   });
   if (read === undefined) {
     attempt.abort();
-    return failedAt(endpoint, { reason: "silent" });
+    return prefillFailed(endpoint, { reason: "silent" });
   }
   if (read.handle === undefined) {
-    return failedAt(endpoint, read);
+    return prefillFailed(endpoint, read);
   }
   const { id: engine, address, startedAt } = endpoint;
-  // Not before: an engine looks for kept parts when it takes a prompt in, and
-  // finds none that another prompt is still having read.
+  // Recorded only now: an engine looks up cached parts when it accepts a
+  // prompt, and does not find parts that are still being prefilled for another
+  // one.
   if (parts.registry.isSameRun(endpoint)) {
     parts.prefixes.read({
       engine,
@@ -104,7 +108,7 @@
   };
 }
 
-function failedAt(
+function prefillFailed(
   { id }: RegisteredEndpoint,
   { reason, arrived = true }: Pick<HandleRead, "reason" | "arrived">,
 ): PrefillOutcome {
@@ -114,7 +118,7 @@
 interface HandleRead {
   readonly handle?: string;
   readonly reason: string;
-  /** False: no byte has left; true where it is left out. */
+  /** False if no byte was sent; absent means true. */
   readonly arrived?: boolean;
 }
 
@@ -122,14 +126,14 @@
   parts: ForwardingParts,
   attempt: Attempt,
 ): Promise<HandleRead> {
-  const answer = await attempt.answer;
-  if (answer.isErr()) {
-    const { name } = answer.error;
+  const response = await attempt.answer;
+  if (response.isErr()) {
+    const { name } = response.error;
     return { reason: name, arrived: name !== "exchange_not_sent" };
   }
-  const { head } = answer.value;
-  const body = await readWhole(answer.value, MOST_ANSWER_BYTES);
-  attempt.ended(body === undefined ? "cut" : "whole", head.status);
+  const { head } = response.value;
+  const body = await readWhole(response.value, MAX_RESPONSE_BYTES);
+  attempt.onEnd(body === undefined ? "cut" : "whole", head.status);
   if (body === undefined) return { reason: "cut" };
   const handle = head.status === 200 ? parts.door.keptHandle(body) : undefined;
   return { handle, reason: `status ${head.status}` };
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -7,34 +7,36 @@
   type Prompt,
   type RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
-import { HEAD_BYTES } from "./attempt.ts";
+import { REQUEST_HEAD_BYTES } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 
-/** A long prompt goes to the engine that reads and to the one that decodes. */
-const SENDS_OF_A_PROMPT = 2;
-/** The request's arrival and the head of either engine's answer. */
-const LOOP_TURNS_OF_A_PROMPT = 3;
+/** A long prompt is sent to the prefill engine and to the decode engine. */
+const SENDS_PER_PROMPT = 2;
+/** Arrival of the request and of the response head from either engine. */
+const LOOP_TURNS_PER_PROMPT = 3;
 
 /**
- * Share of the reading engines that is taken to be left for held prompts at
- * the least; what can be on time goes before them.
+ * Minimum share of the prefill engines that is assumed to be free for held
+ * prompts, which yield to prompts that can meet their target.
  */
-const LEAST_LEFT_SHARE = 0.05;
+const MIN_FREE_SHARE = 0.05;
 
 /** Why a prompt is not sent to any engine. */
 export type AdmissionRefusal = "engines_full" | "entry_full";
 
-/** What decided, for the log. */
+/** Figures that led to the decision, for the log. */
 export type AdmissionFacts = Readonly<Record<string, number | undefined>>;
 
-/** Where a prompt is to be read, or why nowhere. */
+/** Admission decision for a prompt. */
 export type PromptAdmission =
   | {
     readonly kind: "admitted";
     readonly choice: PrefillChoice;
   }
   | {
-    /** Late anyhow; it waits until an engine is nearly idle. */
+    /**
+     * The response is late in any case; waits until an engine is nearly idle.
+     */
     readonly kind: "held";
     readonly prompt: HeldPrompt<PrefillChoice>;
   }
@@ -45,31 +47,30 @@
   };
 
 /**
- * Decides whether and where engines read a request's prompt, by the engines of
- * this moment. A reading that fails may have taken seconds: by what was known at
- * the request's arrival, the next one went to an engine that had begun to leave
- * 2.2 s before.
+ * Decides whether and where a prompt is prefilled, using the engines available
+ * now. An earlier prefill may have failed after seconds: with the engines known
+ * at arrival, a retry went to an engine that had started to leave 2.2 s before.
  */
 export async function admitPrompt(
   context: ForwardContext,
   prompt: Prompt,
 ): Promise<PromptAdmission> {
   const { parts, pool, route, waitedMilliseconds } = context;
-  const among = await candidatesFor(context, prompt);
-  const soonest = parts.placement.choosePrefill(prompt, among);
-  const held = holdable(context, prompt, soonest);
+  const candidates = await candidatesFor(context, prompt);
+  const soonest = parts.placement.choosePrefill(prompt, candidates);
+  const held = makeHeldPrompt(context, prompt, soonest);
   const onTimeMilliseconds = soonest?.predictedMilliseconds ?? Infinity;
-  const question = {
+  const estimate = {
     onTimeMilliseconds,
     lateMilliseconds: onTimeMilliseconds +
-      heldMilliseconds(context, { held, engines: among.engines }),
+      heldMilliseconds(context, { held, engines: candidates.engines }),
     handoverMilliseconds: parts.placement.handoverMilliseconds(prompt, pool),
     entryMilliseconds: entryMilliseconds(context),
-    elapsedMilliseconds: waitedMilliseconds + context.elapsed,
+    elapsedMilliseconds: waitedMilliseconds + context.elapsedMilliseconds,
     targetMilliseconds: route.targetMilliseconds,
-    leftMilliseconds: context.leftToFirstByte,
+    leftMilliseconds: context.remainingToFirstByteMilliseconds,
   };
-  const admission = judgeAdmission(question);
+  const admission = judgeAdmission(estimate);
   if (admission === "on_time" && soonest !== undefined) {
     parts.onTimeWork.begun(soonest.workMilliseconds);
     return { kind: "admitted", choice: soonest };
@@ -78,33 +79,33 @@
   return {
     kind: "refused",
     reason: admission === "entry_full" ? "entry_full" : "engines_full",
-    facts: rounded(question),
+    facts: roundFinite(estimate),
   };
 }
 
 /**
- * Engines that the prompt may go to. Where the picture of the load is old, only
- * those that may read it whose owners were just asked: any other would look as
- * free to all entries at once, for as long as a report takes to come round.
+ * Engines that the prompt may be sent to. If load reports are stale, only
+ * engines whose owners have just been queried may prefill it: any other engine
+ * would look equally idle to all entries until the next report arrives.
  */
 async function candidatesFor(
   context: ForwardContext,
   prompt: Prompt,
 ): Promise<PrefillCandidates> {
   const { parts, pool } = context;
-  const engines = context.untried(context.endpoints());
+  const engines = context.preferUntried(context.endpoints());
   if (!parts.isLoadStale()) return { engines, pool };
-  const asked = parts.placement.readersToAsk(prompt, engines)
+  const refreshed = parts.placement.readersToAsk(prompt, engines)
     .map(({ id }) => id);
-  await parts.refreshLoad(asked);
-  // An engine may have begun to leave while the owners answered.
-  const still = context.untried(context.endpoints());
-  const readers = still.filter(({ id }) => asked.includes(id));
-  return { engines: still, pool, readers };
+  await parts.refreshLoad(refreshed);
+  // An engine may have started to leave during the query.
+  const remaining = context.preferUntried(context.endpoints());
+  const readers = remaining.filter(({ id }) => refreshed.includes(id));
+  return { engines: remaining, pool, readers };
 }
 
-/** The prompt as it waits here for an engine that is nearly idle. */
-function holdable(
+/** Queue entry for a prompt that waits here for a nearly idle engine. */
+function makeHeldPrompt(
   context: ForwardContext,
   prompt: Prompt,
   soonest: PrefillChoice | undefined,
@@ -113,22 +114,23 @@
   const workMilliseconds = soonest?.workMilliseconds ?? 0;
   return {
     rank: context.rank,
-    expiresAt: parts.timer.now() + LEFT_SHARE * context.leftToFirstByte -
+    expiresAt: parts.timer.now() +
+      LEFT_SHARE * context.remainingToFirstByteMilliseconds -
       workMilliseconds,
     workMilliseconds,
     choose: async () => {
-      const among = await candidatesFor(context, prompt);
-      return parts.placement.chooseIdlePrefill(prompt, among);
+      const candidates = await candidatesFor(context, prompt);
+      return parts.placement.chooseIdlePrefill(prompt, candidates);
     },
     isOver: () => context.settled,
   };
 }
 
 /**
- * How long the prompt would be held. What is held before it waits for the
- * engines that on-time work leaves free; other entries are taken to have as
- * much of both as this one. Without it callers are held in an overload until
- * their time runs out, and only then refused.
+ * Estimates how long the prompt would be held. Prompts queued before it wait
+ * for engines that on-time work leaves free; other entries are assumed to have
+ * as much of both as this one. Without the estimate, callers are held during an
+ * overload until their time runs out and are only then refused.
  */
 function heldMilliseconds(
   { parts }: ForwardContext,
@@ -138,29 +140,31 @@
   },
 ): number {
   const { held, engines } = options;
-  const readers = engines.filter(({ role }) => role === "prefill").length;
+  const prefillEngines =
+    engines.filter(({ role }) => role === "prefill").length;
   const entries = parts.entries();
   const free = Math.max(
-    LEAST_LEFT_SHARE * readers,
-    readers - entries * parts.onTimeWork.busyEngines,
+    MIN_FREE_SHARE * prefillEngines,
+    prefillEngines - entries * parts.onTimeWork.busyEngines,
   );
   return entries * parts.held.workAhead(held) /
-    Math.max(LEAST_LEFT_SHARE, free);
+    Math.max(MIN_FREE_SHARE, free);
 }
 
 /**
- * Time that this entry's link and processor add to the answer. What is held
- * here has yet to cross the link; it is taken to be as long as this request.
+ * Time that this entry's link and event loop add to the response. Held prompts
+ * have yet to cross the link and are assumed to be as long as this request.
  */
 function entryMilliseconds({ parts, request }: ForwardContext): number {
-  const bytes = SENDS_OF_A_PROMPT * (request.body.length + HEAD_BYTES);
-  const carried = (1 + parts.held.count) * parts.link.carryMilliseconds(bytes);
-  return parts.link.waitMilliseconds + carried +
-    LOOP_TURNS_OF_A_PROMPT * parts.loopDelay();
+  const bytes = SENDS_PER_PROMPT * (request.body.length + REQUEST_HEAD_BYTES);
+  const transferMilliseconds = (1 + parts.held.count) *
+    parts.link.carryMilliseconds(bytes);
+  return parts.link.waitMilliseconds + transferMilliseconds +
+    LOOP_TURNS_PER_PROMPT * parts.loopDelay();
 }
 
-/** Whole numbers; what is infinite is left out. */
-function rounded(facts: Readonly<Record<string, number>>): AdmissionFacts {
+/** Rounds to whole numbers and omits infinite values. */
+function roundFinite(facts: Readonly<Record<string, number>>): AdmissionFacts {
   return Object.fromEntries(
     Object.entries(facts).map(([name, value]) => [
       name,
--- /dev/null
+++ b/src/entry/forwarding/registration_sync.ts
@@ -0,0 +1,111 @@
+import type {
+  EndpointRegistry,
+  EndpointRun,
+  PeerReading,
+  RegisteredEndpoint,
+  TopicSpan,
+} from "../../core/forwarding/mod.ts";
+import type { EndpointId } from "../../core/identity/mod.ts";
+
+/** Change of a registration; without an endpoint it was removed. */
+export interface RegistrationChange {
+  readonly id: EndpointId;
+  readonly endpoint?: RegisteredEndpoint;
+  /** True if the record under the key is not a valid registration. */
+  readonly unreadable?: boolean;
+}
+
+export interface RegistrationSyncOptions {
+  readonly registry: EndpointRegistry;
+  /** Records that a peer has read this span of the registrations. */
+  readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
+  /** Called when the store was reached, by this entry or by a peer for it. */
+  readonly onStoreReached: () => void;
+  readonly broadcast: (update: {
+    readonly changes: readonly RegistrationChange[];
+    readonly span: TopicSpan | undefined;
+  }) => void;
+}
+
+/** Applies registrations that this entry or a peer has read to the registry. */
+export class RegistrationSync {
+  readonly #options: RegistrationSyncOptions;
+
+  constructor(options: RegistrationSyncOptions) {
+    this.#options = options;
+  }
+
+  /**
+   * Applies the registrations of a span that this entry has read, oldest first,
+   * and broadcasts what has changed: one entry reads on behalf of all.
+   */
+  read(changes: readonly RegistrationChange[], span?: TopicSpan): void {
+    const changed = new Map<EndpointId, RegistrationChange>();
+    for (const change of changes) {
+      const hasChanged = this.#apply(change);
+      // The last state of a changed key is sent even if it equals the first
+      // one: a peer may have read up to a point in between.
+      if (hasChanged || changed.has(change.id)) changed.set(change.id, change);
+    }
+    if (changed.size === 0 && span === undefined) return;
+    this.#options.broadcast({ changes: [...changed.values()], span });
+  }
+
+  /**
+   * Applies and broadcasts an endpoint's own announcement that this run is
+   * leaving, as the store may be unavailable. True if it was not known yet.
+   */
+  reportLeaving(run: EndpointRun): boolean {
+    const endpoint = this.#options.registry.saidLeaving(run);
+    if (endpoint === undefined) return false;
+    const changes = [{ id: endpoint.id, endpoint }];
+    this.#options.broadcast({ changes, span: undefined });
+    return true;
+  }
+
+  /** Applies changes that a peer has read, with their span if it is known. */
+  onPeerChanges(changes: readonly RegistrationChange[], span: unknown): void {
+    const relation = isSpan(span)
+      ? this.#options.peerReadRegistrations(span)
+      : "apart";
+    // A delayed datagram may list an endpoint as removed that has registered
+    // again since. This entry has already read past that record and would not
+    // see it again.
+    if (relation === "older") return;
+    if (relation === "apart") return this.#applyDepartures(changes);
+    // The span continues where this entry's reading ended and counts as its own
+    // read.
+    this.#options.onStoreReached();
+    if (relation === "same") return;
+    for (const change of changes) this.#apply(change);
+  }
+
+  /**
+   * Applies only departures and removals of endpoints known here. A peer that
+   * is behind may report old registrations, which would bring back endpoints
+   * that have left; no later record would remove them.
+   */
+  #applyDepartures(changes: readonly RegistrationChange[]): void {
+    for (const change of changes) {
+      const { endpoint, id } = change;
+      if (this.#options.registry.get(id) === undefined) continue;
+      if (endpoint === undefined || endpoint.leaving) this.#apply(change);
+    }
+  }
+
+  /** True if the registry changed. */
+  #apply({ endpoint, id, unreadable = false }: RegistrationChange): boolean {
+    const { registry } = this.#options;
+    if (endpoint !== undefined) return registry.put(endpoint);
+    const isKnown = registry.get(id) !== undefined;
+    if (unreadable) registry.withdraw(id);
+    else registry.remove(id);
+    return isKnown;
+  }
+}
+
+function isSpan(value: unknown): value is TopicSpan {
+  if (typeof value !== "object" || value === null) return false;
+  const { from, to } = value as Partial<TopicSpan>;
+  return typeof from === "number" && typeof to === "number";
+}
--- a/src/entry/forwarding/role_keeper_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -20,7 +20,7 @@
 import { SILENT_LOGGER } from "../../core/observation/mod.ts";
 import { seededRandom } from "../../core/random/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
-import { type OrderOutcome, RoleKeeper } from "./role_keeper.ts";
+import { type OrderOutcome, RoleController } from "./role_controller.ts";
 
 const UNAVAILABLE: StoreFailure = {
   name: "store_unavailable",
@@ -29,13 +29,13 @@
   hint: "",
 };
 
-/** The log of claims and the engines, as all keepers see them. */
+/** The log of claims and the engines, shared by all controllers. */
 class Platform {
   claims: StandingClaim[] = [];
   orders: { holder: string; fencing: number; endpoint: string; at: number }[] =
     [];
   answer: OrderOutcome = "accepted";
-  /** Appends take effect, and their answers are lost. */
+  /** Appends take effect, but their responses are lost. */
   losesAnswers = false;
   readonly #timer: ManualTimerService;
 
@@ -64,22 +64,22 @@
   };
 }
 
-describe("RoleKeeper", () => {
+describe("RoleController", () => {
   let timer: ManualTimerService;
   let platform: Platform;
-  let keepers: RoleKeeper[];
+  let controllers: RoleController[];
   let registries: EndpointRegistry[];
 
-  function startKeepers(count: number, tellsPeers = true): void {
+  function startControllers(count: number, isBroadcasting = true): void {
     registries = [];
-    keepers = Array.from({ length: count }, (_, index) => {
+    controllers = Array.from({ length: count }, (_, index) => {
       const registry = new EndpointRegistry({ timer });
       registries.push(registry);
       for (let engine = 0; engine < 10; engine++) {
         const role = engine < 5 ? "prefill" : "decode";
         registry.put(makeEngine(`engine-${engine}`, role));
       }
-      return new RoleKeeper({
+      return new RoleController({
         self: `entry-${index}`,
         timer,
         random: seededRandom(index + 1),
@@ -89,13 +89,13 @@
         logger: SILENT_LOGGER,
         leaseMilliseconds: 3_000,
         pools: () => [ENGINE_POOL],
-        tellPeers: (orders) => {
-          if (!tellsPeers) return;
-          for (const keeper of keepers) keeper.peerOrdered(orders);
+        broadcastOrders: (orders) => {
+          if (!isBroadcasting) return;
+          for (const controller of controllers) controller.onPeerOrders(orders);
         },
       });
     });
-    for (const keeper of keepers) keeper.start();
+    for (const controller of controllers) controller.start();
   }
 
   async function advance(milliseconds: number): Promise<void> {
@@ -111,22 +111,26 @@
   });
 
   afterEach(() => {
-    for (const keeper of keepers) keeper.stop();
+    for (const controller of controllers) controller.stop();
   });
 
-  it("gives the order that is missing, once, whoever is first", async () => {
-    startKeepers(5);
+  it("gives a missing order once, from any entry", async () => {
+    startControllers(5);
     await advance(10_000);
     expect(platform.orders).to.have.length(1);
-    expect(keepers.every((keeper) => keeper.isChanging("engine-5" as never)))
+    expect(
+      controllers.every((controller) =>
+        controller.isChanging("engine-5" as never)
+      ),
+    )
       .to.equal(true);
   });
 
-  // The word to the peers is lost, and the engine takes long to change. Another
-  // entry gives the order again: never within the lease of the first, and
-  // never with its number.
-  it("keeps two holders apart by lease and number", async () => {
-    startKeepers(3, false);
+  // The notification to the peers is lost, and the engine takes long to change.
+  // Another entry repeats the order, but never within the lease of the first
+  // and never with its fencing token.
+  it("separates two holders by lease and fencing token", async () => {
+    startControllers(3, false);
     await advance(40_000);
     const { orders } = platform;
     for (let index = 1; index < orders.length; index++) {
@@ -137,75 +141,79 @@
     }
   });
 
-  // The claim took effect and its answer was lost. An order with a guessed
-  // number could be another holder's; the next look reads the claim.
-  it("gives no order under a claim whose answer was lost", async () => {
+  // The claim took effect but its response was lost. An order with a guessed
+  // fencing token could use that of another holder; the next check reads the
+  // claim.
+  it("gives no order under a claim whose response was lost", async () => {
     platform.losesAnswers = true;
-    startKeepers(1);
+    startControllers(1);
     await advance(4_000);
     expect(platform.claims.length).to.be.greaterThan(0);
     expect(platform.orders).to.deep.equal([]);
   });
 
-  // An engine has seen a higher number: somebody else holds the claim now.
-  it("gives up when an engine refuses its number", async () => {
+  // An engine has seen a higher fencing token, so another entry holds the
+  // claim.
+  it("stops when an engine refuses its fencing token", async () => {
     platform.answer = "refused";
-    startKeepers(1);
+    startControllers(1);
     await advance(6_000);
     expect(platform.orders).to.have.length(1);
   });
 
-  it("gives no orders for seconds when engines that decode are lost", async () => {
-    startKeepers(1);
+  it("gives no orders for seconds when decode engines are lost", async () => {
+    startControllers(1);
     await advance(6_000);
     const before = platform.orders.length;
     for (const lost of ["engine-8", "engine-9"]) {
       const engine = makeEngine(lost, "decode", { leaving: true });
       registries[0].put(engine);
-      keepers[0].engineChanged(engine);
+      controllers[0].onEngineChange(engine);
     }
     await advance(5_000);
     expect(platform.orders).to.have.length(before);
   });
 
-  describe("an engine that starts again while its change is under way", () => {
+  describe("an engine that restarts during a role change", () => {
     const id = identifier<EndpointId>("engine-5");
 
-    /** The engine registers anew, in this role, as a run of its own. */
+    /** Registers the engine as a new run with this role. */
     function restart(role: "prefill" | "decode", startedAt: number): void {
       const engine = makeEngine(id, role, {
         startedAt: numbered<ReplicaStart>(startedAt),
       });
       registries[0].put(engine);
-      keepers[0].forget(engine);
-      keepers[0].engineChanged(engine);
+      controllers[0].forget(engine);
+      controllers[0].onEngineChange(engine);
     }
 
-    // The order went to the former run and ended with it. Taken for under way,
-    // the engine would get no work for twelve seconds, and no order either.
-    it("gets work at once, and a new order with a number of its own", async () => {
-      startKeepers(1);
+    // The order went to the previous run and ended with it. If the change
+    // counted as pending, the engine would get neither work nor another order
+    // for twelve seconds.
+    it("gets work immediately, and a new order with a new fencing token", async () => {
+      startControllers(1);
       await advance(6_000);
       expect(platform.orders).to.have.length(1);
       restart("decode", 2);
-      expect(keepers[0].isChanging(id)).to.equal(false);
+      expect(controllers[0].isChanging(id)).to.equal(false);
       await advance(12_000);
       const [first, second] = platform.orders;
       expect(second.endpoint).to.equal(id);
       expect(second.fencing).to.be.greaterThan(first.fencing);
     });
 
-    // The former run's order reaches the new one, and is carried out there. The
-    // engine is what was wanted; one more order would only take it away again.
-    it("gets no further order where the late one is carried out", async () => {
-      startKeepers(1);
+    // The order to the previous run reaches the new one and is carried out
+    // there. The engine then has the planned role; another order would revert
+    // it.
+    it("gets no further order if the late one is carried out", async () => {
+      startControllers(1);
       await advance(6_000);
       restart("decode", 2);
       await advance(2_000);
       restart("prefill", 2);
       await advance(20_000);
       expect(platform.orders).to.have.length(1);
-      expect(keepers[0].isChanging(id)).to.equal(false);
+      expect(controllers[0].isChanging(id)).to.equal(false);
     });
   });
 });
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_keeper.ts
@@ -29,36 +29,41 @@
   type UsageNotification,
 } from "./usage_notification.ts";
 
-/** Entries that keep the whole fleet's counts, so that one may be lost. */
-const KEEPERS = 3;
-/** How often counts that have changed go to the keepers. */
-const COPY_MILLISECONDS = 200;
-/** How often all counts that are not reported yet go to them once more. */
-const WHOLE_COPY_MILLISECONDS = 1_000;
-/** How often a keeper checks for windows that are due. */
-const LOOK_MILLISECONDS = 250;
-/** Time behind a window's end until requests that began in it are counted. */
-const COUNTED_MILLISECONDS = 1_200;
-/** How long behind a window's end entries are waited for that are silent. */
-const SILENT_ENTRY_MILLISECONDS = 5_000;
-/** How much later each further keeper takes a window up. */
-const NEXT_KEEPER_MILLISECONDS = 1_500;
-/** Time between two tries to report. */
-const RETRY_MILLISECONDS = 1_000;
+/**
+ * Number of entries that hold the counts of the whole fleet, so that one may be
+ * lost.
+ */
+const COLLECTOR_COUNT = 3;
+/** Interval at which changed counts are sent to the collectors. */
+const COPY_INTERVAL_MILLISECONDS = 200;
+/** Interval at which all unreported counts are sent again. */
+const FULL_COPY_INTERVAL_MILLISECONDS = 1_000;
+/** Interval at which a collector checks for due windows. */
+const CHECK_INTERVAL_MILLISECONDS = 250;
+/**
+ * Delay after a window's end until the requests that started in it are counted.
+ */
+const COUNT_SETTLE_MILLISECONDS = 1_200;
+/** How long after a window's end to wait for silent entries. */
+const SILENT_ENTRY_TIMEOUT_MILLISECONDS = 5_000;
+/** Additional delay before each further collector reports a window. */
+const COLLECTOR_STAGGER_MILLISECONDS = 1_500;
+/** Interval between attempts to report. */
+const RETRY_INTERVAL_MILLISECONDS = 1_000;
 
 /**
- * What became of a report. `refused`: a higher fencing token was seen.
- * `limited`: too many calls. `unknown`: it may be carried out, now or later.
+ * Outcome of a report. `refused`: a higher fencing token was seen. `limited`:
+ * too many calls. `unknown`: the report may be applied now or later.
  */
 export type ReportOutcome = "accepted" | "refused" | "limited" | "unknown";
 
 /** The log of claims on reporting, and the receiver of reports. */
 export interface UsageLink {
-  /** The newest claim, and where the log ends. */
+  /** The latest claim and the end offset of the log. */
   readClaim(): Promise<
     Result<{ claim: UsageClaim | undefined; end: number }, StoreFailure>
   >;
-  /** Appends a claim if the log ends at `at`; gives its offset. */
+  /** Appends a claim if the log ends at `at`; returns its offset. */
   appendClaim(
     claim: Omit<UsageClaim, "offset">,
     at: number,
@@ -78,13 +83,13 @@
   readonly leaseMilliseconds: number;
   /** Length of a window. */
   readonly windowMilliseconds: number;
-  /** Time behind a window's end by which its report is due. */
+  /** Deadline of a window's report, counted from the window's end. */
   readonly dueMilliseconds: number;
-  /** True: no entry has run before, so that no earlier count is missing. */
+  /** True if no entry has run before, so that no earlier counts are missing. */
   readonly isFirstStart: boolean;
-  /** Live entries, this one included, in the order in which they keep counts. */
+  /** Live entries including this one, ranked as collectors. */
   readonly ranking: () => readonly ProcessId[];
-  /** Entries on the fleet's list, this one left out. */
+  /** Entries in the list of the fleet, without this one. */
   readonly listed: () => Iterable<ProcessId>;
   readonly send: (
     peer: ProcessId,
@@ -95,9 +100,9 @@
 }
 
 /**
- * Counts the requests of each workspace that began to run, and reports them
- * once a window. Each entry counts its own and copies its counts to a few
- * keepers; the first keeper that is alive reports.
+ * Counts the requests of each workspace that started to run, and reports them
+ * once per window. Each entry counts its own requests and copies the counts to
+ * a few collectors; the first live collector reports.
  */
 export class UsageKeeper {
   readonly clock: FleetClock;
@@ -106,17 +111,17 @@
   readonly #claim: ExclusiveClaim;
   readonly #since: number;
   /** The last run of each entry that has sent its counts. */
-  readonly #runs = new Map<ProcessId, string>();
+  readonly #runIds = new Map<ProcessId, string>();
   /**
-   * Reports that claims have fixed. The store may lose a claim when it is
-   * restored from a copy; the receiver has the counts nevertheless.
+   * Reports fixed by claims. The store may lose a claim when it is restored
+   * from a backup, while the receiver already has the counts.
    */
   readonly #fixed = new Map<UsageWindow, WorkspaceCounts>();
   readonly #subscriptions: Subscription[] = [];
-  /** The newest window that is reported or given up. */
+  /** The latest window that was reported or given up. */
   #closedThrough: number;
   #acceptedThrough = -Infinity;
-  #copiedWholeAt = -Infinity;
+  #lastFullCopyAt = -Infinity;
   #retryAt = -Infinity;
   #isReporting = false;
 
@@ -128,18 +133,18 @@
     // Nothing ran earlier in the window in which the fleet first starts.
     this.#since = isFirstStart ? now - now % windowMilliseconds : now;
     this.#ledger = new UsageLedger({
-      self: this.#run,
+      self: this.#runId,
       windowMilliseconds,
       since: this.#since,
     });
-    this.#claim = new ExclusiveClaim({ ...options, self: this.#run });
-    const oldest = isFirstStart
+    this.#claim = new ExclusiveClaim({ ...options, self: this.#runId });
+    const oldestOpenWindow = isFirstStart
       ? Math.floor(now / windowMilliseconds)
-      : this.#oldest;
-    this.#closedThrough = oldest - 1;
+      : this.#oldestOpenWindow;
+    this.#closedThrough = oldestOpenWindow - 1;
   }
 
-  /** Fencing token of the reports that this entry sends; absent: another's. */
+  /** Fencing token of this entry's reports; absent if another entry reports. */
   get fencing(): number | undefined {
     return this.#claim.fencing;
   }
@@ -147,39 +152,39 @@
   start(): void {
     const { timer } = this.#options;
     this.#subscriptions.push(
-      timer.every(COPY_MILLISECONDS, () => this.#copyCounts()),
-      timer.every(LOOK_MILLISECONDS, () => void this.#look()),
+      timer.every(COPY_INTERVAL_MILLISECONDS, () => this.#copyCounts()),
+      timer.every(CHECK_INTERVAL_MILLISECONDS, () => void this.#check()),
     );
   }
 
-  /** Hands the last counts on. */
+  /** Sends the last counts to the collectors. */
   stop(): void {
     for (const each of this.#subscriptions) each.cancel();
     this.#subscriptions.length = 0;
     this.#copyCounts();
   }
 
-  /** A request began to run at this moment of the steady clock. */
+  /** Counts a request that started to run at this monotonic time. */
   began(workspace: WorkspaceId, at: number): void {
     this.#ledger.began(workspace, this.clock.timeAt(at));
   }
 
-  /** Takes a peer's notification; anything malformed is dropped. */
+  /** Applies a peer's notification; drops malformed ones. */
   take(method: string, params: unknown): void {
     if (method === USAGE_METHOD && isUsageNotification(params)) {
-      this.#takeCounts(params);
+      this.#onCounts(params);
     }
     if (method === USAGE_REPORTS_METHOD && isReportsNotification(params)) {
-      this.#takeReports(params);
+      this.#onReports(params);
     }
   }
 
-  get #run(): string {
+  get #runId(): string {
     return `${this.#options.self}#${this.#options.incarnation}`;
   }
 
   /** The oldest window whose report is not overdue. */
-  get #oldest(): UsageWindow {
+  get #oldestOpenWindow(): UsageWindow {
     const { dueMilliseconds, windowMilliseconds } = this.#options;
     const time = this.clock.now() - dueMilliseconds;
     return numbered(Math.ceil(time / windowMilliseconds) - 1);
@@ -189,74 +194,75 @@
     return (window + 1) * this.#options.windowMilliseconds;
   }
 
-  #takeCounts(counts: UsageNotification): void {
-    this.#runs.set(identifier(counts.entry), runOf(counts));
-    this.#ledger.peerCounted(runOf(counts), counts);
+  #onCounts(counts: UsageNotification): void {
+    this.#runIds.set(identifier(counts.entry), runIdOf(counts));
+    this.#ledger.peerCounted(runIdOf(counts), counts);
   }
 
-  #takeReports(
+  #onReports(
     { acceptedThrough, claim, fixed }: ReportsNotification,
   ): void {
     this.#claim.saw(claim);
     for (const [window, counts] of fixed ?? []) {
       this.#fixed.set(numbered(window), decodeCounts(counts));
     }
-    if (acceptedThrough !== undefined) this.#accepted(acceptedThrough);
+    if (acceptedThrough !== undefined) this.#noteAccepted(acceptedThrough);
   }
 
-  #forgetOverdue(): void {
+  #dropOverdueReports(): void {
     for (const window of this.#fixed.keys()) {
-      if (window < this.#oldest) this.#fixed.delete(window);
+      if (window < this.#oldestOpenWindow) this.#fixed.delete(window);
     }
   }
 
-  #accepted(window: number): void {
+  #noteAccepted(window: number): void {
     this.#acceptedThrough = Math.max(this.#acceptedThrough, window);
     this.#closedThrough = Math.max(this.#closedThrough, window);
   }
 
-  /** Copies this entry's counts to the keepers. */
+  /** Copies this entry's counts to the collectors. */
   #copyCounts(): void {
     const { incarnation, ranking, self, send, timer } = this.#options;
     const now = timer.now();
-    const all = now - this.#copiedWholeAt >= WHOLE_COPY_MILLISECONDS;
-    if (!all && !this.#ledger.hasUnsent) return;
-    if (all) {
-      this.#copiedWholeAt = now;
+    const isFull =
+      now - this.#lastFullCopyAt >= FULL_COPY_INTERVAL_MILLISECONDS;
+    if (!isFull && !this.#ledger.hasUnsent) return;
+    if (isFull) {
+      this.#lastFullCopyAt = now;
       this.#ledger.forgetBefore(
-        numbered(Math.max(this.#oldest, this.#closedThrough + 1)),
+        numbered(Math.max(this.#oldestOpenWindow, this.#closedThrough + 1)),
       );
     }
     const params: UsageNotification = {
       entry: self,
       incarnation,
       since: this.#since,
-      until: all ? this.clock.now() : 0,
-      usage: this.#ledger.takeOwn({ all }),
+      until: isFull ? this.clock.now() : 0,
+      usage: this.#ledger.takeOwn({ all: isFull }),
     };
-    for (const keeper of ranking().slice(0, KEEPERS)) {
-      if (keeper !== self) send(keeper, { method: USAGE_METHOD, params });
+    for (const collector of ranking().slice(0, COLLECTOR_COUNT)) {
+      if (collector !== self) send(collector, { method: USAGE_METHOD, params });
     }
   }
 
-  async #look(): Promise<void> {
+  async #check(): Promise<void> {
     if (this.#isReporting) return;
-    this.#forgetOverdue();
+    this.#dropOverdueReports();
     this.#giveUpOverdue();
     const due = this.#dueWindows();
     if (due.length === 0 || !this.#isOwnTurn(due[0])) return;
     const now = this.#options.timer.now();
     if (now < this.#retryAt) return;
-    this.#retryAt = now + RETRY_MILLISECONDS;
+    this.#retryAt = now + RETRY_INTERVAL_MILLISECONDS;
     this.#isReporting = true;
-    await this.#report(due);
+    await this.#sendReports(due);
     this.#isReporting = false;
   }
 
   #giveUpOverdue(): void {
     for (
       let window = this.#closedThrough + 1;
-      window < this.#oldest;
+      window < this.#oldestOpenWindow;
       window++
     ) {
       this.#closedThrough = window;
@@ -264,14 +270,14 @@
       this.#options.onOutcome?.("given_up");
       this.#options.logger.warn(
         { window, reason: isKnown ? "overdue" : "counts_unknown" },
-        "Usage of a window is not reported",
+        "Gave up reporting the usage of a window",
       );
     }
   }
 
   #dueWindows(): UsageWindow[] {
     const { windowMilliseconds } = this.#options;
-    const time = this.clock.now() - COUNTED_MILLISECONDS;
+    const time = this.clock.now() - COUNT_SETTLE_MILLISECONDS;
     const running = Math.floor(time / windowMilliseconds);
     const due: UsageWindow[] = [];
     for (let window = this.#closedThrough + 1; window < running; window++) {
@@ -282,43 +288,47 @@
 
   #isOwnTurn(window: UsageWindow): boolean {
     const { ranking, self } = this.#options;
-    const place = ranking().indexOf(self);
-    if (place < 0 || place >= KEEPERS) return false;
-    // A keeper that started later knows nothing of entries that are gone.
+    const position = ranking().indexOf(self);
+    if (position < 0 || position >= COLLECTOR_COUNT) return false;
+    // A collector that started later has no counts of entries that are gone.
     const hasCounted = this.#ledger.isCountedBySelf(window);
-    const rank = hasCounted ? place : KEEPERS;
-    if (rank === 0 && this.#isWhole(window)) return true;
-    const wait = SILENT_ENTRY_MILLISECONDS + NEXT_KEEPER_MILLISECONDS * rank;
+    const rank = hasCounted ? position : COLLECTOR_COUNT;
+    if (rank === 0 && this.#isComplete(window)) return true;
+    const wait = SILENT_ENTRY_TIMEOUT_MILLISECONDS +
+      COLLECTOR_STAGGER_MILLISECONDS * rank;
     return this.clock.now() >= this.#endOf(window) + wait;
   }
 
-  /** True where every entry that ran in the window has sent all its counts. */
-  #isWhole(window: UsageWindow): boolean {
+  /** True if every entry that ran in the window has sent all its counts. */
+  #isComplete(window: UsageWindow): boolean {
     const { listed, windowMilliseconds } = this.#options;
     const end = this.#endOf(window);
     for (const entry of listed()) {
-      const run = this.#runs.get(entry);
+      const run = this.#runIds.get(entry);
       if (run === undefined) continue;
-      const isOver = !this.#ledger.isKnownUntil(run, end - windowMilliseconds);
-      const isComplete = this.#ledger.isKnownUntil(
+      const hasEnded = !this.#ledger.isKnownUntil(
         run,
-        end + COUNTED_MILLISECONDS,
+        end - windowMilliseconds,
       );
-      if (!isOver && !isComplete) return false;
+      const hasAllCounts = this.#ledger.isKnownUntil(
+        run,
+        end + COUNT_SETTLE_MILLISECONDS,
+      );
+      if (!hasEnded && !hasAllCounts) return false;
     }
     return true;
   }
 
-  async #report(due: readonly UsageWindow[]): Promise<void> {
-    const reports = await this.#takeClaim(due);
+  async #sendReports(due: readonly UsageWindow[]): Promise<void> {
+    const reports = await this.#acquireClaim(due);
     for (const report of reports ?? []) {
       if (report.accepted) continue;
-      if (!await this.#send(report)) return;
+      if (!await this.#sendReport(report)) return;
     }
   }
 
-  /** Claims the duty and fixes what is reported; undefined: not now. */
-  async #takeClaim(
+  /** Claims the duty and fixes the reports; undefined if not possible now. */
+  async #acquireClaim(
     due: readonly UsageWindow[],
   ): Promise<readonly UsageReport[] | undefined> {
     const { link, logger, timer } = this.#options;
@@ -333,9 +343,9 @@
     if (!this.#claim.mayClaim()) return undefined;
     const reports = nextReports({
       ledger: this.#ledger,
-      fixed: this.#fixedWith(claim?.reports ?? []),
+      fixed: this.#mergeFixedReports(claim?.reports ?? []),
       due,
-      oldest: this.#oldest,
+      oldest: this.#oldestOpenWindow,
       isAccepted: (window) => window <= this.#acceptedThrough,
     });
     if (reports.every(({ accepted }) => accepted)) {
@@ -344,26 +354,30 @@
     }
     const sentAt = timer.now();
     const appended = await link.appendClaim(
-      { holder: this.#run, reports },
+      { holder: this.#runId, reports },
       end,
     );
-    // A lost answer may hide a claim that stands; the next try reads it.
+    // The claim may be in force although its response was lost; the next
+    // attempt reads it.
     const offset = appended.unwrapOr(undefined);
     if (offset === undefined) {
       const reason = appended.isErr() ? appended.error.message : "overtaken";
-      logger.info({ reason }, "No claim on usage reports was gained");
+      logger.info({ reason }, "The claim on usage reports was not acquired");
       return undefined;
     }
     this.#claim.gained(offset, sentAt);
     for (const { counts, window } of reports) this.#fixed.set(window, counts);
-    this.#announceReports({ holder: this.#run, offset }, reports);
+    this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
-    logger.info({ fencing: offset, windows }, "This entry reports usage now");
+    logger.info(
+      { fencing: offset, windows },
+      "This entry now holds the claim on usage reports",
+    );
     return reports;
   }
 
-  /** False where nothing more may be sent under this claim. */
-  async #send(report: UsageReport): Promise<boolean> {
+  /** False if nothing more may be sent under this claim. */
+  async #sendReport(report: UsageReport): Promise<boolean> {
     const { link, logger, onOutcome, self } = this.#options;
     const fencing = this.#claim.fencing;
     if (fencing === undefined) return false;
@@ -373,22 +387,22 @@
     const requests = [...counts.values()].reduce((sum, each) => sum + each, 0);
     logger.info(
       { window, fencing, outcome, workspaces: counts.size, requests },
-      "Usage was reported",
+      "Sent a usage report",
     );
     if (outcome === "refused") this.#claim.refused();
     if (outcome !== "accepted") return false;
-    this.#accepted(window);
-    this.#announceReports({ holder: this.#run, offset: fencing });
+    this.#noteAccepted(window);
+    this.#announceReports({ holder: this.#runId, offset: fencing });
     return true;
   }
 
-  /** The reports of the newest claim, and those that the store has lost. */
-  #fixedWith(standing: readonly UsageReport[]): UsageReport[] {
-    const known = new Set(standing.map(({ window }) => window));
+  /** Reports of the latest claim, and those that the store has lost. */
+  #mergeFixedReports(claimed: readonly UsageReport[]): UsageReport[] {
+    const known = new Set(claimed.map(({ window }) => window));
     const lost = [...this.#fixed]
       .filter(([window]) => !known.has(window))
       .map(([window, counts]) => ({ window, counts, accepted: false }));
-    return [...standing, ...lost].sort((one, other) =>
+    return [...claimed, ...lost].sort((one, other) =>
       one.window - other.window
     );
   }
@@ -419,7 +433,7 @@
   ]));
 }
 
-function runOf(
+function runIdOf(
   { entry, incarnation }: Pick<UsageNotification, "entry" | "incarnation">,
 ): string {
   return `${entry}#${incarnation}`;
--- a/src/entry/forwarding/usage_schedules_test.ts
+++ b/src/entry/forwarding/usage_schedules_test.ts
@@ -9,11 +9,11 @@
 
 const ENTRIES = 4;
 const STEP_MILLISECONDS = { min: 100, max: 3_000 };
-const REST_MILLISECONDS = 12_000;
+const RECOVERY_MILLISECONDS = 12_000;
 const RUNS = Number(process.env.SCHEDULE_RUNS ?? 40);
 const SEED = Number(process.env.SCHEDULE_SEED ?? 37);
 
-/** What goes wrong, or right again, at one moment of a schedule. */
+/** A fault or recovery at one step of a schedule. */
 type Fault =
   | {
     readonly kind:
@@ -93,7 +93,7 @@
       platform.storeMilliseconds = fault.milliseconds;
       return;
     case "late":
-      // Calls are carried out late only where tokens are checked.
+      // Calls may be applied late only where fencing tokens are checked.
       if (!platform.checksNoFencing) {
         platform.lateMilliseconds = fault.milliseconds;
       }
@@ -108,12 +108,15 @@
   }
 }
 
-async function play(fleet: UsageFleet, steps: readonly Step[]): Promise<void> {
+async function runSchedule(
+  fleet: UsageFleet,
+  steps: readonly Step[],
+): Promise<void> {
   for (const { fault, milliseconds } of steps) {
     apply(fleet, fault);
     await fleet.serve(milliseconds);
   }
-  await fleet.serve(REST_MILLISECONDS);
+  await fleet.serve(RECOVERY_MILLISECONDS);
 }
 
 describe("usage reports over any schedule of faults", function () {
@@ -121,12 +124,12 @@
 
   for (const checksNoFencing of [false, true]) {
     const kind = checksNoFencing ? "checks no tokens" : "checks tokens";
-    it(`break no rule at a receiver that ${kind}`, async () => {
+    it(`violate no rule at a receiver that ${kind}`, async () => {
       await fc.assert(
         fc.asyncProperty(schedule, async (steps) => {
           const fleet = new UsageFleet({ entries: ENTRIES, lostShare: 0.1 });
           fleet.platform.checksNoFencing = checksNoFencing;
-          await play(fleet, steps);
+          await runSchedule(fleet, steps);
           expect(fleet.platform.violations(LEASE_MILLISECONDS))
             .to.deep.equal([]);
         }),
--- a/src/entry/forwarding/wait_for_choice.ts
+++ b/src/entry/forwarding/wait_for_choice.ts
@@ -1,35 +1,39 @@
 import type { ForwardContext } from "./forward_context.ts";
 
-/** How often a request that waits for an engine looks for one. */
-const LOOK_AGAIN_MILLISECONDS = 25;
+/** Polling interval of a request that waits for an engine. */
+const POLL_INTERVAL_MILLISECONDS = 25;
 /**
- * Share of its time that a request has left when it is refused because no
- * engine is back. Later, the caller would leave unanswered.
+ * Share of the allowed time that must remain for a request to keep waiting for
+ * an engine. If it were refused later, the caller would give up without a
+ * response.
  */
-const REFUSED_WITH_SHARE_LEFT = 0.15;
+const MIN_REMAINING_SHARE = 0.15;
 
 /**
- * Checks for an engine with room after which one is taken as it is. Otherwise
- * newer requests, which ask for no room, overtake what has waited.
+ * Checks for an engine with capacity after which any engine is chosen.
+ * Otherwise newer requests, which do not require capacity, overtake the waiting
+ * ones.
  */
-const MOST_LOOKS_FOR_ROOM = 8;
+const MAX_CAPACITY_CHECKS = 8;
 
-/** Chooses an engine that has room, for a while, and then any. */
-export function pacedByRoom<Choice>(
+/**
+ * Chooses only engines with capacity for a limited number of checks, then any.
+ */
+export function preferCapacity<Choice>(
   choose: (options: { readonly withRoom: boolean }) => Choice | undefined,
 ): () => Choice | undefined {
-  let looks = 0;
+  let fullChecks = 0;
   return () => {
-    const roomy = choose({ withRoom: true });
-    if (roomy !== undefined) return roomy;
+    const withCapacity = choose({ withRoom: true });
+    if (withCapacity !== undefined) return withCapacity;
     const any = choose({ withRoom: false });
-    if (any !== undefined) looks += 1;
-    return looks > MOST_LOOKS_FOR_ROOM ? any : undefined;
+    if (any !== undefined) fullChecks += 1;
+    return fullChecks > MAX_CAPACITY_CHECKS ? any : undefined;
   };
 }
 
 /**
- * Asks again until there is a choice, as long as the caller can still get a
+ * Polls until there is a choice, as long as the caller can still receive a
  * first byte. Nothing is sent meanwhile.
  */
 export async function waitForChoice<Choice>(
@@ -40,7 +44,7 @@
   let choice: Choice | undefined;
   while (choice === undefined && mayStillWait(context)) {
     await new Promise<void>((resolve) => {
-      timer.after(LOOK_AGAIN_MILLISECONDS, resolve);
+      timer.after(POLL_INTERVAL_MILLISECONDS, resolve);
     });
     if (context.settled) return undefined;
     choice = choose();
@@ -48,16 +52,20 @@
   return choice;
 }
 
-/** True where the caller can still be answered in so long, milliseconds. */
+/** True if the caller can still be answered after this many milliseconds. */
 export function mayStillWait(
   context: ForwardContext,
   milliseconds = 0,
 ): boolean {
-  const { allowedMilliseconds, leftToFirstByte, route } = context;
-  const whole = Math.min(
+  const {
+    allowedMilliseconds,
+    remainingToFirstByteMilliseconds: leftToFirstByte,
+    route,
+  } = context;
+  const totalMilliseconds = Math.min(
     allowedMilliseconds,
     route.patienceMilliseconds ?? Infinity,
   );
-  const left = leftToFirstByte - milliseconds;
-  return left > REFUSED_WITH_SHARE_LEFT * whole;
+  const remainingMilliseconds = leftToFirstByte - milliseconds;
+  return remainingMilliseconds > MIN_REMAINING_SHARE * totalMilliseconds;
 }
--- a/src/entry/forwarding/wait_for_choice_test.ts
+++ b/src/entry/forwarding/wait_for_choice_test.ts
@@ -1,26 +1,29 @@
 import { expect } from "chai";
-import { pacedByRoom } from "./wait_for_choice.ts";
+import { preferCapacity } from "./wait_for_choice.ts";
 
-describe("pacedByRoom", () => {
-  it("takes what has room at once", () => {
-    expect(pacedByRoom(() => "one")()).to.equal("one");
+describe("preferCapacity", () => {
+  it("chooses an engine with capacity immediately", () => {
+    expect(preferCapacity(() => "one")()).to.equal("one");
   });
 
-  // Engines can be reached and stay full for newer requests go there without
-  // asking for room. What has waited would wait on until its caller leaves.
-  it("takes a full engine after some looks, and not before", () => {
-    const choose = pacedByRoom(({ withRoom }) => withRoom ? undefined : "full");
-    const looks = Array.from({ length: 9 }, () => choose());
-    expect(looks.slice(0, 8)).to.deep.equal(new Array(8).fill(undefined));
-    expect(looks[8]).to.equal("full");
+  // Engines are reachable but stay full, since newer requests are sent there
+  // without requiring capacity. A waiting request would wait until its caller
+  // gives up.
+  it("chooses a full engine after several checks, and not before", () => {
+    const choose = preferCapacity(({ withRoom }) =>
+      withRoom ? undefined : "full"
+    );
+    const choices = Array.from({ length: 9 }, () => choose());
+    expect(choices.slice(0, 8)).to.deep.equal(new Array(8).fill(undefined));
+    expect(choices[8]).to.equal("full");
   });
 
-  it("counts no look while nothing can be reached", () => {
+  it("counts no check while no engine is reachable", () => {
     let isBack = false;
-    const choose = pacedByRoom(({ withRoom }) =>
+    const choose = preferCapacity(({ withRoom }) =>
       isBack && !withRoom ? "full" : undefined
     );
-    for (let look = 0; look < 50; look++) choose();
+    for (let check = 0; check < 50; check++) choose();
     isBack = true;
     expect(choose()).to.equal(undefined);
   });
--- a/src/entry/forwarding/work_notification.ts
+++ b/src/entry/forwarding/work_notification.ts
@@ -1,4 +1,4 @@
-/** What an entry tells its peers of its work, encoded and decoded. */
+/** Encoding of the work notifications between entries. */
 import {
   type CrashReport,
   type EndpointRegistry,
@@ -14,44 +14,50 @@
   identifier,
   type ReplicaStart,
 } from "../../core/identity/mod.ts";
-import type { ToldPrompt } from "./told_prompt.ts";
+import type { EncodedPrompt } from "./prompt_encoding.ts";
 
 /** Notification that carries an entry's open work. */
 export const WORK_METHOD = "entry.work";
 
-/** What an entry tells its peers. */
+/** Report of an entry to its peers. */
 export interface WorkNotification extends Omit<PeerWork, "work"> {
   readonly entry: string;
-  readonly work: readonly ToldWork[];
-  /** Version of the configuration in force there; absent while there is none. */
+  readonly work: readonly WorkRowWithRun[];
+  /** Version of the configuration in force there; absent if there is none. */
   readonly version?: number;
-  /** Prompts read since the last report; a lost one costs a part read twice. */
-  readonly prompts: readonly ToldPrompt[];
-  /** What was learned of engines; comes with whole reports. */
+  /**
+   * Prompts prefilled since the last report. If one is lost, a shared part may
+   * be prefilled twice.
+   */
+  readonly prompts: readonly EncodedPrompt[];
+  /** Speed estimates of engines; sent with full reports. */
   readonly speeds?: readonly ToldSpeed[];
-  /** Prompts refused since the last report; their callers may come to others. */
+  /**
+   * Prompts refused since the last report; their callers may retry elsewhere.
+   */
   readonly refusals: readonly ToldRefusal[];
-  /** The wall clock there, Unix milliseconds; comes with whole reports. */
+  /** The sender's wall clock in Unix milliseconds; sent with full reports. */
   readonly clock?: number;
-  /** Requests lost with endpoints of late; comes with whole reports. */
+  /** Requests recently lost with endpoints; sent with full reports. */
   readonly losses?: readonly ReportedLoss[];
 }
 
 /**
- * Work as it goes to peers: with the start of each endpoint's run, where it
- * tells one. A replica that starts again under its id has none of it.
+ * Work at an endpoint as sent to peers, with the start time of the endpoint's
+ * run if known. A replica that restarts under the same id has none of this
+ * work.
  */
-export type ToldWork = readonly [
+export type WorkRowWithRun = readonly [
   ...WorkReport[number],
   startedAt?: ReplicaStart,
 ];
-const LEAST_WORK_VALUES = 4;
+const MIN_WORK_VALUES = 4;
 
-/** Adds to work at endpoints which run of each it stands at. */
-export function workWithRuns(
+/** Adds the current run of each endpoint to its row. */
+export function withRuns(
   registry: EndpointRegistry,
   report: WorkReport,
-): ToldWork[] {
+): WorkRowWithRun[] {
   return report.map((work) => {
     const startedAt = registry.get(identifier<EndpointId>(work[0]))?.startedAt;
     return startedAt === undefined ? work : [...work, startedAt];
@@ -59,11 +65,11 @@
 }
 
 /** A peer's work at endpoints that it knows in the same run as this entry. */
-export function workHere(
+export function workOfSameRuns(
   registry: EndpointRegistry,
-  told: readonly ToldWork[],
+  rows: readonly WorkRowWithRun[],
 ): WorkReport {
-  return told
+  return rows
     .filter(([endpoint, , , , startedAt]) =>
       registry.isSameRun({ id: identifier<EndpointId>(endpoint), startedAt })
     )
@@ -72,7 +78,7 @@
     );
 }
 
-/** True where a peer's notification can be taken in. */
+/** Checks that the value is a valid work notification. */
 export function isWorkNotification(value: unknown): value is WorkNotification {
   if (typeof value !== "object" || value === null) return false;
   const {
@@ -97,26 +103,26 @@
     typeof incarnation === "string" &&
     typeof sequence === "number" &&
     Array.isArray(prompts) &&
-    Array.isArray(refusals) && refusals.every(isToldRefusal) &&
-    isToldWork(work);
+    Array.isArray(refusals) && refusals.every(isRefusalRow) &&
+    isWorkRows(work);
 }
 
-/** True where the value is a list of work at endpoints. */
-export function isToldWork(value: unknown): value is readonly ToldWork[] {
+/** Checks that the value is a list of work rows. */
+export function isWorkRows(value: unknown): value is readonly WorkRowWithRun[] {
   return Array.isArray(value) &&
     value.every((each) =>
-      Array.isArray(each) && each.length >= LEAST_WORK_VALUES &&
+      Array.isArray(each) && each.length >= MIN_WORK_VALUES &&
       typeof each[0] === "string" &&
-      each.slice(1, LEAST_WORK_VALUES).every(Number.isFinite)
+      each.slice(1, MIN_WORK_VALUES).every(Number.isFinite)
     );
 }
 
-function isToldRefusal(value: unknown): value is ToldRefusal {
+function isRefusalRow(value: unknown): value is ToldRefusal {
   return Array.isArray(value) && typeof value[0] === "string" &&
     typeof value[1] === "number";
 }
 
-/** True where the value tells of requests lost with endpoints. */
+/** Checks that the value is a valid crash report. */
 export function isCrashReport(value: unknown): value is CrashReport {
   if (typeof value !== "object" || value === null) return false;
   const { cleared, losses } = value as Partial<CrashReport>;
