--- a/src/core/attempts/answer_assembler.ts
+++ b/src/core/attempts/answer_assembler.ts
@@ -6,7 +6,7 @@
 } from "../../generated/messages.ts";
 
 /** The whole answer is there. */
-export type AssembledEnd =
+export type CompletedAnswer =
   | { readonly kind: "generation"; readonly frame: EndFrame }
   | { readonly kind: "service"; readonly frame: ResponseFrame };
 
@@ -38,7 +38,7 @@
  * Limit: 64 frames are two seconds at 26 ms between tokens; a hole that old
  * is a lost frame, and resuming elsewhere is quicker than waiting.
  */
-const MOST_HELD_FRAMES = 64;
+const MAX_BUFFERED_FRAMES = 64;
 
 /**
  * Puts the answer to one request together. An answer is whole only when an
@@ -51,13 +51,13 @@
   /** Texts in order; kept, since a resume on another replica needs them. */
   readonly #delivered: string[] = [];
   /** Tokens that came ahead of their turn; made only when one does. */
-  #held: Map<number, string> | undefined;
-  #attempt = "";
-  #end: EndFrame | undefined;
-  #complete: AssembledEnd | undefined;
-  #startedAttempt = false;
-  #startedEver = false;
-  #over = false;
+  #buffered: Map<number, string> | undefined;
+  #currentAttemptId = "";
+  #endFrame: EndFrame | undefined;
+  #complete: CompletedAnswer | undefined;
+  #currentAttemptStarted = false;
+  #anyAttemptStarted = false;
+  #attemptEnded = false;
 
   constructor(options: AnswerAssemblerOptions) {
     this.#options = options;
@@ -65,26 +65,26 @@
 
   /** Starts a new attempt; frames of every earlier one are dropped from now. */
   begin(attemptId: string): void {
-    this.#attempt = attemptId;
-    this.#held = undefined;
-    this.#end = undefined;
-    this.#startedAttempt = false;
-    this.#over = false;
+    this.#currentAttemptId = attemptId;
+    this.#buffered = undefined;
+    this.#endFrame = undefined;
+    this.#currentAttemptStarted = false;
+    this.#attemptEnded = false;
   }
 
   /** The whole answer's end; undefined while it is not whole. */
-  get complete(): AssembledEnd | undefined {
+  get complete(): CompletedAnswer | undefined {
     return this.#complete;
   }
 
   /** True where the current attempt has shown that its endpoint started. */
   get started(): boolean {
-    return this.#startedAttempt;
+    return this.#currentAttemptStarted;
   }
 
   /** True where any attempt of this request may have run. */
-  get startedEver(): boolean {
-    return this.#startedEver;
+  get anyAttemptStarted(): boolean {
+    return this.#anyAttemptStarted;
   }
 
   /** Tokens that the caller has, for an attempt that goes on behind them. */
@@ -94,8 +94,9 @@
 
   /** True where the attempt left a hole: frames came that can't be delivered. */
   get hasGap(): boolean {
-    return (this.#held !== undefined && this.#held.size > 0) ||
-      (this.#end !== undefined && this.#complete === undefined);
+    return (this.#buffered !== undefined &&
+      this.#buffered.size > 0) ||
+      (this.#endFrame !== undefined && this.#complete === undefined);
   }
 
   receive(frame: AttemptFrame): FrameEffect {
@@ -114,8 +115,8 @@
       case "not_run":
         return this.#receiveNotRun();
       case "failed":
-        this.#start();
-        this.#over = true;
+        this.#markStarted();
+        this.#attemptEnded = true;
         return "failed";
     }
   }
@@ -127,28 +128,30 @@
    */
   #isStale(attemptId: string): boolean {
     if (this.#options.acceptsEveryAttempt === true) return false;
-    return this.#over || attemptId !== this.#attempt;
+    return this.#attemptEnded || attemptId !== this.#currentAttemptId;
   }
 
-  #start(): void {
-    this.#startedAttempt = true;
-    this.#startedEver = true;
+  #markStarted(): void {
+    this.#currentAttemptStarted = true;
+    this.#anyAttemptStarted = true;
   }
 
   #receiveStarted(): FrameEffect {
-    if (this.#startedAttempt) return "dropped";
-    this.#start();
+    if (this.#currentAttemptStarted) return "dropped";
+    this.#markStarted();
     return "taken";
   }
 
   #receiveToken(frame: TokenFrame): FrameEffect {
-    this.#start();
-    const next = this.#delivered.length;
-    if (frame.index < next) return "dropped";
-    if (frame.index > next) return this.#hold(frame);
+    this.#markStarted();
+    const nextIndex = this.#delivered.length;
+    if (frame.index < nextIndex) return "dropped";
+    if (frame.index > nextIndex) return this.#bufferToken(frame);
     this.#deliver(frame.text);
-    if (this.#held !== undefined) this.#deliverHeld(this.#held);
-    return this.#end === undefined ? "taken" : this.#checkEnd(this.#end);
+    if (this.#buffered !== undefined) this.#deliverBuffered(this.#buffered);
+    return this.#endFrame === undefined
+      ? "taken"
+      : this.#checkEnd(this.#endFrame);
   }
 
   #deliver(text: string): void {
@@ -156,55 +159,55 @@
     this.#options.onToken(text, index);
   }
 
-  #deliverHeld(held: Map<number, string>): void {
+  #deliverBuffered(buffered: Map<number, string>): void {
     for (;;) {
       const index = this.#delivered.length;
-      const text = held.get(index);
+      const text = buffered.get(index);
       if (text === undefined) return;
-      held.delete(index);
+      buffered.delete(index);
       this.#deliver(text);
     }
   }
 
-  #hold(frame: TokenFrame): FrameEffect {
-    this.#held ??= new Map();
-    if (this.#held.has(frame.index)) return "dropped";
-    if (this.#held.size >= MOST_HELD_FRAMES) return this.#break();
-    this.#held.set(frame.index, frame.text);
+  #bufferToken(frame: TokenFrame): FrameEffect {
+    this.#buffered ??= new Map();
+    if (this.#buffered.has(frame.index)) return "dropped";
+    if (this.#buffered.size >= MAX_BUFFERED_FRAMES) return this.#markBroken();
+    this.#buffered.set(frame.index, frame.text);
     return "held";
   }
 
   #receiveEnd(frame: EndFrame): FrameEffect {
-    this.#start();
-    if (this.#end !== undefined) return "dropped";
-    this.#end = frame;
+    this.#markStarted();
+    if (this.#endFrame !== undefined) return "dropped";
+    this.#endFrame = frame;
     return this.#checkEnd(frame);
   }
 
   #checkEnd(frame: EndFrame): FrameEffect {
-    const count = this.#delivered.length;
-    if (count > frame.tokens) return this.#break();
-    if (count < frame.tokens) return "held";
+    const deliveredCount = this.#delivered.length;
+    if (deliveredCount > frame.tokens) return this.#markBroken();
+    if (deliveredCount < frame.tokens) return "held";
     this.#complete = { kind: "generation", frame };
     return "complete";
   }
 
   #receiveResponse(frame: ResponseFrame): FrameEffect {
-    this.#start();
-    if (this.#delivered.length > 0) return this.#break();
+    this.#markStarted();
+    if (this.#delivered.length > 0) return this.#markBroken();
     this.#complete = { kind: "service", frame };
     return "complete";
   }
 
   /** "Not run" behind a start of the same attempt would be a lie. */
   #receiveNotRun(): FrameEffect {
-    if (this.#startedAttempt) return this.#break();
-    this.#over = true;
+    if (this.#currentAttemptStarted) return this.#markBroken();
+    this.#attemptEnded = true;
     return "not_run";
   }
 
-  #break(): FrameEffect {
-    this.#over = true;
+  #markBroken(): FrameEffect {
+    this.#attemptEnded = true;
     return "broken";
   }
 }
--- a/src/core/attempts/answer_assembler_test.ts
+++ b/src/core/attempts/answer_assembler_test.ts
@@ -64,7 +64,7 @@
     expect(
       answer.receive({ kind: "not_run", attemptId: "a", reason: "saturated" }),
     ).to.equal("broken");
-    expect(answer.startedEver).to.equal(true);
+    expect(answer.anyAttemptStarted).to.equal(true);
   });
 
   it("delivers each token once and in order, whatever the network does", () => {
--- a/src/core/attempts/mod.ts
+++ b/src/core/attempts/mod.ts
@@ -2,6 +2,6 @@
 export {
   AnswerAssembler,
   type AnswerAssemblerOptions,
-  type AssembledEnd,
+  type CompletedAnswer,
   type FrameEffect,
 } from "./answer_assembler.ts";
--- a/src/core/observation/tell.ts
+++ b/src/core/observation/emit_event.ts
@@ -2,21 +2,21 @@
 import type { HistoryEventKind, Observe } from "./mod.ts";
 
 /** Facts of an event; plain JSON values. */
-export type EventFacts = Readonly<Record<string, string | number | boolean>>;
+export type EventFields = Readonly<Record<string, string | number | boolean>>;
 
 /** Tells of an event of one process. */
-export type Tell = (kind: HistoryEventKind, facts: EventFacts) => void;
+export type Tell = (kind: HistoryEventKind, facts: EventFields) => void;
 
-export interface TellOptions {
+export interface EmitEventOptions {
   readonly observe: Observe | undefined;
   readonly timer: TimerService;
   readonly process: string;
   /** Facts that go with every event of the process, such as its incarnation. */
-  readonly always: EventFacts;
+  readonly always: EventFields;
 }
 
 /** What a process tells its events with; nothing where nobody listens. */
-export function makeTell(options: TellOptions): Tell {
+export function makeTell(options: EmitEventOptions): Tell {
   const { observe, timer, process, always } = options;
   if (observe === undefined) return () => {};
   return (kind, facts) =>
--- a/src/core/observation/mod.ts
+++ b/src/core/observation/mod.ts
@@ -116,5 +116,5 @@
   Tracer,
 } from "./tracer.ts";
 export { NO_TRACER } from "./tracer.ts";
-export type { EventFacts, Tell, TellOptions } from "./tell.ts";
-export { makeTell } from "./tell.ts";
+export type { EmitEventOptions, EventFields, Tell } from "./emit_event.ts";
+export { makeTell } from "./emit_event.ts";
--- a/src/core/observation/tracer.ts
+++ b/src/core/observation/tracer.ts
@@ -34,7 +34,7 @@
   start(name: SpanName, options: SpanOptions): Span;
 }
 
-const NO_SPAN: Span = {
+const NOOP_SPAN: Span = {
   traceparent: undefined,
   add() {},
   fail() {},
@@ -42,4 +42,4 @@
 };
 
 /** Makes nothing and keeps nothing; stands where tracing is off. */
-export const NO_TRACER: Tracer = { start: () => NO_SPAN };
+export const NO_TRACER: Tracer = { start: () => NOOP_SPAN };
--- a/src/core/orders/engine_channel.ts
+++ b/src/core/orders/engine_channel.ts
@@ -15,7 +15,7 @@
 export type SendOutcome = "may_have_started" | "not_started" | "fenced";
 
 /** An order or observation without an answer for this long counts as lost. */
-const ANSWER_MILLISECONDS = 5_000;
+const ANSWER_TIMEOUT_MILLISECONDS = 5_000;
 
 /**
  * One run of a side's way to its engine: which order it sent last, until when
@@ -24,7 +24,7 @@
 export class EngineChannel {
   readonly #options: EngineChannelOptions;
   /** Until then an order without an answer may still reach the engine. */
-  #mayLandUntil: number;
+  #inFlightUntil: number;
   #lastSentOffset = -1;
   #lastSentAt = -Infinity;
 
@@ -32,13 +32,14 @@
     this.#options = options;
     // An earlier run of this side may have sent an order right before it
     // ended; this run can't know, so it waits the longest way of an order.
-    this.#mayLandUntil = options.timer.now() + options.longestOrderMilliseconds;
+    this.#inFlightUntil = options.timer.now() +
+      options.longestOrderMilliseconds;
   }
 
   /** True where no order but the given one can reach the engine any more. */
-  nothingElseCanLand(order: StandingOrder): boolean {
+  noOtherOrderInFlight(order: StandingOrder): boolean {
     if (this.#lastSentOffset === order.offset) return true;
-    return this.#options.timer.now() >= this.#mayLandUntil;
+    return this.#options.timer.now() >= this.#inFlightUntil;
   }
 
   async send(order: StandingOrder): Promise<SendOutcome> {
@@ -47,15 +48,15 @@
     this.#lastSentAt = timer.now();
     const answer = await beforeDeadline(
       endpoint.order(order.target, order.offset),
-      { timer, milliseconds: ANSWER_MILLISECONDS },
+      { timer, milliseconds: ANSWER_TIMEOUT_MILLISECONDS },
     );
     if (answer?.isOk()) return "may_have_started";
     if (answer !== undefined && answer.isErr()) {
       if (answer.error.name === "order_fenced") return "fenced";
       if (answer.error.name === "endpoint_refused") return "not_started";
     }
-    this.#mayLandUntil = Math.max(
-      this.#mayLandUntil,
+    this.#inFlightUntil = Math.max(
+      this.#inFlightUntil,
       this.#lastSentAt + longestOrderMilliseconds,
     );
     return "may_have_started";
@@ -67,14 +68,14 @@
    */
   async observe(): Promise<EngineObservation | undefined> {
     const { checksAge, endpoint, timer } = this.#options;
-    const asked = timer.now();
+    const requestedAt = timer.now();
     const answer = await beforeDeadline(endpoint.observe(), {
       timer,
-      milliseconds: ANSWER_MILLISECONDS,
+      milliseconds: ANSWER_TIMEOUT_MILLISECONDS,
     });
     if (answer === undefined || answer.isErr()) return undefined;
-    const taken = asked - answer.value.ageMilliseconds;
-    const isOld = taken < this.#lastSentAt && checksAge;
-    return isOld ? undefined : answer.value;
+    const measuredAt = requestedAt - answer.value.ageMilliseconds;
+    const isStale = measuredAt < this.#lastSentAt && checksAge;
+    return isStale ? undefined : answer.value;
   }
 }
--- a/src/core/orders/engine_state.ts
+++ b/src/core/orders/engine_state.ts
@@ -2,7 +2,7 @@
 import type { EngineObservation } from "../links/mod.ts";
 
 /** True where the engine stands in the wanted state with nothing under way. */
-export function isReached(
+export function isTargetReached(
   observation: EngineObservation,
   target: EngineTarget,
 ): boolean {
--- a/src/core/orders/load_budget.ts
+++ b/src/core/orders/load_budget.ts
@@ -12,7 +12,7 @@
   readonly needsLoading: boolean;
 }
 
-export interface LoadPickOptions {
+export interface LoadSelectionOptions {
   /** Endpoints whose valid order makes them load and is not confirmed yet. */
   readonly loading: ReadonlySet<string>;
   /** How many may load at the same time in the region. */
@@ -26,19 +26,19 @@
  */
 export function pickLoads(
   candidates: readonly LoadCandidate[],
-  options: LoadPickOptions,
+  options: LoadSelectionOptions,
 ): readonly LoadCandidate[] {
-  let free = Math.max(0, options.mostAtOnce - options.loading.size);
+  let remaining = Math.max(0, options.mostAtOnce - options.loading.size);
   return candidates.filter((candidate) => {
     if (!candidate.needsLoading) return true;
     if (options.loading.has(candidate.endpoint)) return true;
-    if (free === 0) return false;
-    free -= 1;
+    if (remaining === 0) return false;
+    remaining -= 1;
     return true;
   });
 }
 
-export interface LoadSpreadOptions {
+export interface LoadStartDelayOptions {
   /** Engines of the region that may want the same weights at once. */
   readonly engines: number;
   readonly mostAtOnce: number;
@@ -55,7 +55,7 @@
  * on the log already. The places spread the loads so that about `mostAtOnce`
  * run together; each side reckons by itself and needs no message.
  */
-export function loadSpread(options: LoadSpreadOptions): number {
+export function loadSpread(options: LoadStartDelayOptions): number {
   const rounds = Math.ceil(options.engines / Math.max(1, options.mostAtOnce));
   return options.place * (rounds - 1) * options.loadMilliseconds;
 }
--- a/src/core/orders/mod.ts
+++ b/src/core/orders/mod.ts
@@ -1,7 +1,7 @@
 /** Carrying out orders at an engine, from its side process. */
 export {
-  isReached,
   isSameTarget,
+  isTargetReached,
   needsLoading,
   targetText,
 } from "./engine_state.ts";
@@ -10,12 +10,12 @@
   OrderExecutorGuards,
   OrderExecutorOptions,
   OrderExecutorState,
-  ReleaseWeights,
+  ReleaseLoadPermit,
 } from "./order_executor.ts";
 export { loadSpread, pickLoads } from "./load_budget.ts";
 export type {
   LoadCandidate,
-  LoadPickOptions,
-  LoadSpreadOptions,
+  LoadSelectionOptions,
+  LoadStartDelayOptions,
 } from "./load_budget.ts";
-export { TakenOrders } from "./taken_orders.ts";
+export { TakenOrders } from "./order_watermarks.ts";
--- a/src/core/orders/order_executor.ts
+++ b/src/core/orders/order_executor.ts
@@ -4,10 +4,10 @@
 import type { HistoryEventKind, Observe } from "../observation/mod.ts";
 import { pause, type Subscription, type TimerService } from "../time/mod.ts";
 import { EngineChannel } from "./engine_channel.ts";
-import { isReached, needsLoading, targetText } from "./engine_state.ts";
+import { isTargetReached, needsLoading, targetText } from "./engine_state.ts";
 
 /** Gives a place in the loading budget back. */
-export type ReleaseWeights = () => void;
+export type ReleaseLoadPermit = () => void;
 
 /** Guards that a test may take out; the product never passes them. */
 export interface OrderExecutorGuards {
@@ -44,7 +44,9 @@
   /** Name in the events of `observe`. */
   readonly process?: string;
   /** Waits for a place in the budget of the weight store. */
-  readonly acquireWeights?: (order: StandingOrder) => Promise<ReleaseWeights>;
+  readonly acquireWeights?: (
+    order: StandingOrder,
+  ) => Promise<ReleaseLoadPermit>;
 }
 
 /**
@@ -62,21 +64,21 @@
   | "fenced";
 
 /** How often the engine is observed while a change is under way. */
-const OBSERVE_CHANGE_MILLISECONDS = 250;
+const CHANGE_POLL_INTERVAL_MILLISECONDS = 250;
 /** How often the engine is observed while nothing is to be done. */
-const OBSERVE_IDLE_MILLISECONDS = 5_000;
+const IDLE_POLL_INTERVAL_MILLISECONDS = 5_000;
 /**
  * An engine that neither changes nor has reached the target this long after an
  * order gets the same order again.
  */
-const REISSUE_MILLISECONDS = 2_000;
-const FIRST_REFUSAL_PAUSE_MILLISECONDS = 2_000;
+const REISSUE_DELAY_MILLISECONDS = 2_000;
+const INITIAL_REFUSAL_BACKOFF_MILLISECONDS = 2_000;
 /**
  * Longest pause after refused orders. Load: a weight store that is down or at
  * its limit while a roll-out wants it. Harm prevented: the engines ask it
  * again and again; 30 s are short against a load of weights.
  */
-const LONGEST_REFUSAL_PAUSE_MILLISECONDS = 30_000;
+const MAX_REFUSAL_BACKOFF_MILLISECONDS = 30_000;
 
 /**
  * Carries out the newest valid order at one engine: drain, change, confirm by
@@ -93,16 +95,16 @@
 export class OrderExecutor {
   readonly #options: OrderExecutorOptions;
   readonly #guards: OrderExecutorGuards;
-  readonly #engine: EngineChannel;
-  readonly #idleCheck: Subscription;
-  #wanted: StandingOrder | undefined;
-  #applied = -1;
+  readonly #channel: EngineChannel;
+  readonly #idlePoll: Subscription;
+  #newestOrder: StandingOrder | undefined;
+  #appliedOffset = -1;
   #state: OrderExecutorState = "idle";
   #drained = false;
-  #running = false;
+  #busy = false;
   #stopped = false;
-  #fencedBy = -1;
-  #refusalPause = FIRST_REFUSAL_PAUSE_MILLISECONDS;
+  #fencedOffset = -1;
+  #refusalBackoffMilliseconds = INITIAL_REFUSAL_BACKOFF_MILLISECONDS;
 
   constructor(options: OrderExecutorOptions) {
     this.#options = options;
@@ -113,13 +115,13 @@
       checksAge: true,
       ...options.guards,
     };
-    this.#engine = new EngineChannel({
+    this.#channel = new EngineChannel({
       ...options,
       checksAge: this.#guards.checksAge,
     });
-    this.#idleCheck = options.timer.every(
-      OBSERVE_IDLE_MILLISECONDS,
-      () => this.#run(),
+    this.#idlePoll = options.timer.every(
+      IDLE_POLL_INTERVAL_MILLISECONDS,
+      () => this.#startReconciling(),
     );
   }
 
@@ -129,12 +131,12 @@
 
   /** Offset of the last order confirmed by observation; -1 at first. */
   get applied(): LogOffset {
-    return numbered(this.#applied);
+    return numbered(this.#appliedOffset);
   }
 
   /** The newest order that is known here. */
-  get wanted(): StandingOrder | undefined {
-    return this.#wanted;
+  get newestOrder(): StandingOrder | undefined {
+    return this.#newestOrder;
   }
 
   /** True from the drain until the engine takes work again. */
@@ -144,81 +146,86 @@
 
   /** Takes a valid order; an older one than the newest known is passed over. */
   take(order: StandingOrder): void {
-    if (this.#wanted !== undefined && order.offset <= this.#wanted.offset) {
+    if (
+      this.#newestOrder !== undefined &&
+      order.offset <= this.#newestOrder.offset
+    ) {
       return;
     }
-    this.#wanted = order;
-    this.#run();
+    this.#newestOrder = order;
+    this.#startReconciling();
   }
 
   /** Ends the work; an order that was sent goes on at the engine. */
   stop(): void {
     this.#stopped = true;
-    this.#idleCheck.cancel();
+    this.#idlePoll.cancel();
   }
 
-  #run(): void {
-    if (this.#running || this.#stopped || this.#wanted === undefined) return;
-    this.#running = true;
-    void this.#follow().finally(() => this.#running = false);
+  #startReconciling(): void {
+    if (this.#busy || this.#stopped || this.#newestOrder === undefined) return;
+    this.#busy = true;
+    void this.#reconcile().finally(() => this.#busy = false);
   }
 
   /** Works until the newest order has been confirmed. */
-  async #follow(): Promise<void> {
+  async #reconcile(): Promise<void> {
     for (;;) {
-      const order = this.#wanted;
-      if (order === undefined || order.offset <= this.#fencedBy) return;
-      const observation = await this.#settle();
+      const order = this.#newestOrder;
+      if (order === undefined || order.offset <= this.#fencedOffset) return;
+      const observation = await this.#waitUntilSettled();
       if (this.#stopped) return;
       if (!this.#isNewest(order)) continue;
-      const reached = isReached(observation, order.target);
-      if (reached && this.#nothingElseCanLand(order)) {
+      const reached = isTargetReached(observation, order.target);
+      if (reached && this.#noOtherOrderInFlight(order)) {
         this.#confirm(order);
         return;
       }
-      await this.#carryOut(order, observation);
+      await this.#executeOnce(order, observation);
     }
   }
 
   /** Waits until the engine answers and has nothing under way. */
-  async #settle(): Promise<EngineObservation> {
+  async #waitUntilSettled(): Promise<EngineObservation> {
     for (;;) {
-      const observation = await this.#engine.observe();
-      if (this.#stopped) return observation ?? NOTHING_OBSERVED;
-      const ignores = !this.#guards.waitsForChanges;
-      if (observation !== undefined && (!observation.changing || ignores)) {
+      const observation = await this.#channel.observe();
+      if (this.#stopped) return observation ?? UNKNOWN_OBSERVATION;
+      const ignoresChanges = !this.#guards.waitsForChanges;
+      if (
+        observation !== undefined && (!observation.changing || ignoresChanges)
+      ) {
         return observation;
       }
       this.#state = "settling";
-      await pause(this.#options.timer, OBSERVE_CHANGE_MILLISECONDS);
+      await pause(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
   /** One try; the caller looks at the engine again afterwards. */
-  async #carryOut(
+  async #executeOnce(
     order: StandingOrder,
     observation: EngineObservation,
   ): Promise<void> {
     // An earlier order that lands now would cut what runs at the engine; one
     // would notice answers that break off right after a side has restarted.
-    if (!this.#nothingElseCanLand(order)) await this.#drain();
+    if (!this.#noOtherOrderInFlight(order)) await this.#drain();
     await this.#waitForEarlierOrders(order);
     if (!this.#isNewest(order)) return;
-    const release = await this.#acquireWeights(order, observation);
+    const releasePermit = await this.#acquireLoadPermit(order, observation);
     try {
       if (!this.#isNewest(order)) return;
       await this.#drain();
       // The drain may take long, and an order of this side's earlier run may
       // have landed meanwhile.
-      await this.#settle();
+      await this.#waitUntilSettled();
       if (this.#isNewest(order)) await this.#change(order);
     } finally {
-      release?.();
+      releasePermit?.();
     }
   }
 
   #isNewest(order: StandingOrder): boolean {
-    return order === this.#wanted && !this.#stopped;
+    return order === this.#newestOrder && !this.#stopped;
   }
 
   /**
@@ -227,9 +234,9 @@
    */
   async #waitForEarlierOrders(order: StandingOrder): Promise<void> {
     if (this.#engineChecksFencing()) return;
-    while (!this.#nothingElseCanLand(order) && this.#isNewest(order)) {
+    while (!this.#noOtherOrderInFlight(order) && this.#isNewest(order)) {
       this.#state = "settling";
-      await pause(this.#options.timer, OBSERVE_CHANGE_MILLISECONDS);
+      await pause(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -240,19 +247,19 @@
       : checksFencing;
   }
 
-  #nothingElseCanLand(order: StandingOrder): boolean {
+  #noOtherOrderInFlight(order: StandingOrder): boolean {
     if (!this.#guards.waitsForEarlierOrders) return true;
-    return this.#engine.nothingElseCanLand(order);
+    return this.#channel.noOtherOrderInFlight(order);
   }
 
   /**
    * The wait for the weight store comes before the drain, so that the engine
    * works on while others load.
    */
-  async #acquireWeights(
+  async #acquireLoadPermit(
     order: StandingOrder,
     observation: EngineObservation,
-  ): Promise<ReleaseWeights | undefined> {
+  ): Promise<ReleaseLoadPermit | undefined> {
     if (!needsLoading(observation, order.target)) return undefined;
     this.#state = "loading_budget";
     return await this.#options.acquireWeights?.(order);
@@ -268,57 +275,60 @@
 
   async #change(order: StandingOrder): Promise<void> {
     this.#state = "changing";
-    this.#tell("order_sent", order);
-    const outcome = await this.#engine.send(order);
+    this.#emit("order_sent", order);
+    const outcome = await this.#channel.send(order);
     if (outcome === "fenced") {
       // The engine knows a later order, which will come here too.
-      this.#fencedBy = order.offset;
-      this.#takeWorkAgain("fenced");
+      this.#fencedOffset = order.offset;
+      this.#resumeService("fenced");
     } else if (outcome === "not_started") {
-      this.#takeWorkAgain("settling");
-      await this.#pauseAfterRefusal();
+      this.#resumeService("settling");
+      await this.#backOffAfterRefusal();
     } else {
-      this.#refusalPause = FIRST_REFUSAL_PAUSE_MILLISECONDS;
-      await this.#waitForRest(order);
+      this.#refusalBackoffMilliseconds = INITIAL_REFUSAL_BACKOFF_MILLISECONDS;
+      await this.#waitForCompletion(order);
     }
   }
 
   /** Observes until the target is reached or the order seems to be lost. */
-  async #waitForRest(order: StandingOrder): Promise<void> {
+  async #waitForCompletion(order: StandingOrder): Promise<void> {
     const { timer } = this.#options;
     const sentAt = timer.now();
     while (!this.#stopped) {
       if (!this.#guards.waitsForChanges && !this.#isNewest(order)) return;
-      const observation = await this.#engine.observe();
+      const observation = await this.#channel.observe();
       if (observation !== undefined && !observation.changing) {
-        if (isReached(observation, order.target)) return;
-        if (timer.now() - sentAt >= REISSUE_MILLISECONDS) return;
+        if (isTargetReached(observation, order.target)) return;
+        if (timer.now() - sentAt >= REISSUE_DELAY_MILLISECONDS) return;
       }
-      await pause(timer, OBSERVE_CHANGE_MILLISECONDS);
+      await pause(timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
-  async #pauseAfterRefusal(): Promise<void> {
-    const wait = this.#refusalPause;
-    this.#refusalPause = Math.min(wait * 2, LONGEST_REFUSAL_PAUSE_MILLISECONDS);
-    await pause(this.#options.timer, wait);
+  async #backOffAfterRefusal(): Promise<void> {
+    const backoff = this.#refusalBackoffMilliseconds;
+    this.#refusalBackoffMilliseconds = Math.min(
+      backoff * 2,
+      MAX_REFUSAL_BACKOFF_MILLISECONDS,
+    );
+    await pause(this.#options.timer, backoff);
   }
 
   #confirm(order: StandingOrder): void {
-    const isNew = order.offset > this.#applied;
-    this.#applied = order.offset;
-    if (isNew) this.#tell("order_done", order);
-    this.#takeWorkAgain("idle");
+    const isNew = order.offset > this.#appliedOffset;
+    this.#appliedOffset = order.offset;
+    if (isNew) this.#emit("order_done", order);
+    this.#resumeService("idle");
   }
 
-  #takeWorkAgain(state: OrderExecutorState): void {
+  #resumeService(state: OrderExecutorState): void {
     this.#state = state;
     if (!this.#drained) return;
     this.#drained = false;
     this.#options.resume();
   }
 
-  #tell(kind: HistoryEventKind, order: StandingOrder): void {
+  #emit(kind: HistoryEventKind, order: StandingOrder): void {
     this.#options.observe?.({
       at: this.#options.timer.now(),
       process: this.#options.process ?? "side",
@@ -335,7 +345,7 @@
 }
 
 /** Stands for an engine that has not answered. */
-const NOTHING_OBSERVED: EngineObservation = {
+const UNKNOWN_OBSERVATION: EngineObservation = {
   role: "mixed",
   models: [],
   weights: "",
--- a/src/core/orders/order_executor_test.ts
+++ b/src/core/orders/order_executor_test.ts
@@ -10,7 +10,7 @@
   type OrderExecutorOptions,
 } from "./mod.ts";
 
-const LONGEST_ORDER_MILLISECONDS = 20_000;
+const MAX_ORDER_MILLISECONDS = 20_000;
 
 describe("OrderExecutor", () => {
   let timer: ManualTimerService;
@@ -26,7 +26,7 @@
     return new FakeEngine({ timer, checksFencing, changeMilliseconds });
   }
 
-  function makeSide(
+  function startExecutor(
     engine: FakeEngine,
     options: Partial<OrderExecutorOptions> = {},
   ) {
@@ -37,7 +37,7 @@
       timer,
       checksFencing: true,
       incarnation: identifier("run"),
-      longestOrderMilliseconds: LONGEST_ORDER_MILLISECONDS,
+      longestOrderMilliseconds: MAX_ORDER_MILLISECONDS,
       drain: () => {
         calls.push("drain");
         return Promise.resolve();
@@ -55,7 +55,7 @@
 
   it("drains, changes, confirms and takes work again", async () => {
     const engine = makeEngine(true);
-    const { executor, calls } = makeSide(engine);
+    const { executor, calls } = startExecutor(engine);
     executor.take(order(5, "decode"));
     await timer.advance(10_000);
     expect(calls).to.deep.equal([
@@ -73,7 +73,7 @@
   it("sends nothing before the drain is over", async () => {
     const engine = makeEngine(true);
     let drained = () => {};
-    const { executor } = makeSide(engine, {
+    const { executor } = startExecutor(engine, {
       drain: () => new Promise((resolve) => drained = resolve),
     });
     executor.take(order(5, "decode"));
@@ -89,7 +89,7 @@
   it("gives the newest order only", async () => {
     const engine = makeEngine(true);
     let drained = () => {};
-    const { executor } = makeSide(engine, {
+    const { executor } = startExecutor(engine, {
       drain: () => new Promise((resolve) => drained = resolve),
     });
     executor.take(order(5, "decode"));
@@ -106,9 +106,9 @@
   // once, the two would conflict inside the engine.
   it("waits for the change under way before the next order", async () => {
     const engine = makeEngine(false);
-    const { executor } = makeSide(engine, { checksFencing: false });
+    const { executor } = startExecutor(engine, { checksFencing: false });
     executor.take(order(5, "decode"));
-    await timer.advance(LONGEST_ORDER_MILLISECONDS + 1_000);
+    await timer.advance(MAX_ORDER_MILLISECONDS + 1_000);
     executor.take(order(6, "prefill"));
     await timer.advance(30_000);
     expect(engine.received).to.deep.equal([5, 6]);
@@ -121,8 +121,8 @@
   // state would count as reached while the older one is being carried out.
   it("does not believe figures from before its last order", async () => {
     const engine = makeEngine(true, 8_000);
-    const { executor } = makeSide(engine);
-    await timer.advance(LONGEST_ORDER_MILLISECONDS);
+    const { executor } = startExecutor(engine);
+    await timer.advance(MAX_ORDER_MILLISECONDS);
     executor.take(order(5, "decode"));
     await timer.advance(300);
     engine.faults.ageMilliseconds = 5_000;
@@ -140,7 +140,7 @@
   // be a second one for the same wish.
   it("gives the same order again after a crash in mid-change", async () => {
     const engine = makeEngine(true);
-    const { executor, calls } = makeSide(engine);
+    const { executor, calls } = startExecutor(engine);
     executor.take(order(5, "decode"));
     await timer.advance(1_000);
     engine.crash(4_000);
@@ -154,7 +154,7 @@
   // no new order is on the log, as the wish is the same.
   it("notices that an engine has lost its state", async () => {
     const engine = makeEngine(true);
-    const { executor } = makeSide(engine);
+    const { executor } = startExecutor(engine);
     executor.take(order(5, "decode"));
     await timer.advance(10_000);
     engine.crash(1_000);
@@ -167,7 +167,7 @@
   // looking and not take the engine out a second time.
   it("finds an order done whose answer was lost", async () => {
     const engine = makeEngine(true);
-    const { executor } = makeSide(engine);
+    const { executor } = startExecutor(engine);
     engine.faults.lostAnswers = 1;
     executor.take(order(5, "decode"));
     await timer.advance(30_000);
@@ -179,8 +179,8 @@
   // newer one overtakes it. The old one would undo the new one when it lands.
   it("sends no other order while an earlier one can still land", async () => {
     const engine = makeEngine(false);
-    const { executor } = makeSide(engine, { checksFencing: false });
-    await timer.advance(LONGEST_ORDER_MILLISECONDS);
+    const { executor } = startExecutor(engine, { checksFencing: false });
+    await timer.advance(MAX_ORDER_MILLISECONDS);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 15_000;
     executor.take(order(5, "decode"));
@@ -197,8 +197,8 @@
   // afterwards and win.
   it("does not take a state for reached that an order can undo", async () => {
     const engine = makeEngine(true);
-    const { executor } = makeSide(engine);
-    await timer.advance(LONGEST_ORDER_MILLISECONDS);
+    const { executor } = startExecutor(engine);
+    await timer.advance(MAX_ORDER_MILLISECONDS);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 15_000;
     executor.take(order(5, "decode"));
@@ -218,7 +218,7 @@
     engine.faults.lateMilliseconds = 4_000;
     void engine.link().order({ role: "decode" }, 5);
     await timer.advance(100);
-    const { executor } = makeSide(engine, {
+    const { executor } = startExecutor(engine, {
       drain: () => pause(timer, 8_000),
     });
     executor.take(order(6, "prefill"));
@@ -234,11 +234,11 @@
     const engine = makeEngine(false);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 15_000;
-    const first = makeSide(engine, { checksFencing: false });
+    const first = startExecutor(engine, { checksFencing: false });
     void engine.link().order({ role: "decode" }, 5);
     first.executor.stop();
     await timer.advance(100);
-    const second = makeSide(engine, { checksFencing: false });
+    const second = startExecutor(engine, { checksFencing: false });
     second.executor.take(order(6, "prefill"));
     await timer.advance(60_000);
     expect(engine.conflicts).to.deep.equal([]);
@@ -254,7 +254,7 @@
     engine.faults.lateMilliseconds = 15_000;
     void engine.link().order({ role: "decode" }, 5);
     await timer.advance(100);
-    const { calls, executor } = makeSide(engine, { checksFencing: false });
+    const { calls, executor } = startExecutor(engine, { checksFencing: false });
     executor.take(order(5, "decode"));
     await timer.advance(14_000);
     expect(calls).to.deep.equal(["drain"]);
@@ -267,11 +267,11 @@
   // at once would give the engine two orders at the same time.
   it("lets a change under way finish after its own restart", async () => {
     const engine = makeEngine(true);
-    const first = makeSide(engine);
+    const first = startExecutor(engine);
     first.executor.take(order(5, "decode"));
     await timer.advance(500);
     first.executor.stop();
-    const second = makeSide(engine);
+    const second = startExecutor(engine);
     second.executor.take(order(6, "prefill"));
     await timer.advance(30_000);
     expect(engine.received).to.deep.equal([5, 6]);
@@ -284,7 +284,7 @@
     const engine = makeEngine(true);
     void engine.link().order({ role: "prefill" }, 9);
     await timer.advance(5_000);
-    const { executor, calls } = makeSide(engine);
+    const { executor, calls } = startExecutor(engine);
     executor.take(order(5, "decode"));
     await timer.advance(30_000);
     expect(executor.state).to.equal("fenced");
@@ -299,7 +299,7 @@
   // drained would take a working engine away for nothing.
   it("takes work again while the engine refuses the order", async () => {
     const engine = makeEngine(true);
-    const { executor, calls } = makeSide(engine);
+    const { executor, calls } = startExecutor(engine);
     engine.faults.refusals = 1;
     executor.take(order(5, "decode"));
     await timer.advance(1_000);
@@ -315,10 +315,10 @@
     const engine = makeEngine(true);
     let grant: (release: () => void) => void = () => {};
     let released = 0;
-    const { executor, calls } = makeSide(engine, {
+    const { executor, calls } = startExecutor(engine, {
       acquireWeights: () => new Promise((resolve) => grant = resolve),
     });
-    await timer.advance(LONGEST_ORDER_MILLISECONDS);
+    await timer.advance(MAX_ORDER_MILLISECONDS);
     const target = { role: "mixed" as const, weights: "v2" };
     executor.take({ offset: 5, claim: 0, target });
     await timer.advance(60_000);
@@ -331,7 +331,7 @@
 
   it("goes on waiting while the engine is down", async () => {
     const engine = makeEngine(true);
-    const { executor } = makeSide(engine);
+    const { executor } = startExecutor(engine);
     engine.faults.down = true;
     executor.take(order(5, "decode"));
     await timer.advance(120_000);
@@ -347,8 +347,8 @@
   for (const checksFencing of [true, false]) {
     const kind = checksFencing ? "checks" : "ignores";
     it(`never conflicts at an engine that ${kind} fencing`, async () => {
-      const found = await searchSchedules({ checksFencing });
-      expect(found.counterexample).to.equal(null);
+      const result = await searchSchedules({ checksFencing });
+      expect(result.counterexample).to.equal(null);
     });
   }
 
@@ -362,11 +362,11 @@
   };
   for (const [guard, checksFencing] of Object.entries(guards)) {
     it(`conflicts in some schedule without ${guard}`, async () => {
-      const found = await searchSchedules({
+      const result = await searchSchedules({
         checksFencing,
         guards: { [guard]: false },
       });
-      expect(found.failed).to.equal(true);
+      expect(result.failed).to.equal(true);
     });
   }
 
@@ -388,9 +388,9 @@
   });
 
   type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
-  type Searched = Pick<OrderExecutorOptions, "checksFencing" | "guards">;
+  type SearchOptions = Pick<OrderExecutorOptions, "checksFencing" | "guards">;
 
-  function searchSchedules(options: Searched) {
+  function searchSchedules(options: SearchOptions) {
     return fc.check(
       fc.asyncProperty(
         fc.array(step, { maxLength: 14 }),
@@ -400,10 +400,10 @@
     );
   }
 
-  async function runSchedule(steps: readonly Step[], options: Searched) {
+  async function runSchedule(steps: readonly Step[], options: SearchOptions) {
     timer = new ManualTimerService();
     const engine = makeEngine(options.checksFencing === true, 6_000);
-    let { calls, executor } = makeSide(engine, options);
+    let { calls, executor } = startExecutor(engine, options);
     let newest = order(1, "decode");
     executor.take(newest);
     for (const { kind, role, wait } of steps) {
@@ -415,7 +415,7 @@
       else if (kind === "restart") {
         executor.stop();
         expectDrained(calls);
-        ({ calls, executor } = makeSide(engine, options));
+        ({ calls, executor } = startExecutor(engine, options));
         executor.take(newest);
       } else {
         engine.faults[kind] = 1;
--- a/src/core/orders/taken_orders.ts
+++ b/src/core/orders/order_watermarks.ts
@@ -13,13 +13,13 @@
  * An engine that checks fencing needs none of this.
  */
 export class TakenOrders {
-  readonly #newest = new Map<string, number>();
+  readonly #highestOffsets = new Map<string, number>();
 
   /** Takes a side's report, of whichever run. */
   note(report: SideReport): void {
-    const known = this.#newest.get(report.endpoint) ?? -1;
-    const told = Math.max(report.orderTaken, report.orderApplied ?? -1);
-    if (told > known) this.#newest.set(report.endpoint, told);
+    const known = this.#highestOffsets.get(report.endpoint) ?? -1;
+    const reported = Math.max(report.orderTaken, report.orderApplied ?? -1);
+    if (reported > known) this.#highestOffsets.set(report.endpoint, reported);
   }
 
   /** The order to answer with; none while this entry is behind the side. */
@@ -28,14 +28,14 @@
     order: StandingOrder | undefined,
   ): StandingOrder | undefined {
     if (order === undefined) return undefined;
-    const known = this.#newest.get(endpoint) ?? -1;
+    const known = this.#highestOffsets.get(endpoint) ?? -1;
     return order.offset < known ? undefined : order;
   }
 
   /** Forgets endpoints that the inventory no longer has. */
   keepOnly(endpoints: ReadonlySet<string>): void {
-    for (const endpoint of [...this.#newest.keys()]) {
-      if (!endpoints.has(endpoint)) this.#newest.delete(endpoint);
+    for (const endpoint of [...this.#highestOffsets.keys()]) {
+      if (!endpoints.has(endpoint)) this.#highestOffsets.delete(endpoint);
     }
   }
 }
--- a/src/core/orders/taken_orders_test.ts
+++ b/src/core/orders/order_watermarks_test.ts
@@ -24,24 +24,24 @@
   // read the log up to order 5 only. Given that order, an engine that ignores
   // fencing goes back to a state that the planner has left.
   it("gives no order older than an earlier run of the side had", () => {
-    const taken = new TakenOrders();
-    taken.note(report("run-1", 9));
-    taken.note(report("run-2", -1));
-    expect(taken.answerWith("triage-1", order(5))).to.equal(undefined);
-    expect(taken.answerWith("triage-1", order(9))?.offset).to.equal(9);
-    expect(taken.answerWith("triage-1", order(12))?.offset).to.equal(12);
+    const watermarks = new TakenOrders();
+    watermarks.note(report("run-1", 9));
+    watermarks.note(report("run-2", -1));
+    expect(watermarks.answerWith("triage-1", order(5))).to.equal(undefined);
+    expect(watermarks.answerWith("triage-1", order(9))?.offset).to.equal(9);
+    expect(watermarks.answerWith("triage-1", order(12))?.offset).to.equal(12);
   });
 
   it("gives what it has to a side that it has never heard", () => {
-    const taken = new TakenOrders();
-    expect(taken.answerWith("triage-1", order(5))?.offset).to.equal(5);
-    expect(taken.answerWith("triage-1", undefined)).to.equal(undefined);
+    const watermarks = new TakenOrders();
+    expect(watermarks.answerWith("triage-1", order(5))?.offset).to.equal(5);
+    expect(watermarks.answerWith("triage-1", undefined)).to.equal(undefined);
   });
 
   it("forgets endpoints that are gone", () => {
-    const taken = new TakenOrders();
-    taken.note(report("run-1", 9));
-    taken.keepOnly(new Set());
-    expect(taken.answerWith("triage-1", order(5))?.offset).to.equal(5);
+    const watermarks = new TakenOrders();
+    watermarks.note(report("run-1", 9));
+    watermarks.keepOnly(new Set());
+    expect(watermarks.answerWith("triage-1", order(5))?.offset).to.equal(5);
   });
 });
--- a/src/core/placement/candidate.ts
+++ b/src/core/placement/candidate.ts
@@ -1,9 +1,9 @@
 import type { EndpointId } from "../identity/mod.ts";
 import type { RequestProfile } from "../requests/mod.ts";
-import type { EndpointPicture } from "./endpoint_picture.ts";
+import type { EndpointView } from "./endpoint_view.ts";
 
 /** What placement needs to know beside the profile. */
-export interface PlacementQuestion {
+export interface PlacementQuery {
   readonly profile: RequestProfile;
   readonly rank: number;
   readonly outputTokens: number;
@@ -18,8 +18,8 @@
 
 /** An endpoint with the finish that is expected there. */
 export interface Candidate {
-  readonly picture: EndpointPicture;
-  readonly milliseconds: number;
+  readonly view: EndpointView;
+  readonly finishMilliseconds: number;
   /** Time of the whole engine that the request takes. */
   readonly engineMilliseconds: number;
   /** Tokens of the prompt that the endpoint has to process. */
@@ -28,7 +28,7 @@
   readonly score: number;
 }
 
-export interface JudgeOptions {
+export interface ScoringOptions {
   readonly availabilityZone: string;
   /** Time that a placement in another availability zone is held to cost. */
   readonly otherZoneMilliseconds: number;
@@ -37,51 +37,60 @@
 }
 
 /** Tokens of the prompt that an endpoint would have to process. */
-export function promptTokensAt(
-  picture: EndpointPicture,
-  question: PlacementQuestion,
+export function uncachedPromptTokens(
+  view: EndpointView,
+  query: PlacementQuery,
   cached: CachedPrefix | undefined,
 ): number {
-  const { profile } = question;
+  const { profile } = query;
   const tokens = profile.promptTokens + profile.deliveredTokens;
-  if (cached?.endpoint !== picture.facts.endpoint) return tokens;
+  if (cached?.endpoint !== view.config.endpoint) return tokens;
   return tokens * (1 - cached.share);
 }
 
 /** Finish on an endpoint, from the placement on, milliseconds. */
-export function finishAt(
-  picture: EndpointPicture,
-  question: PlacementQuestion,
+export function predictFinishMilliseconds(
+  view: EndpointView,
+  query: PlacementQuery,
   promptTokens: number,
 ): number {
-  const { rank, now, outputTokens } = question;
-  return picture.firstTokenMilliseconds(promptTokens, { rank, now }) +
-    picture.decodeMilliseconds(outputTokens);
+  const { rank, now, outputTokens } = query;
+  return view.firstTokenMilliseconds(promptTokens, { rank, now }) +
+    view.decodeMilliseconds(outputTokens);
 }
 
 /** Looks at endpoints as the place for a request. */
-export class CandidateJudge {
-  readonly #options: JudgeOptions;
+export class CandidateScorer {
+  readonly #options: ScoringOptions;
 
-  constructor(options: JudgeOptions) {
+  constructor(options: ScoringOptions) {
     this.#options = options;
   }
 
-  judge(
-    picture: EndpointPicture,
-    question: PlacementQuestion,
+  score(
+    view: EndpointView,
+    query: PlacementQuery,
     cached: CachedPrefix | undefined,
   ): Candidate {
     const options = this.#options;
-    const promptTokens = promptTokensAt(picture, question, cached);
-    const isNear = picture.facts.availabilityZone === options.availabilityZone;
-    const milliseconds = finishAt(picture, question, promptTokens) +
-      (isNear ? 0 : options.otherZoneMilliseconds);
-    const engineMilliseconds = picture.engineMilliseconds(
+    const promptTokens = uncachedPromptTokens(view, query, cached);
+    const isSameZone =
+      view.config.availabilityZone === options.availabilityZone;
+    const finishMilliseconds =
+      predictFinishMilliseconds(view, query, promptTokens) +
+      (isSameZone ? 0 : options.otherZoneMilliseconds);
+    const engineMilliseconds = view.engineMilliseconds(
       promptTokens,
-      question.outputTokens,
+      query.outputTokens,
     );
-    const score = milliseconds + options.engineCostWeight * engineMilliseconds;
-    return { picture, milliseconds, engineMilliseconds, promptTokens, score };
+    const score = finishMilliseconds +
+      options.engineCostWeight * engineMilliseconds;
+    return {
+      view: view,
+      finishMilliseconds: finishMilliseconds,
+      engineMilliseconds,
+      promptTokens,
+      score,
+    };
   }
 }
--- a/src/core/placement/endpoint_health.ts
+++ b/src/core/placement/endpoint_health.ts
@@ -21,8 +21,8 @@
 /** Weight of one attempt in the means: about the last ten attempts count. */
 const ATTEMPT_WEIGHT = 0.1;
 /** Bounds of the slowness that placement reckons with. */
-const LEAST_SLOWNESS = 0.5;
-const MOST_SLOWNESS = 8;
+const MIN_SLOWNESS = 0.5;
+const MAX_SLOWNESS = 8;
 
 /**
  * How an endpoint has treated this entry's attempts. Load: one endpoint that
@@ -35,10 +35,10 @@
   #attempts = 0;
   #failureShare = 0;
   #slowness = 1;
-  #overRated = 1;
+  #ratioToRated = 1;
   #ejections = 0;
   #ejectedUntil = -Infinity;
-  #probing = false;
+  #probeInFlight = false;
 
   constructor(limits: HealthLimits) {
     this.#limits = limits;
@@ -50,12 +50,12 @@
 
   /** Observed time of answers against the expected one. */
   get slowness(): number {
-    return Math.min(MOST_SLOWNESS, Math.max(LEAST_SLOWNESS, this.#slowness));
+    return Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, this.#slowness));
   }
 
   /** Observed time of answers against the register's figures. */
-  get overRated(): number {
-    return this.#overRated;
+  get ratioToRated(): number {
+    return this.#ratioToRated;
   }
 
   get ejected(): boolean {
@@ -64,38 +64,38 @@
 
   /** True: a single attempt may find out whether the endpoint is well again. */
   mayProbe(now: number): boolean {
-    return this.ejected && !this.#probing && now >= this.#ejectedUntil;
+    return this.ejected && !this.#probeInFlight && now >= this.#ejectedUntil;
   }
 
   probeStarted(): void {
-    this.#probing = true;
+    this.#probeInFlight = true;
   }
 
   /** A probe that comes back slow sends the endpoint away again. */
   succeeded(times: AttemptTimes, now: number): void {
     this.#failureShare *= 1 - ATTEMPT_WEIGHT;
-    this.#learn(times);
-    if (!this.#probing) return;
+    this.#recordTimes(times);
+    if (!this.#probeInFlight) return;
     if (times.overRated > this.#limits.mostSlowness) this.eject(now);
     else this.#readmit();
   }
 
-  #learn(times: AttemptTimes): void {
+  #recordTimes(times: AttemptTimes): void {
     this.#attempts += 1;
     this.#slowness += ATTEMPT_WEIGHT *
-      (Math.min(MOST_SLOWNESS, times.overExpected) - this.#slowness);
-    this.#learnOverRated(times.overRated);
+      (Math.min(MAX_SLOWNESS, times.overExpected) - this.#slowness);
+    this.#recordRatioToRated(times.overRated);
   }
 
-  #learnOverRated(overRated: number): void {
-    this.#overRated += ATTEMPT_WEIGHT *
-      (Math.min(MOST_SLOWNESS, overRated) - this.#overRated);
+  #recordRatioToRated(ratioToRated: number): void {
+    this.#ratioToRated += ATTEMPT_WEIGHT *
+      (Math.min(MAX_SLOWNESS, ratioToRated) - this.#ratioToRated);
   }
 
   failed(now: number): void {
     this.#attempts += 1;
     this.#failureShare += ATTEMPT_WEIGHT * (1 - this.#failureShare);
-    if (this.#probing) this.eject(now);
+    if (this.#probeInFlight) this.eject(now);
   }
 
   /**
@@ -103,47 +103,47 @@
    * without it an endpoint so slow that nothing ends there looks untried.
    */
   cancelled(times: AttemptTimes, now: number): void {
-    if (this.#probing && times.overRated > this.#limits.mostSlowness) {
+    if (this.#probeInFlight && times.overRated > this.#limits.mostSlowness) {
       this.eject(now);
     }
-    this.#probing = false;
-    if (times.overRated <= this.#overRated) return;
+    this.#probeInFlight = false;
+    if (times.overRated <= this.#ratioToRated) return;
     this.#attempts += 1;
-    this.#learnOverRated(times.overRated);
+    this.#recordRatioToRated(times.overRated);
   }
 
   /** The attempt told nothing (it was not run). */
   untold(): void {
-    this.#probing = false;
+    this.#probeInFlight = false;
   }
 
   /** True: it ought to be ejected, if the ceiling allows. */
-  isBad(medianOverRated: number): boolean {
+  isBad(medianRatioToRated: number): boolean {
     if (this.ejected || this.#attempts < this.#limits.fewestAttempts) {
       return false;
     }
     return this.#failureShare > this.#limits.mostFailureShare ||
-      this.#overRated > this.#limits.mostSlowness * medianOverRated;
+      this.#ratioToRated > this.#limits.mostSlowness * medianRatioToRated;
   }
 
   eject(now: number): void {
-    const wait = Math.min(
+    const duration = Math.min(
       this.#limits.longestEjectionMilliseconds,
       this.#limits.firstEjectionMilliseconds * 2 ** this.#ejections,
     );
     this.#ejections += 1;
-    this.#ejectedUntil = now + wait;
-    this.#probing = false;
+    this.#ejectedUntil = now + duration;
+    this.#probeInFlight = false;
   }
 
   /** Back in use; its past is halved, not forgotten. */
   #readmit(): void {
     this.#ejectedUntil = -Infinity;
-    this.#probing = false;
+    this.#probeInFlight = false;
     this.#attempts = 0;
     this.#failureShare /= 2;
     this.#slowness = 1 + (this.#slowness - 1) / 2;
-    this.#overRated = 1 + (this.#overRated - 1) / 2;
+    this.#ratioToRated = 1 + (this.#ratioToRated - 1) / 2;
     this.#ejections = Math.max(0, this.#ejections - 1);
   }
 }
--- a/src/core/placement/endpoint_picture.ts
+++ b/src/core/placement/endpoint_view.ts
@@ -6,10 +6,10 @@
 import { EndpointHealth, type HealthLimits } from "./endpoint_health.ts";
 
 /** Weight of the older placements: the last twenty count most. */
-const PLACED_DECAY = 0.95;
+const PLACEMENT_DECAY = 0.95;
 
 /** What is known of an endpoint before it has reported. */
-export interface EndpointFacts {
+export interface EndpointConfig {
   readonly endpoint: EndpointId;
   readonly availabilityZone: string;
   readonly engine: EngineCharacteristics;
@@ -18,7 +18,7 @@
 }
 
 /** How reports are weighed against what the entry itself knows. */
-export interface PictureOptions {
+export interface EndpointViewOptions {
   readonly profiles: RoleProfiles;
   readonly health: HealthLimits;
   /** Time in which half of a report's foreign load is taken to be gone. */
@@ -43,10 +43,10 @@
  * seconds old. Harm prevented: an endpoint that looked idle in the last report
  * is given everything until the next one.
  */
-export class EndpointPicture {
+export class EndpointView {
   readonly health: EndpointHealth;
-  readonly #options: PictureOptions;
-  #facts: EndpointFacts;
+  readonly #options: EndpointViewOptions;
+  #config: EndpointConfig;
   #ranks: number;
   #role: Role;
   #rates: RoleRates;
@@ -56,49 +56,49 @@
   #millisecondsBetweenTokens = 0;
   #reportedAt = -Infinity;
   /** Work of other entries at the time of the report. */
-  #foreign = 0;
+  #reportedForeignLoad = 0;
   /** Part of the foreign work that is left, reckoned once for each time. */
-  #decay = 1;
+  #foreignDecay = 1;
   #decayedAt = -Infinity;
-  #own = 0;
-  #ownLessUrgent = 0;
+  #ownAttempts = 0;
+  #ownLessUrgentAttempts = 0;
   /** For each rank of class: when the prompts up to that rank are done. */
   readonly #prefillDoneAt: number[] = [];
   /** Prompts placed here lately by rank, with a decaying weight. */
-  readonly #placedTokens: number[] = [];
+  readonly #recentPromptTokens: number[] = [];
 
   constructor(
-    facts: EndpointFacts,
-    options: PictureOptions & { ranks: number },
+    config: EndpointConfig,
+    options: EndpointViewOptions & { ranks: number },
   ) {
-    this.#facts = facts;
+    this.#config = config;
     this.#options = options;
     this.#ranks = options.ranks;
     this.health = new EndpointHealth(options.health);
-    this.#role = facts.role;
-    this.#rates = roleRates(facts.engine, options.profiles[facts.role]);
-    this.#state = facts.serving ? "serving" : "draining";
+    this.#role = config.role;
+    this.#rates = roleRates(config.engine, options.profiles[config.role]);
+    this.#state = config.serving ? "serving" : "draining";
     this.#limit = this.#rates.slots;
   }
 
-  get facts(): EndpointFacts {
-    return this.#facts;
+  get config(): EndpointConfig {
+    return this.#config;
   }
 
   /** Takes what a new inventory says; what reports have told stays. */
-  useFacts(facts: EndpointFacts, ranks: number): void {
-    if (facts.serving && !this.#facts.serving) this.#state = "serving";
-    this.#facts = facts;
+  updateConfig(config: EndpointConfig, ranks: number): void {
+    if (config.serving && !this.#config.serving) this.#state = "serving";
+    this.#config = config;
     this.#ranks = ranks;
-    this.#rates = roleRates(facts.engine, this.#options.profiles[this.#role]);
+    this.#rates = roleRates(config.engine, this.#options.profiles[this.#role]);
   }
 
   get role(): Role {
     return this.#role;
   }
 
-  get own(): number {
-    return this.#own;
+  get ownAttempts(): number {
+    return this.#ownAttempts;
   }
 
   get limit(): number {
@@ -107,47 +107,51 @@
 
   /** False: gets no new work at all. */
   get usable(): boolean {
-    return this.#facts.serving && this.#state === "serving" && !this.#suspected;
+    return this.#config.serving && this.#state === "serving" &&
+      !this.#suspected;
   }
 
-  suspect(suspected: boolean): void {
+  setSuspected(suspected: boolean): void {
     this.#suspected = suspected;
   }
 
-  report(report: SideReport, receivedAt: number): void {
+  applyReport(report: SideReport, receivedAt: number): void {
     this.#state = report.state;
     if (report.role !== undefined && report.role !== this.#role) {
       this.#role = report.role;
       this.#rates = roleRates(
-        this.#facts.engine,
+        this.#config.engine,
         this.#options.profiles[report.role],
       );
     }
-    this.takeLoad(report.load, receivedAt);
+    this.applyLoad(report.load, receivedAt);
   }
 
   /** Load as it came with a report or with the end of an answer. */
-  takeLoad(load: SideReport["load"], receivedAt: number): void {
+  applyLoad(load: SideReport["load"], receivedAt: number): void {
     this.#limit = load.limit;
     this.#millisecondsBetweenTokens = load.millisecondsBetweenTokens;
     this.#reportedAt = receivedAt - (load.ageMilliseconds ?? 0);
     this.#decayedAt = -Infinity;
-    this.#foreign = Math.max(0, load.running + load.waiting - this.#own);
+    this.#reportedForeignLoad = Math.max(
+      0,
+      load.running + load.waiting - this.#ownAttempts,
+    );
     if (load.prefillBacklogTokens === undefined) return;
     const wait = this.#prefillMilliseconds(load.prefillBacklogTokens);
     for (let rank = 0; rank < this.#ranks; rank++) {
-      const share = this.#shareUpTo(rank);
+      const share = this.#promptShareUpTo(rank);
       this.#prefillDoneAt[rank] = receivedAt + wait * share;
     }
   }
 
   /** Share of the prompts placed here lately that are of the rank or above. */
-  #shareUpTo(rank: number): number {
+  #promptShareUpTo(rank: number): number {
     if (rank === this.#ranks - 1) return 1;
     let upTo = 0;
     let all = 0;
     for (let other = 0; other < this.#ranks; other++) {
-      const tokens = this.#placedTokens[other] ?? 0;
+      const tokens = this.#recentPromptTokens[other] ?? 0;
       all += tokens;
       if (other <= rank) upTo += tokens;
     }
@@ -155,31 +159,34 @@
   }
 
   /** Work of others at the endpoint, as far as it is still there. */
-  foreign(now: number): number {
-    if (this.#foreign === 0) return 0;
+  foreignLoad(now: number): number {
+    if (this.#reportedForeignLoad === 0) return 0;
     if (now !== this.#decayedAt) {
       const age = Math.max(0, now - this.#reportedAt);
-      this.#decay = 0.5 ** (age / this.#options.reportHalfLifeMilliseconds);
+      this.#foreignDecay = 0.5 **
+        (age / this.#options.reportHalfLifeMilliseconds);
       this.#decayedAt = now;
     }
-    return this.#foreign * this.#decay;
+    return this.#reportedForeignLoad * this.#foreignDecay;
   }
 
   /** Free places for a request of the rank; the most urgent rank is 0. */
-  room(rank: number, now: number): number {
-    const free = this.#limit + this.#options.extraPlaces - this.#own -
-      this.foreign(now);
+  freeSlots(rank: number, now: number): number {
+    const free = this.#limit + this.#options.extraPlaces - this.#ownAttempts -
+      this.foreignLoad(now);
     if (rank === 0) return free;
     const wait = this.prefillWait(rank, now);
     if (wait > this.#options.mostPrefillWaitMilliseconds) return 0;
-    const most = Math.max(1, this.#limit * this.#options.lessUrgentShare) +
+    const maxLessUrgent =
+      Math.max(1, this.#limit * this.#options.lessUrgentShare) +
       this.#options.extraPlaces;
-    return Math.min(free, most - this.#ownLessUrgent);
+    return Math.min(free, maxLessUrgent - this.#ownLessUrgentAttempts);
   }
 
   /** Share of the limit that is taken. */
   occupancy(now: number): number {
-    return (this.#own + this.foreign(now)) / Math.max(1, this.#limit);
+    return (this.#ownAttempts + this.foreignLoad(now)) /
+      Math.max(1, this.#limit);
   }
 
   /** Time until a prompt of the rank would be begun, milliseconds. */
@@ -218,8 +225,11 @@
   }
 
   /** The side had no room: whatever the picture says, it is full for now. */
-  foundFull(now: number): void {
-    this.#foreign = Math.max(this.foreign(now), this.#limit - this.#own);
+  markFull(now: number): void {
+    this.#reportedForeignLoad = Math.max(
+      this.foreignLoad(now),
+      this.#limit - this.#ownAttempts,
+    );
     this.#reportedAt = now;
     this.#decayedAt = -Infinity;
   }
@@ -231,27 +241,27 @@
         outputTokens * 1_000 / this.#rates.outputTokensPerSecond);
   }
 
-  started(attempt: OwnAttempt, now: number): void {
-    this.#own += 1;
-    if (attempt.rank > 0) this.#ownLessUrgent += 1;
-    this.#notePlaced(attempt);
+  attemptStarted(attempt: OwnAttempt, now: number): void {
+    this.#ownAttempts += 1;
+    if (attempt.rank > 0) this.#ownLessUrgentAttempts += 1;
+    this.#recordPlacedPrompt(attempt);
     const cost = this.#prefillMilliseconds(attempt.promptTokens);
     for (let rank = attempt.rank; rank < this.#ranks; rank++) {
       this.#prefillDoneAt[rank] = now + this.prefillWait(rank, now) + cost;
     }
   }
 
-  #notePlaced(attempt: OwnAttempt): void {
+  #recordPlacedPrompt(attempt: OwnAttempt): void {
     for (let rank = 0; rank < this.#ranks; rank++) {
       const added = rank === attempt.rank ? attempt.promptTokens : 0;
-      this.#placedTokens[rank] = PLACED_DECAY *
-          (this.#placedTokens[rank] ?? 0) + added;
+      this.#recentPromptTokens[rank] = PLACEMENT_DECAY *
+          (this.#recentPromptTokens[rank] ?? 0) + added;
     }
   }
 
-  ended(attempt: OwnAttempt): void {
-    this.#own -= 1;
-    if (attempt.rank > 0) this.#ownLessUrgent -= 1;
+  attemptEnded(attempt: OwnAttempt): void {
+    this.#ownAttempts -= 1;
+    if (attempt.rank > 0) this.#ownLessUrgentAttempts -= 1;
   }
 
   #prefillMilliseconds(tokens: number): number {
--- a/src/core/placement/placement_test.ts
+++ b/src/core/placement/placement_test.ts
@@ -3,7 +3,7 @@
 import { type EndpointId, identifier } from "../identity/mod.ts";
 import { chooseSubset, EndpointHealth, PrefixIndex } from "./mod.ts";
 
-const LIMITS = {
+const HEALTH_LIMITS = {
   mostFailureShare: 0.4,
   fewestAttempts: 8,
   mostSlowness: 3,
@@ -51,8 +51,8 @@
 
   it("finds the endpoint of the longest known prefix", () => {
     const index = new PrefixIndex(10);
-    index.learn(one, ["a", "ab"]);
-    index.learn(other, ["a"]);
+    index.record(one, ["a", "ab"]);
+    index.record(other, ["a"]);
     expect(index.find(["a", "ab", "abc", "abcd"])).to.deep.equal({
       endpoint: one,
       share: 0.5,
@@ -61,16 +61,16 @@
 
   it("forgets what its endpoint has dropped, and nothing of others", () => {
     const index = new PrefixIndex(10);
-    index.learn(one, ["a"]);
-    index.forget(other, ["a"]);
+    index.record(one, ["a"]);
+    index.remove(other, ["a"]);
     expect(index.find(["a"])?.endpoint).to.equal(one);
-    index.forget(one, ["a"]);
+    index.remove(one, ["a"]);
     expect(index.find(["a"])).to.equal(undefined);
   });
 
   it("is bounded", () => {
     const index = new PrefixIndex(3);
-    index.learn(one, ["a", "b", "c", "d", "e"]);
+    index.record(one, ["a", "b", "c", "d", "e"]);
     expect(index.size).to.equal(3);
   });
 });
@@ -80,13 +80,13 @@
   const slow = { overExpected: 1, overRated: 6 };
 
   it("finds an endpoint bad that fails", () => {
-    const health = new EndpointHealth(LIMITS);
+    const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 10; index++) health.failed(0);
     expect(health.isBad(1)).to.equal(true);
   });
 
   it("finds an endpoint bad that is slow though its reports say so", () => {
-    const health = new EndpointHealth(LIMITS);
+    const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.isBad(1)).to.equal(true);
   });
@@ -94,20 +94,20 @@
   // The whole pool is slow, because all of it is loaded. Ejecting endpoints
   // then would make the others slower still.
   it("finds none bad that is like the others", () => {
-    const health = new EndpointHealth(LIMITS);
+    const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.isBad(5)).to.equal(false);
   });
 
   // Nothing ever ends there: callers give up at their deadlines.
   it("learns from callers that gave up", () => {
-    const health = new EndpointHealth(LIMITS);
+    const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.cancelled(slow, 0);
     expect(health.isBad(1)).to.equal(true);
   });
 
   it("probes one attempt at a time and goes by its outcome", () => {
-    const health = new EndpointHealth(LIMITS);
+    const health = new EndpointHealth(HEALTH_LIMITS);
     health.eject(0);
     expect(health.mayProbe(1_999)).to.equal(false);
     expect(health.mayProbe(2_000)).to.equal(true);
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -4,18 +4,18 @@
 import {
   type CachedPrefix,
   type Candidate,
-  CandidateJudge,
-  finishAt,
-  type JudgeOptions,
-  type PlacementQuestion,
-  promptTokensAt,
+  CandidateScorer,
+  type PlacementQuery,
+  predictFinishMilliseconds,
+  type ScoringOptions,
+  uncachedPromptTokens,
 } from "./candidate.ts";
 import type { RoleCounts } from "../roles/mod.ts";
-import type { EndpointPicture } from "./endpoint_picture.ts";
+import type { EndpointView } from "./endpoint_view.ts";
 import { PrefixIndex } from "./prefix_index.ts";
 import type { RoutingPlan } from "./routing_plan.ts";
 
-export interface PlacerOptions extends JudgeOptions {
+export interface PlacerOptions extends ScoringOptions {
   readonly random: Random;
   /** Endpoints drawn at random for one decision. */
   readonly choices: number;
@@ -30,25 +30,25 @@
  * Occupancy up to which a prefix is followed whatever the mean. Harm
  * prevented: in a quiet hour the mean is near zero and no prefix would be.
  */
-const LEAST_AFFINITY_OCCUPANCY = 0.1;
+const MIN_AFFINITY_OCCUPANCY = 0.1;
 
 /** The subset as one request finds it. */
-interface Field {
+interface EligibleEndpoints {
   /** Usable, with ejected ones that may be probed. */
-  readonly open: EndpointPicture[];
-  readonly healthy: EndpointPicture[];
-  readonly roomy: EndpointPicture[];
-  readonly suited: EndpointPicture[];
-  probe?: EndpointPicture;
+  readonly available: EndpointView[];
+  readonly healthy: EndpointView[];
+  readonly withCapacity: EndpointView[];
+  readonly suited: EndpointView[];
+  probe?: EndpointView;
 }
 
-interface Asked {
-  readonly question: PlacementQuestion;
+interface QueryContext {
+  readonly query: PlacementQuery;
   readonly cached: CachedPrefix | undefined;
 }
 
 /** Least that any endpoint offers a request. */
-export interface Shortest {
+export interface MinimumTimes {
   readonly milliseconds: number;
   readonly engineMilliseconds: number;
 }
@@ -61,28 +61,28 @@
  */
 export class Placer {
   readonly #options: PlacerOptions;
-  readonly #judge: CandidateJudge;
+  readonly #scorer: CandidateScorer;
   readonly #prefixes: PrefixIndex;
-  #pictures: readonly EndpointPicture[] = [];
+  #views: readonly EndpointView[] = [];
   #plan: RoutingPlan | undefined;
-  #byId = new Map<EndpointId, EndpointPicture>();
+  #byId = new Map<EndpointId, EndpointView>();
 
   constructor(options: PlacerOptions) {
     this.#options = options;
-    this.#judge = new CandidateJudge(options);
+    this.#scorer = new CandidateScorer(options);
     this.#prefixes = new PrefixIndex(options.mostPrefixes);
   }
 
-  get pictures(): readonly EndpointPicture[] {
-    return this.#pictures;
+  get views(): readonly EndpointView[] {
+    return this.#views;
   }
 
-  use(pictures: readonly EndpointPicture[]): void {
-    this.#pictures = pictures;
-    this.#byId = new Map(pictures.map((one) => [one.facts.endpoint, one]));
+  setEndpoints(views: readonly EndpointView[]): void {
+    this.#views = views;
+    this.#byId = new Map(views.map((one) => [one.config.endpoint, one]));
   }
 
-  get(endpoint: EndpointId): EndpointPicture | undefined {
+  get(endpoint: EndpointId): EndpointView | undefined {
     return this.#byId.get(endpoint);
   }
 
@@ -90,13 +90,13 @@
     endpoint: EndpointId,
     event: { added: readonly string[]; dropped: readonly string[] },
   ): void {
-    this.#prefixes.forget(endpoint, event.dropped);
-    this.#prefixes.learn(endpoint, event.added);
+    this.#prefixes.remove(endpoint, event.dropped);
+    this.#prefixes.record(endpoint, event.added);
   }
 
   /** Takes a new division of the classes among the roles. */
-  follow(plan: RoutingPlan): void {
-    plan.continueFrom(this.#plan);
+  usePlan(plan: RoutingPlan): void {
+    plan.inheritPlacements(this.#plan);
     this.#plan = plan;
   }
 
@@ -106,11 +106,14 @@
   }
 
   /** True where a request of the class finds a free place. */
-  hasRoom(className: string, options: { rank: number; now: number }): boolean {
+  hasRoom(
+    className: string,
+    options: { rank: number; now: number },
+  ): boolean {
     const { rank, now } = options;
-    return this.#pictures.some((picture) =>
-      isOpen(picture, now) && picture.room(rank, now) >= 1 &&
-      (rank === 0 || this.#suits(picture, className))
+    return this.#views.some((view) =>
+      isAvailable(view, now) && view.freeSlots(rank, now) >= 1 &&
+      (rank === 0 || this.#isSuited(view, className))
     );
   }
 
@@ -119,201 +122,216 @@
    * urgent class takes another role as well: for it a free place in the wrong
    * one is better than a wait.
    */
-  #suits(picture: EndpointPicture, className: string): boolean {
+  #isSuited(view: EndpointView, className: string): boolean {
     const plan = this.#plan;
     if (plan === undefined || !plan.serves(className)) return true;
-    return plan.share(className, picture.role) > 0 &&
-      !plan.hasHadEnough(className, picture.role);
+    return plan.share(className, view.role) > 0 &&
+      !plan.exceedsShare(className, view.role);
   }
 
   /** Places that the pool offers to this entry, free or taken by it. */
-  places(now: number): number {
+  capacity(now: number): number {
     let places = 0;
-    for (const picture of this.#pictures) {
-      if (!isOpen(picture, now)) continue;
-      places += Math.max(0, picture.limit - picture.foreign(now));
+    for (const view of this.#views) {
+      if (!isAvailable(view, now)) continue;
+      places += Math.max(0, view.limit - view.foreignLoad(now));
     }
     return places;
   }
 
   /** Number of endpoints that get work, by role. */
-  usable(now: number): RoleCounts {
+  usableCounts(now: number): RoleCounts {
     const counts = { mixed: 0, prefill: 0, decode: 0 };
-    for (const picture of this.#pictures) {
-      if (isOpen(picture, now)) counts[picture.role] += 1;
+    for (const view of this.#views) {
+      if (isAvailable(view, now)) counts[view.role] += 1;
     }
     return counts;
   }
 
   /** Any endpoint that could serve now or soon. */
   hasUsable(now: number): boolean {
-    return this.#pictures.some((picture) => isOpen(picture, now));
+    return this.#views.some((view) => isAvailable(view, now));
   }
 
   /** The best place, or nothing where no endpoint is usable at all. */
-  choose(question: PlacementQuestion): Candidate | undefined {
-    const field = this.#survey(question);
-    const cached = this.#prefixes.find(question.profile.prefixHashes);
-    const mayFail = question.profile.idempotent && question.rank > 0;
-    if (field.probe !== undefined && mayFail) {
-      return this.#judge.judge(field.probe, question, cached);
+  choose(query: PlacementQuery): Candidate | undefined {
+    const eligible = this.#collectEligible(query);
+    const cached = this.#prefixes.find(query.profile.prefixHashes);
+    const mayFail = query.profile.idempotent && query.rank > 0;
+    if (eligible.probe !== undefined && mayFail) {
+      return this.#scorer.score(eligible.probe, query, cached);
     }
-    const usable = [field.suited, field.roomy, field.healthy, field.open]
+    const candidates = [
+      eligible.suited,
+      eligible.withCapacity,
+      eligible.healthy,
+      eligible.available,
+    ]
       .find((list) => list.length > 0);
-    if (usable === undefined) return undefined;
-    const from = this.#ofOneRole(usable, question);
-    const best = this.#best(from, question, cached);
-    if (question.rank > 0) return best;
-    return this.#inTime(best, field.healthy, { question, cached });
+    if (candidates === undefined) return undefined;
+    const limitToSampledRole = this.#ofOneRole(candidates, query);
+    const bestOfSample = this.#best(limitToSampledRole, query, cached);
+    if (query.rank > 0) return bestOfSample;
+    return this.#preferOnTime(bestOfSample, eligible.healthy, {
+      query: query,
+      cached,
+    });
   }
 
   /** The shortest finish that any healthy endpoint offers now. */
-  shortest(question: PlacementQuestion): Shortest {
-    const cached = this.#prefixes.find(question.profile.prefixHashes);
+  minimumTimes(query: PlacementQuery): MinimumTimes {
+    const cached = this.#prefixes.find(query.profile.prefixHashes);
     let milliseconds = Infinity;
     let engineMilliseconds = Infinity;
-    for (const picture of this.#pictures) {
-      if (!picture.usable || picture.health.ejected) continue;
-      const promptTokens = promptTokensAt(picture, question, cached);
+    for (const view of this.#views) {
+      if (!view.usable || view.health.ejected) continue;
+      const promptTokens = uncachedPromptTokens(view, query, cached);
       milliseconds = Math.min(
         milliseconds,
-        finishAt(picture, question, promptTokens),
+        predictFinishMilliseconds(view, query, promptTokens),
       );
       engineMilliseconds = Math.min(
         engineMilliseconds,
-        picture.engineMilliseconds(promptTokens, question.outputTokens),
+        view.engineMilliseconds(promptTokens, query.outputTokens),
       );
     }
     return { milliseconds, engineMilliseconds };
   }
 
-  learnPlacement(endpoint: EndpointId, profile: RequestProfile): void {
-    this.#prefixes.learn(endpoint, profile.prefixHashes);
+  recordPlacement(endpoint: EndpointId, profile: RequestProfile): void {
+    this.#prefixes.record(endpoint, profile.prefixHashes);
     const role = this.#byId.get(endpoint)?.role;
-    if (role !== undefined) this.#plan?.placed(profile.className, role);
+    if (role !== undefined) this.#plan?.addPlacement(profile.className, role);
   }
 
   /** Ejects what is bad, as far as the ceiling allows. */
   review(now: number): void {
-    const judged = this.#pictures.filter((picture) => picture.usable);
-    const most = Math.floor(judged.length * this.#options.mostEjectedShare);
+    const judged = this.#views.filter((view) => view.usable);
+    const maxEjected = Math.floor(
+      judged.length * this.#options.mostEjectedShare,
+    );
     let ejected = judged.filter((one) => one.health.ejected).length;
-    const median = medianOf(judged.map((one) => one.health.overRated));
-    for (const picture of judged) {
-      if (ejected >= most) return;
-      if (!picture.health.isBad(median)) continue;
-      picture.health.eject(now);
+    const median = medianOf(judged.map((one) => one.health.ratioToRated));
+    for (const view of judged) {
+      if (ejected >= maxEjected) return;
+      if (!view.health.isBad(median)) continue;
+      view.health.eject(now);
       ejected += 1;
     }
   }
 
   /** One pass over the subset, from the best endpoints to the last resort. */
-  #survey(question: PlacementQuestion): Field {
-    const { profile, rank, now } = question;
-    const field: Field = { open: [], healthy: [], roomy: [], suited: [] };
-    for (const picture of this.#pictures) {
-      if (!isOpen(picture, now)) continue;
-      field.open.push(picture);
-      if (profile.excluded.has(picture.facts.endpoint)) continue;
-      if (picture.health.ejected) {
-        field.probe ??= picture;
+  #collectEligible(query: PlacementQuery): EligibleEndpoints {
+    const { profile, rank, now } = query;
+    const eligible: EligibleEndpoints = {
+      available: [],
+      healthy: [],
+      withCapacity: [],
+      suited: [],
+    };
+    for (const view of this.#views) {
+      if (!isAvailable(view, now)) continue;
+      eligible.available.push(view);
+      if (profile.excluded.has(view.config.endpoint)) continue;
+      if (view.health.ejected) {
+        eligible.probe ??= view;
         continue;
       }
-      field.healthy.push(picture);
-      if (picture.room(rank, now) < 1) continue;
-      field.roomy.push(picture);
-      if (this.#suits(picture, profile.className)) field.suited.push(picture);
+      eligible.healthy.push(view);
+      if (view.freeSlots(rank, now) < 1) continue;
+      eligible.withCapacity.push(view);
+      if (this.#isSuited(view, profile.className)) eligible.suited.push(view);
     }
-    return field;
+    return eligible;
   }
 
   #best(
-    from: readonly EndpointPicture[],
-    question: PlacementQuestion,
+    views: readonly EndpointView[],
+    query: PlacementQuery,
     cached: CachedPrefix | undefined,
   ): Candidate {
-    let best = this.#judge.judge(this.#draw(from), question, cached);
-    const draws = Math.min(this.#options.choices, from.length * 2);
+    let best = this.#scorer.score(this.#sampleOne(views), query, cached);
+    const draws = Math.min(this.#options.choices, views.length * 2);
     for (let drawn = 1; drawn < draws; drawn++) {
-      const other = this.#judge.judge(this.#draw(from), question, cached);
+      const other = this.#scorer.score(this.#sampleOne(views), query, cached);
       if (other.score < best.score) best = other;
     }
-    return this.#withAffinity(best, from, { question, cached });
+    return this.#withAffinity(best, views, { query: query, cached });
   }
 
   /**
    * For urgent work: an endpoint that has no free place but makes room at its
    * side goes before a free one that can't be in time.
    */
-  #inTime(
+  #preferOnTime(
     found: Candidate,
-    healthy: readonly EndpointPicture[],
-    asked: Asked,
+    healthy: readonly EndpointView[],
+    context: QueryContext,
   ): Candidate {
-    const { question, cached } = asked;
-    if (found.milliseconds <= question.profile.deadline - question.now) {
+    const { query: query, cached } = context;
+    if (found.finishMilliseconds <= query.profile.deadline - query.now) {
       return found;
     }
     let best = found;
-    for (const picture of healthy) {
-      const other = this.#judge.judge(picture, question, cached);
-      if (other.milliseconds < best.milliseconds) best = other;
+    for (const view of healthy) {
+      const other = this.#scorer.score(view, query, cached);
+      if (other.finishMilliseconds < best.finishMilliseconds) best = other;
     }
     return best;
   }
 
   /** Endpoints of one role, drawn by the shares of the plan. */
   #ofOneRole(
-    from: readonly EndpointPicture[],
-    { profile }: PlacementQuestion,
-  ): readonly EndpointPicture[] {
+    views: readonly EndpointView[],
+    { profile }: PlacementQuery,
+  ): readonly EndpointView[] {
     const plan = this.#plan;
-    if (plan === undefined) return from;
-    const isMixed = from.some((one) => one.role !== from[0].role);
-    if (!isMixed) return from;
-    const roles = [...new Set(from.map((one) => one.role))];
+    if (plan === undefined) return views;
+    const isMixed = views.some((one) => one.role !== views[0].role);
+    if (!isMixed) return views;
+    const roles = [...new Set(views.map((one) => one.role))];
     const shares = roles.map((role) => plan.share(profile.className, role));
     const total = shares.reduce((sum, share) => sum + share, 0);
     let drawn = this.#options.random() * total;
     const role = roles.find((_, index) => (drawn -= shares[index]) < 0);
-    if (role === undefined) return from;
-    return from.filter((one) => one.role === role);
+    if (role === undefined) return views;
+    return views.filter((one) => one.role === role);
   }
 
-  #draw(from: readonly EndpointPicture[]): EndpointPicture {
-    return from[Math.floor(this.#options.random() * from.length)];
+  #sampleOne(views: readonly EndpointView[]): EndpointView {
+    return views[Math.floor(this.#options.random() * views.length)];
   }
 
   /** The endpoint with the prefix, if its load is near the mean. */
   #withAffinity(
     best: Candidate,
-    from: readonly EndpointPicture[],
-    { question, cached }: Asked,
+    views: readonly EndpointView[],
+    { query: query, cached }: QueryContext,
   ): Candidate {
     if (cached === undefined) return best;
     const holder = this.#byId.get(cached.endpoint);
-    if (holder === undefined || !from.includes(holder)) return best;
+    if (holder === undefined || !views.includes(holder)) return best;
     const bound = this.#options.mostAffinityLoad *
-      meanOccupancy(from, question.now);
-    const most = Math.max(bound, LEAST_AFFINITY_OCCUPANCY);
-    if (holder.occupancy(question.now) > most) return best;
-    const candidate = this.#judge.judge(holder, question, cached);
+      meanOccupancy(views, query.now);
+    const maxOccupancy = Math.max(bound, MIN_AFFINITY_OCCUPANCY);
+    if (holder.occupancy(query.now) > maxOccupancy) return best;
+    const candidate = this.#scorer.score(holder, query, cached);
     return candidate.score <= best.score ? candidate : best;
   }
 }
 
-function isOpen(picture: EndpointPicture, now: number): boolean {
-  if (!picture.usable) return false;
-  return !picture.health.ejected || picture.health.mayProbe(now);
+function isAvailable(view: EndpointView, now: number): boolean {
+  if (!view.usable) return false;
+  return !view.health.ejected || view.health.mayProbe(now);
 }
 
 function meanOccupancy(
-  pictures: readonly EndpointPicture[],
+  views: readonly EndpointView[],
   now: number,
 ): number {
   let sum = 0;
-  for (const picture of pictures) sum += picture.occupancy(now);
-  return sum / Math.max(1, pictures.length);
+  for (const view of views) sum += view.occupancy(now);
+  return sum / Math.max(1, views.length);
 }
 
 function medianOf(values: number[]): number {
--- a/src/core/placement/prefix_index.ts
+++ b/src/core/placement/prefix_index.ts
@@ -7,30 +7,30 @@
  */
 export class PrefixIndex {
   readonly #endpoints = new Map<string, EndpointId>();
-  readonly #mostPrefixes: number;
+  readonly #maxPrefixes: number;
 
   /** `mostPrefixes` bounds the memory; the oldest are forgotten first. */
-  constructor(mostPrefixes: number) {
-    this.#mostPrefixes = mostPrefixes;
+  constructor(maxPrefixes: number) {
+    this.#maxPrefixes = maxPrefixes;
   }
 
   get size(): number {
     return this.#endpoints.size;
   }
 
-  learn(endpoint: EndpointId, prefixes: readonly string[]): void {
+  record(endpoint: EndpointId, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       this.#endpoints.delete(prefix);
       this.#endpoints.set(prefix, endpoint);
     }
-    while (this.#endpoints.size > this.#mostPrefixes) {
+    while (this.#endpoints.size > this.#maxPrefixes) {
       const oldest = this.#endpoints.keys().next();
       if (oldest.done) return;
       this.#endpoints.delete(oldest.value);
     }
   }
 
-  forget(endpoint: EndpointId, prefixes: readonly string[]): void {
+  remove(endpoint: EndpointId, prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       if (this.#endpoints.get(prefix) === endpoint) {
         this.#endpoints.delete(prefix);
--- a/src/core/placement/routing_plan.ts
+++ b/src/core/placement/routing_plan.ts
@@ -1,7 +1,7 @@
 import type { EngineCharacteristics } from "../../generated/inventory.ts";
 import {
+  allocateWork,
   type ClassDemand,
-  divideWork,
   type Role,
   type RoleCounts,
   type RoleProfiles,
@@ -9,18 +9,18 @@
 } from "../roles/mod.ts";
 
 /** Share of a class's requests below which a role is not used for it. */
-const LEAST_SHARE = 0.02;
+const MIN_SHARE = 0.02;
 /**
  * Utilisation below which every role takes every class. Load: a quiet hour.
  * Harm prevented: a request that waits for the planned role while others idle.
  * Limit: half of the rates, where a wrong role costs time but no one's place.
  */
-const QUIET_UTILISATION = 0.5;
+const LOW_UTILISATION = 0.5;
 /** Weight of the older placements: about the last fifty count. */
-const PLACED_DECAY = 0.98;
-const TINY_RATE = 1e-6;
+const PLACEMENT_DECAY = 0.98;
+const MIN_RATE = 1e-6;
 /** Placements by which a role may be ahead of its share. */
-const SLACK_PLACEMENTS = 1;
+const MAX_EXCESS_PLACEMENTS = 1;
 /** Share of the rated rates that the plan uses. */
 const USABLE_SHARE = 0.95;
 
@@ -39,27 +39,30 @@
 export class RoutingPlan {
   readonly #shares = new Map<string, readonly number[]>();
   /** Share of each class's arrivals that the pool can serve. */
-  readonly #served = new Map<string, number>();
-  readonly #placed = new Map<string, number[]>();
-  readonly #quiet: boolean;
+  readonly #servedShares = new Map<string, number>();
+  readonly #placements = new Map<string, number[]>();
+  readonly #isLightlyLoaded: boolean;
 
   constructor(
     demand: readonly ClassDemand[],
     counts: RoleCounts,
     options: RoutingOptions,
   ) {
-    const division = divideWork(demand, counts, {
+    const allocation = allocateWork(demand, counts, {
       ...options,
       usableShare: USABLE_SHARE,
     });
-    this.#quiet = division.utilisation < QUIET_UTILISATION;
+    this.#isLightlyLoaded = allocation.utilisation < LOW_UTILISATION;
     for (const [index, one] of demand.entries()) {
-      const total = division.rates[index].reduce((sum, rate) => sum + rate, 0);
-      this.#served.set(
+      const total = allocation.rates[index].reduce(
+        (sum, rate) => sum + rate,
+        0,
+      );
+      this.#servedShares.set(
         one.className,
-        Math.min(1, total / Math.max(TINY_RATE, one.arrivalsPerSecond)),
+        Math.min(1, total / Math.max(MIN_RATE, one.arrivalsPerSecond)),
       );
-      const shares = division.rates[index].map((rate) => rate / total);
+      const shares = allocation.rates[index].map((rate) => rate / total);
       this.#shares.set(one.className, total > 0 ? shares : []);
     }
   }
@@ -67,23 +70,23 @@
   /** Share of the class that the role should take; 0 where it takes none. */
   share(className: string, role: Role): number {
     const shares = this.#shares.get(className);
-    if (this.#quiet || shares === undefined) return 1;
+    if (this.#isLightlyLoaded || shares === undefined) return 1;
     const share = shares[ROLES.indexOf(role)] ?? 0;
-    return share < LEAST_SHARE ? 0 : share;
+    return share < MIN_SHARE ? 0 : share;
   }
 
   /** Share of the class's arrivals that fits beside all other work. */
   servedShare(className: string): number {
-    return this.#served.get(className) ?? 1;
+    return this.#servedShares.get(className) ?? 1;
   }
 
   /** Notes a placement; older ones count less and less. */
-  placed(className: string, role: Role): void {
-    const known = this.#placed.get(className);
-    const counts = known ?? ROLES.map(() => 0);
-    if (known === undefined) this.#placed.set(className, counts);
-    for (let place = 0; place < counts.length; place++) {
-      counts[place] *= PLACED_DECAY;
+  addPlacement(className: string, role: Role): void {
+    const existing = this.#placements.get(className);
+    const counts = existing ?? ROLES.map(() => 0);
+    if (existing === undefined) this.#placements.set(className, counts);
+    for (let roleIndex = 0; roleIndex < counts.length; roleIndex++) {
+      counts[roleIndex] *= PLACEMENT_DECAY;
     }
     counts[ROLES.indexOf(role)] += 1;
   }
@@ -94,25 +97,25 @@
    * prevented: its part of the long prompts spills to the engines whose
    * prompt rate the plan has already used up, and stays there.
    */
-  hasHadEnough(className: string, role: Role): boolean {
-    const counts = this.#placed.get(className);
-    if (this.#quiet || counts === undefined) return false;
+  exceedsShare(className: string, role: Role): boolean {
+    const counts = this.#placements.get(className);
+    if (this.#isLightlyLoaded || counts === undefined) return false;
     const total = counts.reduce((sum, count) => sum + count, 0);
-    const fair = this.share(className, role) * total;
-    return counts[ROLES.indexOf(role)] > fair + SLACK_PLACEMENTS;
+    const fairCount = this.share(className, role) * total;
+    return counts[ROLES.indexOf(role)] > fairCount + MAX_EXCESS_PLACEMENTS;
   }
 
   /** The next plan goes on with what has been placed. */
-  continueFrom(previous: RoutingPlan | undefined): void {
+  inheritPlacements(previous: RoutingPlan | undefined): void {
     if (previous === undefined) return;
-    for (const [className, counts] of previous.#placed) {
-      this.#placed.set(className, counts);
+    for (const [className, counts] of previous.#placements) {
+      this.#placements.set(className, counts);
     }
   }
 
   /** False: no role has anything left for the class. */
   serves(className: string): boolean {
     const shares = this.#shares.get(className);
-    return this.#quiet || shares === undefined || shares.length > 0;
+    return this.#isLightlyLoaded || shares === undefined || shares.length > 0;
   }
 }
--- a/src/core/placement/subset.ts
+++ b/src/core/placement/subset.ts
@@ -36,11 +36,11 @@
     candidate.availabilityZone === options.availabilityZone;
   const own = ranked.filter(isOwn);
   const others = ranked.filter((candidate) => !isOwn(candidate));
-  const mostOwn = Math.round(options.mostEndpoints * options.ownZoneShare);
-  const chosen = own.slice(0, mostOwn);
+  const maxOwn = Math.round(options.mostEndpoints * options.ownZoneShare);
+  const chosen = own.slice(0, maxOwn);
   chosen.push(...others.slice(0, options.mostEndpoints - chosen.length));
   chosen.push(
-    ...own.slice(mostOwn, mostOwn + options.mostEndpoints - chosen.length),
+    ...own.slice(maxOwn, maxOwn + options.mostEndpoints - chosen.length),
   );
   return chosen;
 }
--- a/src/core/roles/capacity.ts
+++ b/src/core/roles/capacity.ts
@@ -29,7 +29,7 @@
 }
 
 /** How the work of a pool is best divided among its roles. */
-export interface WorkDivision {
+export interface WorkAllocation {
   /** Value of the answers per second that the pool can give. */
   readonly value: number;
   /** Share of the rates that the busiest role needs, at most 1. */
@@ -48,30 +48,32 @@
  * with the same value it takes one whose busiest role is the least busy, so
  * that spare capacity is spread and waits stay short.
  */
-export function divideWork(
+export function allocateWork(
   demand: readonly ClassDemand[],
   counts: RoleCounts,
   options: CapacityOptions,
-): WorkDivision {
+): WorkAllocation {
   const columns = demand.length * ROLES.length + 1;
   const total = demand.reduce((sum, one) => sum + one.arrivalsPerSecond, 0);
   const objective = demand.flatMap((one) => ROLES.map(() => one.value));
-  objective.push(-UTILISATION_WEIGHT * Math.max(total, TINY_RATE));
+  objective.push(-UTILISATION_WEIGHT * Math.max(total, MIN_RATE));
   const rows: number[][] = [];
   const limits: number[] = [];
-  for (const [place, role] of ROLES.entries()) {
+  for (const [roleIndex, role] of ROLES.entries()) {
     const rates = roleRates(options.engine, options.profiles[role]);
-    const drag = rates.promptDrag * rates.outputTokensPerSecond /
+    const outputTokensPerPromptToken = rates.promptDrag *
+      rates.outputTokensPerSecond /
       rates.prefillTokensPerSecond;
     const engines = counts[role] * options.usableShare;
     rows.push(
-      resourceRow(demand, place, {
+      resourceRow(demand, roleIndex, {
         limit: engines * rates.prefillTokensPerSecond,
         need: (one) => one.promptTokens,
       }),
-      resourceRow(demand, place, {
+      resourceRow(demand, roleIndex, {
         limit: engines * rates.outputTokensPerSecond,
-        need: (one) => one.outputTokens + drag * one.promptTokens,
+        need: (one) =>
+          one.outputTokens + outputTokensPerPromptToken * one.promptTokens,
       }),
     );
     limits.push(0, 0);
@@ -95,16 +97,16 @@
   return { value, utilisation: solution[columns - 1], rates };
 }
 
-const TINY_RATE = 1e-6;
+const MIN_RATE = 1e-6;
 
 /** Row of one role's resource: what is used, less the utilised limit, <= 0. */
 function resourceRow(
   demand: readonly ClassDemand[],
-  place: number,
+  roleIndex: number,
   resource: { limit: number; need: (one: ClassDemand) => number },
 ): number[] {
   const row = demand.flatMap((one) =>
-    ROLES.map((_, other) => (other === place ? resource.need(one) : 0))
+    ROLES.map((_, other) => (other === roleIndex ? resource.need(one) : 0))
   );
   row.push(-resource.limit);
   return row;
@@ -116,11 +118,11 @@
   counts: RoleCounts,
   options: CapacityOptions,
 ): number {
-  return divideWork(demand, counts, options).value;
+  return allocateWork(demand, counts, options).value;
 }
 
 /** The counts after one engine has gone from one role to another. */
-export function moved(
+export function countsAfterMove(
   counts: RoleCounts,
   move: { from: Role; to: Role },
 ): RoleCounts {
--- a/src/core/roles/constraints.ts
+++ b/src/core/roles/constraints.ts
@@ -1,17 +1,19 @@
 import type { PlannerRules } from "../../generated/rules.ts";
 import type { RoleCounts } from "./capacity.ts";
-import type { PlannedEndpoint, PoolPicture } from "./picture.ts";
+import type { PlannedEndpoint, PoolPicture } from "./planner_input.ts";
 import type { Role } from "./role_profile.ts";
 
 /** Default share of a pool, and of its part in a zone, out for changes. */
-const MOST_OUT_AT_ONCE_SHARE = 0.2;
+const DEFAULT_MAX_UNAVAILABLE_SHARE = 0.2;
 
 /**
  * Engines per role, with changes under way counted as done: a planner that
  * looked at the present roles would order the same change again while the
  * first one is still draining.
  */
-export function countsOf(endpoints: readonly PlannedEndpoint[]): RoleCounts {
+export function plannedRoleCounts(
+  endpoints: readonly PlannedEndpoint[],
+): RoleCounts {
   const counts = { mixed: 0, prefill: 0, decode: 0 };
   for (const one of endpoints) {
     if (one.serving || one.changingTo !== undefined) {
@@ -27,31 +29,35 @@
   rules: PlannerRules,
   move: { from: Role; to: Role },
 ): boolean {
-  return endpointFor(pool, rules, move) !== undefined;
+  return selectEndpoint(pool, rules, move) !== undefined;
 }
 
 /** The engine that makes the move: in the zone with the fewest engines out. */
-export function endpointFor(
+export function selectEndpoint(
   pool: PoolPicture,
   rules: PlannerRules,
   move: { from: Role; to: Role },
 ): PlannedEndpoint | undefined {
-  if (countsOf(pool.endpoints)[move.from] <= (rules.fewestPerRole ?? 0)) {
+  if (
+    plannedRoleCounts(pool.endpoints)[move.from] <= (rules.fewestPerRole ?? 0)
+  ) {
     return undefined;
   }
-  if (!hasPlaceOut(pool.endpoints, rules)) return undefined;
-  const free = pool.endpoints.filter((one) =>
+  if (!hasUnavailabilityBudget(pool.endpoints, rules)) return undefined;
+  const eligible = pool.endpoints.filter((one) =>
     one.role === move.from && one.serving && !one.fixedRole &&
-    one.changingTo === undefined && hasPlaceOut(inZoneOf(pool, one), rules)
+    one.changingTo === undefined &&
+    hasUnavailabilityBudget(endpointsInZoneOf(pool, one), rules)
   );
-  free.sort((one, other) =>
-    out(inZoneOf(pool, one)) - out(inZoneOf(pool, other)) ||
-    inZoneOf(pool, other).length - inZoneOf(pool, one).length
+  eligible.sort((one, other) =>
+    countUnavailable(endpointsInZoneOf(pool, one)) -
+      countUnavailable(endpointsInZoneOf(pool, other)) ||
+    endpointsInZoneOf(pool, other).length - endpointsInZoneOf(pool, one).length
   );
-  return free[0];
+  return eligible[0];
 }
 
-function inZoneOf(
+function endpointsInZoneOf(
   pool: PoolPicture,
   endpoint: PlannedEndpoint,
 ): readonly PlannedEndpoint[] {
@@ -65,15 +71,16 @@
  * engines of a pool or zone out of service at the same time. Whatever the
  * cause, an engine that is out counts.
  */
-function hasPlaceOut(
+function hasUnavailabilityBudget(
   endpoints: readonly PlannedEndpoint[],
   rules: PlannerRules,
 ): boolean {
-  const share = rules.mostOutAtOnceShare ?? MOST_OUT_AT_ONCE_SHARE;
-  return out(endpoints) < Math.max(1, Math.floor(endpoints.length * share));
+  const share = rules.mostOutAtOnceShare ?? DEFAULT_MAX_UNAVAILABLE_SHARE;
+  return countUnavailable(endpoints) <
+    Math.max(1, Math.floor(endpoints.length * share));
 }
 
-function out(endpoints: readonly PlannedEndpoint[]): number {
+function countUnavailable(endpoints: readonly PlannedEndpoint[]): number {
   return endpoints.filter((one) => !one.serving || one.changingTo !== undefined)
     .length;
 }
--- a/src/core/roles/linear_program.ts
+++ b/src/core/roles/linear_program.ts
@@ -20,12 +20,12 @@
  * that can be reached though it may not be the largest; a program without an
  * upper limit ends the same way.
  */
-export function maximise(program: LinearProgram, mostPivots = 500): Optimum {
+export function maximise(program: LinearProgram, maxPivots = 500): Optimum {
   const tableau = tableauOf(program);
   const basis = program.rows.map((_, row) => program.objective.length + row);
   const columns = program.objective.length + program.rows.length;
   const cost = tableau[tableau.length - 1];
-  for (let pivots = 0; pivots < mostPivots; pivots++) {
+  for (let pivots = 0; pivots < maxPivots; pivots++) {
     const column = enteringColumn(cost, columns);
     if (column === -1) break;
     const row = leavingRow(tableau, column, columns);
--- a/src/core/roles/mod.ts
+++ b/src/core/roles/mod.ts
@@ -1,27 +1,27 @@
 /** Which role each engine has, and when a change is worth its price. */
 export {
+  allocateWork,
   type CapacityOptions,
   type ClassDemand,
-  divideWork,
-  moved,
+  countsAfterMove,
   type RoleCounts,
   servedPerSecond,
-  type WorkDivision,
+  type WorkAllocation,
 } from "./capacity.ts";
 export type {
   PlannedEndpoint,
   PlannerPicture,
   PoolPicture,
   RoleChange,
-} from "./picture.ts";
+} from "./planner_input.ts";
 export {
-  COST_BASED_OPTIONS,
   type CostBasedOptions,
   costBasedPolicy,
+  DEFAULT_COST_BASED_OPTIONS,
   forecastPolicy,
   type RoleMove,
   type RolePolicy,
-  type RoleSituation,
+  type RolePolicyInput,
   staticPolicy,
   thresholdPolicy,
 } from "./policies.ts";
--- a/src/core/roles/policies.ts
+++ b/src/core/roles/policies.ts
@@ -1,15 +1,15 @@
 import type { PlannerRules } from "../../generated/rules.ts";
 import {
   type ClassDemand,
-  moved,
+  countsAfterMove,
   type RoleCounts,
   servedPerSecond,
 } from "./capacity.ts";
-import type { PoolPicture } from "./picture.ts";
+import type { PoolPicture } from "./planner_input.ts";
 import { type Role, ROLE_PROFILES, roleRates, ROLES } from "./role_profile.ts";
 
 /** What a policy decides from. */
-export interface RoleSituation {
+export interface RolePolicyInput {
   readonly now: number;
   readonly pool: PoolPicture;
   /** Roles with changes under way counted as done. */
@@ -25,7 +25,7 @@
 }
 
 /** Decides on one change at most; may remember earlier situations. */
-export type RolePolicy = (situation: RoleSituation) => RoleMove | undefined;
+export type RolePolicy = (situation: RolePolicyInput) => RoleMove | undefined;
 
 /** Never changes a role. */
 export function staticPolicy(): RolePolicy {
@@ -42,18 +42,24 @@
 export function thresholdPolicy(imbalance = THRESHOLD_IMBALANCE): RolePolicy {
   return ({ pool, counts, mayMove }) => {
     const { prompts, outputs } = utilisation(pool, counts);
-    const towards = (order: readonly Role[]): RoleMove | undefined => {
-      for (let index = order.length - 1; index > 0; index--) {
-        const move = { from: order[index], to: order[index - 1], netGain: 0 };
+    const moveTowards = (
+      rolesByPreference: readonly Role[],
+    ): RoleMove | undefined => {
+      for (let index = rolesByPreference.length - 1; index > 0; index--) {
+        const move = {
+          from: rolesByPreference[index],
+          to: rolesByPreference[index - 1],
+          netGain: 0,
+        };
         if (counts[move.from] > 0 && mayMove(move.from, move.to)) return move;
       }
       return undefined;
     };
     if (prompts > outputs * imbalance) {
-      return towards(["prefill", "mixed", "decode"]);
+      return moveTowards(["prefill", "mixed", "decode"]);
     }
     if (outputs > prompts * imbalance) {
-      return towards(["decode", "mixed", "prefill"]);
+      return moveTowards(["decode", "mixed", "prefill"]);
     }
     return undefined;
   };
@@ -91,8 +97,8 @@
   /** Deviations of the noise that a gain has to exceed. */
   readonly noiseDeviations: number;
   /** A shift is expected to last at least and at most this long. */
-  readonly shortestShiftMilliseconds: number;
-  readonly longestShiftMilliseconds: number;
+  readonly minShiftMilliseconds: number;
+  readonly maxShiftMilliseconds: number;
   /** Drain before a change, added to the engine's own seconds out. */
   readonly drainMilliseconds: number;
   /** Weight where the rules name none. */
@@ -101,19 +107,19 @@
   readonly forecastMilliseconds: number;
 }
 
-export const COST_BASED_OPTIONS: CostBasedOptions = {
+export const DEFAULT_COST_BASED_OPTIONS: CostBasedOptions = {
   usableShare: 0.8,
   smoothing: 0.3,
   noiseDeviations: 0.3,
-  shortestShiftMilliseconds: 20_000,
-  longestShiftMilliseconds: 300_000,
+  minShiftMilliseconds: 20_000,
+  maxShiftMilliseconds: 300_000,
   drainMilliseconds: 4_000,
   defaultWeight: 1,
   forecastMilliseconds: 0,
 };
 
 /** Plans seen before a new planner acts: it has to know the noise first. */
-const FEWEST_PLANS = 5;
+const MIN_PLANS = 5;
 
 /**
  * A change is made when what it gains over the expected rest of the shift
@@ -124,32 +130,32 @@
  * last as long again, within limits.
  */
 export function costBasedPolicy(
-  given: Partial<CostBasedOptions> = {},
+  overrides: Partial<CostBasedOptions> = {},
 ): RolePolicy {
-  const options = { ...COST_BASED_OPTIONS, ...given };
-  const smoothed = new DemandEstimate(options);
-  let wantedSince: number | undefined;
-  let plans = 0;
+  const options = { ...DEFAULT_COST_BASED_OPTIONS, ...overrides };
+  const estimate = new DemandEstimate(options);
+  let favourableSince: number | undefined;
+  let planCount = 0;
   return (situation) => {
-    smoothed.observe(situation.pool.demand, situation.now);
-    plans += 1;
-    const best = bestMove(situation, smoothed.demand(), options);
+    estimate.observe(situation.pool.demand, situation.now);
+    planCount += 1;
+    const best = bestMove(situation, estimate.demand(), options);
     if (best === undefined) {
-      wantedSince = undefined;
+      favourableSince = undefined;
       return undefined;
     }
-    wantedSince ??= situation.now;
-    if (plans < FEWEST_PLANS) return undefined;
+    favourableSince ??= situation.now;
+    if (planCount < MIN_PLANS) return undefined;
     const shift = Math.min(
-      options.longestShiftMilliseconds,
+      options.maxShiftMilliseconds,
       Math.max(
-        options.shortestShiftMilliseconds,
-        situation.now - wantedSince,
+        options.minShiftMilliseconds,
+        situation.now - favourableSince,
       ),
     );
-    const noise = smoothed.noise() * options.noiseDeviations * best.served;
+    const noise = estimate.noise() * options.noiseDeviations * best.served;
     const gain = (best.gain - noise) * shift / 1_000;
-    const netGain = gain - price(situation, best.served, options);
+    const netGain = gain - changeCost(situation, best.served, options);
     if (netGain <= 0) return undefined;
     return { from: best.from, to: best.to, netGain };
   };
@@ -157,13 +163,13 @@
 
 /** The cost-based rule applied to the demand expected a little later. */
 export function forecastPolicy(
-  given: Partial<CostBasedOptions> = {},
+  overrides: Partial<CostBasedOptions> = {},
 ): RolePolicy {
-  return costBasedPolicy({ forecastMilliseconds: 30_000, ...given });
+  return costBasedPolicy({ forecastMilliseconds: 30_000, ...overrides });
 }
 
-function price(
-  { pool, counts, rules }: RoleSituation,
+function changeCost(
+  { pool, counts, rules }: RolePolicyInput,
   served: number,
   options: CostBasedOptions,
 ): number {
@@ -183,7 +189,7 @@
 }
 
 function bestMove(
-  { pool, counts, mayMove }: RoleSituation,
+  { pool, counts, mayMove }: RolePolicyInput,
   demand: readonly ClassDemand[],
   options: CostBasedOptions,
 ): BestMove | undefined {
@@ -197,7 +203,7 @@
   for (const from of ROLES) {
     for (const to of ROLES) {
       if (from === to || counts[from] === 0 || !mayMove(from, to)) continue;
-      const after = moved(counts, { from, to });
+      const after = countsAfterMove(counts, { from, to });
       const gain = servedPerSecond(demand, after, capacity) - served;
       if (gain <= 1e-6 || gain <= (best?.gain ?? 0)) continue;
       best = { from, to, served, gain };
@@ -206,7 +212,7 @@
   return best;
 }
 
-interface Track {
+interface ClassEstimate {
   mean: ClassDemand;
   /** Change of the arrivals per millisecond. */
   trend: number;
@@ -215,7 +221,7 @@
 /** Smoothed demand per class, its noise and its trend. */
 class DemandEstimate {
   readonly #options: CostBasedOptions;
-  readonly #tracks = new Map<string, Track>();
+  readonly #estimates = new Map<string, ClassEstimate>();
   #noise = 0;
   #observedAt: number | undefined;
 
@@ -229,7 +235,8 @@
     let difference = 0;
     let total = 0;
     for (const one of demand) {
-      const track = this.#tracks.get(one.className) ?? { mean: one, trend: 0 };
+      const track = this.#estimates.get(one.className) ??
+        { mean: one, trend: 0 };
       const before = track.mean.arrivalsPerSecond;
       difference += Math.abs(one.arrivalsPerSecond - before);
       total += before;
@@ -238,9 +245,9 @@
         const step = (track.mean.arrivalsPerSecond - before) / elapsed;
         track.trend += 0.2 * (step - track.trend);
       }
-      this.#tracks.set(one.className, track);
+      this.#estimates.set(one.className, track);
     }
-    this.#fadeAbsent(demand);
+    this.#decayAbsentClasses(demand);
     const noise = difference / Math.max(1e-9, total);
     this.#noise += 0.1 * (noise - this.#noise);
   }
@@ -249,13 +256,13 @@
    * A class that is no longer reported has no arrivals. Kept at its last rate
    * it would go on drawing engines after its work has ended.
    */
-  #fadeAbsent(demand: readonly ClassDemand[]): void {
+  #decayAbsentClasses(demand: readonly ClassDemand[]): void {
     const present = new Set(demand.map((one) => one.className));
-    for (const [className, track] of this.#tracks) {
+    for (const [className, estimate] of this.#estimates) {
       if (present.has(className)) continue;
-      track.trend = 0;
-      track.mean = this.#blend(track.mean, {
-        ...track.mean,
+      estimate.trend = 0;
+      estimate.mean = this.#blend(estimate.mean, {
+        ...estimate.mean,
         arrivalsPerSecond: 0,
       });
     }
@@ -267,7 +274,7 @@
   }
 
   demand(): ClassDemand[] {
-    return [...this.#tracks.values()].map(({ mean, trend }) => ({
+    return [...this.#estimates.values()].map(({ mean, trend }) => ({
       ...mean,
       arrivalsPerSecond: Math.max(
         0,
--- a/src/core/roles/role_planner.ts
+++ b/src/core/roles/role_planner.ts
@@ -1,5 +1,9 @@
-import { countsOf, endpointFor, mayMove } from "./constraints.ts";
-import type { PlannerPicture, PoolPicture, RoleChange } from "./picture.ts";
+import { mayMove, plannedRoleCounts, selectEndpoint } from "./constraints.ts";
+import type {
+  PlannerPicture,
+  PoolPicture,
+  RoleChange,
+} from "./planner_input.ts";
 import { costBasedPolicy, type RoleMove, type RolePolicy } from "./policies.ts";
 
 /**
@@ -7,7 +11,7 @@
  * the planner. Harm prevented: changes for a mix that is long gone. Limit:
  * one and a half demand windows.
  */
-const OLDEST_DEMAND_MILLISECONDS = 15_000;
+const MAX_DEMAND_AGE_MILLISECONDS = 15_000;
 
 export interface RolePlannerOptions {
   /** Makes the policy of one pool; it may remember what it has seen. */
@@ -30,32 +34,32 @@
    * Changes to be ordered now. Empty while the log is out, the planner is
    * switched off, or what it knows of the demand is too old.
    */
-  plan(picture: PlannerPicture): readonly RoleChange[] {
-    if (!picture.logAvailable || picture.rules.enabled === false) return [];
-    return picture.pools.flatMap((pool) => this.#planPool(pool, picture));
+  plan(input: PlannerPicture): readonly RoleChange[] {
+    if (!input.logAvailable || input.rules.enabled === false) return [];
+    return input.pools.flatMap((pool) => this.#planPool(pool, input));
   }
 
-  #planPool(pool: PoolPicture, picture: PlannerPicture): RoleChange[] {
-    const known = this.#policies.get(pool.pool);
-    const policy = known ?? this.#makePolicy();
+  #planPool(pool: PoolPicture, input: PlannerPicture): RoleChange[] {
+    const existing = this.#policies.get(pool.pool);
+    const policy = existing ?? this.#makePolicy();
     this.#policies.set(pool.pool, policy);
-    if (pool.demandAgeMilliseconds > OLDEST_DEMAND_MILLISECONDS) return [];
+    if (pool.demandAgeMilliseconds > MAX_DEMAND_AGE_MILLISECONDS) return [];
     const move = policy({
-      now: picture.now,
+      now: input.now,
       pool,
-      counts: countsOf(pool.endpoints),
-      rules: picture.rules,
-      mayMove: (from, to) => mayMove(pool, picture.rules, { from, to }),
+      counts: plannedRoleCounts(pool.endpoints),
+      rules: input.rules,
+      mayMove: (from, to) => mayMove(pool, input.rules, { from, to }),
     });
-    return move === undefined ? [] : this.#change(pool, picture, move);
+    return move === undefined ? [] : this.#toRoleChanges(pool, input, move);
   }
 
-  #change(
+  #toRoleChanges(
     pool: PoolPicture,
-    picture: PlannerPicture,
+    input: PlannerPicture,
     move: RoleMove,
   ): RoleChange[] {
-    const endpoint = endpointFor(pool, picture.rules, move);
+    const endpoint = selectEndpoint(pool, input.rules, move);
     if (endpoint === undefined) return [];
     return [{
       pool: pool.pool,
--- a/src/core/roles/role_planner_test.ts
+++ b/src/core/roles/role_planner_test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from "mocha";
 import { type EndpointId, identifier } from "../identity/mod.ts";
 import {
+  allocateWork,
   type ClassDemand,
   costBasedPolicy,
-  divideWork,
   type PlannedEndpoint,
   type PlannerPicture,
   type Role,
@@ -39,9 +39,9 @@
   }));
 }
 
-const DECODERS = endpoints(Array<Role>(9).fill("decode"));
+const DECODE_ENGINES = endpoints(Array<Role>(9).fill("decode"));
 
-function picture(
+function plannerInput(
   now: number,
   changes: {
     endpoints?: readonly PlannedEndpoint[];
@@ -57,7 +57,7 @@
     pools: [{
       pool: "pool",
       engine: ENGINE,
-      endpoints: changes.endpoints ?? DECODERS,
+      endpoints: changes.endpoints ?? DECODE_ENGINES,
       demand: LONG_PROMPTS,
       demandAgeMilliseconds: changes.demandAgeMilliseconds ?? 0,
     }],
@@ -67,12 +67,12 @@
 /** Plans every two seconds and returns all changes. */
 function planFor(
   seconds: number,
-  changes: Parameters<typeof picture>[1] = {},
+  changes: Parameters<typeof plannerInput>[1] = {},
   planner = new RolePlanner(),
 ): RoleChange[] {
   const all: RoleChange[] = [];
   for (let now = 0; now < seconds * 1_000; now += 2_000) {
-    all.push(...planner.plan(picture(now, changes)));
+    all.push(...planner.plan(plannerInput(now, changes)));
   }
   return all;
 }
@@ -96,7 +96,7 @@
   // has changed. A planner that reacts to the missing effect orders engine
   // after engine until the whole zone is out.
   it("counts changes under way as done and as out of service", () => {
-    const underWay = DECODERS.map((one, index) => ({
+    const underWay = DECODE_ENGINES.map((one, index) => ({
       ...one,
       changingTo: index < 1 ? "prefill" as const : undefined,
     }));
@@ -105,7 +105,7 @@
   });
 
   it("keeps the floor of a role and leaves fixed engines alone", () => {
-    const fixed = DECODERS.map((one) => ({ ...one, fixedRole: true }));
+    const fixed = DECODE_ENGINES.map((one) => ({ ...one, fixedRole: true }));
     expect(planFor(60, { endpoints: fixed })).to.deep.equal([]);
     expect(planFor(60, { rules: { fewestPerRole: 9 } })).to.deep.equal([]);
   });
@@ -128,7 +128,7 @@
     const planner = new RolePlanner({ policy: () => policy });
     planFor(6, {}, planner);
     const later = Array.from({ length: 40 }, (_, index) => {
-      const { pools, ...rest } = picture(10_000 + index * 2_000);
+      const { pools, ...rest } = plannerInput(10_000 + index * 2_000);
       return planner.plan({
         ...rest,
         pools: pools.map((pool) => ({ ...pool, demand: [] })),
@@ -146,7 +146,7 @@
       promptTokens: 100,
       outputTokens: 600,
     };
-    const { rates, value } = divideWork(
+    const { rates, value } = allocateWork(
       [{ ...LONG_PROMPTS[0], arrivalsPerSecond: 1.5 }, {
         ...letters,
         arrivalsPerSecond: 2,
--- a/src/core/scheduling/demand_window.ts
+++ b/src/core/scheduling/demand_window.ts
@@ -6,9 +6,9 @@
  * Slices in the window. Limit: ten seconds, so that a turn of the mix is seen
  * well within the minute in which it happens, over some dozens of arrivals.
  */
-const SLICES = 10;
+const SLICE_COUNT = 10;
 
-interface Tally {
+interface ClassTotals {
   arrivals: number;
   promptTokens: number;
   outputTokens: number;
@@ -16,7 +16,7 @@
 
 interface Slice {
   readonly startedAt: number;
-  readonly classes: Map<string, Tally>;
+  readonly classes: Map<string, ClassTotals>;
   refused: number;
 }
 
@@ -25,32 +25,32 @@
   readonly #slices: Slice[] = [];
   #startedAt: number | undefined;
 
-  arrived(
+  recordArrival(
     now: number,
     seen: { className: string; promptTokens: number; outputTokens: number },
   ): void {
     const { classes } = this.#sliceAt(now);
-    const tally = classes.get(seen.className) ?? emptyTally();
-    classes.set(seen.className, tally);
-    tally.arrivals += 1;
-    tally.promptTokens += seen.promptTokens;
-    tally.outputTokens += seen.outputTokens;
+    const totals = classes.get(seen.className) ?? zeroTotals();
+    classes.set(seen.className, totals);
+    totals.arrivals += 1;
+    totals.promptTokens += seen.promptTokens;
+    totals.outputTokens += seen.outputTokens;
   }
 
-  refused(now: number): void {
+  recordRefusal(now: number): void {
     this.#sliceAt(now).refused += 1;
   }
 
   read(pool: string, options: { now: number; waiting: number }): PoolDemand {
-    this.#forget(options.now);
+    this.#dropExpiredSlices(options.now);
     const age = options.now - (this.#startedAt ?? options.now);
     const seconds = Math.min(
-      SLICES,
+      SLICE_COUNT,
       Math.max(1, age / SLICE_MILLISECONDS),
     );
     const byClass = this.#sumByClass();
-    const total = emptyTally();
-    for (const tally of byClass.values()) add(total, tally);
+    const total = zeroTotals();
+    for (const totals of byClass.values()) add(total, totals);
     const refused = this.#slices.reduce((sum, one) => sum + one.refused, 0);
     return {
       pool,
@@ -59,19 +59,19 @@
       outputTokensPerSecond: total.outputTokens / seconds,
       waiting: options.waiting,
       refusedPerSecond: refused / seconds,
-      classes: [...byClass].map(([className, tally]) =>
-        classArrivals(className, tally, seconds)
+      classes: [...byClass].map(([className, totals]) =>
+        classArrivals(className, totals, seconds)
       ),
     };
   }
 
-  #sumByClass(): Map<string, Tally> {
-    const sums = new Map<string, Tally>();
+  #sumByClass(): Map<string, ClassTotals> {
+    const sums = new Map<string, ClassTotals>();
     for (const { classes } of this.#slices) {
-      for (const [className, tally] of classes) {
-        const sum = sums.get(className) ?? emptyTally();
+      for (const [className, totals] of classes) {
+        const sum = sums.get(className) ?? zeroTotals();
         sums.set(className, sum);
-        add(sum, tally);
+        add(sum, totals);
       }
     }
     return sums;
@@ -83,39 +83,39 @@
     if (last !== undefined && now < last.startedAt + SLICE_MILLISECONDS) {
       return last;
     }
-    this.#forget(now);
+    this.#dropExpiredSlices(now);
     const slice: Slice = { startedAt: now, classes: new Map(), refused: 0 };
     this.#slices.push(slice);
     return slice;
   }
 
-  #forget(now: number): void {
-    const oldest = now - SLICES * SLICE_MILLISECONDS;
-    while (this.#slices.length > 0 && this.#slices[0].startedAt < oldest) {
+  #dropExpiredSlices(now: number): void {
+    const oldestStart = now - SLICE_COUNT * SLICE_MILLISECONDS;
+    while (this.#slices.length > 0 && this.#slices[0].startedAt < oldestStart) {
       this.#slices.shift();
     }
   }
 }
 
-function emptyTally(): Tally {
+function zeroTotals(): ClassTotals {
   return { arrivals: 0, promptTokens: 0, outputTokens: 0 };
 }
 
-function add(sum: Tally, tally: Tally): void {
-  sum.arrivals += tally.arrivals;
-  sum.promptTokens += tally.promptTokens;
-  sum.outputTokens += tally.outputTokens;
+function add(sum: ClassTotals, totals: ClassTotals): void {
+  sum.arrivals += totals.arrivals;
+  sum.promptTokens += totals.promptTokens;
+  sum.outputTokens += totals.outputTokens;
 }
 
 function classArrivals(
   className: string,
-  tally: Tally,
+  totals: ClassTotals,
   seconds: number,
 ): ClassArrivals {
   return {
     className,
-    arrivalsPerSecond: tally.arrivals / seconds,
-    promptTokens: tally.promptTokens / tally.arrivals,
-    outputTokens: tally.outputTokens / tally.arrivals,
+    arrivalsPerSecond: totals.arrivals / seconds,
+    promptTokens: totals.promptTokens / totals.arrivals,
+    outputTokens: totals.outputTokens / totals.arrivals,
   };
 }
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -43,7 +43,7 @@
   readonly #pools = new Map<string, PoolScheduler>();
   readonly #poolOf = new Map<string, PoolScheduler>();
   readonly #budget = new RetryBudget();
-  readonly #loop = new LoopGuard();
+  readonly #loopGuard = new LoopGuard();
 
   constructor(options: SchedulerOptions) {
     this.#options = options;
@@ -60,36 +60,36 @@
   configure(inventory: Inventory, rules: Rules): void {
     this.#poolOf.clear();
     for (const pool of inventory.pools) {
-      const known = this.#pools.get(pool.name);
-      known?.configure(pool, rules);
-      const scheduler = known ?? new PoolScheduler(pool, rules, {
+      const existing = this.#pools.get(pool.name);
+      existing?.configure(pool, rules);
+      const scheduler = existing ?? new PoolScheduler(pool, rules, {
         timer: this.#options.timer,
         random: this.#options.random,
         availabilityZone: this.#options.availabilityZone,
         salt: this.#options.name ?? this.#options.availabilityZone,
         policy: this.#options.policy ?? DEFAULT_POLICY,
-        answered: () => this.#budget.succeeded(),
+        onAnswered: () => this.#budget.succeeded(),
         entriesSharing: this.#options.entriesSharing ?? (() => 1),
       });
       this.#pools.set(pool.name, scheduler);
       for (const { id } of pool.endpoints) this.#poolOf.set(id, scheduler);
     }
-    this.#dropPoolsBut(inventory);
+    this.#removePoolsNotIn(inventory);
   }
 
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const pool = this.#pools.get(profile.pool);
     if (pool === undefined) return err(refusal("not_configured"));
-    pool.arrived(profile);
+    pool.recordArrival(profile);
     const rank = pool.rank(profile.className);
-    if (this.#loop.sheds(rank, pool.ranks)) {
+    if (this.#loopGuard.sheds(rank, pool.ranks)) {
       return err(pool.refuse(profile, "overloaded_entry"));
     }
     const { mostQueued, mostQueuedPerWorkspace } = this.#options.limits;
     if (pool.waitingOf(profile.workspace) >= mostQueuedPerWorkspace) {
       return err(pool.refuse(profile, "share_exhausted"));
     }
-    if (this.waiting >= mostQueued && !pool.giveUpLessUrgent(profile)) {
+    if (this.waiting >= mostQueued && !pool.evictLessUrgent(profile)) {
       return err(pool.refuse(profile, "saturated"));
     }
     return pool.submit(profile);
@@ -104,15 +104,15 @@
 
   report(report: SideReport, receivedAt: number): void {
     const pool = this.#poolOf.get(report.endpoint);
-    const picture = pool?.picture(report.endpoint as EndpointId);
-    picture?.report(report, receivedAt);
-    pool?.changed();
+    const picture = pool?.endpointView(report.endpoint as EndpointId);
+    picture?.applyReport(report, receivedAt);
+    pool?.recheck();
   }
 
   suspect(endpoint: EndpointId, suspected: boolean): void {
     const pool = this.#poolOf.get(endpoint);
-    pool?.picture(endpoint)?.suspect(suspected);
-    pool?.changed();
+    pool?.endpointView(endpoint)?.setSuspected(suspected);
+    pool?.recheck();
   }
 
   cacheEvent(
@@ -123,7 +123,7 @@
   }
 
   loopDelay(milliseconds: number): void {
-    this.#loop.measured(milliseconds);
+    this.#loopGuard.measured(milliseconds);
   }
 
   demand(): readonly PoolDemand[] {
@@ -136,7 +136,7 @@
     return sum;
   }
 
-  #dropPoolsBut(inventory: Inventory): void {
+  #removePoolsNotIn(inventory: Inventory): void {
     const names = new Set(inventory.pools.map((pool) => pool.name));
     for (const [name, pool] of this.#pools) {
       if (names.has(name)) continue;
--- a/src/core/scheduling/entry_scheduler_test.ts
+++ b/src/core/scheduling/entry_scheduler_test.ts
@@ -47,7 +47,7 @@
 };
 
 /** Both slots of the endpoint, and the one place that waits at its side. */
-const PLACES = 3;
+const CAPACITY = 3;
 
 let requests = 0;
 
@@ -70,7 +70,9 @@
   };
 }
 
-function started(limits = { mostQueued: 10, mostQueuedPerWorkspace: 10 }) {
+function startScheduler(
+  limits = { mostQueued: 10, mostQueuedPerWorkspace: 10 },
+) {
   const timer = new ManualTimerService();
   const scheduler = createScheduler({
     timer,
@@ -91,13 +93,13 @@
 describe("createScheduler", () => {
   describe("submit", () => {
     it("places at once where there is room", async () => {
-      const { scheduler } = started();
+      const { scheduler } = startScheduler();
       const placed = await scheduler.submit(profile())._unsafeUnwrap().placed;
       expect(placed._unsafeUnwrap().endpoint).to.equal("one");
     });
 
     it("refuses what no inventory names a pool for", () => {
-      const { scheduler } = started();
+      const { scheduler } = startScheduler();
       const submitted = scheduler.submit(profile({ pool: "other" }));
       expect(submitted._unsafeUnwrapErr().reason).to.equal("not_configured");
     });
@@ -106,7 +108,7 @@
     // the deadline. Without the refusal the caller waits for an answer that
     // comes too late, and the time spent on it is lost to others.
     it("refuses at once what would be late, with a time to return", () => {
-      const { scheduler } = started({
+      const { scheduler } = startScheduler({
         mostQueued: 100,
         mostQueuedPerWorkspace: 100,
       });
@@ -124,7 +126,7 @@
     // The engine takes four times as long as its register entry says. An
     // admission that does not learn this lets in what can't be on time.
     it("learns how far its predictions are out", async () => {
-      const { scheduler, timer } = started();
+      const { scheduler, timer } = startScheduler();
       const inTime = () => profile({ deadline: timer.now() + 2_500 });
       expect(scheduler.submit(profile({ deadline: 2_500 })).isOk()).to.equal(
         true,
@@ -142,9 +144,9 @@
     });
 
     it("lets urgent work overtake bulk that waits", async () => {
-      const { scheduler } = started();
+      const { scheduler } = startScheduler();
       const running: Placement[] = [];
-      for (let index = 0; index < PLACES; index++) {
+      for (let index = 0; index < CAPACITY; index++) {
         const { placed } = scheduler.submit(profile())._unsafeUnwrap();
         if (index === 0) running.push((await placed)._unsafeUnwrap());
       }
@@ -159,8 +161,8 @@
     });
 
     it("gives a waiting request its final answer once it can't be on time", async () => {
-      const { scheduler, timer } = started();
-      for (let index = 0; index < PLACES; index++) {
+      const { scheduler, timer } = startScheduler();
+      for (let index = 0; index < CAPACITY; index++) {
         scheduler.submit(profile({ deadline: 1e6 }));
       }
       const late = scheduler.submit(profile({ deadline: 6_000 }));
@@ -175,7 +177,7 @@
   // Without another look the request waits before an idle endpoint until it
   // is late.
   it("does not stand still while reports are missing", async () => {
-    const { scheduler, timer } = started();
+    const { scheduler, timer } = startScheduler();
     scheduler.report({
       side: "one",
       incarnation: "1",
@@ -200,11 +202,11 @@
 
   describe("a full queue", () => {
     it("gives up bulk for urgent work", async () => {
-      const { scheduler } = started({
+      const { scheduler } = startScheduler({
         mostQueued: 1,
         mostQueuedPerWorkspace: 5,
       });
-      for (let index = 0; index < PLACES; index++) {
+      for (let index = 0; index < CAPACITY; index++) {
         scheduler.submit(profile({ deadline: 1e6 }));
       }
       const bulk = scheduler.submit(profile({ deadline: 1e6 }));
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -15,7 +15,7 @@
 const FAULT_AT_MILLISECONDS = 25_000;
 const ENTRIES = KOPERASI.inventory.availabilityZones.length;
 
-function run(
+function runLoad(
   load: number,
   options: Partial<RunOptions> = {},
   variant: Variant = PRESENT,
@@ -41,7 +41,7 @@
 }
 
 /** More requests like one of the class, from one workspace, evenly spread. */
-function extra(
+function extraArrivals(
   className: string,
   options: { count: number; from: number; every: number; workspace: string },
 ): Arrival[] {
@@ -56,7 +56,7 @@
   }));
 }
 
-function inOrder(...lists: readonly Arrival[][]): Arrival[] {
+function mergeByTime(...lists: readonly Arrival[][]): Arrival[] {
   return lists.flat().sort((one, other) => one.at - other.at);
 }
 
@@ -65,21 +65,21 @@
   // Without the precedence of urgent work each of them waits for a long
   // summary to end, and the officer has gone home.
   it("answers a burst of urgent requests on time", async () => {
-    const burst = extra("alert", {
+    const burst = extraArrivals("alert", {
       count: 100,
       from: 30_000,
       every: 20,
       workspace: "workspace-1",
     });
-    const arrivals = inOrder(arrivalsAt(0.8), burst);
-    const figures = await run(0.8, { arrivals });
+    const arrivals = mergeByTime(arrivalsAt(0.8), burst);
+    const figures = await runLoad(0.8, { arrivals });
     expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
   });
 
   // One workspace sends as many reports as the fleet can carry. Without fair
   // queues and a bound per workspace the others wait behind its burst.
   it("serves other workspaces while one sends far too much", async () => {
-    const flood = extra("report", {
+    const flood = extraArrivals("report", {
       count: 1_200,
       from: 20_000,
       every: 30,
@@ -87,8 +87,8 @@
     });
     const onTime = { flood: 0, others: 0 };
     const all = { flood: 0, others: 0 };
-    await run(0.5, {
-      arrivals: inOrder(arrivalsAt(0.5), flood),
+    await runLoad(0.5, {
+      arrivals: mergeByTime(arrivalsAt(0.5), flood),
       onFinished: (arrival, result) => {
         if (arrival.shape.workClass.name !== "report") return;
         const who = arrival.workspace === "flood" ? "flood" : "others";
@@ -103,7 +103,7 @@
   // One engine runs five times slower than its register entry says. Callers
   // whose request it gets would wait far beyond their deadline.
   it("keeps away from an endpoint that has become slow", async () => {
-    const figures = await run(0.6, {
+    const figures = await runLoad(0.6, {
       prepare: ({ sides }) => {
         const { engine } = sides.get("triage-llm-1") ?? {};
         if (engine !== undefined) engine.speed = 0.2;
@@ -121,8 +121,8 @@
       const side = sides.get("triage-llm-1");
       if (side !== undefined) side.failureShare = 1;
     };
-    const figures = await run(0.6, { prepare });
-    const plain = await run(0.6, { prepare }, LEAST_IN_FLIGHT);
+    const figures = await runLoad(0.6, { prepare });
+    const plain = await runLoad(0.6, { prepare }, LEAST_IN_FLIGHT);
     expect(figures.all().goodput).to.be.greaterThan(0.95);
     expect(figures.sentBack).to.be.lessThan(plain.sentBack / 4);
   });
@@ -130,7 +130,7 @@
   // Short alerts and long summaries share the engines at full load. An alert
   // that waits for a summary's slot or prompt has its first token too late.
   it("gives urgent first tokens soon beside long prompts", async () => {
-    const figures = await run(1);
+    const figures = await runLoad(1);
     const { firstToken, goodput } = figures.of("alert");
     expect(goodput).to.be.greaterThan(0.99);
     expect(firstToken.percentile(0.95)).to.be.lessThan(2_000);
@@ -139,8 +139,8 @@
   // Twice the work that the fleet can carry comes in. Without admission every
   // answer is late, and goodput falls to almost nothing as load rises.
   it("gives no fewer answers at twice the load", async () => {
-    const full = await run(1);
-    const twice = await run(2);
+    const full = await runLoad(1);
+    const twice = await runLoad(2);
     expect(twice.all().onTime).to.be.greaterThan(0.97 * full.all().onTime);
     expect(twice.of("alert").goodput).to.be.greaterThan(0.98);
     expect(twice.all().late / twice.all().offered).to.be.lessThan(0.05);
@@ -150,7 +150,7 @@
   // send to the endpoint that looked idle seconds ago.
   for (const lag of [0, 2_000, 10_000]) {
     it(`holds up with reports that are ${lag} ms old`, async () => {
-      const figures = await run(0.7, { reportLagMilliseconds: lag });
+      const figures = await runLoad(0.7, { reportLagMilliseconds: lag });
       expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
       expect(figures.all().goodput).to.be.greaterThan(0.9);
     });
@@ -163,7 +163,7 @@
       { length: 24 },
       (_, index) => [0, 1, 2].map((block) => `summary-${index}/${block}`),
     ).flat();
-    const figures = await run(0.7, {
+    const figures = await runLoad(0.7, {
       prepare: ({ timer, entries }) =>
         timer.every(1_000, () => {
           for (const entry of entries) {
@@ -181,7 +181,7 @@
   // way there fail; without a retry elsewhere their callers get errors, and
   // without suspicion the zone goes on getting work.
   it("carries urgent work through the loss of a zone", async () => {
-    const figures = await run(0.6, {
+    const figures = await runLoad(0.6, {
       prepare: ({ timer, sides, entries }) => {
         const lost = KOPERASI.inventory.pools.flatMap((pool) =>
           pool.endpoints.filter((one) => one.availabilityZone === "petaling")
@@ -203,7 +203,7 @@
   // The planner dies or the log is out: roles stay as they are. Admission and
   // placement have to go on by themselves.
   it("goes on without a planner", async () => {
-    const figures = await run(0.8, {
+    const figures = await runLoad(0.8, {
       prepare: (load) => {
         load.plannerAlive = false;
       },
--- a/src/core/scheduling/pool_endpoints.ts
+++ b/src/core/scheduling/pool_endpoints.ts
@@ -1,5 +1,5 @@
 import { type EndpointId, identifier } from "../identity/mod.ts";
-import { chooseSubset, EndpointPicture } from "../placement/mod.ts";
+import { chooseSubset, EndpointView } from "../placement/mod.ts";
 import { ROLE_PROFILES } from "../roles/mod.ts";
 import type {
   EngineCharacteristics,
@@ -27,42 +27,42 @@
   readonly policy: SchedulingPolicy;
   readonly ranks: number;
   /** Picture of an endpoint from before the change, to be kept. */
-  readonly known: (endpoint: EndpointId) => EndpointPicture | undefined;
+  readonly existingView: (endpoint: EndpointId) => EndpointView | undefined;
 }
 
 /** Pictures of the endpoints that this entry uses of a pool. */
-export function picturesOf(
+export function createEndpointViews(
   pool: Pool,
   options: PoolEndpointsOptions,
-): EndpointPicture[] {
+): EndpointView[] {
   const candidates = pool.endpoints.map((one) => ({
     ...one,
     endpoint: one.id,
   }));
   const subset = chooseSubset(candidates, { ...options, ...options.policy });
-  return subset.map((one) => pictureOf(one, pool, options));
+  return subset.map((one) => createEndpointView(one, pool, options));
 }
 
-function pictureOf(
-  listed: InventoryEndpoint,
+function createEndpointView(
+  inventoryEndpoint: InventoryEndpoint,
   pool: Pool,
   options: PoolEndpointsOptions,
-): EndpointPicture {
+): EndpointView {
   const { policy } = options;
-  const endpoint = identifier<EndpointId>(listed.id);
-  const facts = {
+  const endpoint = identifier<EndpointId>(inventoryEndpoint.id);
+  const config = {
     endpoint,
-    availabilityZone: listed.availabilityZone,
+    availabilityZone: inventoryEndpoint.availabilityZone,
     engine: pool.engine ?? SERVICE_CHARACTERISTICS,
-    role: listed.role ?? "mixed",
-    serving: (listed.state ?? "serving") === "serving",
+    role: inventoryEndpoint.role ?? "mixed",
+    serving: (inventoryEndpoint.state ?? "serving") === "serving",
   };
-  const known = options.known(endpoint);
-  if (known !== undefined) {
-    known.useFacts(facts, options.ranks);
-    return known;
+  const existing = options.existingView(endpoint);
+  if (existing !== undefined) {
+    existing.updateConfig(config, options.ranks);
+    return existing;
   }
-  return new EndpointPicture(facts, {
+  return new EndpointView(config, {
     ...policy,
     ranks: options.ranks,
     profiles: ROLE_PROFILES,
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -2,11 +2,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { refusal } from "../admission/mod.ts";
 import type { EndpointId } from "../identity/mod.ts";
-import {
-  EndpointPicture,
-  type PlacementQuestion,
-  Placer,
-} from "../placement/mod.ts";
+import { EndpointView, type PlacementQuery, Placer } from "../placement/mod.ts";
 import { type QueueOptions, RequestQueue } from "../queueing/mod.ts";
 import type { Random } from "../random/mod.ts";
 import type { Refusal, RequestProfile } from "../requests/mod.ts";
@@ -15,11 +11,14 @@
 import type { EngineCharacteristics, Pool } from "../../generated/inventory.ts";
 import type { Rules, WorkClass } from "../../generated/rules.ts";
 import { DemandWindow } from "./demand_window.ts";
-import { type Expectation, FinishPredictor } from "./finish_predictor.ts";
+import {
+  type CompletionEstimate,
+  CompletionPredictor,
+} from "./completion_predictor.ts";
 import type { SchedulingPolicy } from "./policy.ts";
-import { picturesOf } from "./pool_endpoints.ts";
-import { PoolLearning } from "./pool_learning.ts";
-import { RoleDivision } from "./role_division.ts";
+import { createEndpointViews } from "./pool_endpoints.ts";
+import { PoolStatistics } from "./pool_statistics.ts";
+import { RoleAllocator } from "./role_allocator.ts";
 import type {
   AttemptSummary,
   Placement,
@@ -35,11 +34,11 @@
   readonly policy: SchedulingPolicy;
   readonly entriesSharing: () => number;
   /** Told of every answer; successes pay for later retries. */
-  readonly answered: () => void;
+  readonly onAnswered: () => void;
 }
 
 /** A request from its admission to the end of its attempt. */
-interface Admitted {
+interface AdmittedRequest {
   readonly profile: RequestProfile;
   readonly rank: number;
   readonly cost: number;
@@ -49,33 +48,33 @@
   readonly predictedMilliseconds: number;
   readonly settle: (result: Result<Placement, Refusal>) => void;
   settled: boolean;
-  alarm?: Subscription;
+  latestStartTimer?: Subscription;
 }
 
 /**
  * Time between two looks at the room while requests wait. Limit: well under
  * the time to the first token that callers expect, and few timers.
  */
-const LOOK_AGAIN_MILLISECONDS = 50;
+const RECHECK_INTERVAL_MILLISECONDS = 50;
 /** Least time between two reviews of the endpoints' health. */
-const REVIEW_MILLISECONDS = 200;
+const MIN_REVIEW_INTERVAL_MILLISECONDS = 200;
 
 /** Admission, queue and placement for one pool of the inventory. */
 export class PoolScheduler {
   readonly #options: PoolSchedulerOptions;
   readonly #placer: Placer;
-  readonly #learning: PoolLearning;
-  readonly #division = new RoleDivision();
-  readonly #window = new DemandWindow();
-  readonly #predictor: FinishPredictor;
+  readonly #statistics: PoolStatistics;
+  readonly #roleAllocator = new RoleAllocator();
+  readonly #demandWindow = new DemandWindow();
+  readonly #predictor: CompletionPredictor;
   readonly #queue: RequestQueue;
   readonly #dispatch: PQueue<RequestQueue, QueueOptions>;
-  readonly #waitingById = new Map<string, Admitted>();
+  readonly #waitingById = new Map<string, AdmittedRequest>();
   #classes: readonly WorkClass[];
   #engine: EngineCharacteristics | undefined;
   #reviewedAt = -Infinity;
   #running = 0;
-  #looksAgain = false;
+  #recheckScheduled = false;
 
   constructor(
     pool: Pool,
@@ -84,8 +83,8 @@
   ) {
     const { policy } = options;
     this.#options = options;
-    this.#classes = sorted(rules.classes);
-    this.#learning = new PoolLearning(pool.kind === "service");
+    this.#classes = sortByPriority(rules.classes);
+    this.#statistics = new PoolStatistics(pool.kind === "service");
     this.#placer = new Placer({ ...policy, ...options });
     this.#queue = new RequestQueue({
       classes: rules.classes,
@@ -96,13 +95,13 @@
           now: this.#now(),
         }),
     });
-    this.#predictor = new FinishPredictor({
+    this.#predictor = new CompletionPredictor({
       ...options,
       placer: this.#placer,
       queue: this.#queue,
-      learning: this.#learning,
+      learning: this.#statistics,
     });
-    this.#dispatch = new PQueue({ queueClass: queueClassOf(this.#queue) });
+    this.#dispatch = new PQueue({ queueClass: queueClassFor(this.#queue) });
     this.configure(pool, rules);
   }
 
@@ -116,23 +115,23 @@
 
   configure(pool: Pool, rules: Rules): void {
     this.#engine = pool.engine;
-    this.#classes = sorted(rules.classes);
+    this.#classes = sortByPriority(rules.classes);
     this.#queue.useClasses(this.#classes);
-    this.#learning.expectInitially(this.#classes);
-    this.#placer.use(picturesOf(pool, {
+    this.#statistics.setInitialOutputs(this.#classes);
+    this.#placer.setEndpoints(createEndpointViews(pool, {
       ...this.#options,
       ranks: this.#classes.length,
-      known: (endpoint) => this.#placer.get(endpoint),
+      existingView: (endpoint) => this.#placer.get(endpoint),
     }));
     this.#dispatchMore();
   }
 
-  picture(endpoint: EndpointId): EndpointPicture | undefined {
+  endpointView(endpoint: EndpointId): EndpointView | undefined {
     return this.#placer.get(endpoint);
   }
 
   /** Something may have become free. */
-  changed(): void {
+  recheck(): void {
     this.#review();
     this.#dispatchMore();
   }
@@ -145,7 +144,7 @@
   }
 
   demand(pool: string): PoolDemand {
-    return this.#window.read(pool, {
+    return this.#demandWindow.read(pool, {
       now: this.#now(),
       waiting: this.#queue.waiting,
     });
@@ -165,25 +164,25 @@
   }
 
   /** Notes the demand, whatever becomes of the request. */
-  arrived(profile: RequestProfile): void {
-    this.#divide();
-    this.#window.arrived(this.#now(), {
+  recordArrival(profile: RequestProfile): void {
+    this.#updateRoleAllocation();
+    this.#demandWindow.recordArrival(this.#now(), {
       className: profile.className,
-      promptTokens: this.#learning.uncachedTokens(profile),
-      outputTokens: this.#learning.expectedOutput(profile),
+      promptTokens: this.#statistics.uncachedTokens(profile),
+      outputTokens: this.#statistics.expectedOutput(profile),
     });
   }
 
   /** A refusal with the time in which what stands before the class drains. */
   refuse(profile: RequestProfile, reason: Refusal["reason"]): Refusal {
-    this.#window.refused(this.#now());
+    this.#demandWindow.recordRefusal(this.#now());
     if (reason === "impossible_deadline") return refusal(reason);
     return refusal(
       reason,
       retryAfterMilliseconds(this.#queue.waitingIn(profile.className), {
         random: this.#options.random,
         drainPerSecond: this.#predictor.drainPerSecond(
-          this.#question(profile),
+          this.#query(profile),
         ),
       }),
     );
@@ -191,30 +190,30 @@
 
   /** Admits the request to the queue, or refuses it with a final answer. */
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
-    const question = this.#question(profile);
-    if (!this.#placer.hasUsable(question.now)) {
+    const query = this.#query(profile);
+    if (!this.#placer.hasUsable(query.now)) {
       return err(this.refuse(profile, "no_endpoint"));
     }
-    const expected = this.#predictor.expect(question);
-    const verdict = this.#predictor.judge(question, expected);
-    if (verdict !== "admit") return err(this.refuse(profile, verdict));
-    return ok(this.#admit(question, expected));
+    const estimate = this.#predictor.estimate(query);
+    const decision = this.#predictor.decide(query, estimate);
+    if (decision !== "admit") return err(this.refuse(profile, decision));
+    return ok(this.#admit(query, estimate));
   }
 
   /** The pool is no longer in force: everything that waits gets its answer. */
   refuseAll(): void {
     for (const admitted of [...this.#waitingById.values()]) {
-      this.#giveUp(admitted, "not_configured");
+      this.#refuseWaiting(admitted, "not_configured");
     }
   }
 
   /** Gives up a waiting request of a less urgent class; false if none is. */
-  giveUpLessUrgent(profile: RequestProfile): boolean {
+  evictLessUrgent(profile: RequestProfile): boolean {
     const priority = this.#classes[this.rank(profile.className)].priority;
     const id = this.#queue.lessUrgentThan(priority);
     const admitted = id === undefined ? undefined : this.#waitingById.get(id);
     if (admitted === undefined) return false;
-    this.#giveUp(admitted, "saturated");
+    this.#refuseWaiting(admitted, "saturated");
     return true;
   }
 
@@ -226,38 +225,38 @@
     return this.#classes.indexOf(workClass);
   }
 
-  #question(profile: RequestProfile): PlacementQuestion {
+  #query(profile: RequestProfile): PlacementQuery {
     return {
       profile,
       rank: this.rank(profile.className),
-      outputTokens: this.#learning.expectedOutput(profile),
+      outputTokens: this.#statistics.expectedOutput(profile),
       now: this.#now(),
     };
   }
 
   #admit(
-    question: PlacementQuestion,
-    expected: Expectation,
+    query: PlacementQuery,
+    estimate: CompletionEstimate,
   ): WaitingRequest {
-    const { profile, now } = question;
-    const { service, cost } = expected;
+    const { profile, now } = query;
+    const { service, cost } = estimate;
     let settle!: (result: Result<Placement, Refusal>) => void;
     const placed = new Promise<Result<Placement, Refusal>>((resolve) => {
       settle = resolve;
     });
-    const admitted: Admitted = {
+    const admitted: AdmittedRequest = {
       profile,
-      rank: question.rank,
+      rank: query.rank,
       cost,
-      outputTokens: question.outputTokens,
+      outputTokens: query.outputTokens,
       submittedAt: now,
-      predictedMilliseconds: expected.wait + service,
+      predictedMilliseconds: estimate.wait + service,
       settle,
       settled: false,
     };
     this.#waitingById.set(profile.requestId, admitted);
     const latestStart = profile.deadline - service;
-    this.#predictor.admitted(question, cost);
+    this.#predictor.recordAdmission(query, cost);
     void this.#dispatch.add(() => this.#run(admitted), {
       id: profile.requestId,
       className: profile.className,
@@ -266,67 +265,67 @@
       cost,
     });
     if (!admitted.settled) {
-      this.#lookAgain();
-      admitted.alarm = this.#options.timer.after(
+      this.#scheduleRecheck();
+      admitted.latestStartTimer = this.#options.timer.after(
         latestStart - now,
-        () => this.#giveUp(admitted, "late"),
+        () => this.#refuseWaiting(admitted, "late"),
       );
     }
-    return { placed, cancel: () => this.#giveUp(admitted, "late") };
+    return { placed, cancel: () => this.#refuseWaiting(admitted, "late") };
   }
 
   /** Final answer for a request that waits; nothing happens to a placed one. */
-  #giveUp(admitted: Admitted, reason: Refusal["reason"]): void {
+  #refuseWaiting(admitted: AdmittedRequest, reason: Refusal["reason"]): void {
     if (admitted.settled) return;
     this.#queue.remove(admitted.profile.requestId);
     this.#settle(admitted, err(this.refuse(admitted.profile, reason)));
   }
 
-  #settle(admitted: Admitted, result: Result<Placement, Refusal>): void {
+  #settle(admitted: AdmittedRequest, result: Result<Placement, Refusal>): void {
     admitted.settled = true;
-    admitted.alarm?.cancel();
+    admitted.latestStartTimer?.cancel();
     this.#waitingById.delete(admitted.profile.requestId);
     admitted.settle(result);
   }
 
   /** The job that `p-queue` runs: it ends when the slot is given back. */
-  #run(admitted: Admitted): Promise<void> {
+  #run(admitted: AdmittedRequest): Promise<void> {
     const now = this.#now();
-    this.#predictor.dispatched(admitted.cost, now);
-    const candidate = this.#placer.choose(this.#question(admitted.profile));
+    this.#predictor.recordDispatch(admitted.cost, now);
+    const candidate = this.#placer.choose(this.#query(admitted.profile));
     if (candidate === undefined) {
       this.#settle(admitted, err(this.refuse(admitted.profile, "no_endpoint")));
       return Promise.resolve();
     }
-    const { picture } = candidate;
+    const { view: view } = candidate;
     const attempt = {
       rank: admitted.rank,
       promptTokens: candidate.promptTokens,
     };
-    this.#learning.placed(admitted.profile, candidate.promptTokens);
-    picture.started(attempt, now);
-    if (picture.health.mayProbe(now)) picture.health.probeStarted();
-    this.#placer.learnPlacement(picture.facts.endpoint, admitted.profile);
+    this.#statistics.recordPlacement(admitted.profile, candidate.promptTokens);
+    view.attemptStarted(attempt, now);
+    if (view.health.mayProbe(now)) view.health.probeStarted();
+    this.#placer.recordPlacement(view.config.endpoint, admitted.profile);
     this.#running += 1;
-    return new Promise((free) => {
+    return new Promise((finishJob) => {
       let released = false;
       const release = (summary: AttemptSummary) => {
         if (released) return;
         released = true;
         this.#running -= 1;
-        if (summary.result === "answered") this.#options.answered();
-        picture.ended(attempt);
-        this.#learning.ended(
+        if (summary.result === "answered") this.#options.onAnswered();
+        view.attemptEnded(attempt);
+        this.#statistics.recordCompletion(
           { ...admitted, candidate, summary, placedAt: now },
           this.#now(),
         );
-        this.changed();
-        free();
+        this.recheck();
+        finishJob();
       };
       this.#settle(
         admitted,
         ok({
-          endpoint: picture.facts.endpoint,
+          endpoint: view.config.endpoint,
           priority: this.#classes[admitted.rank]?.priority ?? 0,
           release,
         }),
@@ -335,13 +334,13 @@
   }
 
   /** Divides the classes among the roles, from what this entry sees. */
-  #divide(): void {
+  #updateRoleAllocation(): void {
     const now = this.#now();
     const { policy } = this.#options;
     if (this.#engine === undefined || !policy.dividesByRole) return;
-    if (!this.#division.isDue(now)) return;
-    const { classes = [] } = this.#window.read("", { now, waiting: 0 });
-    this.#division.divide(this.#placer, {
+    if (!this.#roleAllocator.isDue(now)) return;
+    const { classes = [] } = this.#demandWindow.read("", { now, waiting: 0 });
+    this.#roleAllocator.allocate(this.#placer, {
       now,
       engine: this.#engine,
       classes,
@@ -352,7 +351,7 @@
 
   #review(): void {
     const now = this.#now();
-    if (now - this.#reviewedAt < REVIEW_MILLISECONDS) return;
+    if (now - this.#reviewedAt < MIN_REVIEW_INTERVAL_MILLISECONDS) return;
     this.#reviewedAt = now;
     this.#placer.review(now);
   }
@@ -362,13 +361,13 @@
    * event. While reports are missing, a queue that waited for one would stand
    * still before idle endpoints until its requests are late.
    */
-  #lookAgain(): void {
-    if (this.#looksAgain || this.#queue.waiting === 0) return;
-    this.#looksAgain = true;
-    this.#options.timer.after(LOOK_AGAIN_MILLISECONDS, () => {
-      this.#looksAgain = false;
-      this.changed();
-      this.#lookAgain();
+  #scheduleRecheck(): void {
+    if (this.#recheckScheduled || this.#queue.waiting === 0) return;
+    this.#recheckScheduled = true;
+    this.#options.timer.after(RECHECK_INTERVAL_MILLISECONDS, () => {
+      this.#recheckScheduled = false;
+      this.recheck();
+      this.#scheduleRecheck();
     });
   }
 
@@ -378,12 +377,12 @@
   }
 }
 
-function sorted(classes: readonly WorkClass[]): WorkClass[] {
+function sortByPriority(classes: readonly WorkClass[]): WorkClass[] {
   return [...classes].sort((one, other) => one.priority - other.priority);
 }
 
 /** `p-queue` makes its own queue; it is given the one that is already made. */
-function queueClassOf(queue: RequestQueue): new () => RequestQueue {
+function queueClassFor(queue: RequestQueue): new () => RequestQueue {
   return class {
     constructor() {
       return queue;
--- a/src/core/scheduling/pool_learning.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -8,7 +8,7 @@
 const UNCACHED_WEIGHT = 0.05;
 
 /** One attempt that has ended, with what had been expected of it. */
-export interface EndedAttempt {
+export interface CompletedAttempt {
   readonly profile: RequestProfile;
   readonly candidate: Candidate;
   readonly summary: AttemptSummary;
@@ -21,7 +21,7 @@
 }
 
 /** What a pool's answers teach about its classes and endpoints. */
-export class PoolLearning {
+export class PoolStatistics {
   readonly #outputs = new OutputLengths();
   readonly #errors = new PredictionError();
   readonly #uncached = new Map<string, number>();
@@ -32,7 +32,7 @@
     this.#isService = isService;
   }
 
-  expectInitially(classes: readonly WorkClass[]): void {
+  setInitialOutputs(classes: readonly WorkClass[]): void {
     for (const one of classes) {
       this.#outputs.expectInitially(one.name, one.expectedOutputTokens);
     }
@@ -56,25 +56,25 @@
   }
 
   /** Learns which share of a class's prompts has to be processed. */
-  placed(profile: RequestProfile, promptTokens: number): void {
+  recordPlacement(profile: RequestProfile, promptTokens: number): void {
     const { className } = profile;
     const mean = this.#uncached.get(className) ?? 1;
     const share = promptTokens / Math.max(1, profile.promptTokens);
     this.#uncached.set(className, mean + UNCACHED_WEIGHT * (share - mean));
   }
 
-  ended(attempt: EndedAttempt, now: number): void {
+  recordCompletion(attempt: CompletedAttempt, now: number): void {
     const { candidate, summary, profile } = attempt;
-    const { picture } = candidate;
-    if (summary.load !== undefined) picture.takeLoad(summary.load, now);
+    const { view: view } = candidate;
+    if (summary.load !== undefined) view.applyLoad(summary.load, now);
     switch (summary.result) {
       case "failed":
-        return picture.health.failed(now);
+        return view.health.failed(now);
       case "cancelled":
-        return picture.health.cancelled(times(attempt, now), now);
+        return view.health.cancelled(relativeTimes(attempt, now), now);
       case "not_run":
-        picture.health.untold();
-        if (summary.load === undefined) picture.foundFull(now);
+        view.health.untold();
+        if (summary.load === undefined) view.markFull(now);
         return;
       case "answered":
         this.#outputs.learn(
@@ -85,21 +85,21 @@
           profile.className,
           (now - attempt.submittedAt) / attempt.predictedMilliseconds,
         );
-        picture.health.succeeded(times(attempt, now), now);
+        view.health.succeeded(relativeTimes(attempt, now), now);
     }
   }
 }
 
 /** Observed time of an attempt over what was predicted and over the rated. */
-function times(attempt: EndedAttempt, now: number) {
-  const { picture, milliseconds } = attempt.candidate;
-  const taken = now - attempt.placedAt;
-  const rated = picture.ratedMilliseconds({
+function relativeTimes(attempt: CompletedAttempt, now: number) {
+  const { view: view, finishMilliseconds: milliseconds } = attempt.candidate;
+  const elapsed = now - attempt.placedAt;
+  const ratedMilliseconds = view.ratedMilliseconds({
     promptTokens: attempt.profile.promptTokens,
     outputTokens: attempt.summary.tokens || attempt.outputTokens,
   });
   return {
-    overExpected: taken * picture.health.slowness / Math.max(1, milliseconds),
-    overRated: taken / Math.max(1, rated),
+    overExpected: elapsed * view.health.slowness / Math.max(1, milliseconds),
+    overRated: elapsed / Math.max(1, ratedMilliseconds),
   };
 }
