--- a/src/core/scheduling/completion_predictor.ts
+++ b/src/core/scheduling/completion_predictor.ts
@@ -4,13 +4,15 @@
 import type { SchedulingPolicy } from "./policy.ts";
 import type { PoolStatistics } from "./pool_statistics.ts";
 
-/** What a request is expected to need, milliseconds. */
+/** Predicted times, in milliseconds, and cost of a request. */
 export interface CompletionEstimate {
   /** Wait for a slot. */
   readonly wait: number;
-  /** From the slot to the whole answer. */
+  /** From the slot to the complete answer. */
   readonly service: number;
-  /** What it takes of the pool, in the unit that the queue counts in. */
+  /**
+   * Share of the pool's capacity, in the unit in which the queue counts cost.
+   */
   readonly cost: number;
 }
 
@@ -25,7 +27,7 @@
 /** Whether a request can be answered by its deadline. */
 export type AdmissionDecision = "admit" | "impossible_deadline" | "saturated";
 
-/** Predicts when an answer would be complete, and judges by it. */
+/** Predicts when a request completes, and decides on its admission. */
 export class CompletionPredictor {
   readonly #options: FinishPredictorOptions;
   readonly #drain = new DrainMeter();
@@ -47,10 +49,10 @@
   }
 
   /**
-   * Lets in what can be on time. Load: more work than the pool can finish.
-   * Harm prevented: time spent on answers that come too late, which makes the
-   * next ones late as well. Limit: the predicted finish times the learned
-   * error of such predictions, against the deadline.
+   * Admits a request that can finish on time. With more work than the pool can
+   * finish, engine time spent on late answers makes the next ones late as well.
+   * The predicted completion, multiplied by the learned error factor, is
+   * compared with the deadline.
    */
   decide(
     query: PlacementQuery,
@@ -79,7 +81,7 @@
     this.#drain.dispatched({ cost, now, othersWait });
   }
 
-  /** Requests like this that the pool's places finish in a second. */
+  /** Requests of this kind that the pool's slots complete per second. */
   drainPerSecond(query: PlacementQuery): number {
     const { placer } = this.#options;
     const { milliseconds } = placer.minimumTimes(query);
@@ -87,7 +89,7 @@
     return placer.capacity(query.now) * 1_000 / milliseconds;
   }
 
-  /** What goes before, over the rate at which the queue drains. */
+  /** Cost queued ahead of the request over the drain rate of the queue. */
   #expectedWait(query: PlacementQuery, service: number): number {
     const { placer, queue, policy, entriesSharing } = this.#options;
     const { rank, now } = query;
@@ -104,7 +106,10 @@
     return costAhead / this.#drain.ratePerMillisecond(rank, { expected, now });
   }
 
-  /** True where the class has had its share of a pool that is short. */
+  /**
+   * Whether the class has had its share of a pool that is short of capacity.
+   * Counts the request as admitted if not.
+   */
   #exceedsServedShare(query: PlacementQuery, wait: number): boolean {
     const { placer, policy } = this.#options;
     const { profile, rank, now } = query;
--- a/src/core/scheduling/demand_window.ts
+++ b/src/core/scheduling/demand_window.ts
@@ -1,10 +1,9 @@
 import type { ClassArrivals, PoolDemand } from "./scheduler.ts";
 
-/** Length of one slice of the window. */
 const SLICE_MILLISECONDS = 1_000;
 /**
- * Slices in the window. Limit: ten seconds, so that a turn of the mix is seen
- * well within the minute in which it happens, over some dozens of arrivals.
+ * Slices in the window. Ten seconds show a change of the mix well within the
+ * minute in which it happens, averaged over some dozens of arrivals.
  */
 const SLICE_COUNT = 10;
 
@@ -20,7 +19,7 @@
   refused: number;
 }
 
-/** Demand on one pool over the last seconds. */
+/** Demand on one pool over a sliding window. */
 export class DemandWindow {
   readonly #slices: Slice[] = [];
   #startedAt: number | undefined;
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -14,9 +14,12 @@
 import type { PoolDemand, Scheduler, WaitingRequest } from "./scheduler.ts";
 
 export interface SchedulerLimits {
-  /** Requests that may wait at this entry. */
+  /** Maximum number of requests that wait at this entry. */
   readonly mostQueued: number;
-  /** Requests of one workspace that may wait at this entry. */
+  /**
+   * Maximum number of requests of one workspace that wait in a pool at this
+   * entry.
+   */
   readonly mostQueuedPerWorkspace: number;
 }
 
@@ -25,7 +28,9 @@
   readonly random: Random;
   readonly availabilityZone: string;
   readonly limits: SchedulerLimits;
-  /** Distinguishes this entry from others, for its subset of endpoints. */
+  /**
+   * Distinguishes this entry's subset of endpoints from those of other entries.
+   */
   readonly name?: string;
   /** Entries that place on the same endpoints, this one included. */
   readonly entriesSharing?: () => number;
@@ -33,7 +38,7 @@
   readonly observe?: Observe;
 }
 
-/** Makes the scheduler of one entry. */
+/** Creates the scheduler of one entry. */
 export function createScheduler(options: SchedulerOptions): Scheduler {
   return new EntryScheduler(options);
 }
--- a/src/core/scheduling/entry_scheduler_test.ts
+++ b/src/core/scheduling/entry_scheduler_test.ts
@@ -46,7 +46,7 @@
   ],
 };
 
-/** Both slots of the endpoint, and the one place that waits at its side. */
+/** Both slots of the endpoint, and one place in the queue of its side. */
 const CAPACITY = 3;
 
 let requests = 0;
@@ -92,22 +92,22 @@
 
 describe("createScheduler", () => {
   describe("submit", () => {
-    it("places at once where there is room", async () => {
+    it("places a request immediately when a slot is free", async () => {
       const { scheduler } = startScheduler();
       const placed = await scheduler.submit(profile())._unsafeUnwrap().placed;
       expect(placed._unsafeUnwrap().endpoint).to.equal("one");
     });
 
-    it("refuses what no inventory names a pool for", () => {
+    it("refuses a request for an unknown pool", () => {
       const { scheduler } = startScheduler();
       const submitted = scheduler.submit(profile({ pool: "other" }));
       expect(submitted._unsafeUnwrapErr().reason).to.equal("not_configured");
     });
 
-    // Both slots are taken and more work waits than can be finished before
-    // the deadline. Without the refusal the caller waits for an answer that
-    // comes too late, and the time spent on it is lost to others.
-    it("refuses at once what would be late, with a time to return", () => {
+    // Both slots are taken and more work waits than can finish before the
+    // deadline. Without the refusal the caller waits for an answer that is
+    // late, and the engine time spent on it is lost to others.
+    it("refuses a request that would be late, with a retry time", () => {
       const { scheduler } = startScheduler({
         mostQueued: 100,
         mostQueuedPerWorkspace: 100,
@@ -123,9 +123,9 @@
       expect(first.retryAfterMilliseconds).to.be.greaterThan(0);
     });
 
-    // The engine takes four times as long as its register entry says. An
-    // admission that does not learn this lets in what can't be on time.
-    it("learns how far its predictions are out", async () => {
+    // The engine takes four times as long as the inventory says. Admission that
+    // does not learn this accepts requests that can't finish on time.
+    it("learns the error of its predictions", async () => {
       const { scheduler, timer } = startScheduler();
       const inTime = () => profile({ deadline: timer.now() + 2_500 });
       expect(scheduler.submit(profile({ deadline: 2_500 })).isOk()).to.equal(
@@ -143,7 +143,7 @@
       expect(scheduler.submit(inTime()).isErr()).to.equal(true);
     });
 
-    it("lets urgent work overtake bulk that waits", async () => {
+    it("dispatches urgent work before waiting bulk work", async () => {
       const { scheduler } = startScheduler();
       const running: Placement[] = [];
       for (let index = 0; index < CAPACITY; index++) {
@@ -160,7 +160,7 @@
       expect((await urgent.placed).isOk()).to.equal(true);
     });
 
-    it("gives a waiting request its final answer once it can't be on time", async () => {
+    it("refuses a waiting request once it can't finish on time", async () => {
       const { scheduler, timer } = startScheduler();
       for (let index = 0; index < CAPACITY; index++) {
         scheduler.submit(profile({ deadline: 1e6 }));
@@ -173,10 +173,10 @@
     });
   });
 
-  // The last report said that the endpoint is full, and no further one comes.
-  // Without another look the request waits before an idle endpoint until it
-  // is late.
-  it("does not stand still while reports are missing", async () => {
+  // The last report shows a full endpoint, and no further one arrives. Without
+  // a periodic check the request waits in front of an idle endpoint until it is
+  // late.
+  it("dispatches waiting requests while reports are missing", async () => {
     const { scheduler, timer } = startScheduler();
     scheduler.report({
       side: "one",
@@ -201,7 +201,7 @@
   });
 
   describe("a full queue", () => {
-    it("gives up bulk for urgent work", async () => {
+    it("evicts bulk work for urgent work", async () => {
       const { scheduler } = startScheduler({
         mostQueued: 1,
         mostQueuedPerWorkspace: 5,
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -40,7 +40,10 @@
   });
 }
 
-/** More requests like one of the class, from one workspace, evenly spread. */
+/**
+ * Additional requests of a class, modelled on an existing one, from one
+ * workspace and evenly spaced.
+ */
 function extraArrivals(
   className: string,
   options: { count: number; from: number; every: number; workspace: string },
@@ -60,10 +63,10 @@
   return lists.flat().sort((one, other) => one.at - other.at);
 }
 
-describe("Decisions under load, by what callers get", () => {
-  // A hundred alerts come within two seconds while bulk holds most places.
-  // Without the precedence of urgent work each of them waits for a long
-  // summary to end, and the officer has gone home.
+describe("Scheduling under load, by the outcomes of callers", () => {
+  // A hundred alerts arrive within two seconds while bulk work holds most
+  // slots. Without priority for urgent work, each of them waits for a long
+  // summary to finish and is answered too late.
   it("answers a burst of urgent requests on time", async () => {
     const burst = extraArrivals("alert", {
       count: 100,
@@ -76,9 +79,9 @@
     expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
   });
 
-  // One workspace sends as many reports as the fleet can carry. Without fair
-  // queues and a bound per workspace the others wait behind its burst.
-  it("serves other workspaces while one sends far too much", async () => {
+  // One workspace sends as many reports as the fleet can serve. Without fair
+  // queues and a limit per workspace, the others wait behind its burst.
+  it("serves other workspaces while one floods the pool", async () => {
     const flood = extraArrivals("report", {
       count: 1_200,
       from: 20_000,
@@ -100,9 +103,9 @@
     expect(onTime.flood / all.flood).to.be.greaterThan(0.3);
   });
 
-  // One engine runs five times slower than its register entry says. Callers
-  // whose request it gets would wait far beyond their deadline.
-  it("keeps away from an endpoint that has become slow", async () => {
+  // One engine runs five times slower than the inventory says. Callers whose
+  // requests it gets would wait far beyond their deadline.
+  it("avoids an endpoint that has become slow", async () => {
     const figures = await runLoad(0.6, {
       prepare: ({ sides }) => {
         const { engine } = sides.get("triage-llm-1") ?? {};
@@ -113,10 +116,10 @@
     expect(figures.all().goodput).to.be.greaterThan(0.95);
   });
 
-  // One engine fails everything within milliseconds, so it always looks idle.
-  // Placement by load alone sends it nearly all requests, and callers see
-  // errors from a fleet that is well but for one VM.
-  it("keeps away from an endpoint that is fast because it fails", async () => {
+  // One engine fails every request within milliseconds, so it always looks
+  // idle. Placement by load alone sends it nearly all requests, and callers get
+  // errors although only one VM is faulty.
+  it("avoids an endpoint that is fast because it fails", async () => {
     const prepare = ({ sides }: LoadRun) => {
       const side = sides.get("triage-llm-1");
       if (side !== undefined) side.failureShare = 1;
@@ -128,17 +131,18 @@
   });
 
   // Short alerts and long summaries share the engines at full load. An alert
-  // that waits for a summary's slot or prompt has its first token too late.
-  it("gives urgent first tokens soon beside long prompts", async () => {
+  // that waits for the slot or the prefill of a summary gets its first token
+  // too late.
+  it("delivers urgent first tokens early while long prompts run", async () => {
     const figures = await runLoad(1);
     const { firstToken, goodput } = figures.of("alert");
     expect(goodput).to.be.greaterThan(0.99);
     expect(firstToken.percentile(0.95)).to.be.lessThan(2_000);
   });
 
-  // Twice the work that the fleet can carry comes in. Without admission every
-  // answer is late, and goodput falls to almost nothing as load rises.
-  it("gives no fewer answers at twice the load", async () => {
+  // The offered load is twice the capacity of the fleet. Without admission
+  // every answer is late, and goodput falls to almost nothing as load rises.
+  it("gives as many timely answers at twice the load", async () => {
     const full = await runLoad(1);
     const twice = await runLoad(2);
     expect(twice.all().onTime).to.be.greaterThan(0.97 * full.all().onTime);
@@ -147,9 +151,9 @@
   });
 
   // Load reports arrive late. If placement trusted them, all entries would
-  // send to the endpoint that looked idle seconds ago.
+  // choose the endpoint that looked idle seconds ago.
   for (const lag of [0, 2_000, 10_000]) {
-    it(`holds up with reports that are ${lag} ms old`, async () => {
+    it(`keeps its goodput with reports that are ${lag} ms old`, async () => {
       const figures = await runLoad(0.7, { reportLagMilliseconds: lag });
       expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
       expect(figures.all().goodput).to.be.greaterThan(0.9);
@@ -158,7 +162,7 @@
 
   // The engine's cache events are lost or wrong: it announces every document
   // and holds none. Followed blindly, all summaries would go to one engine.
-  it("takes cache events as hints only", async () => {
+  it("uses cache events as hints only", async () => {
     const prefixes = Array.from(
       { length: 24 },
       (_, index) => [0, 1, 2].map((block) => `summary-${index}/${block}`),
@@ -177,10 +181,10 @@
     expect(figures.all().goodput).to.be.greaterThan(0.95);
   });
 
-  // An availability zone is lost with a third of the engines. Requests under
-  // way there fail; without a retry elsewhere their callers get errors, and
-  // without suspicion the zone goes on getting work.
-  it("carries urgent work through the loss of a zone", async () => {
+  // An availability zone fails with a third of the engines. Requests that run
+  // there fail; without a retry elsewhere their callers get errors, and without
+  // suspicion the zone keeps getting work.
+  it("keeps serving urgent work when a zone fails", async () => {
     const figures = await runLoad(0.6, {
       prepare: ({ timer, sides, entries }) => {
         const lost = KOPERASI.inventory.pools.flatMap((pool) =>
@@ -200,9 +204,9 @@
     expect(figures.all().goodput).to.be.greaterThan(0.9);
   });
 
-  // The planner dies or the log is out: roles stay as they are. Admission and
-  // placement have to go on by themselves.
-  it("goes on without a planner", async () => {
+  // The planner fails or the log is unavailable, so roles stay as they are.
+  // Admission and placement have to work without it.
+  it("works without a planner", async () => {
     const figures = await runLoad(0.8, {
       prepare: (load) => {
         load.plannerAlive = false;
@@ -215,8 +219,8 @@
 });
 
 describe("Baselines of the load bench", () => {
-  // The bench once ran the present policy under the name of the first one, and
-  // the comparison said that nothing had been gained.
+  // The bench once ran the present policy under the name of the first one, so
+  // the comparison showed no gain.
   it("run the policy that they are named after", async () => {
     const goodput = async (variant: string) => {
       const changes = { seconds: SECONDS };
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -1,120 +1,130 @@
 import type { HealthLimits } from "../placement/mod.ts";
 
 /**
- * Every constant of the decisions at an entry that a sweep can change. The
- * sweeps are in bench/load_sweeps.ts, their tables in docs/DECISIONS.md.
+ * Constants of the decisions at an entry. bench/load_sweeps.ts varies them by
+ * name, and docs/DECISIONS.md has the resulting tables.
  */
 export interface SchedulingPolicy {
   /**
-   * Endpoints drawn at random and compared for one placement. Load: several
-   * entries with the same late reports. Harm prevented: all of them choose the
-   * one endpoint that looked best. Limit: eight of at most 24; two serve as well
-   * within the noise, all of them worse.
+   * Endpoints sampled at random and compared for one placement. Sampling keeps
+   * several entries that act on the same stale reports from all choosing the
+   * endpoint that looked best. 8 of at most 24: sampling 2 gives the same
+   * results within noise, comparing all of them gives worse ones.
    */
   readonly choices: number;
   /**
-   * Time that a placement in another availability zone is held to cost. Load:
-   * zones a millisecond or two apart. Harm prevented: traffic between zones
-   * for no gain. Limit: a round trip between zones, so that a zone spills as
-   * soon as its own endpoints are slower by more than that.
+   * Cost in milliseconds that is added to a placement in another availability
+   * zone, so that traffic crosses zones only for a gain. Zones are a
+   * millisecond or two apart; at the cost of a round trip between them, a zone
+   * spills over as soon as its own endpoints are slower by more than that.
    */
   readonly otherZoneMilliseconds: number;
   /**
-   * Load above the pool's mean up to which a cached prefix is followed. Load:
-   * one document that everybody asks about. Harm prevented: its engine is
-   * overrun while others idle. Limit: a quarter above the mean.
+   * Occupancy relative to the pool's mean up to which a cached prefix is
+   * followed. Without the bound, one document that every caller asks about
+   * overloads its engine while others idle. 1.25 allows a quarter above the
+   * mean.
    */
   readonly mostAffinityLoad: number;
-  /** Prefixes remembered at one entry; bounds its memory to a few megabytes. */
+  /** Prefixes remembered at one entry; bounds the index to a few megabytes. */
   readonly mostPrefixes: number;
   /**
-   * Share of an endpoint's limit that all but the most urgent class may hold.
-   * Harm prevented: an urgent request finds every place taken. Limit: 1, since
-   * a side has bulk yield to urgent work; 0.7 and 0.85 are within the noise of
-   * the sweep. Lower it for engines whose streams can't be resumed.
+   * Share of an endpoint's limit that requests of all classes but the most
+   * urgent may hold, so that an urgent request finds a free slot. 1 is enough
+   * where a side makes bulk work yield to urgent work; 0.7 and 0.85 are within
+   * the noise of the sweep. Lower it for engines whose streams can't be
+   * resumed.
    */
   readonly lessUrgentShare: number;
   /**
-   * Time in which half of a report's foreign load is taken to be gone. Load:
-   * reports up to seconds old. Harm prevented: an endpoint that was full once
-   * is avoided until its next report. Limit: two report periods.
+   * Half-life, in milliseconds, of the load that a report attributes to other
+   * entries. Reports can be seconds old; without the decay, an endpoint that
+   * was full once is avoided until its next report. The value is two report
+   * periods.
    */
   readonly reportHalfLifeMilliseconds: number;
   /**
-   * Requests sent to an endpoint beyond the places that the picture shows, to
-   * wait in the side's short queue. Load: calls as short as the reports are
-   * old. Harm prevented: a place that has become free stays empty until the
-   * next report. Limit: what the side's queue takes from all entries together.
+   * Requests sent to an endpoint beyond its known free slots, to wait in the
+   * side's short queue. Without them, when calls are as short as the reports
+   * are old, a freed slot stays idle until the next report. Bounded by what the
+   * side's queue accepts from all entries together.
    */
   readonly extraPlaces: number;
   /**
-   * Share of the service kept for a class whose rule names none. Load: urgent
-   * work that alone fills the fleet. Harm prevented: a class without a share
-   * waits for ever. Limit: 3 in 100, too little to delay urgent work.
+   * Share of the service reserved for a class whose rule names none, so that
+   * urgent work that alone fills the fleet can't starve it. 3 in 100 are too
+   * little to delay urgent work.
    */
   readonly defaultShare: number;
   /**
-   * Weight of the engine time that a placement takes against the finish that
-   * it gives. Load: short alerts and long summaries over engines in several
-   * roles. Harm prevented: a request in a hurry takes ten times the engine
-   * time to gain a moment. 0: the earliest finish alone decides.
+   * Weight of the engine time that a placement uses against its predicted
+   * finish. With short alerts and long summaries on engines in several roles, a
+   * request would otherwise take ten times the engine time to finish a moment
+   * earlier. At 0 the earliest finish alone decides.
    */
   readonly engineCostWeight: number;
   /**
-   * Prompts waiting at an endpoint above which it gets no more of the less
-   * urgent classes. Harm prevented: work that waits in an engine can't be
-   * reordered, placed elsewhere or refused any more. Limit: half of the
-   * shortest deadline, so that what waits there can still be in time.
+   * Prefill backlog of an endpoint, in milliseconds, above which it gets no
+   * more work of the less urgent classes. Work that waits inside an engine
+   * can't be reordered, placed elsewhere or refused any more. Half of the
+   * shortest deadline, so that what waits there can still finish on time.
    */
   readonly mostPrefillWaitMilliseconds: number;
   /**
-   * True: classes go to the roles that the pool's division gives them. Harm
-   * prevented: long prompts on engines in the decode role, whose slots they
-   * hold while their prompt is read.
+   * Whether classes are routed to roles by the pool's routing plan. It keeps
+   * long prompts off engines in the decode role, whose slots they would hold
+   * while the prompt is processed.
    */
   readonly dividesByRole: boolean;
-  /** True: a class that the pool can't serve whole is let in by its share. */
+  /**
+   * Whether a class that the pool can't serve completely is admitted only up to
+   * its servable share.
+   */
   readonly thinsClasses: boolean;
   /**
-   * Part of the time left that a wait has to take before a class is thinned.
-   * Harm prevented: work refused for a shortage that its deadline outlasts.
+   * Fraction of the time left before the deadline that the expected wait has to
+   * exceed before a class is thinned. It avoids refusing work for a shortage
+   * that ends before the deadline.
    */
   readonly thinningWaitShare: number;
   /**
-   * True: waits are predicted from the measured drain of the queue, false:
-   * from the number of places.
+   * Whether waits are predicted from the measured drain rate of the queue
+   * (true) or from the number of slots (false).
    */
   readonly learnsDrain: boolean;
   /**
-   * Deviations of the prediction's error added for the most urgent class.
-   * Limit: 0; a refused alert is as lost as a late one, and costs more trust.
+   * Mean deviations of the prediction error that are added for the most urgent
+   * class. 0: a refused alert is as lost as a late one, and costs more trust.
    */
   readonly urgentDeviations: number;
   /**
-   * The same for the other classes. Limit: 1; a late answer has cost engine
-   * time that another answer could have used, a refused one has not. 0 and 2
-   * are within the noise of the sweep.
+   * The same for the other classes. 1: a late answer has used engine time that
+   * another answer could have used, a refused one has not. 0 and 2 are within
+   * the noise of the sweep.
    */
   readonly otherDeviations: number;
   /**
-   * Share of a pool's endpoints that may be ejected at once. Load: a fault
-   * that all endpoints show alike. Harm prevented: ejection one after the
-   * other until none is left. Limit: a third, a zone of three.
+   * Share of a pool's endpoints that may be ejected at the same time. With a
+   * fault that all endpoints share, ejection would otherwise remove one after
+   * the other until none is left. The value allows a third: one zone of three.
    */
   readonly mostEjectedShare: number;
   readonly health: HealthLimits;
   /**
-   * Endpoints of a pool that one entry uses. Load: 12,000 replicas behind 410
-   * nodes. Limit: 24 keep a decision at the cost of a small fleet, and give
-   * each replica to about 24 × 410 / 12,000, four fifths, of an entry: raise
-   * it where the entries are fewer.
+   * Endpoints of a pool that one entry uses. With 12,000 replicas behind 410
+   * nodes, 24 keep the cost of a decision at that of a small fleet, and put
+   * each replica into the subsets of about 24 × 410 / 12,000, four fifths, of
+   * an entry. Raise it where there are fewer entries.
    */
   readonly mostEndpoints: number;
-  /** Share of those in the entry's own availability zone; the rest is spill. */
+  /**
+   * Share of them in the entry's own availability zone; the rest is for
+   * spillover.
+   */
   readonly ownZoneShare: number;
 }
 
-/** The first version that was measured; kept as a baseline of bench/load. */
+/** Baseline policy for the comparisons of the load bench. */
 export const FIRST_POLICY: SchedulingPolicy = {
   choices: 3,
   otherZoneMilliseconds: 4,
@@ -144,7 +154,7 @@
   ownZoneShare: 0.67,
 };
 
-/** The policy in use; its values come from the sweeps in docs/DECISIONS.md. */
+/** Default policy; docs/DECISIONS.md has the sweeps behind its values. */
 export const DEFAULT_POLICY: SchedulingPolicy = {
   ...FIRST_POLICY,
   choices: 8,
--- a/src/core/scheduling/pool_endpoints.ts
+++ b/src/core/scheduling/pool_endpoints.ts
@@ -9,9 +9,9 @@
 import type { SchedulingPolicy } from "./policy.ts";
 
 /**
- * Starting point for plain services, and for engines whose register entry is
- * missing. A service has no tokens: one token stands for a millisecond, so
- * that its learned "output" is the time of a call.
+ * Initial characteristics of plain services, and of engines that have none in
+ * the inventory. A service has no tokens: one token represents one millisecond,
+ * so that its learned output length is the duration of a call.
  */
 const SERVICE_CHARACTERISTICS: EngineCharacteristics = {
   slots: 16,
@@ -26,11 +26,11 @@
   readonly salt: string;
   readonly policy: SchedulingPolicy;
   readonly ranks: number;
-  /** Picture of an endpoint from before the change, to be kept. */
+  /** View of an endpoint from before the configuration change, to be kept. */
   readonly existingView: (endpoint: EndpointId) => EndpointView | undefined;
 }
 
-/** Pictures of the endpoints that this entry uses of a pool. */
+/** Views of the endpoints of a pool that this entry uses. */
 export function createEndpointViews(
   pool: Pool,
   options: PoolEndpointsOptions,
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -33,7 +33,7 @@
   readonly salt: string;
   readonly policy: SchedulingPolicy;
   readonly entriesSharing: () => number;
-  /** Told of every answer; successes pay for later retries. */
+  /** Called for every complete answer; successes refill the retry budget. */
   readonly onAnswered: () => void;
 }
 
@@ -44,7 +44,9 @@
   readonly cost: number;
   readonly outputTokens: number;
   readonly submittedAt: number;
-  /** Predicted time to the whole answer, without the learned factor. */
+  /**
+   * Predicted time to the complete answer, without the learned error factor.
+   */
   readonly predictedMilliseconds: number;
   readonly settle: (result: Result<Placement, Refusal>) => void;
   settled: boolean;
@@ -52,14 +54,14 @@
 }
 
 /**
- * Time between two looks at the room while requests wait. Limit: well under
- * the time to the first token that callers expect, and few timers.
+ * Interval at which capacity is checked while requests wait: well below the
+ * time to the first token that callers expect, with few timers.
  */
 const RECHECK_INTERVAL_MILLISECONDS = 50;
-/** Least time between two reviews of the endpoints' health. */
+/** Minimum interval between two reviews of the endpoints' health. */
 const MIN_REVIEW_INTERVAL_MILLISECONDS = 200;
 
-/** Admission, queue and placement for one pool of the inventory. */
+/** Admission, queueing and placement for one pool of the inventory. */
 export class PoolScheduler {
   readonly #options: PoolSchedulerOptions;
   readonly #placer: Placer;
@@ -130,7 +132,10 @@
     return this.#placer.get(endpoint);
   }
 
-  /** Something may have become free. */
+  /**
+   * Reviews the endpoints and dispatches requests after a possible change of
+   * capacity.
+   */
   recheck(): void {
     this.#review();
     this.#dispatchMore();
@@ -163,7 +168,7 @@
     return this.#queue.waitingOf(workspace);
   }
 
-  /** Notes the demand, whatever becomes of the request. */
+  /** Records the demand, whatever the outcome of the request. */
   recordArrival(profile: RequestProfile): void {
     this.#updateRoleAllocation();
     this.#demandWindow.recordArrival(this.#now(), {
@@ -173,7 +178,10 @@
     });
   }
 
-  /** A refusal with the time in which what stands before the class drains. */
+  /**
+   * Refuses the request, with a retry time derived from the queue of its class
+   * and the drain rate. An impossible deadline gets no retry time.
+   */
   refuse(profile: RequestProfile, reason: Refusal["reason"]): Refusal {
     this.#demandWindow.recordRefusal(this.#now());
     if (reason === "impossible_deadline") return refusal(reason);
@@ -188,7 +196,7 @@
     );
   }
 
-  /** Admits the request to the queue, or refuses it with a final answer. */
+  /** Admits the request to the queue, or refuses it for good. */
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const query = this.#query(profile);
     if (!this.#placer.hasUsable(query.now)) {
@@ -200,14 +208,16 @@
     return ok(this.#admit(query, estimate));
   }
 
-  /** The pool is no longer in force: everything that waits gets its answer. */
+  /** Refuses all waiting requests because the pool is no longer in force. */
   refuseAll(): void {
     for (const admitted of [...this.#waitingById.values()]) {
       this.#refuseWaiting(admitted, "not_configured");
     }
   }
 
-  /** Gives up a waiting request of a less urgent class; false if none is. */
+  /**
+   * Evicts a waiting request of a less urgent class; false if there is none.
+   */
   evictLessUrgent(profile: RequestProfile): boolean {
     const priority = this.#classes[this.rank(profile.className)].priority;
     const id = this.#queue.lessUrgentThan(priority);
@@ -274,7 +284,7 @@
     return { placed, cancel: () => this.#refuseWaiting(admitted, "late") };
   }
 
-  /** Final answer for a request that waits; nothing happens to a placed one. */
+  /** Refuses a waiting request; has no effect on a placed one. */
   #refuseWaiting(admitted: AdmittedRequest, reason: Refusal["reason"]): void {
     if (admitted.settled) return;
     this.#queue.remove(admitted.profile.requestId);
@@ -288,7 +298,7 @@
     admitted.settle(result);
   }
 
-  /** The job that `p-queue` runs: it ends when the slot is given back. */
+  /** The job that `p-queue` runs; it ends when the slot is released. */
   #run(admitted: AdmittedRequest): Promise<void> {
     const now = this.#now();
     this.#predictor.recordDispatch(admitted.cost, now);
@@ -333,7 +343,7 @@
     });
   }
 
-  /** Divides the classes among the roles, from what this entry sees. */
+  /** Allocates the classes to the roles by the demand at this entry. */
   #updateRoleAllocation(): void {
     const now = this.#now();
     const { policy } = this.#options;
@@ -357,9 +367,10 @@
   }
 
   /**
-   * Room appears as prompts are read and foreign work fades, without any
-   * event. While reports are missing, a queue that waited for one would stand
-   * still before idle endpoints until its requests are late.
+   * Capacity becomes free without an event, as prompts are processed and the
+   * load of other entries decays. While reports are missing, a queue that
+   * waited for one would stall in front of idle endpoints until its requests
+   * are late.
    */
   #scheduleRecheck(): void {
     if (this.#recheckScheduled || this.#queue.waiting === 0) return;
@@ -371,7 +382,7 @@
     });
   }
 
-  /** Setting the concurrency makes `p-queue` start all that it can. */
+  /** Setting the concurrency makes `p-queue` start as many jobs as it can. */
   #dispatchMore(): void {
     this.#dispatch.concurrency = Infinity;
   }
@@ -381,7 +392,9 @@
   return [...classes].sort((one, other) => one.priority - other.priority);
 }
 
-/** `p-queue` makes its own queue; it is given the one that is already made. */
+/**
+ * `p-queue` constructs its own queue; this class makes it use the given one.
+ */
 function queueClassFor(queue: RequestQueue): new () => RequestQueue {
   return class {
     constructor() {
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -4,28 +4,32 @@
 import type { WorkClass } from "../../generated/rules.ts";
 import type { AttemptSummary } from "./scheduler.ts";
 
-/** Weight of one placement in the mean share of prompts not cached. */
+/**
+ * Weight of one placement in the moving average of the uncached prompt share.
+ */
 const UNCACHED_WEIGHT = 0.05;
 
-/** One attempt that has ended, with what had been expected of it. */
+/** An attempt that has ended, with what was predicted for it. */
 export interface CompletedAttempt {
   readonly profile: RequestProfile;
   readonly candidate: Candidate;
   readonly summary: AttemptSummary;
-  /** Output that was expected at the placement, tokens. */
+  /** Output expected at the placement, tokens. */
   readonly outputTokens: number;
   readonly submittedAt: number;
   readonly placedAt: number;
-  /** Predicted time from the submission to the whole answer. */
+  /** Predicted time from the submission to the complete answer. */
   readonly predictedMilliseconds: number;
 }
 
-/** What a pool's answers teach about its classes and endpoints. */
+/** Statistics of a pool's classes and endpoints, learned from its answers. */
 export class PoolStatistics {
   readonly #outputs = new OutputLengths();
   readonly #errors = new PredictionError();
   readonly #uncached = new Map<string, number>();
-  /** Plain services: a call's "output" is its time in milliseconds. */
+  /**
+   * Plain services: the output length of a call is its duration, milliseconds.
+   */
   readonly #isService: boolean;
 
   constructor(isService: boolean) {
@@ -45,17 +49,17 @@
     });
   }
 
-  /** Tokens of the prompt that are likely not to be cached anywhere. */
+  /** Expected number of prompt tokens that are not cached anywhere. */
   uncachedTokens({ className, promptTokens }: RequestProfile): number {
     return promptTokens * (this.#uncached.get(className) ?? 1);
   }
 
-  /** Factor on a predicted finish of the class. */
+  /** Factor to apply to a predicted completion time of the class. */
   errorFactor(className: string, deviations: number): number {
     return this.#errors.factor(className, deviations);
   }
 
-  /** Learns which share of a class's prompts has to be processed. */
+  /** Learns the share of a class's prompt tokens that has to be processed. */
   recordPlacement(profile: RequestProfile, promptTokens: number): void {
     const { className } = profile;
     const mean = this.#uncached.get(className) ?? 1;
@@ -90,7 +94,7 @@
   }
 }
 
-/** Observed time of an attempt over what was predicted and over the rated. */
+/** Duration of an attempt relative to its prediction and to the rated one. */
 function relativeTimes(attempt: CompletedAttempt, now: number) {
   const { view: view, finishMilliseconds: milliseconds } = attempt.candidate;
   const elapsed = now - attempt.placedAt;
--- a/src/core/scheduling/role_allocator.ts
+++ b/src/core/scheduling/role_allocator.ts
@@ -4,13 +4,14 @@
 import type { ClassArrivals } from "./scheduler.ts";
 
 /**
- * Time after which the classes are divided among the roles anew. Limit: the
- * demand window moves by a second; the program costs well under a millisecond.
+ * Interval at which the classes are allocated to the roles again. The demand
+ * window moves by a second, and the linear program takes well under a
+ * millisecond.
  */
 const ALLOCATION_INTERVAL_MILLISECONDS = 1_000;
 /**
- * Value of an urgent answer against others in the division: with all its work
- * in, no number of bulk answers that fits in its place outweighs it.
+ * Value of an urgent answer relative to others in the allocation: no number of
+ * bulk answers that fits into the capacity of the urgent work outweighs it.
  */
 const URGENT_ANSWER_VALUE = 10;
 
@@ -18,12 +19,12 @@
   readonly now: number;
   readonly engine: EngineCharacteristics;
   readonly classes: readonly ClassArrivals[];
-  /** Entries that see the same demand as this one. */
+  /** Entries that see the same demand as this one, this one included. */
   readonly sharing: number;
   readonly mostUrgent: string;
 }
 
-/** Gives the placer a new division of the classes, once a second at most. */
+/** Recomputes the routing plan of a placer; due at most once a second. */
 export class RoleAllocator {
   #allocatedAt = -Infinity;
 
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -5,14 +5,14 @@
 import type { Inventory } from "../../generated/inventory.ts";
 import type { Rules } from "../../generated/rules.ts";
 
-/** How an attempt at an endpoint ended, for what the scheduler learns of it. */
+/** How an attempt at an endpoint ended; input to the scheduler's statistics. */
 export interface AttemptSummary {
   readonly result: "answered" | "not_run" | "failed" | "cancelled";
   readonly tokens: number;
-  /** From placement to the first token; absent where none came. */
+  /** From placement to the first token; absent where no token arrived. */
   readonly firstTokenMilliseconds?: number;
   readonly totalMilliseconds: number;
-  /** Load that came with the last frame, where one did. */
+  /** Load reported with the last frame, if any. */
   readonly load?: EndpointLoad;
 }
 
@@ -21,50 +21,62 @@
   readonly endpoint: EndpointId;
   /** Priority of the request's class, for the side and the engine. */
   readonly priority: number;
-  /** Gives the slot back; a second call does nothing. */
+  /** Frees the slot; further calls have no effect. */
   release(summary: AttemptSummary): void;
 }
 
 /** A request that waits for a slot. */
 export interface WaitingRequest {
-  /** Settles with a slot, or with a refusal that is final. */
+  /** Resolves with a slot, or with a final refusal. */
   readonly placed: Promise<Result<Placement, Refusal>>;
-  /** The caller has gone; the request leaves the queue. */
+  /** Removes the request from the queue after its caller has disconnected. */
   cancel(): void;
 }
 
 /**
- * Decides under load at one entry: admits, queues, places and learns. It
- * holds no socket and no clock of its own.
+ * Admission, queueing and placement at one entry, with statistics of past
+ * attempts. Holds no socket and no clock of its own.
  */
 export interface Scheduler {
-  /** Takes inventory and rules in force; requests that wait stay. */
+  /**
+   * Applies the inventory and rules in force. Waiting requests stay queued
+   * unless their pool is gone.
+   */
   configure(inventory: Inventory, rules: Rules): void;
-  /** A first try: admitted or refused at once. */
+  /** First attempt of a request: admitted or refused immediately. */
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal>;
   /**
-   * A further try of a request that is already admitted; it is paid from the
-   * retry budget, and refused where that is empty.
+   * Further attempt of an admitted request. It draws on the retry budget and is
+   * refused when the budget is exhausted.
    */
   resubmit(profile: RequestProfile): Result<WaitingRequest, Refusal>;
-  /** A side's report, as it came; `receivedAt` is timer time. */
+  /** Applies a report of a side; `receivedAt` is timer time in milliseconds. */
   report(report: SideReport, receivedAt: number): void;
-  /** The entry can't reach the endpoint (true) or can again (false). */
+  /**
+   * Marks the endpoint as unreachable from this entry (true) or reachable again
+   * (false).
+   */
   suspect(endpoint: EndpointId, suspected: boolean): void;
-  /** Engine's late cache event: it has (or has dropped) these prefixes. */
+  /**
+   * Cache event of an engine, possibly delayed: prefixes it has added or
+   * dropped.
+   */
   cacheEvent(
     endpoint: EndpointId,
     event: { added: readonly string[]; dropped: readonly string[] },
   ): void;
-  /** Lag of the entry's own loop, milliseconds: it sheds before it stalls. */
+  /**
+   * Delay of the entry's event loop, milliseconds; the scheduler sheds load
+   * before the loop stalls.
+   */
   loopDelay(milliseconds: number): void;
-  /** What the planner needs: demand and capacity seen here, per pool. */
+  /** Demand on each pool as seen at this entry; input of the planner. */
   demand(): readonly PoolDemand[];
   readonly waiting: number;
   readonly running: number;
 }
 
-/** Demand on one pool as one entry has seen it over its last window. */
+/** Demand on one pool at one entry over the last window. */
 export interface PoolDemand {
   readonly pool: string;
   readonly arrivalsPerSecond: number;
@@ -76,11 +88,11 @@
   readonly classes?: readonly ClassArrivals[];
 }
 
-/** Arrivals of one class over the last window, refused ones included. */
+/** Arrivals of one class over the last window, including refused ones. */
 export interface ClassArrivals {
   readonly className: string;
   readonly arrivalsPerSecond: number;
-  /** Mean tokens of a request; outputs as expected. */
+  /** Mean tokens of a request; for outputs the expected number. */
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
