--- a/src/core/placement/candidate.ts
+++ b/src/core/placement/candidate.ts
@@ -2,7 +2,7 @@
 import type { RequestProfile } from "../requests/mod.ts";
 import type { EndpointView } from "./endpoint_view.ts";
 
-/** What placement needs to know beside the profile. */
+/** Input of a placement decision beyond the request's profile. */
 export interface PlacementQuery {
   readonly profile: RequestProfile;
   readonly rank: number;
@@ -10,33 +10,39 @@
   readonly now: number;
 }
 
-/** Where the prompt's longest known prefix is, and the share that it covers. */
+/**
+ * Endpoint with the longest known prefix of the prompt, and the share of the
+ * prompt that it covers.
+ */
 export interface CachedPrefix {
   readonly endpoint: EndpointId;
   readonly share: number;
 }
 
-/** An endpoint with the finish that is expected there. */
+/** An endpoint with the predicted times of the request there. */
 export interface Candidate {
   readonly view: EndpointView;
   readonly finishMilliseconds: number;
-  /** Time of the whole engine that the request takes. */
+  /** Engine time that the request uses, as if it had the whole engine. */
   readonly engineMilliseconds: number;
-  /** Tokens of the prompt that the endpoint has to process. */
+  /** Prompt tokens that the endpoint has to process. */
   readonly promptTokens: number;
-  /** What candidates are compared by; smaller is better. */
+  /** Value by which candidates are compared; smaller is better. */
   readonly score: number;
 }
 
 export interface ScoringOptions {
   readonly availabilityZone: string;
-  /** Time that a placement in another availability zone is held to cost. */
+  /**
+   * Cost in milliseconds that is added to a placement in another availability
+   * zone.
+   */
   readonly otherZoneMilliseconds: number;
-  /** Weight of the engine's time against the finish. */
+  /** Weight of the engine time against the predicted finish. */
   readonly engineCostWeight: number;
 }
 
-/** Tokens of the prompt that an endpoint would have to process. */
+/** Prompt tokens that an endpoint would have to process. */
 export function uncachedPromptTokens(
   view: EndpointView,
   query: PlacementQuery,
@@ -48,7 +54,7 @@
   return tokens * (1 - cached.share);
 }
 
-/** Finish on an endpoint, from the placement on, milliseconds. */
+/** Predicted time from placement to the complete answer, milliseconds. */
 export function predictFinishMilliseconds(
   view: EndpointView,
   query: PlacementQuery,
@@ -59,7 +65,7 @@
     view.decodeMilliseconds(outputTokens);
 }
 
-/** Looks at endpoints as the place for a request. */
+/** Scores endpoints as candidates for a request. */
 export class CandidateScorer {
   readonly #options: ScoringOptions;
 
@@ -86,8 +92,8 @@
     const score = finishMilliseconds +
       options.engineCostWeight * engineMilliseconds;
     return {
-      view: view,
-      finishMilliseconds: finishMilliseconds,
+      view,
+      finishMilliseconds,
       engineMilliseconds,
       promptTokens,
       score,
--- a/src/core/placement/endpoint_health.ts
+++ b/src/core/placement/endpoint_health.ts
@@ -1,34 +1,38 @@
-/** Limits of the ejection of endpoints that fail or are slow. */
+/** Limits for the ejection of endpoints that fail or are slow. */
 export interface HealthLimits {
-  /** Share of failures, of the recent attempts, that ejects. */
+  /**
+   * Share of failures among recent attempts above which an endpoint is ejected.
+   */
   readonly mostFailureShare: number;
-  /** Attempts before an endpoint is judged at all. */
+  /** Attempts before an endpoint is evaluated at all. */
   readonly fewestAttempts: number;
-  /** Slowness against the pool's median that ejects. */
+  /**
+   * Slowness relative to the pool's median above which an endpoint is ejected.
+   */
   readonly mostSlowness: number;
   readonly firstEjectionMilliseconds: number;
   readonly longestEjectionMilliseconds: number;
 }
 
-/** How long an attempt took, against two expectations. */
+/** Duration of an attempt relative to two expectations. */
 export interface AttemptTimes {
-  /** Against the prediction, which knows what the endpoint reports. */
+  /** Relative to the prediction, which includes what the endpoint reports. */
   readonly overExpected: number;
-  /** Against the asset register's figures alone. */
+  /** Relative to the rated figures of the inventory alone. */
   readonly overRated: number;
 }
 
-/** Weight of one attempt in the means: about the last ten attempts count. */
+/** Weight of one attempt in the moving averages: about the last ten count. */
 const ATTEMPT_WEIGHT = 0.1;
-/** Bounds of the slowness that placement reckons with. */
+/** Bounds of the slowness that placement uses. */
 const MIN_SLOWNESS = 0.5;
 const MAX_SLOWNESS = 8;
 
 /**
- * How an endpoint has treated this entry's attempts. Load: one endpoint that
- * is slow, or that is fast because it fails. Harm prevented: least-loaded
- * placement sends an endpoint that fails at once nearly everything, since it
- * always looks idle.
+ * Outcomes of this entry's attempts at an endpoint, with ejection and probing.
+ * It covers endpoints that are slow, and endpoints that fail quickly: those
+ * always look idle, so least-loaded placement would send them nearly
+ * everything.
  */
 export class EndpointHealth {
   readonly #limits: HealthLimits;
@@ -48,12 +52,12 @@
     return this.#failureShare;
   }
 
-  /** Observed time of answers against the expected one. */
+  /** Observed duration of answers relative to the predicted one, bounded. */
   get slowness(): number {
     return Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, this.#slowness));
   }
 
-  /** Observed time of answers against the register's figures. */
+  /** Observed duration of answers relative to the rated one. */
   get ratioToRated(): number {
     return this.#ratioToRated;
   }
@@ -62,7 +66,7 @@
     return this.#ejectedUntil > -Infinity;
   }
 
-  /** True: a single attempt may find out whether the endpoint is well again. */
+  /** Whether one attempt may probe an ejected endpoint. */
   mayProbe(now: number): boolean {
     return this.ejected && !this.#probeInFlight && now >= this.#ejectedUntil;
   }
@@ -71,7 +75,7 @@
     this.#probeInFlight = true;
   }
 
-  /** A probe that comes back slow sends the endpoint away again. */
+  /** Records an answer. A probe that is slow ejects the endpoint again. */
   succeeded(times: AttemptTimes, now: number): void {
     this.#failureShare *= 1 - ATTEMPT_WEIGHT;
     this.#recordTimes(times);
@@ -99,8 +103,9 @@
   }
 
   /**
-   * The caller went, or its deadline passed. What it waited is a lower bound:
-   * without it an endpoint so slow that nothing ends there looks untried.
+   * Records an attempt that the caller or its deadline ended. The time waited
+   * is a lower bound: without it, an endpoint so slow that nothing completes
+   * there looks untried.
    */
   cancelled(times: AttemptTimes, now: number): void {
     if (this.#probeInFlight && times.overRated > this.#limits.mostSlowness) {
@@ -112,12 +117,16 @@
     this.#recordRatioToRated(times.overRated);
   }
 
-  /** The attempt told nothing (it was not run). */
+  /**
+   * Records an attempt without information on the endpoint (it was not run).
+   */
   untold(): void {
     this.#probeInFlight = false;
   }
 
-  /** True: it ought to be ejected, if the ceiling allows. */
+  /**
+   * Whether the endpoint should be ejected, if the ejection ceiling allows it.
+   */
   isBad(medianRatioToRated: number): boolean {
     if (this.ejected || this.#attempts < this.#limits.fewestAttempts) {
       return false;
@@ -136,7 +145,7 @@
     this.#probeInFlight = false;
   }
 
-  /** Back in use; its past is halved, not forgotten. */
+  /** Returns the endpoint to use; its history is halved, not discarded. */
   #readmit(): void {
     this.#ejectedUntil = -Infinity;
     this.#probeInFlight = false;
--- a/src/core/placement/endpoint_view.ts
+++ b/src/core/placement/endpoint_view.ts
@@ -5,10 +5,10 @@
 import { roleRates } from "../roles/mod.ts";
 import { EndpointHealth, type HealthLimits } from "./endpoint_health.ts";
 
-/** Weight of the older placements: the last twenty count most. */
+/** Decay of older placements: about the last twenty count. */
 const PLACEMENT_DECAY = 0.95;
 
-/** What is known of an endpoint before it has reported. */
+/** Configuration of an endpoint, used until it reports. */
 export interface EndpointConfig {
   readonly endpoint: EndpointId;
   readonly availabilityZone: string;
@@ -17,13 +17,13 @@
   readonly serving: boolean;
 }
 
-/** How reports are weighed against what the entry itself knows. */
+/** Weights of reports against what the entry itself knows. */
 export interface EndpointViewOptions {
   readonly profiles: RoleProfiles;
   readonly health: HealthLimits;
-  /** Time in which half of a report's foreign load is taken to be gone. */
+  /** Half-life of the load that a report attributes to other entries. */
   readonly reportHalfLifeMilliseconds: number;
-  /** Prompts waiting above which less urgent classes find no room. */
+  /** Prefill backlog above which less urgent classes get no slot. */
   readonly mostPrefillWaitMilliseconds: number;
   /** Requests sent beyond the limit, to wait at the side. */
   readonly extraPlaces: number;
@@ -31,17 +31,17 @@
   readonly lessUrgentShare: number;
 }
 
-/** One request that the entry has at the endpoint. */
+/** One request that this entry has at the endpoint. */
 export interface OwnAttempt {
   readonly rank: number;
   readonly promptTokens: number;
 }
 
 /**
- * One entry's picture of one endpoint: the last report, aged, corrected by the
- * entry's own work. Load: several entries place on reports that are up to
- * seconds old. Harm prevented: an endpoint that looked idle in the last report
- * is given everything until the next one.
+ * One entry's view of one endpoint: the last report, decayed with age and
+ * corrected by the entry's own work. Several entries place on reports that are
+ * up to seconds old; without the correction, an endpoint that looked idle in
+ * the last report gets all requests until the next one.
  */
 export class EndpointView {
   readonly health: EndpointHealth;
@@ -55,16 +55,16 @@
   #limit: number;
   #millisecondsBetweenTokens = 0;
   #reportedAt = -Infinity;
-  /** Work of other entries at the time of the report. */
+  /** Load of other entries at the time of the report. */
   #reportedForeignLoad = 0;
-  /** Part of the foreign work that is left, reckoned once for each time. */
+  /** Fraction of the foreign load that remains, cached per point in time. */
   #foreignDecay = 1;
   #decayedAt = -Infinity;
   #ownAttempts = 0;
   #ownLessUrgentAttempts = 0;
-  /** For each rank of class: when the prompts up to that rank are done. */
+  /** Per rank: time at which the prompts up to that rank are processed. */
   readonly #prefillDoneAt: number[] = [];
-  /** Prompts placed here lately by rank, with a decaying weight. */
+  /** Prompt tokens placed here recently, by rank, with exponential decay. */
   readonly #recentPromptTokens: number[] = [];
 
   constructor(
@@ -85,7 +85,7 @@
     return this.#config;
   }
 
-  /** Takes what a new inventory says; what reports have told stays. */
+  /** Applies a new inventory; reported values stay. */
   updateConfig(config: EndpointConfig, ranks: number): void {
     if (config.serving && !this.#config.serving) this.#state = "serving";
     this.#config = config;
@@ -105,7 +105,7 @@
     return this.#limit;
   }
 
-  /** False: gets no new work at all. */
+  /** Whether the endpoint may get new work. */
   get usable(): boolean {
     return this.#config.serving && this.#state === "serving" &&
       !this.#suspected;
@@ -127,7 +127,7 @@
     this.applyLoad(report.load, receivedAt);
   }
 
-  /** Load as it came with a report or with the end of an answer. */
+  /** Applies the load of a report or of the end of an answer. */
   applyLoad(load: SideReport["load"], receivedAt: number): void {
     this.#limit = load.limit;
     this.#millisecondsBetweenTokens = load.millisecondsBetweenTokens;
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Share of the prompts placed here lately that are of the rank or above. */
+  /** Share of the recent prompt tokens that are of the rank or more urgent. */
   #promptShareUpTo(rank: number): number {
     if (rank === this.#ranks - 1) return 1;
     let upTo = 0;
@@ -158,7 +158,7 @@
     return all === 0 ? 1 : upTo / all;
   }
 
-  /** Work of others at the endpoint, as far as it is still there. */
+  /** Remaining load of other entries at the endpoint. */
   foreignLoad(now: number): number {
     if (this.#reportedForeignLoad === 0) return 0;
     if (now !== this.#decayedAt) {
@@ -170,7 +170,7 @@
     return this.#reportedForeignLoad * this.#foreignDecay;
   }
 
-  /** Free places for a request of the rank; the most urgent rank is 0. */
+  /** Free slots for a request of the rank; the most urgent rank is 0. */
   freeSlots(rank: number, now: number): number {
     const free = this.#limit + this.#options.extraPlaces - this.#ownAttempts -
       this.foreignLoad(now);
@@ -183,13 +183,13 @@
     return Math.min(free, maxLessUrgent - this.#ownLessUrgentAttempts);
   }
 
-  /** Share of the limit that is taken. */
+  /** Load as a share of the limit. */
   occupancy(now: number): number {
     return (this.#ownAttempts + this.foreignLoad(now)) /
       Math.max(1, this.#limit);
   }
 
-  /** Time until a prompt of the rank would be begun, milliseconds. */
+  /** Time until a prompt of the rank would start, milliseconds. */
   prefillWait(rank: number, now: number): number {
     return Math.max(0, (this.#prefillDoneAt[rank] ?? 0) - now);
   }
@@ -201,7 +201,7 @@
     );
   }
 
-  /** Time to the first token, without a wait for a slot. */
+  /** Time to the first token without a wait for a slot, milliseconds. */
   firstTokenMilliseconds(
     promptTokens: number,
     at: { rank: number; now: number },
@@ -211,7 +211,9 @@
         this.#prefillMilliseconds(promptTokens));
   }
 
-  /** Time that the register's figures would give an endpoint to itself. */
+  /**
+   * Duration by the rated figures on an otherwise idle endpoint, milliseconds.
+   */
   ratedMilliseconds(
     work: { promptTokens: number; outputTokens: number },
   ): number {
@@ -224,7 +226,10 @@
       this.millisecondsBetweenTokens();
   }
 
-  /** The side had no room: whatever the picture says, it is full for now. */
+  /**
+   * Marks the endpoint as full after its side had no capacity, whatever the
+   * view shows.
+   */
   markFull(now: number): void {
     this.#reportedForeignLoad = Math.max(
       this.foreignLoad(now),
@@ -234,7 +239,10 @@
     this.#decayedAt = -Infinity;
   }
 
-  /** Time of the whole engine that the work takes, milliseconds. */
+  /**
+   * Engine time that the work uses, as if it had the whole engine,
+   * milliseconds.
+   */
   engineMilliseconds(promptTokens: number, outputTokens: number): number {
     return this.health.slowness *
       (this.#prefillMilliseconds(promptTokens) +
--- a/src/core/placement/mod.ts
+++ b/src/core/placement/mod.ts
@@ -1,4 +1,4 @@
-/** Where a request goes. */
+/** Selection of the endpoint for a request. */
 export { EndpointHealth, type HealthLimits } from "./endpoint_health.ts";
 export {
   type EndpointConfig,
--- a/src/core/placement/placement_test.ts
+++ b/src/core/placement/placement_test.ts
@@ -23,23 +23,23 @@
     ownZoneShare: 0.67,
   };
 
-  it("stays small and lies mostly in the own zone", () => {
+  it("is small and mostly in the entry's own zone", () => {
     const subset = chooseSubset(candidates, options);
     const own = subset.filter((one) => one.availabilityZone === "zone-2");
     expect(subset.length).to.equal(24);
     expect(own.length).to.equal(16);
   });
 
-  // A replica is replaced. If that moved every entry's subset, all of them
-  // would lose what they know of their endpoints at the same moment.
-  it("keeps the rest when one endpoint goes", () => {
+  // A replica is replaced. If that changed every entry's subset, all of them
+  // would lose their views of their endpoints at the same moment.
+  it("keeps the other endpoints when one is removed", () => {
     const before = chooseSubset(candidates, options);
     const left = candidates.filter((one) => one !== before[3]);
     const after = new Set(chooseSubset(left, options));
     expect(before.filter((one) => !after.has(one)).length).to.equal(1);
   });
 
-  it("fills up from the own zone where others have too few", () => {
+  it("fills up from the own zone if the others have too few", () => {
     const own = candidates.filter((one) => one.availabilityZone === "zone-2");
     expect(chooseSubset(own, options).length).to.equal(24);
   });
@@ -59,7 +59,7 @@
     });
   });
 
-  it("forgets what its endpoint has dropped, and nothing of others", () => {
+  it("removes a prefix only for the endpoint that dropped it", () => {
     const index = new PrefixIndex(10);
     index.record(one, ["a"]);
     index.remove(other, ["a"]);
@@ -68,7 +68,7 @@
     expect(index.find(["a"])).to.equal(undefined);
   });
 
-  it("is bounded", () => {
+  it("bounds the number of prefixes", () => {
     const index = new PrefixIndex(3);
     index.record(one, ["a", "b", "c", "d", "e"]);
     expect(index.size).to.equal(3);
@@ -79,34 +79,34 @@
   const fast = { overExpected: 1, overRated: 1 };
   const slow = { overExpected: 1, overRated: 6 };
 
-  it("finds an endpoint bad that fails", () => {
+  it("reports a failing endpoint as bad", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 10; index++) health.failed(0);
     expect(health.isBad(1)).to.equal(true);
   });
 
-  it("finds an endpoint bad that is slow though its reports say so", () => {
+  it("reports a slow endpoint as bad even if its reports predict it", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.isBad(1)).to.equal(true);
   });
 
-  // The whole pool is slow, because all of it is loaded. Ejecting endpoints
-  // then would make the others slower still.
-  it("finds none bad that is like the others", () => {
+  // The whole pool is slow because it is loaded. Ejecting endpoints then slows
+  // the others further.
+  it("reports no endpoint as bad that is like the others", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.isBad(5)).to.equal(false);
   });
 
-  // Nothing ever ends there: callers give up at their deadlines.
+  // Nothing ever completes at the endpoint: callers give up at their deadlines.
   it("learns from callers that gave up", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.cancelled(slow, 0);
     expect(health.isBad(1)).to.equal(true);
   });
 
-  it("probes one attempt at a time and goes by its outcome", () => {
+  it("probes with one attempt at a time and follows its outcome", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     health.eject(0);
     expect(health.mayProbe(1_999)).to.equal(false);
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -17,24 +17,24 @@
 
 export interface PlacerOptions extends ScoringOptions {
   readonly random: Random;
-  /** Endpoints drawn at random for one decision. */
+  /** Endpoints sampled at random for one decision. */
   readonly choices: number;
-  /** Load above the pool's mean up to which a cached prefix is followed. */
+  /** Occupancy relative to the mean up to which a cached prefix is followed. */
   readonly mostAffinityLoad: number;
   readonly mostPrefixes: number;
-  /** Share of the endpoints that may be ejected at once. */
+  /** Share of the endpoints that may be ejected at the same time. */
   readonly mostEjectedShare: number;
 }
 
 /**
- * Occupancy up to which a prefix is followed whatever the mean. Harm
- * prevented: in a quiet hour the mean is near zero and no prefix would be.
+ * Occupancy up to which a prefix is followed whatever the mean, which is near
+ * zero under light load and would then rule out every prefix.
  */
 const MIN_AFFINITY_OCCUPANCY = 0.1;
 
-/** The subset as one request finds it. */
+/** Endpoints of the subset for one request, from all to the best ones. */
 interface EligibleEndpoints {
-  /** Usable, with ejected ones that may be probed. */
+  /** Usable endpoints, including ejected ones that may be probed. */
   readonly available: EndpointView[];
   readonly healthy: EndpointView[];
   readonly withCapacity: EndpointView[];
@@ -47,17 +47,17 @@
   readonly cached: CachedPrefix | undefined;
 }
 
-/** Least that any endpoint offers a request. */
+/** Minimum of each time over the endpoints. */
 export interface MinimumTimes {
   readonly milliseconds: number;
   readonly engineMilliseconds: number;
 }
 
 /**
- * Chooses the endpoint for a request: a few random choices of the subset,
- * compared by predicted finish, plus the one that has the prompt's prefix.
- * Load: many entries with old reports. Harm prevented: all of them follow the
- * same report to the same endpoint.
+ * Selects the endpoint for a request: a few random samples of the subset,
+ * compared by predicted finish, plus the endpoint that has the prompt's prefix.
+ * Sampling keeps many entries with the same stale reports from all choosing the
+ * same endpoint.
  */
 export class Placer {
   readonly #options: PlacerOptions;
@@ -94,22 +94,19 @@
     this.#prefixes.record(endpoint, event.added);
   }
 
-  /** Takes a new division of the classes among the roles. */
+  /** Replaces the routing plan; recent placements carry over. */
   usePlan(plan: RoutingPlan): void {
     plan.inheritPlacements(this.#plan);
     this.#plan = plan;
   }
 
-  /** Share of the class's arrivals that the pool has room for. */
+  /** Share of the class's arrivals that the pool can serve. */
   servedShare(className: string): number {
     return this.#plan?.servedShare(className) ?? 1;
   }
 
-  /** True where a request of the class finds a free place. */
-  hasRoom(
-    className: string,
-    options: { rank: number; now: number },
-  ): boolean {
+  /** Whether a request of the class has a free slot. */
+  hasRoom(className: string, options: { rank: number; now: number }): boolean {
     const { rank, now } = options;
     return this.#views.some((view) =>
       isAvailable(view, now) && view.freeSlots(rank, now) >= 1 &&
@@ -118,9 +115,9 @@
   }
 
   /**
-   * True where the plan gives the class to the endpoint's role. The most
-   * urgent class takes another role as well: for it a free place in the wrong
-   * one is better than a wait.
+   * Whether the plan gives the class to the endpoint's role. The most urgent
+   * class also uses other roles: for it a free slot in the wrong role is better
+   * than a wait.
    */
   #isSuited(view: EndpointView, className: string): boolean {
     const plan = this.#plan;
@@ -129,14 +126,14 @@
       !plan.exceedsShare(className, view.role);
   }
 
-  /** Places that the pool offers to this entry, free or taken by it. */
+  /** Slots of the pool that are free or held by this entry. */
   capacity(now: number): number {
-    let places = 0;
+    let slots = 0;
     for (const view of this.#views) {
       if (!isAvailable(view, now)) continue;
-      places += Math.max(0, view.limit - view.foreignLoad(now));
+      slots += Math.max(0, view.limit - view.foreignLoad(now));
     }
-    return places;
+    return slots;
   }
 
   /** Number of endpoints that get work, by role. */
@@ -148,12 +145,12 @@
     return counts;
   }
 
-  /** Any endpoint that could serve now or soon. */
+  /** Whether any endpoint could serve a request, now or after a wait. */
   hasUsable(now: number): boolean {
     return this.#views.some((view) => isAvailable(view, now));
   }
 
-  /** The best place, or nothing where no endpoint is usable at all. */
+  /** Selects the best endpoint; undefined if no endpoint is usable. */
   choose(query: PlacementQuery): Candidate | undefined {
     const eligible = this.#collectEligible(query);
     const cached = this.#prefixes.find(query.profile.prefixHashes);
@@ -166,19 +163,15 @@
       eligible.withCapacity,
       eligible.healthy,
       eligible.available,
-    ]
-      .find((list) => list.length > 0);
+    ].find((list) => list.length > 0);
     if (candidates === undefined) return undefined;
-    const limitToSampledRole = this.#ofOneRole(candidates, query);
-    const bestOfSample = this.#best(limitToSampledRole, query, cached);
-    if (query.rank > 0) return bestOfSample;
-    return this.#preferOnTime(bestOfSample, eligible.healthy, {
-      query: query,
-      cached,
-    });
+    const ofOneRole = this.#limitToSampledRole(candidates, query);
+    const best = this.#bestOfSample(ofOneRole, query, cached);
+    if (query.rank > 0) return best;
+    return this.#preferOnTime(best, eligible.healthy, { query, cached });
   }
 
-  /** The shortest finish that any healthy endpoint offers now. */
+  /** Shortest times that any healthy endpoint offers now. */
   minimumTimes(query: PlacementQuery): MinimumTimes {
     const cached = this.#prefixes.find(query.profile.prefixHashes);
     let milliseconds = Infinity;
@@ -204,7 +197,7 @@
     if (role !== undefined) this.#plan?.addPlacement(profile.className, role);
   }
 
-  /** Ejects what is bad, as far as the ceiling allows. */
+  /** Ejects unhealthy endpoints up to the ejection ceiling. */
   review(now: number): void {
     const judged = this.#views.filter((view) => view.usable);
     const maxEjected = Math.floor(
@@ -220,7 +213,9 @@
     }
   }
 
-  /** One pass over the subset, from the best endpoints to the last resort. */
+  /**
+   * Groups the subset in one pass, from the best endpoints to the last resort.
+   */
   #collectEligible(query: PlacementQuery): EligibleEndpoints {
     const { profile, rank, now } = query;
     const eligible: EligibleEndpoints = {
@@ -245,7 +240,7 @@
     return eligible;
   }
 
-  #best(
+  #bestOfSample(
     views: readonly EndpointView[],
     query: PlacementQuery,
     cached: CachedPrefix | undefined,
@@ -256,19 +251,19 @@
       const other = this.#scorer.score(this.#sampleOne(views), query, cached);
       if (other.score < best.score) best = other;
     }
-    return this.#withAffinity(best, views, { query: query, cached });
+    return this.#withAffinity(best, views, { query, cached });
   }
 
   /**
-   * For urgent work: an endpoint that has no free place but makes room at its
-   * side goes before a free one that can't be in time.
+   * For urgent work: prefers an endpoint without a free slot, whose side
+   * preempts other work, to a free one that can't finish on time.
    */
   #preferOnTime(
     found: Candidate,
     healthy: readonly EndpointView[],
     context: QueryContext,
   ): Candidate {
-    const { query: query, cached } = context;
+    const { query, cached } = context;
     if (found.finishMilliseconds <= query.profile.deadline - query.now) {
       return found;
     }
@@ -280,8 +275,8 @@
     return best;
   }
 
-  /** Endpoints of one role, drawn by the shares of the plan. */
-  #ofOneRole(
+  /** Limits the endpoints to one role, sampled by the plan's shares. */
+  #limitToSampledRole(
     views: readonly EndpointView[],
     { profile }: PlacementQuery,
   ): readonly EndpointView[] {
@@ -302,11 +297,11 @@
     return views[Math.floor(this.#options.random() * views.length)];
   }
 
-  /** The endpoint with the prefix, if its load is near the mean. */
+  /** Prefers the endpoint that has the prefix if its load is near the mean. */
   #withAffinity(
     best: Candidate,
     views: readonly EndpointView[],
-    { query: query, cached }: QueryContext,
+    { query, cached }: QueryContext,
   ): Candidate {
     if (cached === undefined) return best;
     const holder = this.#byId.get(cached.endpoint);
--- a/src/core/placement/prefix_index.ts
+++ b/src/core/placement/prefix_index.ts
@@ -1,15 +1,15 @@
 import type { EndpointId } from "../identity/mod.ts";
 
 /**
- * Which endpoint was last given a prompt prefix, from own placements and from
- * the engines' cache events. Events come late and with gaps, so an entry here
- * is a hint: a wrong one costs a prefill, never an answer.
+ * Endpoint that last got each prompt prefix, from own placements and from the
+ * engines' cache events. Events are late and incomplete, so an entry is a hint:
+ * a wrong one costs a prefill, never an answer.
  */
 export class PrefixIndex {
   readonly #endpoints = new Map<string, EndpointId>();
   readonly #maxPrefixes: number;
 
-  /** `mostPrefixes` bounds the memory; the oldest are forgotten first. */
+  /** `maxPrefixes` bounds the memory; the oldest prefixes are evicted first. */
   constructor(maxPrefixes: number) {
     this.#maxPrefixes = maxPrefixes;
   }
--- a/src/core/placement/routing_plan.ts
+++ b/src/core/placement/routing_plan.ts
@@ -11,15 +11,15 @@
 /** Share of a class's requests below which a role is not used for it. */
 const MIN_SHARE = 0.02;
 /**
- * Utilisation below which every role takes every class. Load: a quiet hour.
- * Harm prevented: a request that waits for the planned role while others idle.
- * Limit: half of the rates, where a wrong role costs time but no one's place.
+ * Utilisation below which every role takes every class, so that no request
+ * waits for its planned role while others idle. At half of the rates, a wrong
+ * role costs time but takes no slot from other work.
  */
 const LOW_UTILISATION = 0.5;
-/** Weight of the older placements: about the last fifty count. */
+/** Decay of older placements: about the last fifty count. */
 const PLACEMENT_DECAY = 0.98;
 const MIN_RATE = 1e-6;
-/** Placements by which a role may be ahead of its share. */
+/** Placements by which a role may exceed its share. */
 const MAX_EXCESS_PLACEMENTS = 1;
 /** Share of the rated rates that the plan uses. */
 const USABLE_SHARE = 0.95;
@@ -30,11 +30,11 @@
 }
 
 /**
- * Which roles serve which class of work. Load: long prompts and long outputs
- * over engines in several roles. Harm prevented: each request takes the role
- * that suits itself at the moment, the long prompts fill the engines that the
- * long outputs need, and both run half empty. The division comes from the
- * entry's own demand and the roles in force, anew every second.
+ * Allocation of the classes of work to the roles. If each request took the role
+ * that suits it best at the moment, long prompts would fill the engines that
+ * long outputs need, and both kinds would run half empty. The allocation
+ * follows the entry's own demand and the roles in force; a new plan is made
+ * every second.
  */
 export class RoutingPlan {
   readonly #shares = new Map<string, readonly number[]>();
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Share of the class that the role should take; 0 where it takes none. */
+  /** Share of the class that the role should take; 0 if none. */
   share(className: string, role: Role): number {
     const shares = this.#shares.get(className);
     if (this.#isLightlyLoaded || shares === undefined) return 1;
@@ -75,12 +75,12 @@
     return share < MIN_SHARE ? 0 : share;
   }
 
-  /** Share of the class's arrivals that fits beside all other work. */
+  /** Share of the class's arrivals that fits alongside all other work. */
   servedShare(className: string): number {
     return this.#servedShares.get(className) ?? 1;
   }
 
-  /** Notes a placement; older ones count less and less. */
+  /** Records a placement; older ones decay. */
   addPlacement(className: string, role: Role): void {
     const existing = this.#placements.get(className);
     const counts = existing ?? ROLES.map(() => 0);
@@ -92,10 +92,10 @@
   }
 
   /**
-   * True where the role has had its share of the class and more, so that what
-   * waits should wait for another role. Load: one role is full. Harm
-   * prevented: its part of the long prompts spills to the engines whose
-   * prompt rate the plan has already used up, and stays there.
+   * Whether the role exceeds its share of the class, so that a waiting request
+   * should wait for another role. Without it, when one role is full, its part
+   * of the long prompts spills to engines whose prompt rate the plan has
+   * already used up, and stays there.
    */
   exceedsShare(className: string, role: Role): boolean {
     const counts = this.#placements.get(className);
@@ -105,7 +105,7 @@
     return counts[ROLES.indexOf(role)] > fairCount + MAX_EXCESS_PLACEMENTS;
   }
 
-  /** The next plan goes on with what has been placed. */
+  /** Continues with the placements recorded by the previous plan. */
   inheritPlacements(previous: RoutingPlan | undefined): void {
     if (previous === undefined) return;
     for (const [className, counts] of previous.#placements) {
@@ -113,7 +113,7 @@
     }
   }
 
-  /** False: no role has anything left for the class. */
+  /** Whether any role has capacity for the class. */
   serves(className: string): boolean {
     const shares = this.#shares.get(className);
     return this.#isLightlyLoaded || shares === undefined || shares.length > 0;
--- a/src/core/placement/subset.ts
+++ b/src/core/placement/subset.ts
@@ -1,4 +1,4 @@
-/** An endpoint that may become part of an entry's subset. */
+/** An endpoint that can be part of an entry's subset. */
 export interface SubsetCandidate {
   readonly endpoint: string;
   readonly availabilityZone: string;
@@ -9,16 +9,16 @@
   readonly salt: string;
   readonly availabilityZone: string;
   readonly mostEndpoints: number;
-  /** Share of the subset that lies in the entry's own availability zone. */
+  /** Share of the subset in the entry's own availability zone. */
   readonly ownZoneShare: number;
 }
 
 /**
- * Endpoints that one entry uses: its own availability zone first, the rest as
- * spill, each chosen by rendezvous hash. Load: 12,000 replicas behind 410
- * nodes. Harm prevented: state, connections and report traffic at each entry
- * that grow with the fleet. A replica that comes or goes moves only the
- * subsets that it is part of.
+ * Selects the endpoints that one entry uses by rendezvous hashing: its own
+ * availability zone first, the rest for spillover. With 12,000 replicas behind
+ * 410 nodes, this keeps state, connections and report traffic at each entry
+ * from growing with the fleet. Adding or removing a replica changes only the
+ * subsets that contain it.
  */
 export function chooseSubset<Candidate extends SubsetCandidate>(
   candidates: readonly Candidate[],
@@ -45,7 +45,7 @@
   return chosen;
 }
 
-/** FNV-1a with a final mix (murmur3), 32 bits; no security rests on it. */
+/** FNV-1a with the murmur3 finalizer, 32 bits; not for security. */
 function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index++) {
--- a/src/core/scheduling/completion_predictor.ts
+++ b/src/core/scheduling/completion_predictor.ts
@@ -10,16 +10,14 @@
   readonly wait: number;
   /** From the slot to the complete answer. */
   readonly service: number;
-  /**
-   * Share of the pool's capacity, in the unit in which the queue counts cost.
-   */
+  /** Use of the pool's capacity, in the cost unit of the queue. */
   readonly cost: number;
 }
 
-export interface FinishPredictorOptions {
+export interface CompletionPredictorOptions {
   readonly placer: Placer;
   readonly queue: RequestQueue;
-  readonly learning: PoolStatistics;
+  readonly statistics: PoolStatistics;
   readonly policy: SchedulingPolicy;
   readonly entriesSharing: () => number;
 }
@@ -29,11 +27,11 @@
 
 /** Predicts when a request completes, and decides on its admission. */
 export class CompletionPredictor {
-  readonly #options: FinishPredictorOptions;
+  readonly #options: CompletionPredictorOptions;
   readonly #drain = new DrainMeter();
   readonly #thinning = new ClassThinning();
 
-  constructor(options: FinishPredictorOptions) {
+  constructor(options: CompletionPredictorOptions) {
     this.#options = options;
   }
 
@@ -58,7 +56,7 @@
     query: PlacementQuery,
     estimate: CompletionEstimate,
   ): AdmissionDecision {
-    const { learning, policy } = this.#options;
+    const { statistics, policy } = this.#options;
     const { profile, rank, now } = query;
     const { wait, service } = estimate;
     const timeLeft = profile.deadline - now;
@@ -66,7 +64,7 @@
     const deviations = rank === 0
       ? policy.urgentDeviations
       : policy.otherDeviations;
-    const factor = learning.errorFactor(profile.className, deviations);
+    const factor = statistics.errorFactor(profile.className, deviations);
     if ((wait + service) * factor > timeLeft) return "saturated";
     if (this.#exceedsServedShare(query, wait)) return "saturated";
     return "admit";
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -101,7 +101,7 @@
       ...options,
       placer: this.#placer,
       queue: this.#queue,
-      learning: this.#statistics,
+      statistics: this.#statistics,
     });
     this.#dispatch = new PQueue({ queueClass: queueClassFor(this.#queue) });
     this.configure(pool, rules);
@@ -307,7 +307,7 @@
       this.#settle(admitted, err(this.refuse(admitted.profile, "no_endpoint")));
       return Promise.resolve();
     }
-    const { view: view } = candidate;
+    const { view } = candidate;
     const attempt = {
       rank: admitted.rank,
       promptTokens: candidate.promptTokens,
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -69,7 +69,7 @@
 
   recordCompletion(attempt: CompletedAttempt, now: number): void {
     const { candidate, summary, profile } = attempt;
-    const { view: view } = candidate;
+    const { view } = candidate;
     if (summary.load !== undefined) view.applyLoad(summary.load, now);
     switch (summary.result) {
       case "failed":
@@ -96,14 +96,15 @@
 
 /** Duration of an attempt relative to its prediction and to the rated one. */
 function relativeTimes(attempt: CompletedAttempt, now: number) {
-  const { view: view, finishMilliseconds: milliseconds } = attempt.candidate;
+  const { view, finishMilliseconds } = attempt.candidate;
   const elapsed = now - attempt.placedAt;
   const ratedMilliseconds = view.ratedMilliseconds({
     promptTokens: attempt.profile.promptTokens,
     outputTokens: attempt.summary.tokens || attempt.outputTokens,
   });
   return {
-    overExpected: elapsed * view.health.slowness / Math.max(1, milliseconds),
+    overExpected: elapsed * view.health.slowness /
+      Math.max(1, finishMilliseconds),
     overRated: elapsed / Math.max(1, ratedMilliseconds),
   };
 }
