--- a/src/core/orders/engine_channel.ts
+++ b/src/core/orders/engine_channel.ts
@@ -5,38 +5,39 @@
 export interface EngineChannelOptions {
   readonly endpoint: EndpointLink;
   readonly timer: TimerService;
-  /** Longest time for which an order can be under way, milliseconds. */
+  /** Maximum time for which an order can be in flight, milliseconds. */
   readonly longestOrderMilliseconds: number;
-  /** False only in tests that take the guard out. */
+  /** False only in tests that disable the guard. */
   readonly checksAge: boolean;
 }
 
-/** What became of an order, as far as the sender can know. */
+/** Outcome of an order, as far as the sender can know. */
 export type SendOutcome = "may_have_started" | "not_started" | "fenced";
 
-/** An order or observation without an answer for this long counts as lost. */
+/** Timeout after which an order or observation without an answer is lost. */
 const ANSWER_TIMEOUT_MILLISECONDS = 5_000;
 
 /**
- * One run of a side's way to its engine: which order it sent last, until when
- * one without an answer can still arrive, and which figures are new enough.
+ * Connection of one run of a side to its engine. It tracks the last order sent,
+ * how long an order without an answer can still arrive, and which observations
+ * are recent enough.
  */
 export class EngineChannel {
   readonly #options: EngineChannelOptions;
-  /** Until then an order without an answer may still reach the engine. */
+  /** Time until which an unanswered order may still reach the engine. */
   #inFlightUntil: number;
   #lastSentOffset = -1;
   #lastSentAt = -Infinity;
 
   constructor(options: EngineChannelOptions) {
     this.#options = options;
-    // An earlier run of this side may have sent an order right before it
-    // ended; this run can't know, so it waits the longest way of an order.
+    // An earlier run of this side may have sent an order right before it ended.
+    // This run can't know, so it waits for the maximum time in flight.
     this.#inFlightUntil = options.timer.now() +
       options.longestOrderMilliseconds;
   }
 
-  /** True where no order but the given one can reach the engine any more. */
+  /** Whether no order but the given one can reach the engine any more. */
   noOtherOrderInFlight(order: StandingOrder): boolean {
     if (this.#lastSentOffset === order.offset) return true;
     return this.#options.timer.now() >= this.#inFlightUntil;
@@ -63,8 +64,8 @@
   }
 
   /**
-   * What the engine tells, unless its figures are older than the last order:
-   * those would show the engine at rest while the order is under way.
+   * Observes the engine. Discards an observation that is older than the last
+   * order: it would show the engine idle while the order is in flight.
    */
   async observe(): Promise<EngineObservation | undefined> {
     const { checksAge, endpoint, timer } = this.#options;
--- a/src/core/orders/engine_state.ts
+++ b/src/core/orders/engine_state.ts
@@ -1,7 +1,7 @@
 import type { EngineTarget } from "../../generated/log_records.ts";
 import type { EngineObservation } from "../links/mod.ts";
 
-/** True where the engine stands in the wanted state with nothing under way. */
+/** Whether the engine is in the target state with no change in progress. */
 export function isTargetReached(
   observation: EngineObservation,
   target: EngineTarget,
@@ -17,7 +17,7 @@
   return !needsLoading(observation, target);
 }
 
-/** True where the target asks for weights that the engine does not hold. */
+/** Whether the target requires weights that the engine has not loaded. */
 export function needsLoading(
   observation: EngineObservation,
   target: EngineTarget,
@@ -29,14 +29,14 @@
     target.weights !== observation.weights;
 }
 
-/** True where two orders want the same state. */
+/** Whether two targets describe the same state. */
 export function isSameTarget(one: EngineTarget, other: EngineTarget): boolean {
   return one.role === other.role && one.weights === other.weights &&
     JSON.stringify([...one.models ?? []].sort()) ===
       JSON.stringify([...other.models ?? []].sort());
 }
 
-/** A target as JSON with its keys in a fixed order, for events. */
+/** Target as JSON with its keys in a fixed order, for events. */
 export function targetText({ role, models, weights }: EngineTarget): string {
   return JSON.stringify({ role, models, weights });
 }
--- a/src/core/orders/load_budget.ts
+++ b/src/core/orders/load_budget.ts
@@ -1,28 +1,28 @@
 /**
- * Paces the loading of weights. Load: a roll-out of new weights over a pool,
- * or an availability zone whose engines all start again, against a weight
- * store with a rate limit. Harm prevented: every engine is out of service at
- * once while each gets a sliver of the store's rate.
+ * Limits concurrent loads of weights. When new weights are rolled out over a
+ * pool, or all engines of an availability zone restart, the engines share the
+ * rate limit of the weight store. Without the limit every engine is out of
+ * service at once while each gets a small part of that rate.
  */
 
-/** An endpoint that could be given an order now. */
+/** An endpoint that could get an order now. */
 export interface LoadCandidate {
   readonly endpoint: string;
-  /** True where its next order makes the engine load weights. */
+  /** Whether its next order makes the engine load weights. */
   readonly needsLoading: boolean;
 }
 
 export interface LoadSelectionOptions {
-  /** Endpoints whose valid order makes them load and is not confirmed yet. */
+  /** Endpoints whose valid order loads weights and is not confirmed yet. */
   readonly loading: ReadonlySet<string>;
-  /** How many may load at the same time in the region. */
+  /** Maximum number of concurrent loads in the region. */
   readonly mostAtOnce: number;
 }
 
 /**
- * The candidates that may get their order now. The orders under way stand on
- * the log, so a planner that takes over counts the same ones: the budget needs
- * no record or lease of its own.
+ * Selects the candidates that may get their order now. Orders in progress are
+ * on the log, so a planner that takes over counts the same ones: the budget
+ * needs no record or lease of its own.
  */
 export function pickLoads(
   candidates: readonly LoadCandidate[],
@@ -39,21 +39,22 @@
 }
 
 export interface LoadStartDelayOptions {
-  /** Engines of the region that may want the same weights at once. */
+  /** Engines of the region that may need the same weights at once. */
   readonly engines: number;
   readonly mostAtOnce: number;
-  /** How long one load takes when the store is not crowded, milliseconds. */
+  /** Duration of one load while the store is not overloaded, milliseconds. */
   readonly loadMilliseconds: number;
-  /** A number in [0, 1) that is the endpoint's own, such as a hash. */
+  /** Number in [0, 1) that is specific to the endpoint, such as a hash. */
   readonly place: number;
 }
 
 /**
- * How long a side waits before it gives a standing order that loads weights
- * again, milliseconds. This is for the case that no planner paces: an
- * availability zone comes back with empty engines, and the order of each is
- * on the log already. The places spread the loads so that about `mostAtOnce`
- * run together; each side reckons by itself and needs no message.
+ * Delay before a side repeats a standing order that loads weights,
+ * milliseconds. It covers the case without a planner that limits the loads: an
+ * availability zone restarts with empty engines, and the order of each is
+ * already on the log. The endpoints' own numbers spread the loads so that about
+ * the maximum number runs concurrently; each side computes its delay without
+ * any message.
  */
 export function loadSpread(options: LoadStartDelayOptions): number {
   const rounds = Math.ceil(options.engines / Math.max(1, options.mostAtOnce));
--- a/src/core/orders/load_budget_test.ts
+++ b/src/core/orders/load_budget_test.ts
@@ -8,9 +8,10 @@
     needsLoading: index !== 5,
   }));
 
-  // New weights are published for a pool. Ordered all at once, every engine
-  // would be out of service while it waits for its sliver of the weight store.
-  it("lets a few load at a time and the others change at once", () => {
+  // New weights are published for a pool. If all engines were ordered to load
+  // at once, every one would be out of service while it waits for its part of
+  // the weight store's rate.
+  it("limits concurrent loads and lets other changes through", () => {
     const picked = pickLoads(candidates, {
       loading: new Set(),
       mostAtOnce: 2,
@@ -22,9 +23,9 @@
     ]);
   });
 
-  // A planner takes over in the middle of a roll-out. Counting from nothing it
-  // would let twice as many load as the store can serve.
-  it("counts the loads that are under way already", () => {
+  // A planner takes over during a rollout. If it ignored the loads in progress,
+  // it would allow twice as many as the store can serve.
+  it("counts the loads already in progress", () => {
     const picked = pickLoads(candidates, {
       loading: new Set(["triage-8", "triage-9"]),
       mostAtOnce: 2,
@@ -38,9 +39,10 @@
 });
 
 describe("loadSpread", () => {
-  // A zone comes back with 60 empty engines whose orders stand on the log, so
-  // no planner paces them; the store would get 60 loads at once.
-  it("spreads the loads of a zone that comes back", () => {
+  // A zone restarts with 60 empty engines whose orders are already on the log,
+  // so no planner limits them. Without the delay the store gets 60 loads at
+  // once.
+  it("spreads the loads of a zone that restarts", () => {
     const loadMilliseconds = 60_000;
     const starts = Array.from({ length: 60 }, (_, index) =>
       loadSpread({
@@ -53,11 +55,11 @@
       starts.filter((other) => other <= at && at < other + loadMilliseconds)
         .length
     );
-    // 4 on average; random places bunch up to two or three times as many.
+    // 4 on average; random places cluster at up to two or three times that.
     expect(Math.max(...running)).to.be.at.most(12);
   });
 
-  it("makes nobody wait where all may load", () => {
+  it("does not delay a load if all may run concurrently", () => {
     const options = { engines: 3, mostAtOnce: 4, place: 0.9 };
     expect(loadSpread({ ...options, loadMilliseconds: 60_000 })).to.equal(0);
   });
--- a/src/core/orders/mod.ts
+++ b/src/core/orders/mod.ts
@@ -1,4 +1,4 @@
-/** Carrying out orders at an engine, from its side process. */
+/** Execution of orders at an engine, by its side process. */
 export {
   isSameTarget,
   isTargetReached,
--- a/src/core/orders/order_executor.ts
+++ b/src/core/orders/order_executor.ts
@@ -6,18 +6,18 @@
 import { EngineChannel } from "./engine_channel.ts";
 import { isTargetReached, needsLoading, targetText } from "./engine_state.ts";
 
-/** Gives a place in the loading budget back. */
+/** Returns a permit of the load budget. */
 export type ReleaseLoadPermit = () => void;
 
-/** Guards that a test may take out; the product never passes them. */
+/** Guards that tests can disable; production code never sets them. */
 export interface OrderExecutorGuards {
   /** The engine is drained before an order is sent. */
   readonly drains: boolean;
-  /** No other order is sent while an earlier one can still land. */
+  /** No other order is sent while an earlier one can still arrive. */
   readonly waitsForEarlierOrders: boolean;
   /** No order is sent while the engine is changing. */
   readonly waitsForChanges: boolean;
-  /** Figures older than the last order are not believed. */
+  /** Observations older than the last order are discarded. */
   readonly checksAge: boolean;
 }
 
@@ -27,33 +27,33 @@
   readonly endpoint: EndpointLink;
   readonly timer: TimerService;
   /**
-   * True where the engine refuses an order with an old fencing number. A
-   * function where the configuration may correct it while the side runs.
+   * Whether the engine refuses an order with an old fencing number. A function
+   * if the configuration may correct it while the side runs.
    */
   readonly checksFencing: boolean | (() => boolean);
   readonly incarnation: Incarnation;
   /**
-   * Longest time, milliseconds, for which an order that was sent can be under
-   * way to the engine. Orders to an engine that ignores fencing wait it out.
+   * Maximum time, milliseconds, for which an order can be in flight to the
+   * engine. Orders to an engine that ignores fencing wait for it to pass.
    */
   readonly longestOrderMilliseconds: number;
-  /** Stops new work and settles once nothing runs at the engine. */
+  /** Stops new work and resolves once nothing runs at the engine. */
   readonly drain: () => Promise<void>;
   readonly resume: () => void;
   readonly observe?: Observe;
-  /** Name in the events of `observe`. */
+  /** Process name in the events of `observe`. */
   readonly process?: string;
-  /** Waits for a place in the budget of the weight store. */
+  /** Waits for a permit of the weight store's load budget. */
   readonly acquireWeights?: (
     order: StandingOrder,
   ) => Promise<ReleaseLoadPermit>;
 }
 
 /**
- * `idle`: no order, or the last one has been confirmed. `settling`: finding
- * out what the engine does before anything is sent. The others are the phases
- * of one order. `fenced`: the engine has seen a later order than the newest
- * that is known here.
+ * `idle`: no order, or the last one is confirmed. `settling`: observing the
+ * engine before anything is sent. `draining`, `loading_budget` and `changing`:
+ * phases of one order. `fenced`: the engine has seen a later order than the
+ * newest one known here.
  */
 export type OrderExecutorState =
   | "idle"
@@ -63,34 +63,34 @@
   | "changing"
   | "fenced";
 
-/** How often the engine is observed while a change is under way. */
+/** Interval between observations while a change is in progress. */
 const CHANGE_POLL_INTERVAL_MILLISECONDS = 250;
-/** How often the engine is observed while nothing is to be done. */
+/** Interval between observations while there is nothing to do. */
 const IDLE_POLL_INTERVAL_MILLISECONDS = 5_000;
 /**
- * An engine that neither changes nor has reached the target this long after an
- * order gets the same order again.
+ * Delay after which the same order is sent again to an engine that is neither
+ * changing nor in the target state.
  */
 const REISSUE_DELAY_MILLISECONDS = 2_000;
 const INITIAL_REFUSAL_BACKOFF_MILLISECONDS = 2_000;
 /**
- * Longest pause after refused orders. Load: a weight store that is down or at
- * its limit while a roll-out wants it. Harm prevented: the engines ask it
- * again and again; 30 s are short against a load of weights.
+ * Maximum backoff after refused orders. It keeps the engines from polling a
+ * weight store that is down or at its limit during a rollout; 30 s are short
+ * compared with a load of weights.
  */
 const MAX_REFUSAL_BACKOFF_MILLISECONDS = 30_000;
 
 /**
- * Carries out the newest valid order at one engine: drain, change, confirm by
- * observing, take work again. One order is outstanding at any time.
+ * Executes the newest valid order at one engine: drain, change, confirm by
+ * observation, resume service. At most one order is outstanding.
  *
- * Hazards that decide its form: a late copy of an older order reaches an
- * engine that ignores fencing after a newer one was carried out; a restarted
- * side sends while its earlier run's order is still under way; an engine
- * crashes in mid-change and comes back in another state; its figures are older
- * than the order that they are held against. Targets are whole states, so
- * giving the same order again does no harm; a different one is sent only when
- * no earlier one can reach the engine any more.
+ * Its design covers these faults: a delayed copy of an older order reaches an
+ * engine that ignores fencing after a newer one was executed; a restarted side
+ * sends while the order of its earlier run is still in flight; an engine
+ * crashes during a change and restarts in another state; an observation is
+ * older than the order that it is compared with. Targets are complete states,
+ * so sending the same order again is harmless. A different one is sent only
+ * when no earlier one can reach the engine any more.
  */
 export class OrderExecutor {
   readonly #options: OrderExecutorOptions;
@@ -129,22 +129,24 @@
     return this.#state;
   }
 
-  /** Offset of the last order confirmed by observation; -1 at first. */
+  /** Offset of the last order confirmed by observation; -1 if there is none. */
   get applied(): LogOffset {
     return numbered(this.#appliedOffset);
   }
 
-  /** The newest order that is known here. */
+  /** Newest order known here. */
   get newestOrder(): StandingOrder | undefined {
     return this.#newestOrder;
   }
 
-  /** True from the drain until the engine takes work again. */
+  /** True from the drain until the engine resumes service. */
   get outOfService(): boolean {
     return this.#drained;
   }
 
-  /** Takes a valid order; an older one than the newest known is passed over. */
+  /**
+   * Accepts a valid order; ignores one that is not newer than the newest known.
+   */
   take(order: StandingOrder): void {
     if (
       this.#newestOrder !== undefined &&
@@ -156,7 +158,7 @@
     this.#startReconciling();
   }
 
-  /** Ends the work; an order that was sent goes on at the engine. */
+  /** Stops the executor; an order already sent continues at the engine. */
   stop(): void {
     this.#stopped = true;
     this.#idlePoll.cancel();
@@ -168,7 +170,7 @@
     void this.#reconcile().finally(() => this.#busy = false);
   }
 
-  /** Works until the newest order has been confirmed. */
+  /** Runs until the newest order is confirmed. */
   async #reconcile(): Promise<void> {
     for (;;) {
       const order = this.#newestOrder;
@@ -185,7 +187,7 @@
     }
   }
 
-  /** Waits until the engine answers and has nothing under way. */
+  /** Waits until the engine answers and has no change in progress. */
   async #waitUntilSettled(): Promise<EngineObservation> {
     for (;;) {
       const observation = await this.#channel.observe();
@@ -201,13 +203,13 @@
     }
   }
 
-  /** One try; the caller looks at the engine again afterwards. */
+  /** One attempt; the caller observes the engine again afterwards. */
   async #executeOnce(
     order: StandingOrder,
     observation: EngineObservation,
   ): Promise<void> {
-    // An earlier order that lands now would cut what runs at the engine; one
-    // would notice answers that break off right after a side has restarted.
+    // An earlier order that arrives now would interrupt the work at the engine,
+    // and answers would break off right after a side has restarted.
     if (!this.#noOtherOrderInFlight(order)) await this.#drain();
     await this.#waitForEarlierOrders(order);
     if (!this.#isNewest(order)) return;
@@ -215,8 +217,8 @@
     try {
       if (!this.#isNewest(order)) return;
       await this.#drain();
-      // The drain may take long, and an order of this side's earlier run may
-      // have landed meanwhile.
+      // The drain can take long, and an order of this side's earlier run may
+      // have arrived meanwhile.
       await this.#waitUntilSettled();
       if (this.#isNewest(order)) await this.#change(order);
     } finally {
@@ -230,7 +232,7 @@
 
   /**
    * An engine that checks fencing refuses the earlier order once it has seen
-   * this one, so there is nothing to wait for.
+   * this one, so there is no need to wait.
    */
   async #waitForEarlierOrders(order: StandingOrder): Promise<void> {
     if (this.#engineChecksFencing()) return;
@@ -253,8 +255,8 @@
   }
 
   /**
-   * The wait for the weight store comes before the drain, so that the engine
-   * works on while others load.
+   * Waits for the weight store before the drain, so that the engine keeps
+   * serving while others load.
    */
   async #acquireLoadPermit(
     order: StandingOrder,
@@ -278,7 +280,7 @@
     this.#emit("order_sent", order);
     const outcome = await this.#channel.send(order);
     if (outcome === "fenced") {
-      // The engine knows a later order, which will come here too.
+      // The engine has seen a later order, which will arrive here too.
       this.#fencedOffset = order.offset;
       this.#resumeService("fenced");
     } else if (outcome === "not_started") {
@@ -290,7 +292,7 @@
     }
   }
 
-  /** Observes until the target is reached or the order seems to be lost. */
+  /** Observes until the target is reached or the order appears to be lost. */
   async #waitForCompletion(order: StandingOrder): Promise<void> {
     const { timer } = this.#options;
     const sentAt = timer.now();
@@ -344,7 +346,7 @@
   }
 }
 
-/** Stands for an engine that has not answered. */
+/** Placeholder for an engine that has not answered. */
 const UNKNOWN_OBSERVATION: EngineObservation = {
   role: "mixed",
   models: [],
--- a/src/core/orders/order_executor_test.ts
+++ b/src/core/orders/order_executor_test.ts
@@ -53,7 +53,7 @@
     return { offset, claim: 0, target: { role } };
   }
 
-  it("drains, changes, confirms and takes work again", async () => {
+  it("drains, changes, confirms and resumes service", async () => {
     const engine = makeEngine(true);
     const { executor, calls } = startExecutor(engine);
     executor.take(order(5, "decode"));
@@ -68,9 +68,9 @@
     expect(engine.state.role).to.equal("decode");
   });
 
-  // Long streams run at the engine when its role is to change. An order that
-  // did not wait for them would cut their answers off.
-  it("sends nothing before the drain is over", async () => {
+  // Long streams run at the engine when its role is to change. An order sent
+  // before they end would cut off their answers.
+  it("sends no order before the drain has completed", async () => {
     const engine = makeEngine(true);
     let drained = () => {};
     const { executor } = startExecutor(engine, {
@@ -84,9 +84,9 @@
     expect(executor.applied).to.equal(5);
   });
 
-  // Two orders come while the drain lasts. The older one is obsolete; giving
-  // it anyway would take the engine out twice.
-  it("gives the newest order only", async () => {
+  // Two orders arrive during the drain. The older one is obsolete; sending it
+  // anyway would take the engine out of service twice.
+  it("sends only the newest order", async () => {
     const engine = makeEngine(true);
     let drained = () => {};
     const { executor } = startExecutor(engine, {
@@ -102,9 +102,9 @@
     expect(executor.applied).to.equal(7);
   });
 
-  // A newer order comes while the engine is in the middle of a change. Sent at
-  // once, the two would conflict inside the engine.
-  it("waits for the change under way before the next order", async () => {
+  // A newer order arrives while the engine is changing. Sent immediately, the
+  // two would conflict inside the engine.
+  it("waits for a change in progress before the next order", async () => {
     const engine = makeEngine(false);
     const { executor } = startExecutor(engine, { checksFencing: false });
     executor.take(order(5, "decode"));
@@ -116,10 +116,10 @@
     expect(executor.applied).to.equal(6);
   });
 
-  // The engine reports its state with a lag of seconds: right after an order
-  // it still seems at rest in its old state. A newer order that wants this
-  // state would count as reached while the older one is being carried out.
-  it("does not believe figures from before its last order", async () => {
+  // The engine reports its state with a lag of seconds: right after an order it
+  // still appears idle in its old state. A newer order for this state would
+  // count as reached while the older one is being executed.
+  it("discards observations from before its last order", async () => {
     const engine = makeEngine(true, 8_000);
     const { executor } = startExecutor(engine);
     await timer.advance(MAX_ORDER_MILLISECONDS);
@@ -135,10 +135,10 @@
     expect(engine.conflicts).to.deep.equal([]);
   });
 
-  // The engine crashes in the middle of a change and comes back in its first
-  // state. Taking work then would run it in the wrong role; a new order would
-  // be a second one for the same wish.
-  it("gives the same order again after a crash in mid-change", async () => {
+  // The engine crashes during a change and restarts in its initial state.
+  // Resuming service then would run work in the wrong role; a new order would
+  // duplicate the one in force.
+  it("sends the same order again after a crash during the change", async () => {
     const engine = makeEngine(true);
     const { executor, calls } = startExecutor(engine);
     executor.take(order(5, "decode"));
@@ -150,9 +150,9 @@
     expect(calls.filter((call) => call === "resume")).to.have.length(1);
   });
 
-  // The engine crashes long after its change and comes back in another role;
-  // no new order is on the log, as the wish is the same.
-  it("notices that an engine has lost its state", async () => {
+  // The engine crashes long after its change and restarts in another role. No
+  // new order is on the log, as the target is the same.
+  it("detects that an engine has lost its state", async () => {
     const engine = makeEngine(true);
     const { executor } = startExecutor(engine);
     executor.take(order(5, "decode"));
@@ -163,9 +163,9 @@
     expect(engine.received).to.deep.equal([5, 5]);
   });
 
-  // The order is carried out and its answer lost. The side must find out by
-  // looking and not take the engine out a second time.
-  it("finds an order done whose answer was lost", async () => {
+  // The order is executed and its answer is lost. The side must find out by
+  // observation and not take the engine out of service a second time.
+  it("confirms an executed order whose answer was lost", async () => {
     const engine = makeEngine(true);
     const { executor } = startExecutor(engine);
     engine.faults.lostAnswers = 1;
@@ -175,9 +175,9 @@
     expect(engine.received).to.deep.equal([5]);
   });
 
-  // An order is held up on its way to an engine that ignores fencing, and a
-  // newer one overtakes it. The old one would undo the new one when it lands.
-  it("sends no other order while an earlier one can still land", async () => {
+  // An order to an engine that ignores fencing is delayed, and a newer one
+  // overtakes it. The old one would undo the new one when it arrives.
+  it("sends no other order while an earlier one can still arrive", async () => {
     const engine = makeEngine(false);
     const { executor } = startExecutor(engine, { checksFencing: false });
     await timer.advance(MAX_ORDER_MILLISECONDS);
@@ -192,10 +192,10 @@
     expect(executor.applied).to.equal(6);
   });
 
-  // An order is held up on its way, and the newest one wants the state that the
-  // engine is still in. Taking that for done would let the older order land
+  // An order is delayed, and the newest one targets the state that the engine
+  // is still in. If that counted as reached, the older order would arrive
   // afterwards and win.
-  it("does not take a state for reached that an order can undo", async () => {
+  it("does not confirm a state that an order in flight can undo", async () => {
     const engine = makeEngine(true);
     const { executor } = startExecutor(engine);
     await timer.advance(MAX_ORDER_MILLISECONDS);
@@ -209,10 +209,10 @@
     expect(executor.applied).to.equal(6);
   });
 
-  // An order of a side's earlier run lands while the next run drains for a
+  // An order of a side's earlier run arrives while the next run drains for a
   // newer one, which takes long. Sent right after the drain, the newer order
-  // would reach the engine in the middle of the older change.
-  it("looks at the engine again after a long drain", async () => {
+  // would reach the engine during the older change.
+  it("observes the engine again after a long drain", async () => {
     const engine = makeEngine(true, 10_000);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 4_000;
@@ -230,7 +230,7 @@
 
   // The side is killed right after it has sent an order, and its next run gets
   // a newer one. An engine that ignores fencing would get both.
-  it("waits after its start for what its earlier run may have sent", async () => {
+  it("waits after its start for orders of its earlier run", async () => {
     const engine = makeEngine(false);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 15_000;
@@ -247,8 +247,8 @@
   });
 
   // The side is killed right after it has sent an order. Its next run would
-  // take requests, and the order would land in the middle of them.
-  it("takes no work while its earlier run's order may land", async () => {
+  // accept requests, and the order would arrive while they run.
+  it("stays out of service while an order of its earlier run may arrive", async () => {
     const engine = makeEngine(false);
     engine.faults.lateOrders = 1;
     engine.faults.lateMilliseconds = 15_000;
@@ -263,9 +263,9 @@
     expect(engine.conflicts).to.deep.equal([]);
   });
 
-  // The side restarts while its engine is in the middle of an order. Sending
-  // at once would give the engine two orders at the same time.
-  it("lets a change under way finish after its own restart", async () => {
+  // The side restarts while its engine executes an order. Sending immediately
+  // would give the engine two orders at the same time.
+  it("waits for a change in progress after its own restart", async () => {
     const engine = makeEngine(true);
     const first = startExecutor(engine);
     first.executor.take(order(5, "decode"));
@@ -278,9 +278,9 @@
     expect(engine.conflicts).to.deep.equal([]);
   });
 
-  // The side restarts, its relay is behind, and it gives an order that the
-  // engine knows to be old. It must not be given again and again.
-  it("leaves an order alone that the engine refuses as old", async () => {
+  // The side restarts, its relay is behind, and it sends an order that the
+  // engine refuses as old. It must not send it again and again.
+  it("does not repeat an order that the engine refuses as old", async () => {
     const engine = makeEngine(true);
     void engine.link().order({ role: "prefill" }, 9);
     await timer.advance(5_000);
@@ -296,8 +296,8 @@
   });
 
   // The weight store is at its limit and the engine refuses the order. Staying
-  // drained would take a working engine away for nothing.
-  it("takes work again while the engine refuses the order", async () => {
+  // drained would keep a working engine out of service for nothing.
+  it("resumes service while the engine refuses the order", async () => {
     const engine = makeEngine(true);
     const { executor, calls } = startExecutor(engine);
     engine.faults.refusals = 1;
@@ -309,9 +309,9 @@
     expect(executor.applied).to.equal(5);
   });
 
-  // Every engine of a pool is to load new weights. Draining before there is a
-  // place at the weight store would empty the pool.
-  it("waits for the loading budget before it drains", async () => {
+  // Every engine of a pool is to load new weights. Draining before a permit of
+  // the weight store is granted would empty the pool.
+  it("waits for the load budget before it drains", async () => {
     const engine = makeEngine(true);
     let grant: (release: () => void) => void = () => {};
     let released = 0;
@@ -329,7 +329,7 @@
     expect(released).to.equal(1);
   });
 
-  it("goes on waiting while the engine is down", async () => {
+  it("keeps waiting while the engine is down", async () => {
     const engine = makeEngine(true);
     const { executor } = startExecutor(engine);
     engine.faults.down = true;
@@ -340,10 +340,10 @@
     expect(executor.applied).to.equal(5);
   });
 
-  // Orders, lost and late deliveries, crashes and restarts of the side come in
-  // any sequence. At no time may an engine get an older order after a
-  // newer one, two at once, or one before it is drained, and in the end it
-  // stands where the last order wants it.
+  // Orders, lost and late deliveries, crashes and restarts of the side occur in
+  // any sequence. An engine may never get an older order after a newer one, two
+  // at once, or one before it is drained, and must end in the state of the last
+  // order.
   for (const checksFencing of [true, false]) {
     const kind = checksFencing ? "checks" : "ignores";
     it(`never conflicts at an engine that ${kind} fencing`, async () => {
@@ -352,8 +352,9 @@
     });
   }
 
-  // A search that can't see what a guard prevents proves nothing. An engine
-  // that ignores fencing is safe from a change under way by the longer wait.
+  // A search that doesn't fail without a guard proves nothing about it. An
+  // engine that ignores fencing is protected from a change in progress by the
+  // longer wait.
   const guards: Record<keyof OrderExecutorGuards, boolean> = {
     drains: false,
     waitsForEarlierOrders: false,
@@ -430,7 +431,7 @@
     expect(executor.applied).to.equal(newest.offset);
   }
 
-  /** Every order was sent between a drain and the next resume. */
+  /** Checks that every order was sent between a drain and the next resume. */
   function expectDrained(calls: readonly string[]): void {
     let drained = false;
     for (const call of calls) {
--- a/src/core/orders/order_watermarks_test.ts
+++ b/src/core/orders/order_watermarks_test.ts
@@ -21,9 +21,9 @@
 
 describe("TakenOrders", () => {
   // A side is killed after order 9, and its next run asks an entry that has
-  // read the log up to order 5 only. Given that order, an engine that ignores
-  // fencing goes back to a state that the planner has left.
-  it("gives no order older than an earlier run of the side had", () => {
+  // read the log only up to order 5. Given that order, an engine that ignores
+  // fencing returns to a state that the planner has left.
+  it("answers with no order older than one of an earlier run", () => {
     const watermarks = new TakenOrders();
     watermarks.note(report("run-1", 9));
     watermarks.note(report("run-2", -1));
@@ -32,13 +32,13 @@
     expect(watermarks.answerWith("triage-1", order(12))?.offset).to.equal(12);
   });
 
-  it("gives what it has to a side that it has never heard", () => {
+  it("answers a side without reports with the order it has", () => {
     const watermarks = new TakenOrders();
     expect(watermarks.answerWith("triage-1", order(5))?.offset).to.equal(5);
     expect(watermarks.answerWith("triage-1", undefined)).to.equal(undefined);
   });
 
-  it("forgets endpoints that are gone", () => {
+  it("removes endpoints that are gone", () => {
     const watermarks = new TakenOrders();
     watermarks.note(report("run-1", 9));
     watermarks.keepOnly(new Set());
