--- a/src/core/attempts/answer_assembler.ts
+++ b/src/core/attempts/answer_assembler.ts
@@ -5,16 +5,16 @@
   TokenFrame,
 } from "../../generated/messages.ts";
 
-/** The whole answer is there. */
+/** End of a complete answer. */
 export type CompletedAnswer =
   | { readonly kind: "generation"; readonly frame: EndFrame }
   | { readonly kind: "service"; readonly frame: ResponseFrame };
 
 /**
- * What a frame did. `taken`: it counted. `dropped`: it belongs to an older
- * attempt or repeats another. `held`: it came ahead of its turn and waits.
- * `complete`: the answer is whole now. `not_run` and `failed`: the attempt is
- * over. `broken`: the attempt contradicts itself and has to be given up.
+ * Effect of a frame. `taken`: it was applied. `dropped`: it belongs to an older
+ * attempt or is a duplicate. `held`: it arrived out of order and is buffered.
+ * `complete`: the answer is complete now. `not_run` and `failed`: the attempt
+ * is over. `broken`: the attempt contradicts itself and has to be abandoned.
  */
 export type FrameEffect =
   | "taken"
@@ -26,31 +26,31 @@
   | "broken";
 
 export interface AnswerAssemblerOptions {
-  /** Takes each token of the answer once, in order. */
+  /** Receives each token of the answer once, in order. */
   readonly onToken: (text: string, index: number) => void;
-  /** Takes the frames of every attempt; only a test passes it. */
+  /** Accepts the frames of every attempt; set only by tests. */
   readonly acceptsEveryAttempt?: boolean;
 }
 
 /**
- * Load: frames that crossed on the way. Harm prevented: an attempt that has
- * lost one frame and sends on would fill memory while nothing is delivered.
- * Limit: 64 frames are two seconds at 26 ms between tokens; a hole that old
- * is a lost frame, and resuming elsewhere is quicker than waiting.
+ * Maximum number of frames buffered out of order, two seconds at 26 ms between
+ * tokens. A gap of that age is a lost frame, and resuming elsewhere is quicker
+ * than waiting; without the bound, an attempt that has lost one frame and
+ * continues would fill memory while nothing is delivered.
  */
 const MAX_BUFFERED_FRAMES = 64;
 
 /**
- * Puts the answer to one request together. An answer is whole only when an
- * end frame of the current attempt says how many tokens it has and all of
- * them were delivered; a connection that merely closes proves nothing, or a
- * shorter answer would look whole.
+ * Assembles the answer to one request. An answer is complete only when an end
+ * frame of the current attempt gives its number of tokens and all of them were
+ * delivered. A closed connection alone proves nothing: a truncated answer would
+ * look complete.
  */
 export class AnswerAssembler {
   readonly #options: AnswerAssemblerOptions;
-  /** Texts in order; kept, since a resume on another replica needs them. */
+  /** Texts in order; kept because a resume on another replica needs them. */
   readonly #delivered: string[] = [];
-  /** Tokens that came ahead of their turn; made only when one does. */
+  /** Tokens that arrived out of order; allocated only when one does. */
   #buffered: Map<number, string> | undefined;
   #currentAttemptId = "";
   #endFrame: EndFrame | undefined;
@@ -63,7 +63,9 @@
     this.#options = options;
   }
 
-  /** Starts a new attempt; frames of every earlier one are dropped from now. */
+  /**
+   * Starts a new attempt; frames of all earlier ones are dropped from now on.
+   */
   begin(attemptId: string): void {
     this.#currentAttemptId = attemptId;
     this.#buffered = undefined;
@@ -72,27 +74,29 @@
     this.#attemptEnded = false;
   }
 
-  /** The whole answer's end; undefined while it is not whole. */
+  /** End of the complete answer; undefined until it is complete. */
   get complete(): CompletedAnswer | undefined {
     return this.#complete;
   }
 
-  /** True where the current attempt has shown that its endpoint started. */
+  /** Whether the current attempt has shown that its endpoint started. */
   get started(): boolean {
     return this.#currentAttemptStarted;
   }
 
-  /** True where any attempt of this request may have run. */
+  /** Whether any attempt of this request may have run. */
   get anyAttemptStarted(): boolean {
     return this.#anyAttemptStarted;
   }
 
-  /** Tokens that the caller has, for an attempt that goes on behind them. */
+  /**
+   * Tokens that the caller has received, from which another attempt continues.
+   */
   get deliveredTokens(): readonly string[] {
     return this.#delivered;
   }
 
-  /** True where the attempt left a hole: frames came that can't be delivered. */
+  /** Whether the attempt has a gap: frames arrived that can't be delivered. */
   get hasGap(): boolean {
     return (this.#buffered !== undefined &&
       this.#buffered.size > 0) ||
@@ -122,9 +126,9 @@
   }
 
   /**
-   * Frames of an attempt that was given up still arrive: its side may be cut
-   * off from the cancellation. Without this check they mix with the resumed
-   * attempt's, seen as words twice or an end that comes too early.
+   * Frames of an abandoned attempt still arrive, as its side may be cut off
+   * from the cancellation. Without this check they mix with those of the
+   * resumed attempt: words appear twice, or the answer ends too early.
    */
   #isStale(attemptId: string): boolean {
     if (this.#options.acceptsEveryAttempt === true) return false;
@@ -199,7 +203,7 @@
     return "complete";
   }
 
-  /** "Not run" behind a start of the same attempt would be a lie. */
+  /** "Not run" after a start of the same attempt would be false. */
   #receiveNotRun(): FrameEffect {
     if (this.#currentAttemptStarted) return this.#markBroken();
     this.#attemptEnded = true;
--- a/src/core/attempts/answer_assembler_test.ts
+++ b/src/core/attempts/answer_assembler_test.ts
@@ -5,7 +5,7 @@
 
 const TEXTS = ["The ", "lorry ", "is ", "by ", "the ", "river"];
 
-function assembler() {
+function createAssembler() {
   const tokens: string[] = [];
   const answer = new AnswerAssembler({ onToken: (text) => tokens.push(text) });
   return { answer, tokens };
@@ -20,10 +20,10 @@
 }
 
 describe("AnswerAssembler", () => {
-  it("drops frames of an attempt that was given up", () => {
-    // An endpoint is cut off and the answer goes on elsewhere; then the old
-    // stream comes through again. Its words must not appear twice.
-    const { answer, tokens } = assembler();
+  it("drops frames of an abandoned attempt", () => {
+    // An endpoint is cut off and the answer continues elsewhere; then the old
+    // stream is delivered after all. Its words must not appear twice.
+    const { answer, tokens } = createAssembler();
     answer.begin("a");
     answer.receive(token("a", 0));
     answer.begin("b");
@@ -33,10 +33,10 @@
     expect(tokens).to.deep.equal(TEXTS.slice(0, 2));
   });
 
-  it("is not whole without every token, whatever the end says", () => {
-    // A frame is lost and the end arrives. Shown as whole, the foreman reads
-    // a verdict that lacks its "not".
-    const { answer } = assembler();
+  it("is not complete without every token, whatever the end frame says", () => {
+    // A frame is lost and the end arrives. Shown as complete, the answer would
+    // lack a word such as "not" and mean the opposite.
+    const { answer } = createAssembler();
     answer.begin("a");
     answer.receive(token("a", 0));
     answer.receive(token("a", 2));
@@ -46,8 +46,8 @@
     expect(answer.receive(token("a", 1))).to.equal("complete");
   });
 
-  it("gives an attempt up that contradicts what was delivered", () => {
-    const { answer } = assembler();
+  it("abandons an attempt that contradicts the delivered tokens", () => {
+    const { answer } = createAssembler();
     answer.begin("a");
     answer.receive(token("a", 0));
     answer.begin("b");
@@ -55,10 +55,11 @@
     expect(answer.complete).to.equal(undefined);
   });
 
-  it("does not believe not run behind a start", () => {
-    // A doubled dispatch: one copy runs, the other is refused as saturated.
-    // Believed, the caller is told "not run" of work that has run.
-    const { answer } = assembler();
+  it("rejects not_run after a start", () => {
+    // A dispatch is duplicated: one copy runs, the other is refused as
+    // saturated. Accepted, the refusal would report "not run" for work that has
+    // run.
+    const { answer } = createAssembler();
     answer.begin("a");
     answer.receive({ kind: "started", attemptId: "a" });
     expect(
@@ -67,8 +68,8 @@
     expect(answer.anyAttemptStarted).to.equal(true);
   });
 
-  it("delivers each token once and in order, whatever the network does", () => {
-    // Frames of two attempts cross, repeat and get lost.
+  it("delivers each token once and in order despite network faults", () => {
+    // Frames of two attempts are reordered, duplicated and lost.
     const frames = [
       ...TEXTS.map((_, index) => token("a", index)),
       ...TEXTS.map((_, index) => token("b", index)),
@@ -77,11 +78,11 @@
     ];
     const schedule = fc.array(fc.constantFrom(...frames), { maxLength: 60 });
     fc.assert(
-      fc.property(schedule, fc.nat(60), (received, turn) => {
-        const { answer, tokens } = assembler();
+      fc.property(schedule, fc.nat(60), (received, switchIndex) => {
+        const { answer, tokens } = createAssembler();
         answer.begin("a");
         received.forEach((frame, index) => {
-          if (index === turn) answer.begin("b");
+          if (index === switchIndex) answer.begin("b");
           answer.receive(frame);
         });
         expect(tokens).to.deep.equal(TEXTS.slice(0, tokens.length));
--- a/src/core/attempts/mod.ts
+++ b/src/core/attempts/mod.ts
@@ -1,4 +1,4 @@
-/** Whole answers, put together from the frames of successive attempts. */
+/** Assembly of complete answers from the frames of successive attempts. */
 export {
   AnswerAssembler,
   type AnswerAssemblerOptions,
--- a/src/core/handover/handover_test.ts
+++ b/src/core/handover/handover_test.ts
@@ -14,25 +14,25 @@
 };
 
 describe("fewestTokensToHandOver", () => {
-  it("is where the saved prefill pays for transfer and calls", () => {
-    const fewest = fewestTokensToHandOver(ENGINE) as number;
-    const made = fewest / 8_000 * 1_000;
-    const sent = fewest * 131_072 / 10e9 * 1_000;
-    expect(made - sent).to.be.within(20, 20.2);
+  it("is where the prefill saved equals transfer and calls", () => {
+    const minimum = fewestTokensToHandOver(ENGINE) as number;
+    const prefillMilliseconds = minimum / 8_000 * 1_000;
+    const transferMilliseconds = minimum * 131_072 / 10e9 * 1_000;
+    expect(prefillMilliseconds - transferMilliseconds).to.be.within(20, 20.2);
   });
 
-  // The engines stand on a thin network. Taking the cache along would keep the
-  // caller waiting longer than making it anew.
-  it("is never where the transfer is slower than the prefill", () => {
-    const thin = { ...ENGINE, keyValueCacheBytesPerSecond: 1e9 };
-    expect(fewestTokensToHandOver(thin)).to.equal(undefined);
+  // The engines are connected by a slow network. Transferring the cache would
+  // keep the caller waiting longer than computing it again.
+  it("is undefined where the transfer is slower than the prefill", () => {
+    const slowNetwork = { ...ENGINE, keyValueCacheBytesPerSecond: 1e9 };
+    expect(fewestTokensToHandOver(slowNetwork)).to.equal(undefined);
   });
 
-  it("is never where the engines can't or the register does not say", () => {
-    const cannot = { ...ENGINE, exportsKeyValueCache: false };
-    const unsaid = { ...ENGINE, keyValueCacheBytesPerToken: undefined };
-    expect(fewestTokensToHandOver(cannot)).to.equal(undefined);
-    expect(fewestTokensToHandOver(unsaid)).to.equal(undefined);
+  it("is undefined without engine support or inventory figures", () => {
+    const withoutExport = { ...ENGINE, exportsKeyValueCache: false };
+    const withoutFigures = { ...ENGINE, keyValueCacheBytesPerToken: undefined };
+    expect(fewestTokensToHandOver(withoutExport)).to.equal(undefined);
+    expect(fewestTokensToHandOver(withoutFigures)).to.equal(undefined);
     expect(fewestTokensToHandOver(undefined)).to.equal(undefined);
   });
 });
--- a/src/core/handover/mod.ts
+++ b/src/core/handover/mod.ts
@@ -1,22 +1,22 @@
-/** When an answer that moves takes its key-value cache along. */
+/** Decides when a moved answer transfers its key-value cache. */
 import type { EngineCharacteristics } from "../../generated/inventory.ts";
 
 /**
- * Time that a hand-over takes whatever its size, milliseconds: two calls of the
- * engines and the way between two availability zones.
+ * Fixed time of a transfer, milliseconds: two calls of the engines and the
+ * network between two availability zones.
  */
-const FIXED_MILLISECONDS = 20;
+const FIXED_TRANSFER_MILLISECONDS = 20;
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Tokens from which on a hand-over is worth its transfer; undefined where it
- * never is, or where the register does not say.
+ * Minimum number of tokens for which a transfer of the cache is faster than a
+ * new prefill; undefined if it never is, or if the inventory lacks the figures.
  *
- * Load: an engine that is drained for a role change while it works on long
- * logs. Harm prevented: the next engine makes the whole prompt's cache anew and
- * the caller hears nothing meanwhile; the other way round, a transfer over a
- * thin network that takes longer than making the cache anew. Limit: where the
- * time saved in prefill is the time for transfer and calls.
+ * It applies when an engine with long prompts is drained for a role change.
+ * Without a transfer, the next engine computes the cache of the whole prompt
+ * again while the caller receives nothing; over a slow network, a transfer
+ * takes longer than that. The threshold is where the prefill time saved equals
+ * the time for transfer and calls.
  */
 export function fewestTokensToHandOver(
   engine: EngineCharacteristics | undefined,
@@ -25,9 +25,16 @@
   const { keyValueCacheBytesPerToken, keyValueCacheBytesPerSecond } = engine;
   if (keyValueCacheBytesPerToken === undefined) return undefined;
   if (keyValueCacheBytesPerSecond === undefined) return undefined;
-  const made = MILLISECONDS_PER_SECOND / engine.prefillTokensPerSecond;
-  const sent = MILLISECONDS_PER_SECOND * keyValueCacheBytesPerToken /
+  const prefillMillisecondsPerToken = MILLISECONDS_PER_SECOND /
+    engine.prefillTokensPerSecond;
+  const transferMillisecondsPerToken = MILLISECONDS_PER_SECOND *
+    keyValueCacheBytesPerToken /
     keyValueCacheBytesPerSecond;
-  if (sent >= made) return undefined;
-  return Math.ceil(FIXED_MILLISECONDS / (made - sent));
+  if (transferMillisecondsPerToken >= prefillMillisecondsPerToken) {
+    return undefined;
+  }
+  return Math.ceil(
+    FIXED_TRANSFER_MILLISECONDS /
+      (prefillMillisecondsPerToken - transferMillisecondsPerToken),
+  );
 }
--- a/src/core/observation/emit_event.ts
+++ b/src/core/observation/emit_event.ts
@@ -1,21 +1,24 @@
 import type { TimerService } from "../time/mod.ts";
 import type { HistoryEventKind, Observe } from "./mod.ts";
 
-/** Facts of an event; plain JSON values. */
+/** Fields of an event; plain JSON values. */
 export type EventFields = Readonly<Record<string, string | number | boolean>>;
 
-/** Tells of an event of one process. */
+/** Emits an event of one process. */
 export type Tell = (kind: HistoryEventKind, facts: EventFields) => void;
 
 export interface EmitEventOptions {
   readonly observe: Observe | undefined;
   readonly timer: TimerService;
   readonly process: string;
-  /** Facts that go with every event of the process, such as its incarnation. */
+  /** Fields added to every event of the process, such as its incarnation. */
   readonly always: EventFields;
 }
 
-/** What a process tells its events with; nothing where nobody listens. */
+/**
+ * Creates the function with which a process emits its events; a no-op without
+ * an observer.
+ */
 export function makeTell(options: EmitEventOptions): Tell {
   const { observe, timer, process, always } = options;
   if (observe === undefined) return () => {};
--- a/src/core/observation/mod.ts
+++ b/src/core/observation/mod.ts
@@ -1,62 +1,62 @@
 /**
- * Events that the cores tell of, for metrics, traces, logs and the history
- * that a checker reads. Telling costs nothing where nobody listens.
+ * Events that the core emits for metrics, traces, logs and the history that a
+ * checker reads. Emitting costs nothing without an observer.
  *
- * `process` names who tells: an entry or a side by its process id, an endpoint
- * by its endpoint id, `log` for the log service, `network` for the faults that
- * a test brings about. Facts in brackets may be left out. `claim`, `order`,
- * `record` and `version` are offsets on the log. `target` is the target as
- * JSON with its keys in the order role, models, weights.
+ * `process` names the emitter: an entry or a side by its process id, an endpoint
+ * by its endpoint id, `log` for the log service, `network` for faults that a
+ * test injects. Fields in brackets are optional. `claim`, `order`, `record` and
+ * `version` are offsets on the log. `target` is the target as JSON with its
+ * keys in the order role, models, weights.
  *
- * | kind | told by | facts |
+ * | kind | emitted by | fields |
  * | --- | --- | --- |
  * | request_received | entry | requestId, idempotent, [key], [workspace], [className] |
- * | request_placed | entry | requestId, endpoint, [className] as the rules decided it |
+ * | request_placed | entry | requestId, endpoint, [className] assigned by the rules |
  * | attempt_sent | entry | requestId, attemptId, endpoint, [record], [key] |
  * | attempt_accepted | side | requestId, attemptId, endpoint, [record], [key] |
  * | attempt_refused | side | requestId, attemptId, endpoint, reason |
- * | endpoint_started | side, as it hands the work over | requestId, attemptId, endpoint, idempotent, [key], [record] |
- * | endpoint_executed | endpoint, as the call takes effect | requestId, attemptId, endpoint, idempotent, [key], [record] |
- * | endpoint_finished | side, as the endpoint's work ends by itself | requestId, attemptId, endpoint, result (`answered` or `failed`) |
- * | endpoint_cancelled | side, as it cuts the work off | requestId, attemptId, endpoint, cause (`caller`, `deadline`, `planned` or `fault`) |
+ * | endpoint_started | side, when it passes the work on | requestId, attemptId, endpoint, idempotent, [key], [record] |
+ * | endpoint_executed | endpoint, when the call takes effect | requestId, attemptId, endpoint, idempotent, [key], [record] |
+ * | endpoint_finished | side, when the endpoint's work ends on its own | requestId, attemptId, endpoint, result (`answered` or `failed`) |
+ * | endpoint_cancelled | side, when it cancels the work | requestId, attemptId, endpoint, cause (`caller`, `deadline`, `planned` or `fault`) |
  * | token_delivered | entry, per token to the caller | requestId, index, text |
  * | response_delivered | entry | requestId, body, [status] |
- * | request_finished | entry | requestId, outcome (`answered`, `not_run` or `unknown`), reason, [tokens], [key], [className], [onTime]: whether the deadline was kept |
+ * | request_finished | entry | requestId, outcome (`answered`, `not_run` or `unknown`), reason, [tokens], [key], [className], [onTime]: whether the deadline was met |
  * | retry | entry | requestId, attemptId of the new attempt, [reason] |
  * | order_sent | side, to its endpoint | endpoint, order, claim, target |
- * | order_received | endpoint that takes the order | endpoint, order, target, [claim] |
+ * | order_received | endpoint that accepts the order | endpoint, order, target, [claim] |
  * | order_refused | endpoint that checks fencing numbers | endpoint, order |
  * | order_done | endpoint | endpoint, order, target |
- * | claim_seen | entry, per claim that it holds valid | stream, claim, holder |
- * | order_valid | entry, per order of its reading | endpoint, order, claim, target |
- * | order_void | entry, per order of its reading | endpoint, order, claim, [reason] |
- * | configuration_accepted | entry, per accepting verdict read | version, publicationId |
+ * | claim_seen | entry, per claim that it considers valid | stream, claim, holder |
+ * | order_valid | entry, per order that it reads | endpoint, order, claim, target |
+ * | order_void | entry, per order that it reads | endpoint, order, claim, [reason] |
+ * | configuration_accepted | entry, per accepting verdict that it reads | version, publicationId |
  * | configuration_in_force | entry and side | version |
  * | side_draining | side | endpoint, cause (`stop`, `order` or `configuration`) |
  * | entry_draining | entry | cause (`stop`) |
  * | process_started | entry, side | incarnation, role (`entry` or `side`), [endpoint] |
- * | process_stopped | entry, side: a planned stop is complete | incarnation |
+ * | process_stopped | entry, side: when a planned stop is complete | incarnation |
  * | process_killed | network; endpoint for its own crash | [incarnation] |
- * | process_paused, process_resumed | network | process is the one it happens to |
+ * | process_paused, process_resumed | network | `process` is the affected process |
  * | suspected, trusted | entry | endpoint |
- * | once_owned | entry, per once record of its reading that is valid | key, record, endpoint, sideIncarnation, replaces |
+ * | once_owned | entry, per valid once record that it reads | key, record, endpoint, sideIncarnation, replaces |
  * | once_barred | side | key, record |
- * | log_appended | log, as the record takes effect | stream, offset, kind, writer, incarnation, sequence, and the record's own plain facts (claim, replaces, number, endpoint, target, holder, key, publication, publicationId, base, accepted) |
+ * | log_appended | log, when the record takes effect | stream, offset, kind, writer, incarnation, sequence, and the record's own plain fields (claim, replaces, number, endpoint, target, holder, key, publication, publicationId, base, accepted) |
  * | log_outage_began, log_outage_ended | network | [stream] |
  * | link_cut, link_healed | network | from, to (process ids; one direction) |
- * | endpoint_leaving | network, as the platform or an operator says so | endpoint, [cause] |
+ * | endpoint_leaving | network, when the platform or an operator reports it | endpoint, [cause] |
  * | endpoint_returned | network | endpoint |
  * | answer_expected | test, before the request | requestId, text |
- * | run_ended | test: every open request has had time to end | |
+ * | run_ended | test: when every open request has had time to end | |
  */
 
 /** One event of a run; `at` is timer time in milliseconds. */
 export interface HistoryEvent {
   readonly at: number;
-  /** Process (or endpoint, caller, log) in which it happened. */
+  /** Process (or endpoint, caller, log) in which the event occurred. */
   readonly process: string;
   readonly kind: HistoryEventKind;
-  /** Facts of the event, such as ids and offsets; plain JSON. */
+  /** Fields of the event, such as ids and offsets; plain JSON. */
   readonly facts: Readonly<Record<string, string | number | boolean>>;
 }
 
--- a/src/core/observation/tracer.ts
+++ b/src/core/observation/tracer.ts
@@ -7,14 +7,14 @@
   | "side.attempt"
   | "endpoint.call";
 
-/** Facts on a span; plain values. */
+/** Attributes of a span; plain values. */
 export type SpanFacts = Readonly<Record<string, string | number | boolean>>;
 
-/** One hop that is under way. */
+/** A hop in progress. */
 export interface Span {
   /**
-   * What the next hop takes as its parent, in W3C form. Absent where nothing
-   * is traced; the hop then passes on what it got itself.
+   * Parent for the next hop, in W3C form. Undefined while tracing is off; the
+   * hop then passes on the value that it received itself.
    */
   readonly traceparent: string | undefined;
   add(facts: SpanFacts): void;
@@ -24,12 +24,12 @@
 }
 
 export interface SpanOptions {
-  /** The parent in W3C form; without it the span starts a trace. */
+  /** Parent in W3C form; without it the span starts a trace. */
   readonly traceparent?: string;
   readonly facts?: SpanFacts;
 }
 
-/** Makes spans; the cores know no tracing library. */
+/** Creates spans; keeps the core independent of a tracing library. */
 export interface Tracer {
   start(name: SpanName, options: SpanOptions): Span;
 }
@@ -41,5 +41,5 @@
   end() {},
 };
 
-/** Makes nothing and keeps nothing; stands where tracing is off. */
+/** Records nothing; used while tracing is off. */
 export const NO_TRACER: Tracer = { start: () => NOOP_SPAN };
--- a/src/core/requests/mod.ts
+++ b/src/core/requests/mod.ts
@@ -1,4 +1,4 @@
-/** Callers' requests and the three ways in which they can end. */
+/** Callers' requests and their three possible outcomes. */
 import type {
   AvailabilityZoneId,
   EndpointId,
@@ -9,7 +9,7 @@
 } from "../identity/mod.ts";
 import type { Work } from "../../generated/messages.ts";
 
-/** Why a request was refused; every one of them means that nothing has run. */
+/** Why a request was refused; each of them means that nothing has run. */
 export type RefusalReason =
   | "invalid"
   | "unknown_model"
@@ -27,23 +27,29 @@
   | "key_needed"
   | "late";
 
-/** Refused: not run. True only while no endpoint can have started it. */
+/**
+ * The request was refused and not run. Valid only while no endpoint can have
+ * started it.
+ */
 export interface Refusal {
   readonly kind: "not_run";
   readonly reason: RefusalReason;
   readonly detail: string;
-  /** When coming back is worth it, milliseconds; absent where it never is. */
+  /**
+   * Time after which a retry is worthwhile, milliseconds; absent if it never
+   * is.
+   */
   readonly retryAfterMilliseconds?: number;
 }
 
-/** The request may have run; nobody can tell whether it did. */
+/** The request may have run; the outcome can't be determined. */
 export interface UnknownOutcome {
   readonly kind: "unknown";
   readonly detail: string;
   readonly retryAfterMilliseconds?: number;
 }
 
-/** The whole answer was given. */
+/** The answer is complete. */
 export interface Answered {
   readonly kind: "answered";
   /** Tokens of a generation; 0 for a plain service. */
@@ -53,32 +59,32 @@
 
 export type Outcome = Answered | Refusal | UnknownOutcome;
 
-/** A caller's request after its door has checked it. */
+/** A caller's request after validation at its entry. */
 export interface CallerRequest {
   readonly requestId: RequestId;
   readonly workspace: WorkspaceId;
   readonly work: Work;
-  /** Values that the rules' matches look at, names in lower case. */
+  /** Header values that the rules match on, names in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Class wanted by the caller; the rules decide. */
+  /** Class requested by the caller; the rules decide. */
   readonly className?: WorkClassName;
-  /** Time that the caller still waits, milliseconds. */
+  /** Time for which the caller still waits, milliseconds. */
   readonly deadlineMilliseconds?: number;
   readonly idempotencyKey?: IdempotencyKey;
   readonly traceparent?: string;
 }
 
-/** Where the pieces of an answer go. */
+/** Receives the parts of an answer. */
 export interface AnswerSink {
-  /** One more token, in order, once. False: hold back until `onDrained`. */
+  /** One more token, in order, once. False: pause until the sink has drained. */
   token(text: string): boolean;
-  /** The whole answer of a plain service. */
+  /** The complete answer of a plain service. */
   response(answer: { status: number; contentType: string; body: string }): void;
-  /** The final outcome; nothing follows it. */
+  /** The final outcome; no further call follows. */
   finish(outcome: Outcome): void;
 }
 
-/** What admission and placement look at; nothing else of a request. */
+/** The only properties of a request that admission and placement use. */
 export interface RequestProfile {
   readonly requestId: RequestId;
   readonly workspace: WorkspaceId;
@@ -88,14 +94,14 @@
   readonly kind: "generation" | "service";
   readonly promptTokens: number;
   readonly mostOutputTokens: number;
-  /** Tokens that the caller already has, of an attempt that was cut off. */
+  /** Tokens that the caller already has, from an interrupted attempt. */
   readonly deliveredTokens: number;
   /** Timer time by which the answer has to be complete, milliseconds. */
   readonly deadline: number;
   /** Hashes of the prompt's leading blocks, shortest prefix first. */
   readonly prefixHashes: readonly string[];
   readonly idempotent: boolean;
-  /** Endpoints that have already failed this request. */
+  /** Endpoints on which this request has already failed. */
   readonly excluded: ReadonlySet<EndpointId>;
   readonly availabilityZone: AvailabilityZoneId;
 }
--- a/src/core/roles/capacity.ts
+++ b/src/core/roles/capacity.ts
@@ -14,39 +14,41 @@
   /** Mean tokens of a request. */
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** What one answer on time counts for; 1 where nothing else is said. */
+  /** Value of one answer on time; 1 by default. */
   readonly value: number;
 }
 
-/** Engines of a pool in each role. */
+/** Number of a pool's engines in each role. */
 export type RoleCounts = Readonly<Record<Role, number>>;
 
 export interface CapacityOptions {
   readonly engine: EngineCharacteristics;
   readonly profiles: RoleProfiles;
-  /** Share of the rated rates that is reckoned with; the rest is headroom. */
+  /** Share of the rated rates that is used; the rest is headroom. */
   readonly usableShare: number;
 }
 
-/** How the work of a pool is best divided among its roles. */
+/** Allocation of a pool's work to its roles with the greatest value. */
 export interface WorkAllocation {
-  /** Value of the answers per second that the pool can give. */
+  /** Value of the answers per second that the pool can serve. */
   readonly value: number;
-  /** Share of the rates that the busiest role needs, at most 1. */
+  /** Share of its rates that the busiest role needs, at most 1. */
   readonly utilisation: number;
-  /** Requests per second of each class (by place) in each of `ROLES`. */
+  /**
+   * Requests per second of each class (in order of demand) in each of `ROLES`.
+   */
   readonly rates: readonly (readonly number[])[];
 }
 
-/** Weight of the utilisation against one unit of value: only breaks ties. */
+/** Weight of the utilisation against one unit of value; only breaks ties. */
 const UTILISATION_WEIGHT = 1e-3;
 
 /**
- * Divides the work among the roles: a linear program over classes and roles,
- * with the prompt and the output rate of each role as limits; prompts take
- * their part of the output rate as well, since both share the steps. Of the divisions
- * with the same value it takes one whose busiest role is the least busy, so
- * that spare capacity is spread and waits stay short.
+ * Allocates the work to the roles by a linear program over classes and roles,
+ * with the prompt and the output rate of each role as limits. Prompts use part
+ * of the output rate as well, since both share the engine's steps. Among
+ * allocations of the same value it selects one whose busiest role is the least
+ * busy, so that spare capacity is spread and waits stay short.
  */
 export function allocateWork(
   demand: readonly ClassDemand[],
@@ -61,7 +63,7 @@
   const limits: number[] = [];
   for (const [roleIndex, role] of ROLES.entries()) {
     const rates = roleRates(options.engine, options.profiles[role]);
-    const outputTokensPerPromptToken = rates.promptDrag *
+    const outputLossPerPromptToken = rates.promptDrag *
       rates.outputTokensPerSecond /
       rates.prefillTokensPerSecond;
     const engines = counts[role] * options.usableShare;
@@ -73,7 +75,7 @@
       resourceRow(demand, roleIndex, {
         limit: engines * rates.outputTokensPerSecond,
         need: (one) =>
-          one.outputTokens + outputTokensPerPromptToken * one.promptTokens,
+          one.outputTokens + outputLossPerPromptToken * one.promptTokens,
       }),
     );
     limits.push(0, 0);
@@ -99,7 +101,7 @@
 
 const MIN_RATE = 1e-6;
 
-/** Row of one role's resource: what is used, less the utilised limit, <= 0. */
+/** Row of one role's resource: use minus the utilised limit, <= 0. */
 function resourceRow(
   demand: readonly ClassDemand[],
   roleIndex: number,
@@ -112,7 +114,9 @@
   return row;
 }
 
-/** Value of the answers per second that a pool can give; see `divideWork`. */
+/**
+ * Value of the answers per second that a pool can serve; see `allocateWork`.
+ */
 export function servedPerSecond(
   demand: readonly ClassDemand[],
   counts: RoleCounts,
@@ -121,7 +125,7 @@
   return allocateWork(demand, counts, options).value;
 }
 
-/** The counts after one engine has gone from one role to another. */
+/** Role counts after one engine has changed its role. */
 export function countsAfterMove(
   counts: RoleCounts,
   move: { from: Role; to: Role },
--- a/src/core/roles/constraints.ts
+++ b/src/core/roles/constraints.ts
@@ -3,13 +3,16 @@
 import type { PlannedEndpoint, PoolPicture } from "./planner_input.ts";
 import type { Role } from "./role_profile.ts";
 
-/** Default share of a pool, and of its part in a zone, out for changes. */
+/**
+ * Default share of a pool, and of its part in a zone, that may be out of
+ * service for changes.
+ */
 const DEFAULT_MAX_UNAVAILABLE_SHARE = 0.2;
 
 /**
- * Engines per role, with changes under way counted as done: a planner that
- * looked at the present roles would order the same change again while the
- * first one is still draining.
+ * Engines per role, with changes in progress counted as complete: by the
+ * present roles, a planner would order the same change again while the first
+ * one is still draining.
  */
 export function plannedRoleCounts(
   endpoints: readonly PlannedEndpoint[],
@@ -23,7 +26,10 @@
   return counts;
 }
 
-/** True where floors and caps allow some engine to make the move. */
+/**
+ * Whether the minimum per role and the limits on unavailable engines allow an
+ * engine to make the move.
+ */
 export function mayMove(
   pool: PoolPicture,
   rules: PlannerRules,
@@ -32,7 +38,10 @@
   return selectEndpoint(pool, rules, move) !== undefined;
 }
 
-/** The engine that makes the move: in the zone with the fewest engines out. */
+/**
+ * Selects the engine that makes the move, from the zone with the fewest engines
+ * out of service.
+ */
 export function selectEndpoint(
   pool: PoolPicture,
   rules: PlannerRules,
@@ -67,9 +76,10 @@
 }
 
 /**
- * Load: a mix that turns for the whole fleet at once. Harm prevented: all the
- * engines of a pool or zone out of service at the same time. Whatever the
- * cause, an engine that is out counts.
+ * Whether one more engine may go out of service. When the mix shifts for the
+ * whole fleet at once, the limit keeps the engines of a pool or zone from all
+ * being out of service at the same time. An engine that is unavailable for any
+ * other reason counts as well.
  */
 function hasUnavailabilityBudget(
   endpoints: readonly PlannedEndpoint[],
--- a/src/core/roles/linear_program.ts
+++ b/src/core/roles/linear_program.ts
@@ -1,8 +1,8 @@
-/** Maximise `objective · x` with `rows · x <= limits` and `x >= 0`. */
+/** Maximise `objective · x` subject to `rows · x <= limits` and `x >= 0`. */
 export interface LinearProgram {
   readonly objective: readonly number[];
   readonly rows: readonly (readonly number[])[];
-  /** None negative, so that x = 0 is a start. */
+  /** Must not be negative, so that x = 0 is a feasible start. */
   readonly limits: readonly number[];
 }
 
@@ -14,11 +14,11 @@
 const TOLERANCE = 1e-9;
 
 /**
- * Largest value of the objective and where it lies, by the simplex method on a dense tableau.
- * The programs here have some dozens of columns and rows; each pivot costs
- * their product. `mostPivots` ends a degenerate program early, with a value
- * that can be reached though it may not be the largest; a program without an
- * upper limit ends the same way.
+ * Maximum of the objective and its solution, by the simplex method on a dense
+ * tableau. The programs here have some dozens of columns and rows; each pivot
+ * costs their product. `maxPivots` ends a degenerate program early, with a
+ * value that is feasible but may not be the maximum; an unbounded program ends
+ * the same way.
  */
 export function maximise(program: LinearProgram, maxPivots = 500): Optimum {
   const tableau = tableauOf(program);
--- a/src/core/roles/mod.ts
+++ b/src/core/roles/mod.ts
@@ -1,4 +1,7 @@
-/** Which role each engine has, and when a change is worth its price. */
+/**
+ * Planning of engine roles: capacity, and role changes whose gain exceeds their
+ * cost.
+ */
 export {
   allocateWork,
   type CapacityOptions,
--- a/src/core/roles/planner_input.ts
+++ b/src/core/roles/planner_input.ts
@@ -4,30 +4,30 @@
 import type { ClassDemand } from "./capacity.ts";
 import type { Role } from "./role_profile.ts";
 
-/** An endpoint as the planner sees it. */
+/** State of an endpoint as input to the planner. */
 export interface PlannedEndpoint {
   readonly endpoint: EndpointId;
   readonly availabilityZone: string;
   readonly role: Role;
-  /** Role of a valid order that is still being carried out. */
+  /** Role of a valid order that is still being executed. */
   readonly changingTo?: Role;
-  /** Takes work now. False: draining, leaving, down, changing or unknown. */
+  /** Accepts work now. False: draining, leaving, down, changing or unknown. */
   readonly serving: boolean;
   readonly fixedRole?: boolean;
 }
 
-/** One pool of engines as the planner sees it. */
+/** State of one pool of engines as input to the planner. */
 export interface PoolPicture {
   readonly pool: string;
   readonly engine: EngineCharacteristics;
   readonly endpoints: readonly PlannedEndpoint[];
-  /** Sum of what the entries have seen; by class, as far as known. */
+  /** Sum of the demand that the entries report; by class, as far as known. */
   readonly demand: readonly ClassDemand[];
-  /** Age of the oldest report of demand that is part of the sum. */
+  /** Age of the oldest demand report in the sum. */
   readonly demandAgeMilliseconds: number;
 }
 
-/** All that one plan is made from. */
+/** Input of one planning run. */
 export interface PlannerPicture {
   /** Timer time, milliseconds. */
   readonly now: number;
@@ -37,12 +37,12 @@
   readonly logAvailable: boolean;
 }
 
-/** A role change that the planner wants ordered. */
+/** A role change that the planner wants to order. */
 export interface RoleChange {
   readonly pool: string;
   readonly endpoint: EndpointId;
   readonly from: Role;
   readonly to: Role;
-  /** Answers that the change is expected to gain, less its price. */
+  /** Answers that the change is expected to gain, less its cost. */
   readonly netGain: number;
 }
--- a/src/core/roles/policies.ts
+++ b/src/core/roles/policies.ts
@@ -8,11 +8,11 @@
 import type { PoolPicture } from "./planner_input.ts";
 import { type Role, ROLE_PROFILES, roleRates, ROLES } from "./role_profile.ts";
 
-/** What a policy decides from. */
+/** Input of a policy decision. */
 export interface RolePolicyInput {
   readonly now: number;
   readonly pool: PoolPicture;
-  /** Roles with changes under way counted as done. */
+  /** Role counts, with changes in progress counted as complete. */
   readonly counts: RoleCounts;
   readonly rules: PlannerRules;
   readonly mayMove: (from: Role, to: Role) => boolean;
@@ -24,20 +24,23 @@
   readonly netGain: number;
 }
 
-/** Decides on one change at most; may remember earlier situations. */
-export type RolePolicy = (situation: RolePolicyInput) => RoleMove | undefined;
+/** Decides on one change at most; may keep state between calls. */
+export type RolePolicy = (input: RolePolicyInput) => RoleMove | undefined;
 
 /** Never changes a role. */
 export function staticPolicy(): RolePolicy {
   return () => undefined;
 }
 
-/** Imbalance of prompts and outputs that makes the threshold policy act. */
+/**
+ * Ratio of prompt to output utilisation, or the reverse, above which the
+ * threshold policy acts.
+ */
 const THRESHOLD_IMBALANCE = 1.3;
 
 /**
- * The usual reactive rule: when the utilisation of one phase is well above
- * that of the other, an engine moves towards it. Kept for comparison.
+ * Common reactive rule: when the utilisation of one phase is well above that of
+ * the other, an engine moves towards it. Used for comparison.
  */
 export function thresholdPolicy(imbalance = THRESHOLD_IMBALANCE): RolePolicy {
   return ({ pool, counts, mayMove }) => {
@@ -86,24 +89,24 @@
 }
 
 /**
- * Constants of the cost-based policy. The noise was swept by hand and the pace
- * of the swing in bench/load_sweeps.ts; the others are set by reasoning.
+ * Constants of the cost-based policy. bench/load_sweeps.ts varies
+ * `noiseDeviations` and the pace of the swing.
  */
 export interface CostBasedOptions {
-  /** Share of the rated rates reckoned with: above it, waits grow steeply. */
+  /** Share of the rated rates that is used: above it, waits grow steeply. */
   readonly usableShare: number;
   /** Weight of a new observation of the demand. */
   readonly smoothing: number;
   /** Deviations of the noise that a gain has to exceed. */
   readonly noiseDeviations: number;
-  /** A shift is expected to last at least and at most this long. */
+  /** Minimum and maximum expected duration of a shift in the mix. */
   readonly minShiftMilliseconds: number;
   readonly maxShiftMilliseconds: number;
-  /** Drain before a change, added to the engine's own seconds out. */
+  /** Drain time before a change, added to the engine's own downtime. */
   readonly drainMilliseconds: number;
-  /** Weight where the rules name none. */
+  /** Weight of a role change if the rules set none. */
   readonly defaultWeight: number;
-  /** How far ahead the trend of the demand is followed; 0: not at all. */
+  /** How far ahead the trend of the demand is extrapolated; 0 disables it. */
   readonly forecastMilliseconds: number;
 }
 
@@ -118,15 +121,15 @@
   forecastMilliseconds: 0,
 };
 
-/** Plans seen before a new planner acts: it has to know the noise first. */
+/** Plans that a new planner observes before it acts, to learn the noise. */
 const MIN_PLANS = 5;
 
 /**
- * A change is made when what it gains over the expected rest of the shift
- * exceeds its price: the work of the engine while it drains and is out, times
- * one plus the rules' weight. Load: a mix that swings by half within minutes.
- * Harm prevented: engines that are out of service for swings that are over
- * when they are back. A shift that has lasted for some time is expected to
+ * Makes a change if its gain over the expected rest of the shift exceeds its
+ * cost: the work that the engine loses while it drains and is out of service,
+ * times one plus the weight in the rules. When the mix swings by half within
+ * minutes, this keeps engines from going out of service for swings that are
+ * over when they return. A shift that has lasted for some time is expected to
  * last as long again, within limits.
  */
 export function costBasedPolicy(
@@ -136,32 +139,32 @@
   const estimate = new DemandEstimate(options);
   let favourableSince: number | undefined;
   let planCount = 0;
-  return (situation) => {
-    estimate.observe(situation.pool.demand, situation.now);
+  return (input) => {
+    estimate.observe(input.pool.demand, input.now);
     planCount += 1;
-    const best = bestMove(situation, estimate.demand(), options);
+    const best = bestMove(input, estimate.demand(), options);
     if (best === undefined) {
       favourableSince = undefined;
       return undefined;
     }
-    favourableSince ??= situation.now;
+    favourableSince ??= input.now;
     if (planCount < MIN_PLANS) return undefined;
     const shift = Math.min(
       options.maxShiftMilliseconds,
       Math.max(
         options.minShiftMilliseconds,
-        situation.now - favourableSince,
+        input.now - favourableSince,
       ),
     );
     const noise = estimate.noise() * options.noiseDeviations * best.served;
     const gain = (best.gain - noise) * shift / 1_000;
-    const netGain = gain - changeCost(situation, best.served, options);
+    const netGain = gain - changeCost(input, best.served, options);
     if (netGain <= 0) return undefined;
     return { from: best.from, to: best.to, netGain };
   };
 }
 
-/** The cost-based rule applied to the demand expected a little later. */
+/** The cost-based policy, applied to the demand expected a little later. */
 export function forecastPolicy(
   overrides: Partial<CostBasedOptions> = {},
 ): RolePolicy {
@@ -183,7 +186,7 @@
 interface BestMove {
   readonly from: Role;
   readonly to: Role;
-  /** Answers per second now, and what the move adds to them. */
+  /** Value of the answers per second now, and what the move adds to it. */
   readonly served: number;
   readonly gain: number;
 }
@@ -214,11 +217,11 @@
 
 interface ClassEstimate {
   mean: ClassDemand;
-  /** Change of the arrivals per millisecond. */
+  /** Change of the arrival rate per millisecond. */
   trend: number;
 }
 
-/** Smoothed demand per class, its noise and its trend. */
+/** Smoothed demand per class, with its noise and trend. */
 class DemandEstimate {
   readonly #options: CostBasedOptions;
   readonly #estimates = new Map<string, ClassEstimate>();
@@ -235,17 +238,17 @@
     let difference = 0;
     let total = 0;
     for (const one of demand) {
-      const track = this.#estimates.get(one.className) ??
+      const estimate = this.#estimates.get(one.className) ??
         { mean: one, trend: 0 };
-      const before = track.mean.arrivalsPerSecond;
+      const before = estimate.mean.arrivalsPerSecond;
       difference += Math.abs(one.arrivalsPerSecond - before);
       total += before;
-      track.mean = this.#blend(track.mean, one);
+      estimate.mean = this.#blend(estimate.mean, one);
       if (elapsed > 0) {
-        const step = (track.mean.arrivalsPerSecond - before) / elapsed;
-        track.trend += 0.2 * (step - track.trend);
+        const step = (estimate.mean.arrivalsPerSecond - before) / elapsed;
+        estimate.trend += 0.2 * (step - estimate.trend);
       }
-      this.#estimates.set(one.className, track);
+      this.#estimates.set(one.className, estimate);
     }
     this.#decayAbsentClasses(demand);
     const noise = difference / Math.max(1e-9, total);
@@ -253,8 +256,8 @@
   }
 
   /**
-   * A class that is no longer reported has no arrivals. Kept at its last rate
-   * it would go on drawing engines after its work has ended.
+   * A class that is no longer reported has no arrivals. Kept at its last rate,
+   * it would continue to attract engines after its work has ended.
    */
   #decayAbsentClasses(demand: readonly ClassDemand[]): void {
     const present = new Set(demand.map((one) => one.className));
@@ -283,14 +286,17 @@
     }));
   }
 
-  #blend(mean: ClassDemand, seen: ClassDemand): ClassDemand {
+  #blend(mean: ClassDemand, observed: ClassDemand): ClassDemand {
     const mix = (one: number, other: number) =>
       one + this.#options.smoothing * (other - one);
     return {
-      ...seen,
-      arrivalsPerSecond: mix(mean.arrivalsPerSecond, seen.arrivalsPerSecond),
-      promptTokens: mix(mean.promptTokens, seen.promptTokens),
-      outputTokens: mix(mean.outputTokens, seen.outputTokens),
+      ...observed,
+      arrivalsPerSecond: mix(
+        mean.arrivalsPerSecond,
+        observed.arrivalsPerSecond,
+      ),
+      promptTokens: mix(mean.promptTokens, observed.promptTokens),
+      outputTokens: mix(mean.outputTokens, observed.outputTokens),
     };
   }
 }
--- a/src/core/roles/role_planner.ts
+++ b/src/core/roles/role_planner.ts
@@ -7,20 +7,20 @@
 import { costBasedPolicy, type RoleMove, type RolePolicy } from "./policies.ts";
 
 /**
- * Age at which demand is no longer planned with. Load: entries cut off from
- * the planner. Harm prevented: changes for a mix that is long gone. Limit:
- * one and a half demand windows.
+ * Maximum age of the demand used for planning: one and a half demand windows.
+ * When entries are cut off from the planner, it prevents changes for a mix that
+ * no longer exists.
  */
 const MAX_DEMAND_AGE_MILLISECONDS = 15_000;
 
 export interface RolePlannerOptions {
-  /** Makes the policy of one pool; it may remember what it has seen. */
+  /** Creates the policy of one pool; it may keep state between plans. */
   readonly policy?: () => RolePolicy;
 }
 
 /**
- * Plans role changes for the pools of a region. It gives no orders itself: who
- * holds the planner's claim appends what it returns.
+ * Plans role changes for the pools of a region. It issues no orders itself: the
+ * holder of the planner's claim appends them.
  */
 export class RolePlanner {
   readonly #makePolicy: () => RolePolicy;
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Changes to be ordered now. Empty while the log is out, the planner is
-   * switched off, or what it knows of the demand is too old.
+   * Changes to order now. Empty while the log is unavailable or the planner is
+   * disabled; a pool whose demand is too old gets none.
    */
   plan(input: PlannerPicture): readonly RoleChange[] {
     if (!input.logAvailable || input.rules.enabled === false) return [];
--- a/src/core/roles/role_planner_test.ts
+++ b/src/core/roles/role_planner_test.ts
@@ -78,68 +78,69 @@
 }
 
 describe("RolePlanner", () => {
-  it("moves engines towards what the mix needs", () => {
+  it("moves engines to the roles that the mix needs", () => {
     const [first] = planFor(60);
     expect(first.from).to.equal("decode");
     expect(first.to).to.be.oneOf(["prefill", "mixed"]);
   });
 
-  // The entries can't reach the planner, or the log takes no orders. Planned
-  // on old demand, engines would go out of service for a mix that is gone.
-  it("plans nothing on old demand, without the log, or when switched off", () => {
+  // The entries can't reach the planner, or the log accepts no orders. Planning
+  // on old demand would take engines out of service for a mix that no longer
+  // exists.
+  it("plans nothing on old demand, without the log, or when disabled", () => {
     expect(planFor(60, { demandAgeMilliseconds: 20_000 })).to.deep.equal([]);
     expect(planFor(60, { logAvailable: false })).to.deep.equal([]);
     expect(planFor(60, { rules: { enabled: false } })).to.deep.equal([]);
   });
 
-  // The order is given and the engine still drains, so nothing in the reports
-  // has changed. A planner that reacts to the missing effect orders engine
-  // after engine until the whole zone is out.
-  it("counts changes under way as done and as out of service", () => {
-    const underWay = DECODE_ENGINES.map((one, index) => ({
+  // An order is issued and the engine still drains, so the reports have not
+  // changed. A planner that reacts to the missing effect orders engine after
+  // engine until the whole zone is out of service.
+  it("counts changes in progress as complete and as out of service", () => {
+    const inProgress = DECODE_ENGINES.map((one, index) => ({
       ...one,
       changingTo: index < 1 ? "prefill" as const : undefined,
     }));
     const rules = { mostOutAtOnceShare: 0.1 };
-    expect(planFor(60, { endpoints: underWay, rules })).to.deep.equal([]);
+    expect(planFor(60, { endpoints: inProgress, rules })).to.deep.equal([]);
   });
 
-  it("keeps the floor of a role and leaves fixed engines alone", () => {
+  it("keeps the minimum of a role and does not move fixed engines", () => {
     const fixed = DECODE_ENGINES.map((one) => ({ ...one, fixedRole: true }));
     expect(planFor(60, { endpoints: fixed })).to.deep.equal([]);
     expect(planFor(60, { rules: { fewestPerRole: 9 } })).to.deep.equal([]);
   });
 
-  it("changes less the more a change weighs", () => {
+  it("makes fewer changes at a higher weight", () => {
     const light = planFor(60, { rules: { roleChangeWeight: 0 } });
     const heavy = planFor(60, { rules: { roleChangeWeight: 1_000 } });
     expect(light.length).to.be.greaterThan(0);
     expect(heavy).to.deep.equal([]);
   });
 
-  it("takes other policies", () => {
+  it("accepts other policies", () => {
     const planner = new RolePlanner({ policy: () => thresholdPolicy() });
     expect(planFor(4, {}, planner)[0].to).to.equal("mixed");
   });
 
-  // A class ends. Kept at its last rate it would draw engines for ever.
-  it("lets a class fade that is no longer reported", () => {
+  // A class ends. Kept at its last rate, it would attract engines indefinitely.
+  it("decays a class that is no longer reported", () => {
     const policy = costBasedPolicy();
     const planner = new RolePlanner({ policy: () => policy });
     planFor(6, {}, planner);
-    const later = Array.from({ length: 40 }, (_, index) => {
+    const laterPlans = Array.from({ length: 40 }, (_, index) => {
       const { pools, ...rest } = plannerInput(10_000 + index * 2_000);
       return planner.plan({
         ...rest,
         pools: pools.map((pool) => ({ ...pool, demand: [] })),
       });
     });
-    expect(later.slice(20).flat()).to.deep.equal([]);
+    expect(laterPlans.slice(20).flat()).to.deep.equal([]);
   });
 });
 
-describe("divideWork", () => {
-  it("gives each class to the roles that suit it", () => {
+describe("allocateWork", () => {
+  it("allocates each class to the roles that suit it", () => {
     const letters = {
       ...LONG_PROMPTS[0],
       className: "letter",
--- a/src/core/roles/role_profile.ts
+++ b/src/core/roles/role_profile.ts
@@ -3,15 +3,15 @@
 export type Role = "mixed" | "prefill" | "decode";
 export const ROLES: readonly Role[] = ["mixed", "prefill", "decode"];
 
-/** What a role leaves of an engine's rated figures. */
+/** Shares of an engine's rated figures that remain in a role. */
 export interface RoleProfile {
   /** Share of the rated prefill rate. */
   readonly prefillShare: number;
   /** Share of the rated slots. */
   readonly slotShare: number;
   /**
-   * Factor on the rated time between tokens with all of the role's slots in
-   * use and no prompt processed.
+   * Factor on the rated time between tokens, with all of the role's slots in
+   * use and no prompt being processed.
    */
   readonly decodeFactor: number;
   /** Share of the output rate that is lost while prompts are processed. */
@@ -19,10 +19,10 @@
 }
 
 /**
- * A role fixes how an engine divides its steps and its memory between prompts
- * and outputs; every role runs whole requests. These are starting points until
- * reports tell more: placement goes by the reported time between tokens, limit
- * and backlog wherever an engine has told them.
+ * A role determines how an engine divides its steps and its memory between
+ * prompts and outputs; every role runs complete requests. These are initial
+ * values: placement uses the reported time between tokens, limit and backlog as
+ * soon as an engine has reported them.
  */
 export const ROLE_PROFILES: Readonly<Record<Role, RoleProfile>> = {
   prefill: {
@@ -57,12 +57,12 @@
 
 export type RoleProfiles = Readonly<Record<Role, RoleProfile>>;
 
-/** Answers that an engine with that many places makes at once in a role. */
+/** Requests that an engine with the given slots runs concurrently in a role. */
 export function roleSlots(slots: number, role: Role): number {
   return Math.max(1, Math.round(slots * ROLE_PROFILES[role].slotShare));
 }
 
-/** Rates of an engine in a role, from what the asset register says of it. */
+/** Rates of an engine in a role, from the rated figures in the inventory. */
 export function roleRates(
   engine: EngineCharacteristics,
   profile: RoleProfile,
