--- a/src/core/handover/mod.ts
+++ b/src/core/handover/mod.ts
@@ -25,16 +25,14 @@
   const { keyValueCacheBytesPerToken, keyValueCacheBytesPerSecond } = engine;
   if (keyValueCacheBytesPerToken === undefined) return undefined;
   if (keyValueCacheBytesPerSecond === undefined) return undefined;
-  const prefillMillisecondsPerToken = MILLISECONDS_PER_SECOND /
+  const prefillPerToken = MILLISECONDS_PER_SECOND /
     engine.prefillTokensPerSecond;
-  const transferMillisecondsPerToken = MILLISECONDS_PER_SECOND *
+  const transferPerToken = MILLISECONDS_PER_SECOND *
     keyValueCacheBytesPerToken /
     keyValueCacheBytesPerSecond;
-  if (transferMillisecondsPerToken >= prefillMillisecondsPerToken) {
-    return undefined;
-  }
+  if (transferPerToken >= prefillPerToken) return undefined;
   return Math.ceil(
     FIXED_TRANSFER_MILLISECONDS /
-      (prefillMillisecondsPerToken - transferMillisecondsPerToken),
+      (prefillPerToken - transferPerToken),
   );
 }
