--- a/src/core/handover/handover_test.ts
+++ b/src/core/handover/handover_test.ts
@@ -13,7 +13,7 @@
   keyValueCacheBytesPerSecond: 10e9,
 };
 
-describe("fewestTokensToHandOver", () => {
+describe("Minimum tokens of a cache transfer", () => {
   it("is where the prefill saved equals transfer and calls", () => {
     const minimum = fewestTokensToHandOver(ENGINE) as number;
     const prefillMilliseconds = minimum / 8_000 * 1_000;
--- a/src/core/orders/load_budget_test.ts
+++ b/src/core/orders/load_budget_test.ts
@@ -2,7 +2,7 @@
 import { hashToUnit } from "../membership/mod.ts";
 import { loadSpread, pickLoads } from "./mod.ts";
 
-describe("pickLoads", () => {
+describe("Load budget", () => {
   const candidates = Array.from({ length: 10 }, (_, index) => ({
     endpoint: `triage-${index}`,
     needsLoading: index !== 5,
@@ -38,7 +38,7 @@
   });
 });
 
-describe("loadSpread", () => {
+describe("Load start delay", () => {
   // A zone restarts with 60 empty engines whose orders are already on the log,
   // so no planner limits them. Without the delay the store gets 60 loads at
   // once.
@@ -55,7 +55,7 @@
       starts.filter((other) => other <= at && at < other + loadMilliseconds)
         .length
     );
-    // 4 on average; random places cluster at up to two or three times that.
+    // 4 on average; random values cluster at up to two or three times that.
     expect(Math.max(...running)).to.be.at.most(12);
   });
 
--- a/src/core/orders/order_watermarks_test.ts
+++ b/src/core/orders/order_watermarks_test.ts
@@ -19,7 +19,7 @@
   return { offset, claim: 0, target: { role: "decode" } };
 }
 
-describe("TakenOrders", () => {
+describe("Order watermarks", () => {
   // A side is killed after order 9, and its next run asks an entry that has
   // read the log only up to order 5. Given that order, an engine that ignores
   // fencing returns to a state that the planner has left.
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -109,8 +109,8 @@
 
   report(report: SideReport, receivedAt: number): void {
     const pool = this.#poolOf.get(report.endpoint);
-    const picture = pool?.endpointView(report.endpoint as EndpointId);
-    picture?.applyReport(report, receivedAt);
+    const view = pool?.endpointView(report.endpoint as EndpointId);
+    view?.applyReport(report, receivedAt);
     pool?.recheck();
   }
 
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -125,9 +125,9 @@
       if (side !== undefined) side.failureShare = 1;
     };
     const figures = await runLoad(0.6, { prepare });
-    const plain = await runLoad(0.6, { prepare }, LEAST_IN_FLIGHT);
+    const baseline = await runLoad(0.6, { prepare }, LEAST_IN_FLIGHT);
     expect(figures.all().goodput).to.be.greaterThan(0.95);
-    expect(figures.sentBack).to.be.lessThan(plain.sentBack / 4);
+    expect(figures.sentBack).to.be.lessThan(baseline.sentBack / 4);
   });
 
   // Short alerts and long summaries share the engines at full load. An alert
