--- a/src/core/attempts/answer_assembler.ts
+++ b/src/core/attempts/answer_assembler.ts
@@ -5,16 +5,16 @@
   TokenFrame,
 } from "../../generated/messages.ts";
 
-/** The whole answer is there. */
-export type AssembledEnd =
+/** End of a complete answer. */
+export type CompletedAnswer =
   | { readonly kind: "generation"; readonly frame: EndFrame }
   | { readonly kind: "service"; readonly frame: ResponseFrame };
 
 /**
- * What a frame did. `taken`: it counted. `dropped`: it belongs to an older
- * attempt or repeats another. `held`: it came ahead of its turn and waits.
- * `complete`: the answer is whole now. `not_run` and `failed`: the attempt is
- * over. `broken`: the attempt contradicts itself and has to be given up.
+ * Effect of a frame. `taken`: it was applied. `dropped`: it belongs to an older
+ * attempt or is a duplicate. `held`: it arrived out of order and is buffered.
+ * `complete`: the answer is complete now. `not_run` and `failed`: the attempt
+ * is over. `broken`: the attempt contradicts itself and has to be abandoned.
  */
 export type FrameEffect =
   | "taken"
@@ -26,76 +26,81 @@
   | "broken";
 
 export interface AnswerAssemblerOptions {
-  /** Takes each token of the answer once, in order. */
+  /** Receives each token of the answer once, in order. */
   readonly onToken: (text: string, index: number) => void;
-  /** Takes the frames of every attempt; only a test passes it. */
+  /** Accepts the frames of every attempt; set only by tests. */
   readonly acceptsEveryAttempt?: boolean;
 }
 
 /**
- * Load: frames that crossed on the way. Harm prevented: an attempt that has
- * lost one frame and sends on would fill memory while nothing is delivered.
- * Limit: 64 frames are two seconds at 26 ms between tokens; a hole that old
- * is a lost frame, and resuming elsewhere is quicker than waiting.
+ * Maximum number of frames buffered out of order, two seconds at 26 ms between
+ * tokens. A gap of that age is a lost frame, and resuming elsewhere is quicker
+ * than waiting; without the bound, an attempt that has lost one frame and
+ * continues would fill memory while nothing is delivered.
  */
-const MOST_HELD_FRAMES = 64;
+const MAX_BUFFERED_FRAMES = 64;
 
 /**
- * Puts the answer to one request together. An answer is whole only when an
- * end frame of the current attempt says how many tokens it has and all of
- * them were delivered; a connection that merely closes proves nothing, or a
- * shorter answer would look whole.
+ * Assembles the answer to one request. An answer is complete only when an end
+ * frame of the current attempt gives its number of tokens and all of them were
+ * delivered. A closed connection alone proves nothing: a truncated answer would
+ * look complete.
  */
 export class AnswerAssembler {
   readonly #options: AnswerAssemblerOptions;
-  /** Texts in order; kept, since a resume on another replica needs them. */
+  /** Texts in order; kept because a resume on another replica needs them. */
   readonly #delivered: string[] = [];
-  /** Tokens that came ahead of their turn; made only when one does. */
-  #held: Map<number, string> | undefined;
-  #attempt = "";
-  #end: EndFrame | undefined;
-  #complete: AssembledEnd | undefined;
-  #startedAttempt = false;
-  #startedEver = false;
-  #over = false;
+  /** Tokens that arrived out of order; allocated only when one does. */
+  #buffered: Map<number, string> | undefined;
+  #currentAttemptId = "";
+  #endFrame: EndFrame | undefined;
+  #complete: CompletedAnswer | undefined;
+  #currentAttemptStarted = false;
+  #anyAttemptStarted = false;
+  #attemptEnded = false;
 
   constructor(options: AnswerAssemblerOptions) {
     this.#options = options;
   }
 
-  /** Starts a new attempt; frames of every earlier one are dropped from now. */
+  /**
+   * Starts a new attempt; frames of all earlier ones are dropped from now on.
+   */
   begin(attemptId: string): void {
-    this.#attempt = attemptId;
-    this.#held = undefined;
-    this.#end = undefined;
-    this.#startedAttempt = false;
-    this.#over = false;
+    this.#currentAttemptId = attemptId;
+    this.#buffered = undefined;
+    this.#endFrame = undefined;
+    this.#currentAttemptStarted = false;
+    this.#attemptEnded = false;
   }
 
-  /** The whole answer's end; undefined while it is not whole. */
-  get complete(): AssembledEnd | undefined {
+  /** End of the complete answer; undefined until it is complete. */
+  get complete(): CompletedAnswer | undefined {
     return this.#complete;
   }
 
-  /** True where the current attempt has shown that its endpoint started. */
+  /** Whether the current attempt has shown that its endpoint started. */
   get started(): boolean {
-    return this.#startedAttempt;
+    return this.#currentAttemptStarted;
   }
 
-  /** True where any attempt of this request may have run. */
-  get startedEver(): boolean {
-    return this.#startedEver;
+  /** Whether any attempt of this request may have run. */
+  get anyAttemptStarted(): boolean {
+    return this.#anyAttemptStarted;
   }
 
-  /** Tokens that the caller has, for an attempt that goes on behind them. */
+  /**
+   * Tokens that the caller has received, from which another attempt continues.
+   */
   get deliveredTokens(): readonly string[] {
     return this.#delivered;
   }
 
-  /** True where the attempt left a hole: frames came that can't be delivered. */
+  /** Whether the attempt has a gap: frames arrived that can't be delivered. */
   get hasGap(): boolean {
-    return (this.#held !== undefined && this.#held.size > 0) ||
-      (this.#end !== undefined && this.#complete === undefined);
+    return (this.#buffered !== undefined &&
+      this.#buffered.size > 0) ||
+      (this.#endFrame !== undefined && this.#complete === undefined);
   }
 
   receive(frame: AttemptFrame): FrameEffect {
@@ -114,41 +119,43 @@
       case "not_run":
         return this.#receiveNotRun();
       case "failed":
-        this.#start();
-        this.#over = true;
+        this.#markStarted();
+        this.#attemptEnded = true;
         return "failed";
     }
   }
 
   /**
-   * Frames of an attempt that was given up still arrive: its side may be cut
-   * off from the cancellation. Without this check they mix with the resumed
-   * attempt's, seen as words twice or an end that comes too early.
+   * Frames of an abandoned attempt still arrive, as its side may be cut off
+   * from the cancellation. Without this check they mix with those of the
+   * resumed attempt: words appear twice, or the answer ends too early.
    */
   #isStale(attemptId: string): boolean {
     if (this.#options.acceptsEveryAttempt === true) return false;
-    return this.#over || attemptId !== this.#attempt;
+    return this.#attemptEnded || attemptId !== this.#currentAttemptId;
   }
 
-  #start(): void {
-    this.#startedAttempt = true;
-    this.#startedEver = true;
+  #markStarted(): void {
+    this.#currentAttemptStarted = true;
+    this.#anyAttemptStarted = true;
   }
 
   #receiveStarted(): FrameEffect {
-    if (this.#startedAttempt) return "dropped";
-    this.#start();
+    if (this.#currentAttemptStarted) return "dropped";
+    this.#markStarted();
     return "taken";
   }
 
   #receiveToken(frame: TokenFrame): FrameEffect {
-    this.#start();
-    const next = this.#delivered.length;
-    if (frame.index < next) return "dropped";
-    if (frame.index > next) return this.#hold(frame);
+    this.#markStarted();
+    const nextIndex = this.#delivered.length;
+    if (frame.index < nextIndex) return "dropped";
+    if (frame.index > nextIndex) return this.#bufferToken(frame);
     this.#deliver(frame.text);
-    if (this.#held !== undefined) this.#deliverHeld(this.#held);
-    return this.#end === undefined ? "taken" : this.#checkEnd(this.#end);
+    if (this.#buffered !== undefined) this.#deliverBuffered(this.#buffered);
+    return this.#endFrame === undefined
+      ? "taken"
+      : this.#checkEnd(this.#endFrame);
   }
 
   #deliver(text: string): void {
@@ -156,55 +163,55 @@
     this.#options.onToken(text, index);
   }
 
-  #deliverHeld(held: Map<number, string>): void {
+  #deliverBuffered(buffered: Map<number, string>): void {
     for (;;) {
       const index = this.#delivered.length;
-      const text = held.get(index);
+      const text = buffered.get(index);
       if (text === undefined) return;
-      held.delete(index);
+      buffered.delete(index);
       this.#deliver(text);
     }
   }
 
-  #hold(frame: TokenFrame): FrameEffect {
-    this.#held ??= new Map();
-    if (this.#held.has(frame.index)) return "dropped";
-    if (this.#held.size >= MOST_HELD_FRAMES) return this.#break();
-    this.#held.set(frame.index, frame.text);
+  #bufferToken(frame: TokenFrame): FrameEffect {
+    this.#buffered ??= new Map();
+    if (this.#buffered.has(frame.index)) return "dropped";
+    if (this.#buffered.size >= MAX_BUFFERED_FRAMES) return this.#markBroken();
+    this.#buffered.set(frame.index, frame.text);
     return "held";
   }
 
   #receiveEnd(frame: EndFrame): FrameEffect {
-    this.#start();
-    if (this.#end !== undefined) return "dropped";
-    this.#end = frame;
+    this.#markStarted();
+    if (this.#endFrame !== undefined) return "dropped";
+    this.#endFrame = frame;
     return this.#checkEnd(frame);
   }
 
   #checkEnd(frame: EndFrame): FrameEffect {
-    const count = this.#delivered.length;
-    if (count > frame.tokens) return this.#break();
-    if (count < frame.tokens) return "held";
+    const deliveredCount = this.#delivered.length;
+    if (deliveredCount > frame.tokens) return this.#markBroken();
+    if (deliveredCount < frame.tokens) return "held";
     this.#complete = { kind: "generation", frame };
     return "complete";
   }
 
   #receiveResponse(frame: ResponseFrame): FrameEffect {
-    this.#start();
-    if (this.#delivered.length > 0) return this.#break();
+    this.#markStarted();
+    if (this.#delivered.length > 0) return this.#markBroken();
     this.#complete = { kind: "service", frame };
     return "complete";
   }
 
-  /** "Not run" behind a start of the same attempt would be a lie. */
+  /** "Not run" after a start of the same attempt would be false. */
   #receiveNotRun(): FrameEffect {
-    if (this.#startedAttempt) return this.#break();
-    this.#over = true;
+    if (this.#currentAttemptStarted) return this.#markBroken();
+    this.#attemptEnded = true;
     return "not_run";
   }
 
-  #break(): FrameEffect {
-    this.#over = true;
+  #markBroken(): FrameEffect {
+    this.#attemptEnded = true;
     return "broken";
   }
 }
--- a/src/core/attempts/mod.ts
+++ b/src/core/attempts/mod.ts
@@ -1,7 +1,7 @@
-/** Whole answers, put together from the frames of successive attempts. */
+/** Assembly of complete answers from the frames of successive attempts. */
 export {
   AnswerAssembler,
   type AnswerAssemblerOptions,
-  type AssembledEnd,
+  type CompletedAnswer,
   type FrameEffect,
 } from "./answer_assembler.ts";
--- /dev/null
+++ b/src/core/observation/emit_event.ts
@@ -0,0 +1,27 @@
+import type { TimerService } from "../time/mod.ts";
+import type { HistoryEventKind, Observe } from "./mod.ts";
+
+/** Fields of an event; plain JSON values. */
+export type EventFields = Readonly<Record<string, string | number | boolean>>;
+
+/** Emits an event of one process. */
+export type Tell = (kind: HistoryEventKind, facts: EventFields) => void;
+
+export interface EmitEventOptions {
+  readonly observe: Observe | undefined;
+  readonly timer: TimerService;
+  readonly process: string;
+  /** Fields added to every event of the process, such as its incarnation. */
+  readonly always: EventFields;
+}
+
+/**
+ * Creates the function with which a process emits its events; a no-op without
+ * an observer.
+ */
+export function makeTell(options: EmitEventOptions): Tell {
+  const { observe, timer, process, always } = options;
+  if (observe === undefined) return () => {};
+  return (kind, facts) =>
+    observe({ at: timer.now(), process, kind, facts: { ...facts, ...always } });
+}
--- a/src/core/placement/endpoint_picture.ts
+++ b/src/core/placement/endpoint_view.ts
@@ -5,11 +5,11 @@
 import { roleRates } from "../roles/mod.ts";
 import { EndpointHealth, type HealthLimits } from "./endpoint_health.ts";
 
-/** Weight of the older placements: the last twenty count most. */
-const PLACED_DECAY = 0.95;
+/** Decay of older placements: about the last twenty count. */
+const PLACEMENT_DECAY = 0.95;
 
-/** What is known of an endpoint before it has reported. */
-export interface EndpointFacts {
+/** Configuration of an endpoint, used until it reports. */
+export interface EndpointConfig {
   readonly endpoint: EndpointId;
   readonly availabilityZone: string;
   readonly engine: EngineCharacteristics;
@@ -17,13 +17,13 @@
   readonly serving: boolean;
 }
 
-/** How reports are weighed against what the entry itself knows. */
-export interface PictureOptions {
+/** Weights of reports against what the entry itself knows. */
+export interface EndpointViewOptions {
   readonly profiles: RoleProfiles;
   readonly health: HealthLimits;
-  /** Time in which half of a report's foreign load is taken to be gone. */
+  /** Half-life of the load that a report attributes to other entries. */
   readonly reportHalfLifeMilliseconds: number;
-  /** Prompts waiting above which less urgent classes find no room. */
+  /** Prefill backlog above which less urgent classes get no slot. */
   readonly mostPrefillWaitMilliseconds: number;
   /** Requests sent beyond the limit, to wait at the side. */
   readonly extraPlaces: number;
@@ -31,22 +31,22 @@
   readonly lessUrgentShare: number;
 }
 
-/** One request that the entry has at the endpoint. */
+/** One request that this entry has at the endpoint. */
 export interface OwnAttempt {
   readonly rank: number;
   readonly promptTokens: number;
 }
 
 /**
- * One entry's picture of one endpoint: the last report, aged, corrected by the
- * entry's own work. Load: several entries place on reports that are up to
- * seconds old. Harm prevented: an endpoint that looked idle in the last report
- * is given everything until the next one.
+ * One entry's view of one endpoint: the last report, decayed with age and
+ * corrected by the entry's own work. Several entries place on reports that are
+ * up to seconds old; without the correction, an endpoint that looked idle in
+ * the last report gets all requests until the next one.
  */
-export class EndpointPicture {
+export class EndpointView {
   readonly health: EndpointHealth;
-  readonly #options: PictureOptions;
-  #facts: EndpointFacts;
+  readonly #options: EndpointViewOptions;
+  #config: EndpointConfig;
   #ranks: number;
   #role: Role;
   #rates: RoleRates;
@@ -55,134 +55,141 @@
   #limit: number;
   #millisecondsBetweenTokens = 0;
   #reportedAt = -Infinity;
-  /** Work of other entries at the time of the report. */
-  #foreign = 0;
-  /** Part of the foreign work that is left, reckoned once for each time. */
-  #decay = 1;
+  /** Load of other entries at the time of the report. */
+  #reportedForeignLoad = 0;
+  /** Fraction of the foreign load that remains, cached per point in time. */
+  #foreignDecay = 1;
   #decayedAt = -Infinity;
-  #own = 0;
-  #ownLessUrgent = 0;
-  /** For each rank of class: when the prompts up to that rank are done. */
+  #ownAttempts = 0;
+  #ownLessUrgentAttempts = 0;
+  /** Per rank: time at which the prompts up to that rank are processed. */
   readonly #prefillDoneAt: number[] = [];
-  /** Prompts placed here lately by rank, with a decaying weight. */
-  readonly #placedTokens: number[] = [];
+  /** Prompt tokens placed here recently, by rank, with exponential decay. */
+  readonly #recentPromptTokens: number[] = [];
 
   constructor(
-    facts: EndpointFacts,
-    options: PictureOptions & { ranks: number },
+    config: EndpointConfig,
+    options: EndpointViewOptions & { ranks: number },
   ) {
-    this.#facts = facts;
+    this.#config = config;
     this.#options = options;
     this.#ranks = options.ranks;
     this.health = new EndpointHealth(options.health);
-    this.#role = facts.role;
-    this.#rates = roleRates(facts.engine, options.profiles[facts.role]);
-    this.#state = facts.serving ? "serving" : "draining";
+    this.#role = config.role;
+    this.#rates = roleRates(config.engine, options.profiles[config.role]);
+    this.#state = config.serving ? "serving" : "draining";
     this.#limit = this.#rates.slots;
   }
 
-  get facts(): EndpointFacts {
-    return this.#facts;
+  get config(): EndpointConfig {
+    return this.#config;
   }
 
-  /** Takes what a new inventory says; what reports have told stays. */
-  useFacts(facts: EndpointFacts, ranks: number): void {
-    if (facts.serving && !this.#facts.serving) this.#state = "serving";
-    this.#facts = facts;
+  /** Applies a new inventory; reported values stay. */
+  updateConfig(config: EndpointConfig, ranks: number): void {
+    if (config.serving && !this.#config.serving) this.#state = "serving";
+    this.#config = config;
     this.#ranks = ranks;
-    this.#rates = roleRates(facts.engine, this.#options.profiles[this.#role]);
+    this.#rates = roleRates(config.engine, this.#options.profiles[this.#role]);
   }
 
   get role(): Role {
     return this.#role;
   }
 
-  get own(): number {
-    return this.#own;
+  get ownAttempts(): number {
+    return this.#ownAttempts;
   }
 
   get limit(): number {
     return this.#limit;
   }
 
-  /** False: gets no new work at all. */
+  /** Whether the endpoint may get new work. */
   get usable(): boolean {
-    return this.#facts.serving && this.#state === "serving" && !this.#suspected;
+    return this.#config.serving && this.#state === "serving" &&
+      !this.#suspected;
   }
 
-  suspect(suspected: boolean): void {
+  setSuspected(suspected: boolean): void {
     this.#suspected = suspected;
   }
 
-  report(report: SideReport, receivedAt: number): void {
+  applyReport(report: SideReport, receivedAt: number): void {
     this.#state = report.state;
     if (report.role !== undefined && report.role !== this.#role) {
       this.#role = report.role;
       this.#rates = roleRates(
-        this.#facts.engine,
+        this.#config.engine,
         this.#options.profiles[report.role],
       );
     }
-    this.takeLoad(report.load, receivedAt);
+    this.applyLoad(report.load, receivedAt);
   }
 
-  /** Load as it came with a report or with the end of an answer. */
-  takeLoad(load: SideReport["load"], receivedAt: number): void {
+  /** Applies the load of a report or of the end of an answer. */
+  applyLoad(load: SideReport["load"], receivedAt: number): void {
     this.#limit = load.limit;
     this.#millisecondsBetweenTokens = load.millisecondsBetweenTokens;
     this.#reportedAt = receivedAt - (load.ageMilliseconds ?? 0);
     this.#decayedAt = -Infinity;
-    this.#foreign = Math.max(0, load.running + load.waiting - this.#own);
+    this.#reportedForeignLoad = Math.max(
+      0,
+      load.running + load.waiting - this.#ownAttempts,
+    );
     if (load.prefillBacklogTokens === undefined) return;
     const wait = this.#prefillMilliseconds(load.prefillBacklogTokens);
     for (let rank = 0; rank < this.#ranks; rank++) {
-      const share = this.#shareUpTo(rank);
+      const share = this.#promptShareUpTo(rank);
       this.#prefillDoneAt[rank] = receivedAt + wait * share;
     }
   }
 
-  /** Share of the prompts placed here lately that are of the rank or above. */
-  #shareUpTo(rank: number): number {
+  /** Share of the recent prompt tokens that are of the rank or more urgent. */
+  #promptShareUpTo(rank: number): number {
     if (rank === this.#ranks - 1) return 1;
     let upTo = 0;
     let all = 0;
     for (let other = 0; other < this.#ranks; other++) {
-      const tokens = this.#placedTokens[other] ?? 0;
+      const tokens = this.#recentPromptTokens[other] ?? 0;
       all += tokens;
       if (other <= rank) upTo += tokens;
     }
     return all === 0 ? 1 : upTo / all;
   }
 
-  /** Work of others at the endpoint, as far as it is still there. */
-  foreign(now: number): number {
-    if (this.#foreign === 0) return 0;
+  /** Remaining load of other entries at the endpoint. */
+  foreignLoad(now: number): number {
+    if (this.#reportedForeignLoad === 0) return 0;
     if (now !== this.#decayedAt) {
       const age = Math.max(0, now - this.#reportedAt);
-      this.#decay = 0.5 ** (age / this.#options.reportHalfLifeMilliseconds);
+      this.#foreignDecay = 0.5 **
+        (age / this.#options.reportHalfLifeMilliseconds);
       this.#decayedAt = now;
     }
-    return this.#foreign * this.#decay;
+    return this.#reportedForeignLoad * this.#foreignDecay;
   }
 
-  /** Free places for a request of the rank; the most urgent rank is 0. */
-  room(rank: number, now: number): number {
-    const free = this.#limit + this.#options.extraPlaces - this.#own -
-      this.foreign(now);
+  /** Free slots for a request of the rank; the most urgent rank is 0. */
+  freeSlots(rank: number, now: number): number {
+    const free = this.#limit + this.#options.extraPlaces - this.#ownAttempts -
+      this.foreignLoad(now);
     if (rank === 0) return free;
     const wait = this.prefillWait(rank, now);
     if (wait > this.#options.mostPrefillWaitMilliseconds) return 0;
-    const most = Math.max(1, this.#limit * this.#options.lessUrgentShare) +
+    const maxLessUrgent =
+      Math.max(1, this.#limit * this.#options.lessUrgentShare) +
       this.#options.extraPlaces;
-    return Math.min(free, most - this.#ownLessUrgent);
+    return Math.min(free, maxLessUrgent - this.#ownLessUrgentAttempts);
   }
 
-  /** Share of the limit that is taken. */
+  /** Load as a share of the limit. */
   occupancy(now: number): number {
-    return (this.#own + this.foreign(now)) / Math.max(1, this.#limit);
+    return (this.#ownAttempts + this.foreignLoad(now)) /
+      Math.max(1, this.#limit);
   }
 
-  /** Time until a prompt of the rank would be begun, milliseconds. */
+  /** Time until a prompt of the rank would start, milliseconds. */
   prefillWait(rank: number, now: number): number {
     return Math.max(0, (this.#prefillDoneAt[rank] ?? 0) - now);
   }
@@ -194,7 +201,7 @@
     );
   }
 
-  /** Time to the first token, without a wait for a slot. */
+  /** Time to the first token without a wait for a slot, milliseconds. */
   firstTokenMilliseconds(
     promptTokens: number,
     at: { rank: number; now: number },
@@ -204,7 +211,9 @@
         this.#prefillMilliseconds(promptTokens));
   }
 
-  /** Time that the register's figures would give an endpoint to itself. */
+  /**
+   * Duration by the rated figures on an otherwise idle endpoint, milliseconds.
+   */
   ratedMilliseconds(
     work: { promptTokens: number; outputTokens: number },
   ): number {
@@ -217,41 +226,50 @@
       this.millisecondsBetweenTokens();
   }
 
-  /** The side had no room: whatever the picture says, it is full for now. */
-  foundFull(now: number): void {
-    this.#foreign = Math.max(this.foreign(now), this.#limit - this.#own);
+  /**
+   * Marks the endpoint as full after its side had no capacity, whatever the
+   * view shows.
+   */
+  markFull(now: number): void {
+    this.#reportedForeignLoad = Math.max(
+      this.foreignLoad(now),
+      this.#limit - this.#ownAttempts,
+    );
     this.#reportedAt = now;
     this.#decayedAt = -Infinity;
   }
 
-  /** Time of the whole engine that the work takes, milliseconds. */
+  /**
+   * Engine time that the work uses, as if it had the whole engine,
+   * milliseconds.
+   */
   engineMilliseconds(promptTokens: number, outputTokens: number): number {
     return this.health.slowness *
       (this.#prefillMilliseconds(promptTokens) +
         outputTokens * 1_000 / this.#rates.outputTokensPerSecond);
   }
 
-  started(attempt: OwnAttempt, now: number): void {
-    this.#own += 1;
-    if (attempt.rank > 0) this.#ownLessUrgent += 1;
-    this.#notePlaced(attempt);
+  attemptStarted(attempt: OwnAttempt, now: number): void {
+    this.#ownAttempts += 1;
+    if (attempt.rank > 0) this.#ownLessUrgentAttempts += 1;
+    this.#recordPlacedPrompt(attempt);
     const cost = this.#prefillMilliseconds(attempt.promptTokens);
     for (let rank = attempt.rank; rank < this.#ranks; rank++) {
       this.#prefillDoneAt[rank] = now + this.prefillWait(rank, now) + cost;
     }
   }
 
-  #notePlaced(attempt: OwnAttempt): void {
+  #recordPlacedPrompt(attempt: OwnAttempt): void {
     for (let rank = 0; rank < this.#ranks; rank++) {
       const added = rank === attempt.rank ? attempt.promptTokens : 0;
-      this.#placedTokens[rank] = PLACED_DECAY *
-          (this.#placedTokens[rank] ?? 0) + added;
+      this.#recentPromptTokens[rank] = PLACEMENT_DECAY *
+          (this.#recentPromptTokens[rank] ?? 0) + added;
     }
   }
 
-  ended(attempt: OwnAttempt): void {
-    this.#own -= 1;
-    if (attempt.rank > 0) this.#ownLessUrgent -= 1;
+  attemptEnded(attempt: OwnAttempt): void {
+    this.#ownAttempts -= 1;
+    if (attempt.rank > 0) this.#ownLessUrgentAttempts -= 1;
   }
 
   #prefillMilliseconds(tokens: number): number {
--- a/src/core/roles/policies.ts
+++ b/src/core/roles/policies.ts
@@ -1,18 +1,18 @@
 import type { PlannerRules } from "../../generated/rules.ts";
 import {
   type ClassDemand,
-  moved,
+  countsAfterMove,
   type RoleCounts,
   servedPerSecond,
 } from "./capacity.ts";
-import type { PoolPicture } from "./picture.ts";
+import type { PoolPicture } from "./planner_input.ts";
 import { type Role, ROLE_PROFILES, roleRates, ROLES } from "./role_profile.ts";
 
-/** What a policy decides from. */
-export interface RoleSituation {
+/** Input of a policy decision. */
+export interface RolePolicyInput {
   readonly now: number;
   readonly pool: PoolPicture;
-  /** Roles with changes under way counted as done. */
+  /** Role counts, with changes in progress counted as complete. */
   readonly counts: RoleCounts;
   readonly rules: PlannerRules;
   readonly mayMove: (from: Role, to: Role) => boolean;
@@ -24,36 +24,45 @@
   readonly netGain: number;
 }
 
-/** Decides on one change at most; may remember earlier situations. */
-export type RolePolicy = (situation: RoleSituation) => RoleMove | undefined;
+/** Decides on one change at most; may keep state between calls. */
+export type RolePolicy = (input: RolePolicyInput) => RoleMove | undefined;
 
 /** Never changes a role. */
 export function staticPolicy(): RolePolicy {
   return () => undefined;
 }
 
-/** Imbalance of prompts and outputs that makes the threshold policy act. */
+/**
+ * Ratio of prompt to output utilisation, or the reverse, above which the
+ * threshold policy acts.
+ */
 const THRESHOLD_IMBALANCE = 1.3;
 
 /**
- * The usual reactive rule: when the utilisation of one phase is well above
- * that of the other, an engine moves towards it. Kept for comparison.
+ * Common reactive rule: when the utilisation of one phase is well above that of
+ * the other, an engine moves towards it. Used for comparison.
  */
 export function thresholdPolicy(imbalance = THRESHOLD_IMBALANCE): RolePolicy {
   return ({ pool, counts, mayMove }) => {
     const { prompts, outputs } = utilisation(pool, counts);
-    const towards = (order: readonly Role[]): RoleMove | undefined => {
-      for (let index = order.length - 1; index > 0; index--) {
-        const move = { from: order[index], to: order[index - 1], netGain: 0 };
+    const moveTowards = (
+      rolesByPreference: readonly Role[],
+    ): RoleMove | undefined => {
+      for (let index = rolesByPreference.length - 1; index > 0; index--) {
+        const move = {
+          from: rolesByPreference[index],
+          to: rolesByPreference[index - 1],
+          netGain: 0,
+        };
         if (counts[move.from] > 0 && mayMove(move.from, move.to)) return move;
       }
       return undefined;
     };
     if (prompts > outputs * imbalance) {
-      return towards(["prefill", "mixed", "decode"]);
+      return moveTowards(["prefill", "mixed", "decode"]);
     }
     if (outputs > prompts * imbalance) {
-      return towards(["decode", "mixed", "prefill"]);
+      return moveTowards(["decode", "mixed", "prefill"]);
     }
     return undefined;
   };
@@ -80,90 +89,90 @@
 }
 
 /**
- * Constants of the cost-based policy. The noise was swept by hand and the pace
- * of the swing in bench/load_sweeps.ts; the others are set by reasoning.
+ * Constants of the cost-based policy. bench/load_sweeps.ts varies
+ * `noiseDeviations` and the pace of the swing.
  */
 export interface CostBasedOptions {
-  /** Share of the rated rates reckoned with: above it, waits grow steeply. */
+  /** Share of the rated rates that is used: above it, waits grow steeply. */
   readonly usableShare: number;
   /** Weight of a new observation of the demand. */
   readonly smoothing: number;
   /** Deviations of the noise that a gain has to exceed. */
   readonly noiseDeviations: number;
-  /** A shift is expected to last at least and at most this long. */
-  readonly shortestShiftMilliseconds: number;
-  readonly longestShiftMilliseconds: number;
-  /** Drain before a change, added to the engine's own seconds out. */
+  /** Minimum and maximum expected duration of a shift in the mix. */
+  readonly minShiftMilliseconds: number;
+  readonly maxShiftMilliseconds: number;
+  /** Drain time before a change, added to the engine's own downtime. */
   readonly drainMilliseconds: number;
-  /** Weight where the rules name none. */
+  /** Weight of a role change if the rules set none. */
   readonly defaultWeight: number;
-  /** How far ahead the trend of the demand is followed; 0: not at all. */
+  /** How far ahead the trend of the demand is extrapolated; 0 disables it. */
   readonly forecastMilliseconds: number;
 }
 
-export const COST_BASED_OPTIONS: CostBasedOptions = {
+export const DEFAULT_COST_BASED_OPTIONS: CostBasedOptions = {
   usableShare: 0.8,
   smoothing: 0.3,
   noiseDeviations: 0.3,
-  shortestShiftMilliseconds: 20_000,
-  longestShiftMilliseconds: 300_000,
+  minShiftMilliseconds: 20_000,
+  maxShiftMilliseconds: 300_000,
   drainMilliseconds: 4_000,
   defaultWeight: 1,
   forecastMilliseconds: 0,
 };
 
-/** Plans seen before a new planner acts: it has to know the noise first. */
-const FEWEST_PLANS = 5;
+/** Plans that a new planner observes before it acts, to learn the noise. */
+const MIN_PLANS = 5;
 
 /**
- * A change is made when what it gains over the expected rest of the shift
- * exceeds its price: the work of the engine while it drains and is out, times
- * one plus the rules' weight. Load: a mix that swings by half within minutes.
- * Harm prevented: engines that are out of service for swings that are over
- * when they are back. A shift that has lasted for some time is expected to
+ * Makes a change if its gain over the expected rest of the shift exceeds its
+ * cost: the work that the engine loses while it drains and is out of service,
+ * times one plus the weight in the rules. When the mix swings by half within
+ * minutes, this keeps engines from going out of service for swings that are
+ * over when they return. A shift that has lasted for some time is expected to
  * last as long again, within limits.
  */
 export function costBasedPolicy(
-  given: Partial<CostBasedOptions> = {},
+  overrides: Partial<CostBasedOptions> = {},
 ): RolePolicy {
-  const options = { ...COST_BASED_OPTIONS, ...given };
-  const smoothed = new DemandEstimate(options);
-  let wantedSince: number | undefined;
-  let plans = 0;
-  return (situation) => {
-    smoothed.observe(situation.pool.demand, situation.now);
-    plans += 1;
-    const best = bestMove(situation, smoothed.demand(), options);
+  const options = { ...DEFAULT_COST_BASED_OPTIONS, ...overrides };
+  const estimate = new DemandEstimate(options);
+  let favourableSince: number | undefined;
+  let planCount = 0;
+  return (input) => {
+    estimate.observe(input.pool.demand, input.now);
+    planCount += 1;
+    const best = bestMove(input, estimate.demand(), options);
     if (best === undefined) {
-      wantedSince = undefined;
+      favourableSince = undefined;
       return undefined;
     }
-    wantedSince ??= situation.now;
-    if (plans < FEWEST_PLANS) return undefined;
+    favourableSince ??= input.now;
+    if (planCount < MIN_PLANS) return undefined;
     const shift = Math.min(
-      options.longestShiftMilliseconds,
+      options.maxShiftMilliseconds,
       Math.max(
-        options.shortestShiftMilliseconds,
-        situation.now - wantedSince,
+        options.minShiftMilliseconds,
+        input.now - favourableSince,
       ),
     );
-    const noise = smoothed.noise() * options.noiseDeviations * best.served;
+    const noise = estimate.noise() * options.noiseDeviations * best.served;
     const gain = (best.gain - noise) * shift / 1_000;
-    const netGain = gain - price(situation, best.served, options);
+    const netGain = gain - changeCost(input, best.served, options);
     if (netGain <= 0) return undefined;
     return { from: best.from, to: best.to, netGain };
   };
 }
 
-/** The cost-based rule applied to the demand expected a little later. */
+/** The cost-based policy, applied to the demand expected a little later. */
 export function forecastPolicy(
-  given: Partial<CostBasedOptions> = {},
+  overrides: Partial<CostBasedOptions> = {},
 ): RolePolicy {
-  return costBasedPolicy({ forecastMilliseconds: 30_000, ...given });
+  return costBasedPolicy({ forecastMilliseconds: 30_000, ...overrides });
 }
 
-function price(
-  { pool, counts, rules }: RoleSituation,
+function changeCost(
+  { pool, counts, rules }: RolePolicyInput,
   served: number,
   options: CostBasedOptions,
 ): number {
@@ -177,13 +186,13 @@
 interface BestMove {
   readonly from: Role;
   readonly to: Role;
-  /** Answers per second now, and what the move adds to them. */
+  /** Value of the answers per second now, and what the move adds to it. */
   readonly served: number;
   readonly gain: number;
 }
 
 function bestMove(
-  { pool, counts, mayMove }: RoleSituation,
+  { pool, counts, mayMove }: RolePolicyInput,
   demand: readonly ClassDemand[],
   options: CostBasedOptions,
 ): BestMove | undefined {
@@ -197,7 +206,7 @@
   for (const from of ROLES) {
     for (const to of ROLES) {
       if (from === to || counts[from] === 0 || !mayMove(from, to)) continue;
-      const after = moved(counts, { from, to });
+      const after = countsAfterMove(counts, { from, to });
       const gain = servedPerSecond(demand, after, capacity) - served;
       if (gain <= 1e-6 || gain <= (best?.gain ?? 0)) continue;
       best = { from, to, served, gain };
@@ -206,16 +215,16 @@
   return best;
 }
 
-interface Track {
+interface ClassEstimate {
   mean: ClassDemand;
-  /** Change of the arrivals per millisecond. */
+  /** Change of the arrival rate per millisecond. */
   trend: number;
 }
 
-/** Smoothed demand per class, its noise and its trend. */
+/** Smoothed demand per class, with its noise and trend. */
 class DemandEstimate {
   readonly #options: CostBasedOptions;
-  readonly #tracks = new Map<string, Track>();
+  readonly #estimates = new Map<string, ClassEstimate>();
   #noise = 0;
   #observedAt: number | undefined;
 
@@ -229,33 +238,34 @@
     let difference = 0;
     let total = 0;
     for (const one of demand) {
-      const track = this.#tracks.get(one.className) ?? { mean: one, trend: 0 };
-      const before = track.mean.arrivalsPerSecond;
+      const estimate = this.#estimates.get(one.className) ??
+        { mean: one, trend: 0 };
+      const before = estimate.mean.arrivalsPerSecond;
       difference += Math.abs(one.arrivalsPerSecond - before);
       total += before;
-      track.mean = this.#blend(track.mean, one);
+      estimate.mean = this.#blend(estimate.mean, one);
       if (elapsed > 0) {
-        const step = (track.mean.arrivalsPerSecond - before) / elapsed;
-        track.trend += 0.2 * (step - track.trend);
+        const step = (estimate.mean.arrivalsPerSecond - before) / elapsed;
+        estimate.trend += 0.2 * (step - estimate.trend);
       }
-      this.#tracks.set(one.className, track);
+      this.#estimates.set(one.className, estimate);
     }
-    this.#fadeAbsent(demand);
+    this.#decayAbsentClasses(demand);
     const noise = difference / Math.max(1e-9, total);
     this.#noise += 0.1 * (noise - this.#noise);
   }
 
   /**
-   * A class that is no longer reported has no arrivals. Kept at its last rate
-   * it would go on drawing engines after its work has ended.
+   * A class that is no longer reported has no arrivals. Kept at its last rate,
+   * it would continue to attract engines after its work has ended.
    */
-  #fadeAbsent(demand: readonly ClassDemand[]): void {
+  #decayAbsentClasses(demand: readonly ClassDemand[]): void {
     const present = new Set(demand.map((one) => one.className));
-    for (const [className, track] of this.#tracks) {
+    for (const [className, estimate] of this.#estimates) {
       if (present.has(className)) continue;
-      track.trend = 0;
-      track.mean = this.#blend(track.mean, {
-        ...track.mean,
+      estimate.trend = 0;
+      estimate.mean = this.#blend(estimate.mean, {
+        ...estimate.mean,
         arrivalsPerSecond: 0,
       });
     }
@@ -267,7 +277,7 @@
   }
 
   demand(): ClassDemand[] {
-    return [...this.#tracks.values()].map(({ mean, trend }) => ({
+    return [...this.#estimates.values()].map(({ mean, trend }) => ({
       ...mean,
       arrivalsPerSecond: Math.max(
         0,
@@ -276,14 +286,17 @@
     }));
   }
 
-  #blend(mean: ClassDemand, seen: ClassDemand): ClassDemand {
+  #blend(mean: ClassDemand, observed: ClassDemand): ClassDemand {
     const mix = (one: number, other: number) =>
       one + this.#options.smoothing * (other - one);
     return {
-      ...seen,
-      arrivalsPerSecond: mix(mean.arrivalsPerSecond, seen.arrivalsPerSecond),
-      promptTokens: mix(mean.promptTokens, seen.promptTokens),
-      outputTokens: mix(mean.outputTokens, seen.outputTokens),
+      ...observed,
+      arrivalsPerSecond: mix(
+        mean.arrivalsPerSecond,
+        observed.arrivalsPerSecond,
+      ),
+      promptTokens: mix(mean.promptTokens, observed.promptTokens),
+      outputTokens: mix(mean.outputTokens, observed.outputTokens),
     };
   }
 }
--- a/src/core/scheduling/pool_learning.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -4,35 +4,39 @@
 import type { WorkClass } from "../../generated/rules.ts";
 import type { AttemptSummary } from "./scheduler.ts";
 
-/** Weight of one placement in the mean share of prompts not cached. */
+/**
+ * Weight of one placement in the moving average of the uncached prompt share.
+ */
 const UNCACHED_WEIGHT = 0.05;
 
-/** One attempt that has ended, with what had been expected of it. */
-export interface EndedAttempt {
+/** An attempt that has ended, with what was predicted for it. */
+export interface CompletedAttempt {
   readonly profile: RequestProfile;
   readonly candidate: Candidate;
   readonly summary: AttemptSummary;
-  /** Output that was expected at the placement, tokens. */
+  /** Output expected at the placement, tokens. */
   readonly outputTokens: number;
   readonly submittedAt: number;
   readonly placedAt: number;
-  /** Predicted time from the submission to the whole answer. */
+  /** Predicted time from the submission to the complete answer. */
   readonly predictedMilliseconds: number;
 }
 
-/** What a pool's answers teach about its classes and endpoints. */
-export class PoolLearning {
+/** Statistics of a pool's classes and endpoints, learned from its answers. */
+export class PoolStatistics {
   readonly #outputs = new OutputLengths();
   readonly #errors = new PredictionError();
   readonly #uncached = new Map<string, number>();
-  /** Plain services: a call's "output" is its time in milliseconds. */
+  /**
+   * Plain services: the output length of a call is its duration, milliseconds.
+   */
   readonly #isService: boolean;
 
   constructor(isService: boolean) {
     this.#isService = isService;
   }
 
-  expectInitially(classes: readonly WorkClass[]): void {
+  setInitialOutputs(classes: readonly WorkClass[]): void {
     for (const one of classes) {
       this.#outputs.expectInitially(one.name, one.expectedOutputTokens);
     }
@@ -45,36 +49,36 @@
     });
   }
 
-  /** Tokens of the prompt that are likely not to be cached anywhere. */
+  /** Expected number of prompt tokens that are not cached anywhere. */
   uncachedTokens({ className, promptTokens }: RequestProfile): number {
     return promptTokens * (this.#uncached.get(className) ?? 1);
   }
 
-  /** Factor on a predicted finish of the class. */
+  /** Factor to apply to a predicted completion time of the class. */
   errorFactor(className: string, deviations: number): number {
     return this.#errors.factor(className, deviations);
   }
 
-  /** Learns which share of a class's prompts has to be processed. */
-  placed(profile: RequestProfile, promptTokens: number): void {
+  /** Learns the share of a class's prompt tokens that has to be processed. */
+  recordPlacement(profile: RequestProfile, promptTokens: number): void {
     const { className } = profile;
     const mean = this.#uncached.get(className) ?? 1;
     const share = promptTokens / Math.max(1, profile.promptTokens);
     this.#uncached.set(className, mean + UNCACHED_WEIGHT * (share - mean));
   }
 
-  ended(attempt: EndedAttempt, now: number): void {
+  recordCompletion(attempt: CompletedAttempt, now: number): void {
     const { candidate, summary, profile } = attempt;
-    const { picture } = candidate;
-    if (summary.load !== undefined) picture.takeLoad(summary.load, now);
+    const { view } = candidate;
+    if (summary.load !== undefined) view.applyLoad(summary.load, now);
     switch (summary.result) {
       case "failed":
-        return picture.health.failed(now);
+        return view.health.failed(now);
       case "cancelled":
-        return picture.health.cancelled(times(attempt, now), now);
+        return view.health.cancelled(relativeTimes(attempt, now), now);
       case "not_run":
-        picture.health.untold();
-        if (summary.load === undefined) picture.foundFull(now);
+        view.health.untold();
+        if (summary.load === undefined) view.markFull(now);
         return;
       case "answered":
         this.#outputs.learn(
@@ -85,21 +89,22 @@
           profile.className,
           (now - attempt.submittedAt) / attempt.predictedMilliseconds,
         );
-        picture.health.succeeded(times(attempt, now), now);
+        view.health.succeeded(relativeTimes(attempt, now), now);
     }
   }
 }
 
-/** Observed time of an attempt over what was predicted and over the rated. */
-function times(attempt: EndedAttempt, now: number) {
-  const { picture, milliseconds } = attempt.candidate;
-  const taken = now - attempt.placedAt;
-  const rated = picture.ratedMilliseconds({
+/** Duration of an attempt relative to its prediction and to the rated one. */
+function relativeTimes(attempt: CompletedAttempt, now: number) {
+  const { view, finishMilliseconds } = attempt.candidate;
+  const elapsed = now - attempt.placedAt;
+  const ratedMilliseconds = view.ratedMilliseconds({
     promptTokens: attempt.profile.promptTokens,
     outputTokens: attempt.summary.tokens || attempt.outputTokens,
   });
   return {
-    overExpected: taken * picture.health.slowness / Math.max(1, milliseconds),
-    overRated: taken / Math.max(1, rated),
+    overExpected: elapsed * view.health.slowness /
+      Math.max(1, finishMilliseconds),
+    overRated: elapsed / Math.max(1, ratedMilliseconds),
   };
 }
