--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -15,49 +15,52 @@
 import { timeOfKey } from "./key.ts";
 import {
   type AcquireResult,
-  answered,
-  expired,
+  answeredResult,
+  deadlineExceeded,
+  expiredResult,
   keyConflict,
-  logDown,
-  outOfTime,
-  run,
-  unknown,
+  logUnavailable,
+  runResult,
+  unknownResult,
 } from "./results.ts";
 
 /**
- * A retry that overtakes the first request finds a record that the side has
- * not seen. Barring it at once would make the first request start over. A
- * dispatch takes a few milliseconds; a quarter second covers a busy entry.
+ * Delay before a request bars another request's record that the sidecar has not
+ * seen. A retry can overtake the first request's dispatch, and barring at once
+ * would make the first request start over. A dispatch takes a few milliseconds;
+ * 250 ms covers a busy entry.
  */
 export const BAR_GRACE_MILLISECONDS = 250;
 
-/** Where a request would run: an endpoint and the run of its side. */
+/**
+ * The endpoint that a request would run on, and the incarnation of its sidecar.
+ */
 export interface OnceChoice {
   readonly endpoint: EndpointId;
   readonly sideIncarnation: Incarnation;
 }
 
-/** What one request knows on its way to a key; plain data. */
+/** State of one request's acquisition of an idempotency key; plain data. */
 export interface Acquisition {
   readonly key: IdempotencyKey;
   readonly fingerprint: string;
-  /** Permit that the request has sent already and whose fate is open. */
-  readonly lost?: OncePermit;
+  /** Permit that the request has already sent and whose outcome is unknown. */
+  readonly lostPermit?: OncePermit;
   choice?: OnceChoice;
-  /** Offset that the log gave this request's newest record. */
+  /** Offset of this request's newest record on the log. */
   ownRecord?: LogOffset;
-  /** What the newest append replaces; absent before the first. */
+  /** `replaces` of the newest append; undefined before the first. */
   appended?: number;
   inDoubt: boolean;
-  /** True until the side has barred the permit that was sent before. */
+  /** True until the sidecar has barred the permit that was sent earlier. */
   mayHaveRun: boolean;
-  /** Record that its side has promised never to run. */
-  barred?: LogOffset;
-  /** Record that its side had not seen, and since when (timer time). */
+  /** Record that its sidecar has barred, so that it never runs. */
+  barredRecord?: LogOffset;
+  /** Record that its sidecar had not seen, and since when (timer time). */
   notSeen?: { readonly record: LogOffset; readonly since: number };
 }
 
-/** The next thing to do for a request. */
+/** The next step of an acquisition. */
 export type Decision =
   | { readonly kind: "result"; readonly result: AcquireResult }
   | { readonly kind: "choose" }
@@ -67,7 +70,7 @@
     readonly owner: OnceOwner;
     readonly question: OnceQuestion;
   }
-  /** Wait until the log brings further records. */
+  /** Wait for further records on the log. */
   | { readonly kind: "wait" };
 
 export function beginAcquisition(
@@ -77,31 +80,35 @@
   return {
     key,
     fingerprint: options.fingerprint,
-    lost: options.lost,
+    lostPermit: options.lost,
     inDoubt: false,
     mayHaveRun: options.lost !== undefined,
   };
 }
 
-/** What to do now, by what the request knows and the log shows. */
+/** Returns the next step, given the request's state and the log's. */
 export function decide(
   acquisition: Acquisition,
   view: { readonly fold: OnceFold; readonly now: number },
 ): Decision {
   const { fold, now } = view;
   if (fold.isExpired(acquisition.key)) {
-    return result(expired(acquisition.mayHaveRun));
+    return resultDecision(expiredResult(acquisition.mayHaveRun));
   }
   const owner = fold.owner(acquisition.key);
   if (owner === undefined) {
-    return acquisition.mayHaveRun ? { kind: "wait" } : own(acquisition, -1);
+    return acquisition.mayHaveRun
+      ? { kind: "wait" }
+      : takeOwnership(acquisition, -1);
+  }
+  if (owner.record === acquisition.ownRecord) {
+    return resultDecision(runResult(owner));
   }
-  if (owner.record === acquisition.ownRecord) return result(run(owner));
   if (owner.fingerprint !== acquisition.fingerprint) {
-    return result(keyConflict());
+    return resultDecision(keyConflict());
   }
-  if (owner.record === acquisition.barred) {
-    return own(acquisition, owner.record);
+  if (owner.record === acquisition.barredRecord) {
+    return takeOwnership(acquisition, owner.record);
   }
   return {
     kind: "ask",
@@ -110,13 +117,15 @@
       key: owner.key,
       record: owner.record,
       sideIncarnation: owner.sideIncarnation,
-      bar: isToBeBarred(acquisition, { owner, now }),
+      bar: shouldBar(acquisition, { owner, now }),
     },
   };
 }
 
-/** The record that would own the key, unless it was written already. */
-function own(acquisition: Acquisition, replaces: number): Decision {
+/**
+ * Appends the record that would own the key, unless it was already appended.
+ */
+function takeOwnership(acquisition: Acquisition, replaces: number): Decision {
   if (acquisition.appended === replaces) return { kind: "wait" };
   const { choice } = acquisition;
   if (choice === undefined) return { kind: "choose" };
@@ -132,28 +141,33 @@
   return { kind: "append", body };
 }
 
-/** A request bars its own lost permit at once, another's after the grace. */
-function isToBeBarred(
+/**
+ * A request bars its own lost permit at once, another request's record only
+ * after `BAR_GRACE_MILLISECONDS`.
+ */
+function shouldBar(
   acquisition: Acquisition,
   view: { readonly owner: OnceOwner; readonly now: number },
 ): boolean {
-  if (acquisition.lost?.record === view.owner.record) return true;
+  if (acquisition.lostPermit?.record === view.owner.record) return true;
   const { notSeen } = acquisition;
   if (notSeen?.record !== view.owner.record) return false;
   return view.now - notSeen.since >= BAR_GRACE_MILLISECONDS;
 }
 
-/** Notes that an append is on its way; from here on it may land any time. */
+/** Records that an append has started; from here on it may land at any time. */
 export function noteAppend(acquisition: Acquisition, body: OnceRecord): void {
   acquisition.appended = body.replaces;
   acquisition.inDoubt = true;
 }
 
 /**
- * Takes the append's outcome; gives a result where the log is down. An append
- * in doubt ends the request as well: holding the caller until its deadline
- * would gain nothing, since a record that lands later names a permit that was
- * never sent, and whoever reads it bars it first.
+ * Records the outcome of the append; returns "log_down" where it failed.
+ *
+ * An append with an unknown outcome ends the request as well: holding the
+ * caller until its deadline would gain nothing, since a record that lands later
+ * names a permit that was never sent, and any reader of that record bars it
+ * first.
  */
 export function takeAppended(
   acquisition: Acquisition,
@@ -169,8 +183,8 @@
 }
 
 /**
- * The log took nothing. Another request may own the key by now; its record
- * decides then, and an answer that its side keeps needs no log.
+ * Result after a failed append. Another request may own the key by now; its
+ * record decides then, and an answer that its sidecar stores needs no log.
  */
 export function whenLogDown(
   acquisition: Acquisition,
@@ -180,46 +194,50 @@
   if (owner !== undefined && owner.record !== acquisition.appended) {
     return undefined;
   }
-  return logDown();
+  return logUnavailable();
 }
 
 /**
- * Takes what the owner's side said; gives a result where it is final, or
- * "later" where the side is to be asked again after a while.
+ * Handles the answer of the owner's sidecar. Returns a result if it is final,
+ * "now" to decide again at once, or "later" to query the sidecar again after a
+ * delay.
  */
 export function takeAnswer(
   acquisition: Acquisition,
-  given: {
+  response: {
     readonly record: LogOffset;
     readonly answer: OnceAnswer;
     readonly now: number;
   },
 ): AcquireResult | "later" | "now" {
-  switch (given.answer.state) {
+  switch (response.answer.state) {
     case "answered":
-      return answered(given.answer);
+      return answeredResult(response.answer);
     case "barred":
-      acquisition.barred = given.record;
+      acquisition.barredRecord = response.record;
       acquisition.mayHaveRun = false;
       return "now";
     case "not_seen":
-      if (acquisition.notSeen?.record !== given.record) {
-        acquisition.notSeen = { record: given.record, since: given.now };
+      if (acquisition.notSeen?.record !== response.record) {
+        acquisition.notSeen = { record: response.record, since: response.now };
       }
       return "later";
     case "running":
       return "later";
     case "failed":
-      return unknown("The work was started and its answer is not known");
+      return unknownResult("The work was started, but its answer is not known");
     case "other_incarnation":
-      return unknown("The side that may have run the work is gone");
+      return unknownResult(
+        "The sidecar that may have run the work has since restarted",
+      );
   }
 }
 
 /**
- * Time is up. This request's own permit never went out unless `mayHaveRun`,
- * and nobody else can use it, so "not run" stays true even while an append
- * is in doubt: whoever reads that record later has to bar it first.
+ * Result at the deadline. This request's own permit was never sent unless
+ * `mayHaveRun`, and no other request can use it, so "not run" stays true even
+ * while the outcome of an append is unknown: any later reader of that record
+ * has to bar it first.
  */
 export function giveUp(
   acquisition: Acquisition,
@@ -227,15 +245,19 @@
 ): AcquireResult {
   const owner = fold.owner(acquisition.key);
   if (acquisition.mayHaveRun) {
-    return unknown("The side did not say in time what became of the work");
+    return unknownResult(
+      "The sidecar did not report the outcome of the work before the deadline",
+    );
   }
-  if (owner === undefined || owner.record === acquisition.barred) {
-    return acquisition.inDoubt ? logDown() : outOfTime();
+  if (owner === undefined || owner.record === acquisition.barredRecord) {
+    return acquisition.inDoubt ? logUnavailable() : deadlineExceeded();
   }
-  if (owner.record === acquisition.ownRecord) return outOfTime();
-  return unknown("An earlier request with this key has not ended in time");
+  if (owner.record === acquisition.ownRecord) return deadlineExceeded();
+  return unknownResult(
+    "An earlier request with this key did not finish before the deadline",
+  );
 }
 
-function result(value: AcquireResult): Decision {
+function resultDecision(value: AcquireResult): Decision {
   return { kind: "result", result: value };
 }
--- a/src/core/once/coordinator.ts
+++ b/src/core/once/coordinator.ts
@@ -27,25 +27,29 @@
 import {
   type AcquireResult,
   keyInvalid,
-  keyNeeded,
-  refused,
+  keyRequired,
+  refusedResult,
 } from "./results.ts";
-import { Waiting } from "./waiting.ts";
+import { DeadlineWaiter } from "./deadline_waiter.ts";
 
 export interface AcquireOptions {
-  /** The caller's `Idempotency-Key` as it came; absent: `key_needed`. */
+  /**
+   * The caller's `Idempotency-Key` as received; undefined gives `key_needed`.
+   */
   readonly key: string | undefined;
   readonly workspace?: string;
   /** Hash of method, path and body. */
   readonly fingerprint: string;
-  /** Picks where to run; called at most once, and only if a record is needed. */
+  /**
+   * Picks where to run; called at most once, and only if a record is needed.
+   */
   readonly choose: () => Promise<Result<OnceChoice, Refusal>>;
-  /** Timer time at which waiting ends, milliseconds. */
+  /** Timer time at which the request stops waiting, milliseconds. */
   readonly deadline?: number;
   /**
-   * Permit that this request has sent already and whose fate it does not
-   * know: the side is asked to bar it at once, and until it has, no result
-   * says that nothing has run.
+   * Permit that this request has already sent and whose outcome is unknown. The
+   * sidecar is asked to bar it at once, and until it has, no result says that
+   * nothing has call.
    */
   readonly lost?: OncePermit;
 }
@@ -53,13 +57,14 @@
 export interface OnceCoordinatorOptions {
   readonly fold: OnceFold;
   /**
-   * Appends to the region's `once` stream. `ok` gives the record's offset;
-   * the coordinator trusts it only after reading the record there.
+   * Appends to the region's `once` stream. `ok` returns the record's offset;
+   * the coordinator relies on it only after reading the record back at that
+   * offset.
    */
   readonly append: (
     body: OnceRecord,
   ) => Promise<Result<LogOffset, JournalFailure>>;
-  /** Asks the side that stands beside the endpoint. */
+  /** Queries the sidecar of the endpoint. */
   readonly ask: (
     endpoint: EndpointId,
     question: OnceQuestion,
@@ -67,65 +72,68 @@
   readonly timer: TimerService;
 }
 
-/** Longest wait where a request brings no deadline. */
+/** Longest wait of a request without a deadline. */
 const DEFAULT_WAIT_MILLISECONDS = 30_000;
 /**
- * Keys move stream time, so one key from a caller whose clock runs ahead would
- * expire everybody's. Five minutes pass badly set clocks, not wrong ones.
+ * Largest accepted lead of a key's time over the wall clock. Keys advance
+ * stream time, so one key from a caller whose clock runs ahead would expire the
+ * keys of all callers. Five minutes tolerate an inaccurate clock but not a
+ * wrong one.
  */
-const MOST_AHEAD_MILLISECONDS = 5 * 60_000;
-/** A repeat of a running call asks this often; a call takes seconds. */
-const ASK_AGAIN_MILLISECONDS = 100;
+const MAX_KEY_TIME_LEAD_MILLISECONDS = 5 * 60_000;
+/** Interval of queries about a running call; a call takes seconds. */
+const QUERY_INTERVAL_MILLISECONDS = 100;
 
 /**
- * How long a side may stay away before its caller is told that the outcome is
- * not known: a frozen or restarting side is back within it, as is a link that
- * was cut for a moment.
+ * How long a sidecar may be unreachable before its caller gets an unknown
+ * outcome. A paused or restarting sidecar is back within this time, as is a
+ * link that was briefly interrupted.
  */
-const UNHEARD_MILLISECONDS = 4_000;
+const UNREACHABLE_TIMEOUT_MILLISECONDS = 4_000;
 
-/** One call of `acquire` on its way. */
-interface Run {
+/** One call of `acquire` in progress. */
+interface AcquireCall {
   readonly acquisition: Acquisition;
   readonly choose: AcquireOptions["choose"];
   readonly deadline: number;
-  /** Timer time from which on every question to the side was lost. */
-  unheardSince?: number;
+  /** Timer time of the first lost query since the sidecar's last answer. */
+  unreachableSince?: number;
 }
 
 /**
- * Takes idempotency keys for the requests of one entry. The record goes onto
- * the log before the work goes out; whoever stands first in the log's order
- * runs, and everybody else asks the side that the record names.
+ * Acquires idempotency keys for the requests of one entry. The record is
+ * appended to the log before the work is dispatched. The first record of a key
+ * in log order runs; every other request queries the sidecar that the record
+ * names.
  */
 export class OnceCoordinator {
   readonly #options: OnceCoordinatorOptions;
-  readonly #waiting: Waiting;
+  readonly #waiter: DeadlineWaiter;
 
   constructor(options: OnceCoordinatorOptions) {
     this.#options = options;
-    this.#waiting = new Waiting(options);
+    this.#waiter = new DeadlineWaiter(options);
   }
 
   async acquire(options: AcquireOptions): Promise<AcquireResult> {
-    if (options.key === undefined) return keyNeeded();
+    if (options.key === undefined) return keyRequired();
     const key = scopedKey(options.workspace ?? "", options.key);
     if (key.isErr()) return keyInvalid(key.error.message);
-    if (this.#isAhead(key.value)) {
-      return keyInvalid("The key's time lies in the future");
+    if (this.#isInFuture(key.value)) {
+      return keyInvalid("The time in the idempotency key is in the future");
     }
     const { timer } = this.#options;
-    const run: Run = {
+    const call: AcquireCall = {
       acquisition: beginAcquisition(key.value, options),
       choose: options.choose,
       deadline: options.deadline ?? timer.now() + DEFAULT_WAIT_MILLISECONDS,
     };
-    return await this.#carryOut(run);
+    return await this.#run(call);
   }
 
   /**
-   * True where a record stands for the key: its work may have run, also where
-   * the request that asks has sent nothing.
+   * True if a record owns the key: its work may have run, even if the calling
+   * request has sent nothing.
    */
   isOwned(key: string, workspace: string): boolean {
     const scoped = scopedKey(workspace, key);
@@ -133,100 +141,103 @@
       this.#options.fold.owner(scoped.value) !== undefined;
   }
 
-  async #carryOut(run: Run): Promise<AcquireResult> {
+  async #run(call: AcquireCall): Promise<AcquireResult> {
     const { fold, timer } = this.#options;
     for (;;) {
-      const decision = decide(run.acquisition, { fold, now: timer.now() });
+      const decision = decide(call.acquisition, { fold, now: timer.now() });
       if (decision.kind === "result") return decision.result;
-      if (timer.now() >= run.deadline) return giveUp(run.acquisition, fold);
-      const result = await this.#perform(run, decision);
+      if (timer.now() >= call.deadline) return giveUp(call.acquisition, fold);
+      const result = await this.#execute(call, decision);
       if (result !== undefined) return result;
     }
   }
 
-  #isAhead(key: IdempotencyKey): boolean {
+  #isInFuture(key: IdempotencyKey): boolean {
     const ahead = (timeOfKey(key) ?? 0) - this.#options.timer.wallClock();
-    return ahead > MOST_AHEAD_MILLISECONDS;
+    return ahead > MAX_KEY_TIME_LEAD_MILLISECONDS;
   }
 
-  async #perform(
-    run: Run,
+  async #execute(
+    call: AcquireCall,
     decision: Exclude<Decision, { kind: "result" }>,
   ): Promise<AcquireResult | undefined> {
     switch (decision.kind) {
       case "choose": {
-        const choice = await run.choose();
-        if (choice.isErr()) return refused(choice.error);
-        run.acquisition.choice = choice.value;
+        const choice = await call.choose();
+        if (choice.isErr()) return refusedResult(choice.error);
+        call.acquisition.choice = choice.value;
         return undefined;
       }
       case "append":
-        return await this.#append(run, decision.body);
+        return await this.#append(call, decision.body);
       case "ask":
-        return await this.#ask(run, decision);
+        return await this.#query(call, decision);
       case "wait":
-        await this.#waiting.change(run.deadline);
+        await this.#waiter.nextChange(call.deadline);
         return undefined;
     }
   }
 
   async #append(
-    run: Run,
+    call: AcquireCall,
     body: OnceRecord,
   ): Promise<AcquireResult | undefined> {
-    noteAppend(run.acquisition, body);
-    const outcome = await this.#waiting.until(
-      run.deadline,
+    noteAppend(call.acquisition, body);
+    const outcome = await this.#waiter.beforeDeadline(
+      call.deadline,
       this.#options.append(body),
     );
     if (outcome === undefined) return undefined;
-    const taken = takeAppended(
-      run.acquisition,
+    const result = takeAppended(
+      call.acquisition,
       outcome.isOk()
         ? { offset: outcome.value }
         : { failure: outcome.error.name },
     );
-    if (taken === undefined) return undefined;
-    return whenLogDown(run.acquisition, this.#options.fold);
+    if (result === undefined) return undefined;
+    return whenLogDown(call.acquisition, this.#options.fold);
   }
 
-  async #ask(
-    run: Run,
+  async #query(
+    call: AcquireCall,
     decision: Extract<Decision, { kind: "ask" }>,
   ): Promise<AcquireResult | undefined> {
     const { owner, question } = decision;
-    const answer = await this.#waiting.until(
-      run.deadline,
+    const answer = await this.#waiter.beforeDeadline(
+      call.deadline,
       this.#options.ask(owner.endpoint, question),
     );
     if (answer === undefined) return undefined;
-    if (answer.isErr()) return await this.#afterLostQuestion(run);
-    run.unheardSince = undefined;
-    const taken = takeAnswer(run.acquisition, {
+    if (answer.isErr()) return await this.#handleFailedQuery(call);
+    call.unreachableSince = undefined;
+    const result = takeAnswer(call.acquisition, {
       record: owner.record,
       answer: answer.value,
       now: this.#options.timer.now(),
     });
-    if (taken === "now") return undefined;
-    return taken === "later" ? await this.#askLater(run) : taken;
+    if (result === "now") return undefined;
+    return result === "later" ? await this.#waitForNextQuery(call) : result;
   }
 
   /**
-   * The side can't be asked. It may be back in a moment; a side that stays away
-   * does not answer before the deadline either, and holding the caller on the
-   * line until then would change nothing of what it is told.
+   * Handles a failed query. The sidecar may be reachable again shortly; one
+   * that stays away does not answer before the deadline either, so holding the
+   * caller longer than `UNREACHABLE_TIMEOUT_MILLISECONDS` would not change its
+   * result.
    */
-  async #afterLostQuestion(run: Run): Promise<AcquireResult | undefined> {
+  async #handleFailedQuery(
+    call: AcquireCall,
+  ): Promise<AcquireResult | undefined> {
     const now = this.#options.timer.now();
-    run.unheardSince ??= now;
-    if (now - run.unheardSince >= UNHEARD_MILLISECONDS) {
-      return giveUp(run.acquisition, this.#options.fold);
+    call.unreachableSince ??= now;
+    if (now - call.unreachableSince >= UNREACHABLE_TIMEOUT_MILLISECONDS) {
+      return giveUp(call.acquisition, this.#options.fold);
     }
-    return await this.#askLater(run);
+    return await this.#waitForNextQuery(call);
   }
 
-  async #askLater(run: Run): Promise<undefined> {
-    const again = this.#options.timer.now() + ASK_AGAIN_MILLISECONDS;
-    await this.#waiting.change(Math.min(again, run.deadline));
+  async #waitForNextQuery(call: AcquireCall): Promise<undefined> {
+    const again = this.#options.timer.now() + QUERY_INTERVAL_MILLISECONDS;
+    await this.#waiter.nextChange(Math.min(again, call.deadline));
   }
 }
--- a/src/core/once/coordinator_test.ts
+++ b/src/core/once/coordinator_test.ts
@@ -29,15 +29,15 @@
   return { name, title: name, message: name, hint: name };
 }
 
-/** One entry before one side, with a log that a test can break. */
-class Bench {
+/** One entry and one sidecar, with a log whose appends a test can fail. */
+class Harness {
   readonly timer = new ManualTimerService(timeOfKey(KEY));
   readonly fold = new OnceFold();
   readonly side = new SideOnceTable({ incarnation: "i1" });
   readonly records: OnceRecord[] = [];
   append: (body: OnceRecord) => Promise<Result<LogOffset, JournalFailure>> = (
     body,
-  ) => Promise.resolve(ok(this.land(body)));
+  ) => Promise.resolve(ok(this.appendRecord(body)));
   ask: (question: OnceQuestion) => Result<OnceAnswer, LinkFailure> = (
     question,
   ) => ok(this.side.ask(question));
@@ -48,7 +48,7 @@
     timer: this.timer,
   });
 
-  land(body: OnceRecord): LogOffset {
+  appendRecord(body: OnceRecord): LogOffset {
     const offset = numbered<LogOffset>(this.records.push(body) - 1);
     this.fold.apply(offset, body);
     return offset;
@@ -69,7 +69,9 @@
     });
   }
 
-  async settle(options: Partial<AcquireOptions> = {}): Promise<AcquireResult> {
+  async acquireAndAdvance(
+    options: Partial<AcquireOptions> = {},
+  ): Promise<AcquireResult> {
     const result = this.acquire(options);
     await this.timer.advance(6_000);
     return await result;
@@ -83,13 +85,13 @@
 
 describe("OnceCoordinator", () => {
   describe("first request", () => {
-    it("runs once its record stands first on the log", async () => {
-      const result = await new Bench().settle();
+    it("runs once its record is the key's first on the log", async () => {
+      const result = await new Harness().acquireAndAdvance();
       expect(permitOf(result).record).to.equal(0);
     });
 
     it("is refused at once while the log is down", async () => {
-      const bench = new Bench();
+      const bench = new Harness();
       bench.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
       const result = await bench.acquire();
@@ -97,28 +99,28 @@
       expect(bench.timer.now()).to.equal(0);
     });
 
-    it("needs a key that carries its time", async () => {
-      const bench = new Bench();
+    it("requires a key that contains its time", async () => {
+      const bench = new Harness();
       expect(await bench.acquire({ key: undefined }))
         .to.have.nested.property("refusal.reason", "key_needed");
       expect(await bench.acquire({ key: "booking-7" }))
         .to.have.nested.property("refusal.reason", "invalid");
     });
 
-    it("never sends on an append in doubt, and a retry can still run", async () => {
-      // The log takes the record and its answer is lost for good. The entry
-      // says "not run"; the caller tries again and must get one booking.
-      const bench = new Bench();
+    it("does not send after an append with unknown outcome, and a retry can still run", async () => {
+      // The log appends the record, but the answer is lost. The entry answers
+      // "not run"; the caller's retry must make exactly one booking.
+      const bench = new Harness();
       bench.append = (body) => {
-        bench.land(body);
+        bench.appendRecord(body);
         return Promise.resolve(err(journalFailure("append_unknown")));
       };
       bench.ask = () => err(failure(LOST, {}));
-      const first = await bench.settle();
+      const first = await bench.acquireAndAdvance();
       expect(first.kind).to.equal("unknown");
       bench.ask = (question) => ok(bench.side.ask(question));
-      bench.append = (body) => Promise.resolve(ok(bench.land(body)));
-      const second = await bench.settle();
+      bench.append = (body) => Promise.resolve(ok(bench.appendRecord(body)));
+      const second = await bench.acquireAndAdvance();
       expect(permitOf(second).record).to.equal(1);
       expect(bench.side.begin(permitOf(second))).to.equal("run");
     });
@@ -126,13 +128,13 @@
 
   describe("a retry through another entry", () => {
     it("gets the first answer", async () => {
-      // The caller lost the answer and asks again. It must see the same
-      // permit number, and the permit must be booked once.
-      const bench = new Bench();
-      const permit = permitOf(await bench.settle());
+      // The caller lost the answer and retries. It must get the same permit
+      // number, and the permit must be booked once.
+      const bench = new Harness();
+      const permit = permitOf(await bench.acquireAndAdvance());
       bench.side.begin(permit);
       bench.side.finish(permit, { status: 200, body: "permit 3" });
-      expect(await bench.settle()).to.have.nested.property(
+      expect(await bench.acquireAndAdvance()).to.have.nested.property(
         "answer.body",
         "permit 3",
       );
@@ -140,30 +142,30 @@
     });
 
     it("gets the first answer while the log is down", async () => {
-      const bench = new Bench();
-      const permit = permitOf(await bench.settle());
+      const bench = new Harness();
+      const permit = permitOf(await bench.acquireAndAdvance());
       bench.side.begin(permit);
       bench.side.finish(permit, { status: 200, body: "permit 3" });
       bench.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
-      expect((await bench.settle()).kind).to.equal("answered");
+      expect((await bench.acquireAndAdvance()).kind).to.equal("answered");
     });
 
-    it("bars an owner that does not send, and only then takes over", async () => {
-      // The first entry is paused between its record and the dispatch. When
-      // it wakes, its dispatch must find the bar.
-      const bench = new Bench();
-      const first = permitOf(await bench.settle());
-      const second = permitOf(await bench.settle());
+    it("bars an owner that does not send before taking over", async () => {
+      // The first entry is paused between its record and the dispatch. After it
+      // resumes, the sidecar must reject its dispatch as barred.
+      const bench = new Harness();
+      const first = permitOf(await bench.acquireAndAdvance());
+      const second = permitOf(await bench.acquireAndAdvance());
       expect(bench.side.begin(first)).to.equal("barred");
       expect(bench.side.begin(second)).to.equal("run");
     });
 
-    // The VM of the side that ran the call is gone. The caller is told so while
-    // it still has most of its time, and can turn to a person.
-    it("is told unknown soon where the side can't be asked any more", async () => {
-      const bench = new Bench();
-      await bench.settle();
+    // The VM of the sidecar that ran the call is gone. The caller must learn
+    // this while most of its time is left.
+    it("returns unknown within seconds when the sidecar is unreachable", async () => {
+      const bench = new Harness();
+      await bench.acquireAndAdvance();
       bench.ask = () => err(failure(LOST, {}));
       let result: AcquireResult | undefined;
       void bench.acquire({ deadline: bench.timer.now() + 60_000 })
@@ -174,46 +176,48 @@
       expect(result?.kind).to.equal("unknown");
     });
 
-    it("is told unknown where the side is gone", async () => {
-      // The side died with the call. Nobody can tell whether it ran, so a
-      // second run would risk a doubled case number.
-      const bench = new Bench();
-      permitOf(await bench.settle());
+    it("returns unknown when the sidecar has restarted", async () => {
+      // The sidecar failed during the call. Whether it ran is unknown, so a
+      // second run could issue a duplicate case number.
+      const bench = new Harness();
+      permitOf(await bench.acquireAndAdvance());
       bench.ask = () => ok({ state: "other_incarnation" });
-      expect((await bench.settle()).kind).to.equal("unknown");
+      expect((await bench.acquireAndAdvance()).kind).to.equal("unknown");
     });
 
-    it("is refused where the body differs", async () => {
-      const bench = new Bench();
-      await bench.settle();
-      expect(await bench.settle({ fingerprint: "g" }))
+    it("is refused when the body differs", async () => {
+      const bench = new Harness();
+      await bench.acquireAndAdvance();
+      expect(await bench.acquireAndAdvance({ fingerprint: "g" }))
         .to.have.nested.property("refusal.reason", "key_conflict");
     });
   });
 
   describe("a lost dispatch", () => {
-    it("runs again only behind the bar", async () => {
-      // The connection broke as the work went out. It may still arrive.
-      const bench = new Bench();
-      const lost = permitOf(await bench.settle());
-      const again = permitOf(await bench.settle({ lost }));
+    it("runs again only after the bar", async () => {
+      // The connection failed while the work was sent. It may still arrive.
+      const bench = new Harness();
+      const lost = permitOf(await bench.acquireAndAdvance());
+      const again = permitOf(await bench.acquireAndAdvance({ lost }));
       expect(again.record).to.equal(1);
       expect(bench.side.begin(lost)).to.equal("barred");
     });
 
-    it("says unknown, never not run, where the side can't be asked", async () => {
-      const bench = new Bench();
-      const lost = permitOf(await bench.settle());
+    it("returns unknown, never not run, when the sidecar is unreachable", async () => {
+      const bench = new Harness();
+      const lost = permitOf(await bench.acquireAndAdvance());
       bench.ask = () => err(failure(LOST, {}));
-      expect((await bench.settle({ lost })).kind).to.equal("unknown");
+      expect((await bench.acquireAndAdvance({ lost })).kind).to.equal(
+        "unknown",
+      );
     });
 
-    it("may say not run once the side has barred it", async () => {
-      const bench = new Bench();
-      const lost = permitOf(await bench.settle());
+    it("can return not run once the sidecar has barred it", async () => {
+      const bench = new Harness();
+      const lost = permitOf(await bench.acquireAndAdvance());
       bench.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
-      expect(await bench.settle({ lost }))
+      expect(await bench.acquireAndAdvance({ lost }))
         .to.have.nested.property("refusal.reason", "log_down");
       expect(bench.side.begin(lost)).to.equal("barred");
     });
--- a/src/core/once/waiting.ts
+++ b/src/core/once/deadline_waiter.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "../time/mod.ts";
 
-/** Waits that end at a deadline, whatever the other side does. */
-export class Waiting {
+/** Waits with a deadline. */
+export class DeadlineWaiter {
   readonly #timer: TimerService;
   readonly #fold: { subscribe(listener: () => void): () => void };
 
@@ -13,33 +13,35 @@
     this.#fold = options.fold;
   }
 
-  /** The promise's value, or undefined where the deadline comes first. */
-  until<Value>(
+  /** The promise's value, or undefined if the deadline passes first. */
+  beforeDeadline<Value>(
     deadline: number,
     promise: Promise<Value>,
   ): Promise<Value | undefined> {
     return new Promise((resolve, reject) => {
-      const alarm = this.#timer.after(
+      const timeout = this.#timer.after(
         deadline - this.#timer.now(),
         () => resolve(undefined),
       );
       promise.then((value) => {
-        alarm.cancel();
+        timeout.cancel();
         resolve(value);
       }, reject);
     });
   }
 
-  /** Settles when the fold has read a further record, or at the deadline. */
-  change(deadline: number): Promise<void> {
+  /**
+   * Resolves when the fold has applied a further record, or at the deadline.
+   */
+  nextChange(deadline: number): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
         unsubscribe();
-        alarm.cancel();
+        timeout.cancel();
         resolve();
       };
       const unsubscribe = this.#fold.subscribe(done);
-      const alarm = this.#timer.after(deadline - this.#timer.now(), done);
+      const timeout = this.#timer.after(deadline - this.#timer.now(), done);
     });
   }
 }
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -10,7 +10,9 @@
 import type { StreamFold } from "../journal/mod.ts";
 import { timeOfKey } from "./key.ts";
 
-/** The record that owns a key at present, and who alone may execute it. */
+/**
+ * The record that currently owns a key, and the only place that may execute it.
+ */
 export interface OnceOwner {
   readonly key: IdempotencyKey;
   readonly record: LogOffset;
@@ -20,27 +22,31 @@
 }
 
 /**
- * How long a key is remembered, counted in the time that keys carry.
- * Load: every non-idempotent request of a region puts one key into the memory
- * of every entry. Harm prevented: a retry after the caller's own reconnect
- * (minutes) must still find the first run; without an end the memory grows
- * until the entry dies. Limit: half an hour covers retries by people and
- * machines; docs/ONCE.md gives the memory per key that was measured.
- * Two readers with other windows stay safe: each takes a record either by the
- * same rule or as void, and a saved state says how far its writer has forgotten.
+ * How long a key is stored, measured in the time that keys carry. Every
+ * non-idempotent request of a region adds one key to the memory of every entry,
+ * so without expiry the memory grows until the entry fails. A retry after the
+ * caller's own reconnect (minutes) must still find the first run; half an hour
+ * covers retries by people and machines. docs/ONCE.md has the measured memory
+ * per key.
+ *
+ * Two readers with different windows stay safe: each takes a record by the same
+ * rule or treats it as void, and a saved state contains the writer's expiry
+ * threshold.
  */
 export const ONCE_WINDOW_MILLISECONDS = 30 * 60_000;
 
-/** Keys are forgotten in groups of this width, so no sorted list is needed. */
-const GROUP_WIDTH_MILLISECONDS = 60_000;
+/**
+ * Width of the time buckets in which keys expire, so no sorted list is needed.
+ */
+const BUCKET_MILLISECONDS = 60_000;
 
 export interface OnceFoldOptions {
   readonly windowMilliseconds?: number;
-  /** Told of each record that takes a key over, after it has. */
+  /** Called after a record has become the owner of its key. */
   readonly onOwner?: (owner: OnceOwner, replaces: number) => void;
   /**
-   * Stands in for the compare-and-set of `replaces`; only the search and the
-   * fault matrix pass it, to show what happens without.
+   * Replaces the compare-and-set on `replaces`; only the schedule search and
+   * the fault matrix set it, to show the failures that it prevents.
    */
   readonly mayReplace?: (
     record: OnceRecord,
@@ -49,28 +55,28 @@
 }
 
 /**
- * Who owns each idempotency key, by position in the `once` stream alone. The
- * first record of a key owns it; a later one takes over only if it names the
- * current record's offset in `replaces`. Anything else is void, for every
- * reader alike, however late it landed.
+ * Owner of each idempotency key, determined by position in the `once` stream
+ * alone. The first record of a key owns it; a later one takes over only if it
+ * names the current record's offset in `replaces`. Every other record is void
+ * for every reader, however late it landed.
  *
- * Forgetting needs no clock: stream time is the highest time that any key
- * read so far carries. A key that is older than stream time by more than the
- * window is void from that position on, and only such keys are forgotten, so
- * a forgotten key can never be owned anew.
+ * Expiry uses no clock: stream time is the highest time of any key read so far.
+ * A key that is older than stream time by more than the window is void from
+ * that position on, and only such keys are removed, so a removed key can never
+ * be owned again.
  */
 export class OnceFold implements StreamFold {
   readonly #window: number;
   readonly #onOwner: (owner: OnceOwner, replaces: number) => void;
   readonly #mayReplace: NonNullable<OnceFoldOptions["mayReplace"]>;
   readonly #owners = new Map<string, OnceOwner>();
-  readonly #groups = new Map<number, string[]>();
-  /** One copy of each endpoint's and incarnation's text for all its keys. */
-  readonly #texts = new Map<string, string>();
+  readonly #keysByBucket = new Map<number, string[]>();
+  /** Interned endpoint and incarnation strings, shared by all keys. */
+  readonly #internedStrings = new Map<string, string>();
   readonly #listeners = new Set<() => void>();
   #streamTime = 0;
-  /** Keys of an earlier time are void; it only rises. */
-  #horizon = 0;
+  /** Keys with an earlier time are void; only increases. */
+  #expiryThreshold = 0;
   #upTo = -1;
 
   constructor(options: OnceFoldOptions = {}) {
@@ -84,7 +90,7 @@
     return this.#streamTime;
   }
 
-  /** Offset of the last record that is part of the state; -1 for none. */
+  /** Offset of the last applied record; -1 before the first. */
   get upTo(): number {
     return this.#upTo;
   }
@@ -93,19 +99,24 @@
     return this.#owners.size;
   }
 
-  /** Current owner of a key; undefined where there is none or it expired. */
+  /**
+   * Current owner of a key; undefined if there is none or the key has expired.
+   */
   owner(key: IdempotencyKey): OnceOwner | undefined {
     const owner = this.#owners.get(key);
     return owner === undefined || this.isExpired(key) ? undefined : owner;
   }
 
-  /** True where every record of this key is void from here on. */
+  /** True if every further record of this key is void. */
   isExpired(key: IdempotencyKey): boolean {
     const time = timeOfKey(key);
-    return time === undefined || time < this.#horizon;
+    return time === undefined || time < this.#expiryThreshold;
   }
 
-  /** Calls the listener after each change of position; gives the way to stop. */
+  /**
+   * Calls the listener after each change of position; returns the unsubscribe
+   * function.
+   */
   subscribe(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
@@ -124,26 +135,28 @@
     return {
       upTo: this.#upTo,
       streamTime: this.#streamTime,
-      horizon: this.#horizon,
+      horizon: this.#expiryThreshold,
       owners,
     };
   }
 
   load(state: Record<string, unknown>): void {
     this.#owners.clear();
-    this.#groups.clear();
+    this.#keysByBucket.clear();
     this.#upTo = Number(state.upTo ?? -1);
     this.#streamTime = Number(state.streamTime ?? 0);
-    this.#horizon = horizonOf(state, this.#window);
-    for (const owner of (state.owners ?? []) as OnceOwner[]) this.#keep(owner);
+    this.#expiryThreshold = expiryThresholdOf(state, this.#window);
+    for (const owner of (state.owners ?? []) as OnceOwner[]) {
+      this.#storeOwner(owner);
+    }
     for (const listener of [...this.#listeners]) listener();
   }
 
   #applyOnce(offset: LogOffset, record: OnceRecord): void {
     const time = timeOfKey(record.key);
     if (time === undefined || time !== record.keyTime) return;
-    if (time < this.#horizon) return;
-    this.#advance(time);
+    if (time < this.#expiryThreshold) return;
+    this.#advanceStreamTime(time);
     const key = identifier<IdempotencyKey>(record.key);
     const current = this.#owners.get(key);
     if (!this.#mayReplace(record, current)) return;
@@ -151,67 +164,78 @@
       key,
       record: numbered<LogOffset>(offset),
       fingerprint: record.fingerprint,
-      endpoint: identifier(this.#text(record.endpoint)),
-      sideIncarnation: identifier(this.#text(record.sideIncarnation)),
+      endpoint: identifier(this.#intern(record.endpoint)),
+      sideIncarnation: identifier(this.#intern(record.sideIncarnation)),
     };
-    this.#keep(owner);
+    this.#storeOwner(owner);
     this.#onOwner(owner, record.replaces);
   }
 
-  #keep(owner: OnceOwner): void {
+  #storeOwner(owner: OnceOwner): void {
     const known = this.#owners.has(owner.key);
     this.#owners.set(owner.key, owner);
     if (known) return;
-    const group = groupOf(timeOfKey(owner.key) ?? 0);
-    const keys = this.#groups.get(group);
-    if (keys === undefined) this.#groups.set(group, [owner.key]);
+    const group = bucketOf(timeOfKey(owner.key) ?? 0);
+    const keys = this.#keysByBucket.get(group);
+    if (keys === undefined) this.#keysByBucket.set(group, [owner.key]);
     else keys.push(owner.key);
   }
 
-  #advance(time: number): void {
+  #advanceStreamTime(time: number): void {
     if (time <= this.#streamTime) return;
     this.#streamTime = time;
-    this.#horizon = Math.max(this.#horizon, time - this.#window);
-    const oldest = groupOf(this.#horizon);
-    for (const [group, keys] of this.#groups) {
+    this.#expiryThreshold = Math.max(
+      this.#expiryThreshold,
+      time - this.#window,
+    );
+    const oldest = bucketOf(this.#expiryThreshold);
+    for (const [group, keys] of this.#keysByBucket) {
       if (group >= oldest) continue;
       for (const key of keys) this.#owners.delete(key);
-      this.#groups.delete(group);
+      this.#keysByBucket.delete(group);
     }
   }
 
-  #text(value: string): string {
-    const known = this.#texts.get(value);
+  #intern(value: string): string {
+    const known = this.#internedStrings.get(value);
     if (known !== undefined) return known;
-    if (this.#texts.size >= MOST_SHARED_TEXTS) this.#texts.clear();
-    this.#texts.set(value, value);
+    if (this.#internedStrings.size >= MAX_INTERNED_STRINGS) {
+      this.#internedStrings.clear();
+    }
+    this.#internedStrings.set(value, value);
     return value;
   }
 }
 
-/** Twice the 12,000 endpoints of the largest fleet, each with one incarnation. */
-const MOST_SHARED_TEXTS = 24_000;
+/**
+ * Twice the 12,000 endpoints of the largest fleet, each with one incarnation.
+ */
+const MAX_INTERNED_STRINGS = 24_000;
 
 /**
- * A state may come from a process with a shorter window, which has forgotten
- * keys that this one would still remember. Taken for never seen, such a key
- * would be owned anew and its work done twice, so what the writer has
- * forgotten counts as expired here too.
+ * Expiry threshold of a loaded state. The state may come from a process with a
+ * shorter window, which has already removed keys that this process would still
+ * store. Such a key would look new, be owned again and run its work twice, so
+ * keys that the writer has expired count as expired here too.
  */
-function horizonOf(state: Record<string, unknown>, window: number): number {
+function expiryThresholdOf(
+  state: Record<string, unknown>,
+  window: number,
+): number {
   const streamTime = Number(state.streamTime ?? 0);
   return Math.max(Number(state.horizon ?? 0), streamTime - window);
 }
 
-function groupOf(time: number): number {
-  return Math.floor(time / GROUP_WIDTH_MILLISECONDS);
+function bucketOf(time: number): number {
+  return Math.floor(time / BUCKET_MILLISECONDS);
 }
 
 /**
- * Compare-and-set on the key's current record. Without it a record that was
- * given up as lost and lands late takes a key from the side that runs it: the
- * operation then runs on two endpoints, seen as a permit booked twice. A
- * takeover must carry the same fingerprint, or it would answer another body.
+ * Compare-and-set on the key's current record. Without it, a record whose
+ * append was given up and that lands late takes the key from the sidecar that
+ * runs it: the operation then runs on two endpoints, such as a permit booked
+ * twice. A takeover must carry the same fingerprint, or its answer would be
+ * returned for a different body.
  */
 function replacesCurrent(
   record: OnceRecord,
--- a/src/core/once/fold_test.ts
+++ b/src/core/once/fold_test.ts
@@ -34,22 +34,22 @@
 
   describe("ownership", () => {
     it("gives the key to its first record", () => {
-      // Two entries append for one key at the same moment. If the later one
-      // also owned it, the permit would be booked at both endpoints.
+      // Two entries append for one key concurrently. If both records owned it,
+      // the permit would be booked at both endpoints.
       const state = fold([record(key), record(key)]);
       expect(state.owner(key)?.record).to.equal(0);
     });
 
-    it("lets a takeover through only if it names the current record", () => {
-      // Two entries bar the same record and take over at once. The second
-      // must lose, or both run the booking.
+    it("accepts a takeover only if it names the current record", () => {
+      // Two entries bar the same record and take over concurrently. The second
+      // must fail, or both run the booking.
       const state = fold([record(key), record(key, 0), record(key, 0)]);
       expect(state.owner(key)?.record).to.equal(1);
     });
 
     it("voids a takeover with another body", () => {
-      // The caller reuses its key for other work. A takeover by that work
-      // would answer the first request with the second one's result.
+      // The caller reuses its key for other work. A takeover by that work would
+      // answer the first request with the second one's result.
       const state = fold([record(key), {
         ...record(key, 0),
         fingerprint: "g",
@@ -57,18 +57,18 @@
       expect(state.owner(key)?.record).to.equal(0);
     });
 
-    it("voids a record that states another time than its key", () => {
-      // A faulty writer states a fresh time for an old key. Taken at its
-      // word, a forgotten key would be owned and run again.
+    it("voids a record whose time differs from its key's", () => {
+      // A faulty writer sets a recent time for an old key. If the time were
+      // trusted, an expired key would be owned and run again.
       const state = fold([{ ...record(key), keyTime: START + 1 }]);
       expect(state.owner(key)).to.equal(undefined);
     });
   });
 
-  describe("forgetting", () => {
-    it("voids what is older than the window, and forgets only that", () => {
-      // A record is delayed on its way to the log until its key has been
-      // forgotten. Taken as a first record it would run the work again.
+  describe("expiry", () => {
+    it("voids and removes only keys older than the window", () => {
+      // A record reaches the log only after its key has expired. Treated as a
+      // first record, it would run the work again.
       const later = keyAt(START + 31 * MINUTE_MILLISECONDS);
       const state = fold([record(key), record(later), record(key)]);
       expect(state.owner(key)).to.equal(undefined);
@@ -86,10 +86,10 @@
     });
   });
 
-  it("forgets what the writer of a loaded state had forgotten", () => {
-    // During a roll-out two processes remember keys for different times. The
-    // one with the shorter time writes a checkpoint, the other starts from it
-    // and would book the permit of a forgotten key again.
+  it("treats keys that the writer of a loaded state had expired as expired", () => {
+    // During a rollout, two processes use different windows. The one with the
+    // shorter window writes a checkpoint, and the other, starting from it,
+    // would book the permit of an expired key again.
     const short = new OnceFold({ windowMilliseconds: MINUTE_MILLISECONDS });
     const later = keyAt(START + 2 * MINUTE_MILLISECONDS);
     fold([record(key), record(later)], short);
@@ -100,9 +100,9 @@
     expect(long.owner(key)).to.equal(undefined);
   });
 
-  it("comes back from its saved state with the same owners", () => {
-    // A reader that starts from a checkpoint must decide like one that has
-    // read every record, or the two disagree on who runs.
+  it("restores the same owners from a saved state", () => {
+    // A reader that starts from a checkpoint must decide like one that has read
+    // every record, or the two disagree on which request runs.
     const state = fold([record(key), record(key, 0)]);
     const copy = new OnceFold();
     copy.load(JSON.parse(JSON.stringify(state.save())));
--- a/src/core/once/mod.ts
+++ b/src/core/once/mod.ts
@@ -1,4 +1,7 @@
-/** Non-idempotent requests run at most once, across entries and sides. */
+/**
+ * At-most-once execution of non-idempotent requests, across entries and
+ * sidecars.
+ */
 export { scopedKey, timeOfKey } from "./key.ts";
 export {
   ONCE_WINDOW_MILLISECONDS,
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -9,9 +9,10 @@
 import type { KeptAnswer } from "./side_table.ts";
 
 /**
- * `run`: send the work with this permit, once. `answered`: the key has run,
- * this was its answer. `refused`: this request has not run and will not.
- * `unknown`: the key's work may have run.
+ * Result of acquiring an idempotency key. `run`: send the work with this
+ * permit, once. `answered`: the key's work has run, with this answer.
+ * `refused`: this request has not run and will not. `unknown`: the key's work
+ * may have run.
  */
 export type AcquireResult =
   | {
@@ -23,7 +24,7 @@
   | { readonly kind: "refused"; readonly refusal: Refusal }
   | { readonly kind: "unknown"; readonly outcome: UnknownOutcome };
 
-export function run(owner: OnceOwner): AcquireResult {
+export function runResult(owner: OnceOwner): AcquireResult {
   return {
     kind: "run",
     endpoint: owner.endpoint,
@@ -35,21 +36,26 @@
   };
 }
 
-/** A short outage of the log is over in seconds; see the readers' retries. */
+/** A short outage of the log ends within seconds; see the readers' retries. */
 const LOG_RETRY_MILLISECONDS = 3_000;
 
-export function refused(refusal: Refusal): AcquireResult {
+export function refusedResult(refusal: Refusal): AcquireResult {
   return { kind: "refused", refusal };
 }
 
-export function unknown(detail: string): AcquireResult {
+export function unknownResult(detail: string): AcquireResult {
   return { kind: "unknown", outcome: { kind: "unknown", detail } };
 }
 
-/** The first answer; a side that no longer keeps its body can't repeat it. */
-export function answered(answer: OnceAnswer): AcquireResult {
+/**
+ * The first answer, or an unknown outcome if the sidecar no longer stores its
+ * body.
+ */
+export function answeredResult(answer: OnceAnswer): AcquireResult {
   if (answer.status === undefined || answer.body === undefined) {
-    return unknown("The work has run, but its answer is no longer kept");
+    return unknownResult(
+      "The work has run, but its answer is no longer stored",
+    );
   }
   return {
     kind: "answered",
@@ -61,43 +67,55 @@
   };
 }
 
-export function keyNeeded(): AcquireResult {
-  return because("key_needed", "This work needs an Idempotency-Key");
+export function keyRequired(): AcquireResult {
+  return notRun(
+    "key_needed",
+    "A request for this work requires an Idempotency-Key header",
+  );
 }
 
 export function keyInvalid(detail: string): AcquireResult {
-  return because("invalid", detail);
+  return notRun("invalid", detail);
 }
 
 export function keyConflict(): AcquireResult {
-  return because("key_conflict", "The key stands for other work already");
+  return notRun(
+    "key_conflict",
+    "The idempotency key was already used for a request with other content",
+  );
 }
 
 /**
- * The request itself has not run, unless it was sent before. Whether an
- * earlier request with the key has run is forgotten, and the text says so.
+ * The request itself has not run, unless it was sent earlier. Whether an
+ * earlier request with the key has run is no longer known, and the text says
+ * so.
  */
-export function expired(mayHaveRun: boolean): AcquireResult {
-  if (mayHaveRun) return unknown("The key expired while the work was out");
-  return because(
+export function expiredResult(mayHaveRun: boolean): AcquireResult {
+  if (mayHaveRun) {
+    return unknownResult(
+      "The idempotency key expired while the outcome of the work was unknown",
+    );
+  }
+  return notRun(
     "key_expired",
-    "This request was not run; what became of earlier ones with its key is no longer known",
+    "This request was not run; the outcome of earlier requests with its key is no longer known",
   );
 }
 
-export function logDown(): AcquireResult {
-  return refused({
+export function logUnavailable(): AcquireResult {
+  return refusedResult({
     kind: "not_run",
     reason: "log_down",
-    detail: "The log has not confirmed the key's record, so nothing was sent",
+    detail:
+      "The log did not confirm the idempotency key's record, so nothing was sent",
     retryAfterMilliseconds: LOG_RETRY_MILLISECONDS,
   });
 }
 
-export function outOfTime(): AcquireResult {
-  return because("late", "No time was left to run the work");
+export function deadlineExceeded(): AcquireResult {
+  return notRun("late", "The deadline passed before the work could be sent");
 }
 
-function because(reason: RefusalReason, detail: string): AcquireResult {
-  return refused({ kind: "not_run", reason, detail });
+function notRun(reason: RefusalReason, detail: string): AcquireResult {
+  return refusedResult({ kind: "not_run", reason, detail });
 }
--- a/src/core/once/side_table.ts
+++ b/src/core/once/side_table.ts
@@ -5,7 +5,7 @@
   OnceQuestion,
 } from "../../generated/messages.ts";
 
-/** What the endpoint answered, as it is kept for repeats. */
+/** The endpoint's answer, stored for repeated requests. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType?: string;
@@ -16,23 +16,23 @@
   readonly key: string;
   readonly state: "barred" | "running" | "answered" | "failed";
   readonly answer?: KeptAnswer;
-  /** Memory that the answer is counted with, bytes. */
+  /** Memory accounted for the answer, bytes. */
   readonly size: number;
 }
 
 /**
- * Load: one endpoint runs some tens of non-idempotent calls a second. Harm
- * prevented: the side lives in 128 MB beside its endpoint. Limits: 20,000
- * records of about 200 bytes are 4 MB and last for minutes at that rate;
- * 16 MB of answers keep 4,000 of 4 kB; one answer above 1 MB would push out
- * hundreds of others, so it is told once and not kept.
+ * Memory limits of the table. One endpoint runs some tens of non-idempotent
+ * calls per second, and the sidecar has 128 MB on its VM. 20,000 records of
+ * about 200 bytes are 4 MB and last for minutes at that rate; 16 MB of answers
+ * hold 4,000 of 4 kB. One answer above 1 MB would evict hundreds of others, so
+ * it is returned once and not stored.
  */
-const MOST_RECORDS = 20_000;
-const MOST_KEPT_ANSWERS = 4_000;
-const MOST_KEPT_ANSWER_BYTES = 16 * 1024 * 1024;
-const MOST_BYTES_PER_ANSWER = 1024 * 1024;
+const MAX_RECORDS = 20_000;
+const MAX_STORED_ANSWERS = 4_000;
+const MAX_STORED_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_BYTES_PER_ANSWER = 1024 * 1024;
 
-/** Guards that a test may take out; the product never passes them. */
+/** Checks that a test can disable; production code leaves all enabled. */
 export interface SideOnceTableGuards {
   readonly bars: boolean;
   readonly checksIncarnation: boolean;
@@ -43,48 +43,49 @@
   readonly incarnation: string;
   readonly mostKeptAnswers?: number;
   readonly mostKeptAnswerBytes?: number;
-  readonly mostBytesPerAnswer?: number;
-  /** Records whose fate is remembered, with or without an answer. */
-  readonly mostRecords?: number;
-  /** Told when a record is barred for good. */
+  readonly maxBytesPerAnswer?: number;
+  /** Records whose state is stored, with or without an answer. */
+  readonly maxRecords?: number;
+  /** Called when a record is barred permanently. */
   readonly onBarred?: (key: string, record: number) => void;
   readonly guards?: Partial<SideOnceTableGuards>;
 }
 
 /**
- * What one run of a side has done with each record of the `once` stream. Each
- * record runs at most once, and only in the incarnation that it names; an
- * answer to a question and the bar that it asks for are one step.
+ * State of each record of the `once` stream in one incarnation of a sidecar.
+ * Each record runs at most once, and only in the incarnation that it names.
+ * Answering a query and barring the record on its request are one atomic step.
  *
- * Memory is bounded. Records that are dropped leave a floor behind: offsets
- * only rise, so a record at or below the floor that the table doesn't know
- * may be one that ran and was dropped. It is never run again, and a question
- * about it gets `failed` (may have run), never `barred` or `not_seen`.
+ * Memory is bounded. Offsets only increase, so an unknown record at or below
+ * the highest evicted offset may have run. It is never run again, and a query
+ * about it returns `failed` (may have run), never `barred` or `not_seen`.
  */
 export class SideOnceTable {
   readonly #incarnation: string;
-  readonly #mostRecords: number;
-  readonly #mostAnswers: number;
-  readonly #mostAnswerBytes: number;
-  readonly #mostBytesPerAnswer: number;
+  readonly #maxRecords: number;
+  readonly #maxAnswers: number;
+  readonly #maxAnswerBytes: number;
+  readonly #maxBytesPerAnswer: number;
   readonly #guards: SideOnceTableGuards;
   readonly #onBarred: (key: string, record: number) => void;
   readonly #records = new Map<number, RecordState>();
-  /** The record under which a key has run here; the key runs under no other. */
-  readonly #ranUnder = new Map<string, number>();
-  /** Records with a kept answer, oldest answer first. */
+  /**
+   * The record that has run each key here; the key runs for no other record.
+   */
+  readonly #recordsByRunKey = new Map<string, number>();
+  /** Records with a stored answer, oldest answer first. */
   readonly #answers = new Set<number>();
   #answerBytes = 0;
-  #floor = -1;
+  #highestEvicted = -1;
 
   constructor(options: SideOnceTableOptions) {
     this.#incarnation = options.incarnation;
-    this.#mostRecords = options.mostRecords ?? MOST_RECORDS;
-    this.#mostAnswers = options.mostKeptAnswers ?? MOST_KEPT_ANSWERS;
-    this.#mostAnswerBytes = options.mostKeptAnswerBytes ??
-      MOST_KEPT_ANSWER_BYTES;
-    this.#mostBytesPerAnswer = options.mostBytesPerAnswer ??
-      MOST_BYTES_PER_ANSWER;
+    this.#maxRecords = options.maxRecords ?? MAX_RECORDS;
+    this.#maxAnswers = options.mostKeptAnswers ?? MAX_STORED_ANSWERS;
+    this.#maxAnswerBytes = options.mostKeptAnswerBytes ??
+      MAX_STORED_ANSWER_BYTES;
+    this.#maxBytesPerAnswer = options.maxBytesPerAnswer ??
+      MAX_BYTES_PER_ANSWER;
     this.#onBarred = options.onBarred ?? (() => {});
     this.#guards = {
       bars: true,
@@ -103,43 +104,48 @@
   }
 
   /**
-   * Asked right before the work is handed to the endpoint. `run`: hand it
-   * over now. `already`: this is a repeat of a record that has run or may
-   * have; say nothing of "not run". A reason: it has not run here and never
-   * will. `wrong_incarnation` speaks for this run of the side alone: an
-   * earlier copy of the message may have reached the run before it.
+   * Called right before the work is sent to the endpoint. `run`: send it now.
+   * `already`: a repeat of a record that has run or may have, so the reply must
+   * not be "not run". A reason: it has not run here and never will.
+   * `wrong_incarnation` applies to this incarnation alone: an earlier copy of
+   * the message may have reached the previous one.
    */
   begin(permit: OncePermit): "run" | NotRunFrame["reason"] | "already" {
-    if (this.#isForeign(permit.sideIncarnation)) return "wrong_incarnation";
+    if (this.#isOtherIncarnation(permit.sideIncarnation)) {
+      return "wrong_incarnation";
+    }
     const known = this.#records.get(permit.record);
     if (known !== undefined && this.#guards.remembersRuns) {
       return known.state === "barred" ? "barred" : "already";
     }
-    if (permit.record <= this.#floor) return "already";
+    if (permit.record <= this.#highestEvicted) return "already";
     if (this.#hasRun(permit.key)) {
       this.#bar(permit.key, permit.record);
       return "barred";
     }
     this.#set(permit.record, { key: permit.key, state: "running", size: 0 });
-    this.#ranUnder.set(permit.key, permit.record);
+    this.#recordsByRunKey.set(permit.key, permit.record);
     return "run";
   }
 
   /**
-   * Asked before the side answers "not run" for a reason of its own, such as
-   * draining. True: the record is barred from now on and the answer is true.
-   * False: another copy of the message has run it, so the answer would lie.
+   * Called before the sidecar replies "not run" for a reason of its own, such
+   * as draining. True: the record is now barred, so the reply is correct.
+   * False: another copy of the message may have run it, so the reply would be
+   * wrong.
    */
   refuse(permit: OncePermit): boolean {
-    if (this.#isForeign(permit.sideIncarnation)) return false;
+    if (this.#isOtherIncarnation(permit.sideIncarnation)) return false;
     const known = this.#records.get(permit.record);
     if (known !== undefined) return known.state === "barred";
-    if (permit.record <= this.#floor) return false;
+    if (permit.record <= this.#highestEvicted) return false;
     this.#bar(permit.key, permit.record);
     return true;
   }
 
-  /** The endpoint is done; `undefined`: nobody knows what it did. */
+  /**
+   * Records the end of the call; an undefined answer means an unknown outcome.
+   */
   finish(permit: OncePermit, answer: KeptAnswer | undefined): void {
     const known = this.#records.get(permit.record);
     if (known === undefined || known.state !== "running") return;
@@ -148,7 +154,7 @@
       return;
     }
     const size = 2 * answer.body.length;
-    const kept = size <= this.#mostBytesPerAnswer;
+    const kept = size <= this.#maxBytesPerAnswer;
     this.#set(permit.record, {
       key: known.key,
       state: "answered",
@@ -158,50 +164,50 @@
     if (!kept) return;
     this.#answers.add(permit.record);
     this.#answerBytes += size;
-    this.#dropAnswers();
+    this.#evictAnswers();
   }
 
   /**
-   * The endpoint turned the work down before it started, for example because
-   * nobody listened there: the record is barred, and "not run" is true.
+   * The endpoint rejected the work before it started, for example with a
+   * refused connection: the record is barred, and "not run" is correct.
    */
   turnedDown(permit: OncePermit): void {
     const known = this.#records.get(permit.record);
     if (known === undefined || known.state !== "running") return;
-    this.#ranUnder.delete(known.key);
+    this.#recordsByRunKey.delete(known.key);
     this.#bar(known.key, permit.record);
   }
 
-  /** What became of a record; with `bar`, it will not run if it has not. */
+  /** State of a record; with `bar`, a record that has not run never will. */
   ask(question: OnceQuestion): OnceAnswer {
-    if (this.#isForeign(question.sideIncarnation)) {
+    if (this.#isOtherIncarnation(question.sideIncarnation)) {
       return { state: "other_incarnation" };
     }
     const known = this.#records.get(question.record);
     if (known !== undefined) {
       return { state: known.state, ...known.answer };
     }
-    if (question.record <= this.#floor) return { state: "failed" };
+    if (question.record <= this.#highestEvicted) return { state: "failed" };
     if (!question.bar) return { state: "not_seen" };
     this.#bar(question.key, question.record);
     return { state: "barred" };
   }
 
   /**
-   * A restarted side knows nothing of what its predecessor ran. Without this
-   * check a delayed message runs the predecessor's record a second time, seen
-   * as a case number issued twice.
+   * A restarted sidecar has no state of its predecessor. Without this check, a
+   * delayed message runs the predecessor's record a second time, such as a case
+   * number issued twice.
    */
-  #isForeign(incarnation: string): boolean {
+  #isOtherIncarnation(incarnation: string): boolean {
     return this.#guards.checksIncarnation && incarnation !== this.#incarnation;
   }
 
   /**
-   * A takeover is valid only behind a bar, so a second record for a key that
-   * has run here can only come from an entry that broke the protocol.
+   * A takeover is valid only after a bar, so a second record for a key that has
+   * run here can only come from an entry that violated the protocol.
    */
   #hasRun(key: string): boolean {
-    return this.#guards.remembersRuns && this.#ranUnder.has(key);
+    return this.#guards.remembersRuns && this.#recordsByRunKey.has(key);
   }
 
   #bar(key: string, record: number): void {
@@ -213,14 +219,17 @@
 
   #set(record: number, state: RecordState): void {
     this.#records.set(record, state);
-    if (this.#records.size > this.#mostRecords) this.#dropRecords();
+    if (this.#records.size > this.#maxRecords) this.#evictRecords();
   }
 
-  /** Bodies go first: without one a repeat still learns that the call ran. */
-  #dropAnswers(): void {
+  /**
+   * Evicts bodies before records: without the body, a repeated request still
+   * learns that the call ran.
+   */
+  #evictAnswers(): void {
     for (const record of this.#answers) {
-      const fits = this.#answerBytes <= this.#mostAnswerBytes &&
-        this.#answers.size <= this.#mostAnswers;
+      const fits = this.#answerBytes <= this.#maxAnswerBytes &&
+        this.#answers.size <= this.#maxAnswers;
       if (fits) return;
       const known = this.#records.get(record);
       this.#answers.delete(record);
@@ -231,23 +240,23 @@
   }
 
   /**
-   * Drops a tenth at a time, lowest offsets first, so that the floor rises as
-   * little as it can and the sort is paid once for many records. What runs
-   * stays: its answer is still to come.
+   * Evicts a tenth of the records at a time, lowest offsets first: the highest
+   * evicted offset stays as low as possible, and one sort serves many records.
+   * Running records stay, since their answer is still to come.
    */
-  #dropRecords(): void {
-    const count = Math.ceil(this.#mostRecords / 10);
-    const settled = [...this.#records.entries()]
+  #evictRecords(): void {
+    const count = Math.ceil(this.#maxRecords / 10);
+    const evictable = [...this.#records.entries()]
       .filter(([, known]) => known.state !== "running")
       .sort(([one], [other]) => one - other)
       .slice(0, count);
-    for (const [record, known] of settled) {
+    for (const [record, known] of evictable) {
       this.#records.delete(record);
       if (this.#answers.delete(record)) this.#answerBytes -= known.size;
-      if (this.#ranUnder.get(known.key) === record) {
-        this.#ranUnder.delete(known.key);
+      if (this.#recordsByRunKey.get(known.key) === record) {
+        this.#recordsByRunKey.delete(known.key);
       }
-      this.#floor = Math.max(this.#floor, record);
+      this.#highestEvicted = Math.max(this.#highestEvicted, record);
     }
   }
 }
--- a/src/core/once/side_table_test.ts
+++ b/src/core/once/side_table_test.ts
@@ -10,7 +10,7 @@
   const answer = { status: 200, body: "case 7" };
 
   it("runs a record once and repeats its answer", () => {
-    // The dispatch arrives twice. Without the table two case numbers are
+    // The dispatch arrives twice. Without the table, two case numbers are
     // issued for one report.
     const table = new SideOnceTable({ incarnation: "i1" });
     expect(table.begin(permit(1))).to.equal("run");
@@ -22,17 +22,17 @@
   });
 
   it("never runs what it has barred", () => {
-    // The owner is paused between its record and the dispatch; a retry bars
-    // the record and runs elsewhere. The dispatch must come to nothing.
+    // The owner is paused between its record and the dispatch; a retry bars the
+    // record and runs elsewhere. The delayed dispatch must not run.
     const table = new SideOnceTable({ incarnation: "i1" });
     expect(table.ask({ ...permit(1), bar: false }).state).to.equal("not_seen");
     expect(table.ask({ ...permit(1), bar: true }).state).to.equal("barred");
     expect(table.begin(permit(1))).to.equal("barred");
   });
 
-  it("refuses records of the run before it", () => {
-    // The side was restarted. It can't know whether its predecessor ran the
-    // record, so it neither runs it nor says that it has not run.
+  it("refuses records of an earlier incarnation", () => {
+    // The sidecar was restarted. It does not know whether its predecessor ran
+    // the record, so it neither runs it nor reports that it has not run.
     const table = new SideOnceTable({ incarnation: "i2" });
     expect(table.begin(permit(1))).to.equal("wrong_incarnation");
     expect(table.refuse(permit(1))).to.equal(false);
@@ -40,9 +40,9 @@
       .to.equal("other_incarnation");
   });
 
-  it("bars what it refuses, so that a second copy can't run", () => {
-    // The dispatch is doubled on its way. The side refuses the first copy as
-    // draining, the caller is told "not run", and the second copy arrives.
+  it("bars refused records so that a second copy does not run", () => {
+    // The dispatch is duplicated in transit. The sidecar refuses the first copy
+    // as draining, the caller gets "not run", and the second copy arrives.
     const table = new SideOnceTable({ incarnation: "i1" });
     expect(table.refuse(permit(1))).to.equal(true);
     expect(table.begin(permit(1))).to.equal("barred");
@@ -50,15 +50,15 @@
     expect(table.refuse(permit(2))).to.equal(false);
   });
 
-  it("runs a key under one record only", () => {
-    // An entry that broke the protocol takes a key over without a bar.
+  it("runs a key for one record only", () => {
+    // An entry that violated the protocol takes a key over without a bar.
     const table = new SideOnceTable({ incarnation: "i1" });
     expect(table.begin(permit(1, "key"))).to.equal("run");
     expect(table.begin(permit(2, "key"))).to.equal("barred");
   });
 
-  it("keeps answers within its memory and still tells that they ran", () => {
-    const limits = { mostKeptAnswerBytes: 40, mostBytesPerAnswer: 30 };
+  it("limits the memory of answers and still reports that their records ran", () => {
+    const limits = { mostKeptAnswerBytes: 40, maxBytesPerAnswer: 30 };
     const table = new SideOnceTable({ incarnation: "i1", ...limits });
     for (const record of [1, 2, 3, 4]) {
       table.begin(permit(record));
@@ -73,35 +73,35 @@
       .to.deep.equal({ state: "answered" });
   });
 
-  it("never runs a record twice and never bars one that ran, however small", () => {
-    // Messages for old records arrive after the table has dropped them.
-    // Without the floor a dropped record counts as new and runs again.
+  it("never runs a record twice or bars one that ran, at any table size", () => {
+    // Messages for old records arrive after the table has evicted them. Without
+    // the highest evicted offset, such a record looks new and runs again.
     const step = fc.record({
       record: fc.integer({ min: 0, max: 30 }),
       action: fc.constantFrom("begin", "finish", "ask", "bar", "refuse"),
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 200 }), (steps) => {
-        const limits = { mostRecords: 5, mostKeptAnswerBytes: 20 };
+        const limits = { maxRecords: 5, mostKeptAnswerBytes: 20 };
         const table = new SideOnceTable({ incarnation: "i1", ...limits });
         const ran = new Set<number>();
-        const promised = new Set<number>();
+        const barred = new Set<number>();
         for (const { record, action } of steps) {
           if (action === "begin" && table.begin(permit(record)) === "run") {
-            expect(ran.has(record) || promised.has(record)).to.equal(false);
+            expect(ran.has(record) || barred.has(record)).to.equal(false);
             ran.add(record);
           }
           if (action === "finish") table.finish(permit(record), answer);
           if (action === "refuse" && table.refuse(permit(record))) {
-            promised.add(record);
+            barred.add(record);
           }
           if (action === "ask" || action === "bar") {
             const bar = action === "bar";
             const { state } = table.ask({ ...permit(record), bar });
-            if (state === "barred") promised.add(record);
+            if (state === "barred") barred.add(record);
             if (state === "not_seen") expect(ran.has(record)).to.equal(false);
           }
-          expect([...promised].filter((one) => ran.has(one))).to.deep.equal([]);
+          expect([...barred].filter((one) => ran.has(one))).to.deep.equal([]);
         }
       }),
       { numRuns: 500, seed: 7 },
