--- a/src/core/journal/appender.ts
+++ b/src/core/journal/appender.ts
@@ -24,68 +24,71 @@
   readonly random: Random;
   readonly writer: ProcessId;
   readonly incarnation: Incarnation;
-  /** How long a record waits for others that share its append. */
+  /** How long a record waits for others to share its append. */
   readonly delayMilliseconds: number;
-  /** How long an append is tried before its caller is told that it failed. */
-  readonly giveUpMilliseconds: number;
-  /** The log has told of a head, by the answer to an append. */
+  /** How long an append is retried before it fails. */
+  readonly timeoutMilliseconds: number;
+  /** Called with the stream's head, as known from the answer to an append. */
   readonly onHead: (head: number) => void;
-  /** False while the log can't be read: appends fail at once then. */
+  /** False while the log can't be read: appends then fail at once. */
   readonly reachable: () => boolean;
 }
 
-interface Waiting {
+interface PendingRecord {
   readonly record: LogRecord;
   readonly settle: (result: Result<LogOffset, JournalFailure>) => void;
-  alarm: Subscription | undefined;
-  /** True from the moment at which the record may have reached the log. */
-  inDoubt: boolean;
+  timeout: Subscription | undefined;
+  /** True from the time at which the record may have reached the log. */
+  mayBeAppended: boolean;
 }
 
 /**
- * Records in one append. Load: a burst of a few hundred records; several
- * hundred appends a second are all that the log takes, while one append can
- * carry many records. The limit keeps one append's size within a few hundred
+ * Largest number of records in one append. A burst has a few hundred records,
+ * and the log serves only several hundred appends per second, while one append
+ * can carry many records. The limit keeps one append within a few hundred
  * kilobytes.
  */
-const MOST_RECORDS_IN_APPEND = 200;
+const MAX_RECORDS_PER_APPEND = 200;
 /**
- * Records that may wait. Harm prevented: a slow log makes memory grow without
- * bound; beyond the limit the caller learns at once that nothing was appended.
+ * Largest number of queued records, so that a slow log does not grow memory
+ * without bound; beyond it, an append fails at once and has no effect.
  */
-const MOST_WAITING_RECORDS = 5_000;
+const MAX_QUEUED_RECORDS = 5_000;
 /**
- * An append without an answer for this long counts as lost; doubled for each
- * further try. Harm prevented: a log that is slow gets every record several
- * times and becomes slower.
+ * Timeout of an append's answer, doubled for each further attempt: with a
+ * constant timeout, a slow log receives every record several times and becomes
+ * slower.
  */
-const FIRST_ANSWER_MILLISECONDS = 1_500;
-/** How long the record of a lost answer is looked for before a resend. */
-const READ_BACK_MILLISECONDS = 300;
-const FIRST_RETRY_MILLISECONDS = 50;
-/** One refused call may be chance; the second one in a row is an outage. */
-const REFUSALS_UNTIL_OUTAGE = 2;
-const LONGEST_RETRY_MILLISECONDS = 1_000;
+const INITIAL_ANSWER_TIMEOUT_MILLISECONDS = 1_500;
+/**
+ * How long to wait for the record to be read back after a lost answer before
+ * sending it again.
+ */
+const READ_BACK_WAIT_MILLISECONDS = 300;
+const INITIAL_RETRY_MILLISECONDS = 50;
+/** A single rejected call may be transient; two in a row are an outage. */
+const REJECTIONS_UNTIL_OUTAGE = 2;
+const MAX_RETRY_MILLISECONDS = 1_000;
 
 /**
- * Appends records of one process to one stream: several in one append, one
- * append under way, each settled once its own record has been read back.
+ * Appends records of one process to one stream: several records per append, one
+ * append in flight, each settled once its own record has been read back.
  *
- * Lost answers: the same records are sent again with the same sequence
- * numbers; whichever landing comes first counts and the filter of every
- * reader drops the others, so asking twice can't act twice.
+ * After a lost answer the same records are sent again with the same sequence
+ * numbers. The first copy that lands counts, and every reader's filter drops
+ * the others, so a repeated append has no second effect.
  */
 export class Appender {
   readonly #options: AppenderOptions;
-  #queue: Waiting[] = [];
-  /** Records handed to the log and not read back yet, by sequence. */
-  readonly #unread = new Map<number, Waiting>();
+  #queue: PendingRecord[] = [];
+  /** Records sent to the log and not yet read back, by sequence number. */
+  readonly #unconfirmed = new Map<number, PendingRecord>();
   #sequence = 0;
   #running = false;
   #stopped = false;
-  /** Calls in a row that the log service turned away without effect. */
-  #turnedAway = 0;
-  #wakeSender: (() => void) | undefined;
+  /** Consecutive calls that the log service rejected without effect. */
+  #consecutiveRejections = 0;
+  #endRetryWait: (() => void) | undefined;
   /** Calls of the log service's append, for measurements. */
   calls = 0;
 
@@ -94,50 +97,54 @@
   }
 
   append(body: RecordBody): Promise<Result<LogOffset, JournalFailure>> {
-    if (this.#stopped) return this.#refused("the journal is stopped");
+    if (this.#stopped) return this.#reject("the journal has stopped");
     if (!this.#options.reachable()) {
-      return this.#refused("the log service can't be reached");
+      return this.#reject("the log service is unreachable");
     }
-    if (this.#isTurnedAway()) {
-      return this.#refused("the log service turns appends away");
+    if (this.#isRejected()) {
+      return this.#reject("the log service rejects appends");
     }
-    if (this.#queue.length >= MOST_WAITING_RECORDS) {
-      return this.#refused("too many records wait for the log service");
+    if (this.#queue.length >= MAX_QUEUED_RECORDS) {
+      return this.#reject("the append queue is full");
     }
     return new Promise((resolve) => {
-      const waiting = this.#wait(body, resolve);
-      this.#queue.push(waiting);
+      const pending = this.#createPending(body, resolve);
+      this.#queue.push(pending);
       if (!this.#running) void this.#run();
     });
   }
 
-  /** A record of this process's run has been read and counts. */
-  seen(offset: LogOffset, sequence: number): void {
-    const waiting = this.#unread.get(sequence);
-    if (waiting === undefined) return;
-    this.#settle(waiting, ok(offset));
+  /** A record of this incarnation has been read back and counts. */
+  confirm(offset: LogOffset, sequence: number): void {
+    const pending = this.#unconfirmed.get(sequence);
+    if (pending === undefined) return;
+    this.#settle(pending, ok(offset));
   }
 
   stop(): void {
     this.#stopped = true;
-    for (const waiting of [...this.#queue, ...this.#unread.values()]) {
-      this.#giveUp(waiting, "the journal is stopped");
+    for (const pending of [...this.#queue, ...this.#unconfirmed.values()]) {
+      this.#fail(pending, "the journal has stopped");
     }
     this.#queue = [];
   }
 
   /**
-   * The reader learns of an outage when its long poll ends, seconds later.
-   * Until then each append would be tried for its whole time, and a caller
-   * would wait for a refusal that is certain. What is being sent goes on as
-   * the probe; what comes behind it meanwhile is refused at once.
+   * True during an outage that the reader has not detected yet: its long poll
+   * ends only seconds later. Until then each append would be retried for its
+   * whole timeout, and a caller would wait for a certain failure. The append in
+   * flight continues as the probe; later ones fail at once.
    */
-  #isTurnedAway(): boolean {
-    return this.#running && this.#turnedAway >= REFUSALS_UNTIL_OUTAGE;
+  #isRejected(): boolean {
+    return this.#running &&
+      this.#consecutiveRejections >= REJECTIONS_UNTIL_OUTAGE;
   }
 
-  #wait(body: RecordBody, settle: Waiting["settle"]): Waiting {
-    const waiting: Waiting = {
+  #createPending(
+    body: RecordBody,
+    settle: PendingRecord["settle"],
+  ): PendingRecord {
+    const pending: PendingRecord = {
       record: {
         writer: this.#options.writer,
         incarnation: this.#options.incarnation,
@@ -145,104 +152,113 @@
         body,
       },
       settle,
-      alarm: undefined,
-      inDoubt: false,
+      timeout: undefined,
+      mayBeAppended: false,
     };
-    waiting.alarm = this.#options.timer.after(
-      this.#options.giveUpMilliseconds,
-      () => this.#giveUp(waiting, "no answer came in time"),
+    pending.timeout = this.#options.timer.after(
+      this.#options.timeoutMilliseconds,
+      () => this.#fail(pending, "no answer before the append timeout"),
     );
-    return waiting;
+    return pending;
   }
 
   async #run(): Promise<void> {
     this.#running = true;
     await pause(this.#options.timer, this.#options.delayMilliseconds);
     while (this.#queue.length > 0 && !this.#stopped) {
-      const batch = this.#queue.splice(0, MOST_RECORDS_IN_APPEND);
-      for (const waiting of batch) {
-        this.#unread.set(waiting.record.sequence, waiting);
+      const batch = this.#queue.splice(0, MAX_RECORDS_PER_APPEND);
+      for (const pending of batch) {
+        this.#unconfirmed.set(pending.record.sequence, pending);
       }
       await this.#send(batch);
     }
     this.#running = false;
   }
 
-  /** Returns when the batch stands on the log or has been given up. */
-  async #send(batch: readonly Waiting[]): Promise<void> {
-    let retry = FIRST_RETRY_MILLISECONDS;
-    let patience = FIRST_ANSWER_MILLISECONDS;
+  /** Returns when the batch is on the log or has timed out. */
+  async #send(batch: readonly PendingRecord[]): Promise<void> {
+    let retry = INITIAL_RETRY_MILLISECONDS;
+    let answerTimeout = INITIAL_ANSWER_TIMEOUT_MILLISECONDS;
     for (;;) {
-      const open = batch.filter((waiting) => this.#isOpen(waiting));
-      if (open.length === 0) return;
-      const outcome = await this.#tryOnce(open, patience);
-      this.#turnedAway = outcome === "no_effect" ? this.#turnedAway + 1 : 0;
-      patience *= 2;
-      if (outcome === "stands") return;
+      const unconfirmed = batch.filter((pending) =>
+        this.#isUnconfirmed(pending)
+      );
+      if (unconfirmed.length === 0) return;
+      const outcome = await this.#tryOnce(unconfirmed, answerTimeout);
+      this.#consecutiveRejections = outcome === "no_effect"
+        ? this.#consecutiveRejections + 1
+        : 0;
+      answerTimeout *= 2;
+      if (outcome === "appended") return;
       const wait = outcome === "lost"
-        ? Math.max(READ_BACK_MILLISECONDS, retry)
+        ? Math.max(READ_BACK_WAIT_MILLISECONDS, retry)
         : retry;
       await this.#pauseUntilSettled(
         withJitter(wait, { random: this.#options.random, share: 0.5 }),
       );
-      retry = Math.min(retry * 2, LONGEST_RETRY_MILLISECONDS);
+      retry = Math.min(retry * 2, MAX_RETRY_MILLISECONDS);
     }
   }
 
   async #tryOnce(
-    open: readonly Waiting[],
+    unconfirmed: readonly PendingRecord[],
     answerMilliseconds: number,
-  ): Promise<"stands" | "no_effect" | "lost"> {
-    const before = open.map((waiting) => waiting.inDoubt);
-    for (const waiting of open) waiting.inDoubt = true;
+  ): Promise<"appended" | "no_effect" | "lost"> {
+    const before = unconfirmed.map((pending) => pending.mayBeAppended);
+    for (const pending of unconfirmed) pending.mayBeAppended = true;
     this.calls += 1;
     const answer = await beforeDeadline(
       this.#options.log.append(
         this.#options.stream,
-        open.map((waiting) => waiting.record),
+        unconfirmed.map((pending) => pending.record),
       ),
       { timer: this.#options.timer, milliseconds: answerMilliseconds },
     );
     if (answer === undefined) return "lost";
     if (answer.isOk()) {
-      this.#options.onHead(answer.value + open.length);
-      return "stands";
+      this.#options.onHead(answer.value + unconfirmed.length);
+      return "appended";
     }
     if (answer.error.name !== "log_unavailable") return "lost";
-    open.forEach((waiting, index) => waiting.inDoubt = before[index]);
+    unconfirmed.forEach((pending, index) =>
+      pending.mayBeAppended = before[index]
+    );
     return "no_effect";
   }
 
   #pauseUntilSettled(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      const alarm = this.#options.timer.after(milliseconds, resolve);
-      this.#wakeSender = () => {
-        alarm.cancel();
+      const timeout = this.#options.timer.after(milliseconds, resolve);
+      this.#endRetryWait = () => {
+        timeout.cancel();
         resolve();
       };
     });
   }
 
-  #isOpen(waiting: Waiting): boolean {
-    return this.#unread.has(waiting.record.sequence);
+  #isUnconfirmed(pending: PendingRecord): boolean {
+    return this.#unconfirmed.has(pending.record.sequence);
   }
 
-  #settle(waiting: Waiting, result: Result<LogOffset, JournalFailure>): void {
-    waiting.alarm?.cancel();
-    if (!this.#unread.delete(waiting.record.sequence)) {
-      this.#queue = this.#queue.filter((other) => other !== waiting);
+  #settle(
+    pending: PendingRecord,
+    result: Result<LogOffset, JournalFailure>,
+  ): void {
+    pending.timeout?.cancel();
+    if (!this.#unconfirmed.delete(pending.record.sequence)) {
+      this.#queue = this.#queue.filter((other) => other !== pending);
     }
-    waiting.settle(result);
-    if (this.#unread.size === 0) this.#wakeSender?.();
+    pending.settle(result);
+    if (this.#unconfirmed.size === 0) this.#endRetryWait?.();
   }
 
-  #giveUp(waiting: Waiting, reason: string): void {
+  #fail(pending: PendingRecord, reason: string): void {
     const values = { stream: this.#options.stream, reason };
-    const definition = waiting.inDoubt ? APPEND_UNKNOWN : APPEND_NOT_MADE;
-    this.#settle(waiting, err(failure(definition, values)));
+    const definition = pending.mayBeAppended ? APPEND_UNKNOWN : APPEND_NOT_MADE;
+    this.#settle(pending, err(failure(definition, values)));
   }
 
-  #refused(reason: string): Promise<Result<LogOffset, JournalFailure>> {
+  #reject(reason: string): Promise<Result<LogOffset, JournalFailure>> {
     const values = { stream: this.#options.stream, reason };
     return Promise.resolve(err(failure(APPEND_NOT_MADE, values)));
   }
--- a/src/core/journal/checkpoint_search.ts
+++ b/src/core/journal/checkpoint_search.ts
@@ -4,34 +4,36 @@
 } from "../../generated/log_records.ts";
 import type { LogItem } from "./log_service.ts";
 
-/** A checkpoint with the records that stand between it and its own place. */
+/** A checkpoint and the records between its `upTo` and its own offset. */
 export interface FoundCheckpoint {
   readonly checkpoint: CheckpointRecord;
-  /** Records after `upTo`, in order, up to the checkpoint's own record. */
+  /**
+   * Records after `upTo`, in order, up to and including the checkpoint's own.
+   */
   readonly following: readonly LogItem[];
 }
 
 /**
- * Looks for a usable checkpoint after records have expired. A checkpoint is
- * usable only where the record behind its `upTo` is still on the stream, else
- * what lies between would be skipped without a sign.
+ * Searches for a usable checkpoint after records have expired. A checkpoint is
+ * usable only if the record after its `upTo` is still on the stream; otherwise
+ * the records in between would be skipped silently.
  */
 export class CheckpointSearch {
   readonly #oldest: number;
   readonly #items: LogItem[] = [];
 
-  /** `oldest` is the offset from which on records can be read. */
+  /** `oldest` is the lowest offset that can still be read. */
   constructor(oldest: number) {
     this.#oldest = oldest;
   }
 
-  /** Offset of the next record to look at. */
+  /** Offset of the next record to inspect. */
   get next(): number {
     return this.#oldest + this.#items.length;
   }
 
-  /** Looks at one record; gives the checkpoint once there is a usable one. */
-  look(
+  /** Inspects one record; returns the checkpoint once a usable one is found. */
+  inspect(
     item: LogItem,
     body: RecordBody | undefined,
   ): FoundCheckpoint | undefined {
--- a/src/core/journal/errors.ts
+++ b/src/core/journal/errors.ts
@@ -2,8 +2,8 @@
 import type { Failure } from "../errors/mod.ts";
 
 /**
- * `append_not_made`: no reader has taken or ever will take the record.
- * `append_unknown`: the record may stand on the log, now or later.
+ * `append_not_made`: no reader has applied or will ever apply the record.
+ * `append_unknown`: the record may be on the log, now or later.
  */
 export type JournalFailure = Failure<"append_not_made" | "append_unknown">;
 
@@ -14,15 +14,15 @@
   title: "Record not appended",
   message: ({ stream, reason }) =>
     `Cannot append to stream "${stream}": ${reason}`,
-  hint: "Nothing has happened; try again when the log service is reachable.",
+  hint: "Nothing was changed; retry when the log service is reachable.",
 });
 
 export const APPEND_UNKNOWN = defineError<{ stream: string; reason: string }>()(
   {
     name: "append_unknown",
-    title: "Append in doubt",
+    title: "Append outcome unknown",
     message: ({ stream, reason }) =>
-      `Cannot tell whether a record stands on stream "${stream}": ${reason}`,
-    hint: "Read the stream before deciding anything on the record's absence.",
+      `Cannot determine whether the record is on stream "${stream}": ${reason}`,
+    hint: "Read the stream before relying on the record's absence.",
   },
 );
--- a/src/core/journal/journal.ts
+++ b/src/core/journal/journal.ts
@@ -26,49 +26,53 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly writer: ProcessId;
-  /** One run of the process; sequence numbers start at 0 in each. */
+  /** Incarnation of the process; sequence numbers start at 0 in each. */
   readonly incarnation: Incarnation;
-  /** How long a record waits for others that share its append. */
+  /** How long a record waits for others to share its append. */
   readonly appendDelayMilliseconds: number;
-  /** How long an append is tried before its caller is told. */
+  /** How long an append is retried before it fails. */
   readonly giveUpMilliseconds?: number;
-  /** The highest snapshot that a peer offers, if any does. */
+  /** Returns the highest snapshot of any peer, if one has any. */
   readonly peers?: () => Promise<StreamSnapshot | undefined>;
-  /** Records after which the state is written again. */
+  /** Number of records after which a new checkpoint is due. */
   readonly checkpointRecords: number;
-  /** Time after which it is written again; well below the log's retention. */
+  /**
+   * Time after which a new checkpoint is due; well below the log's retention.
+   */
   readonly checkpointMilliseconds?: number;
-  /** False for readers that leave checkpoints to others. */
+  /** False for readers that never write checkpoints. */
   readonly writesCheckpoints?: boolean;
-  /** A record counts and the fold has it. */
+  /** A record counts and the fold has applied it. */
   readonly onApplied?: (offset: LogOffset, body: RecordBody) => void;
-  /** Everything that one read brought has been taken, whatever it was. */
+  /**
+   * All records of one read have been processed, whether they counted or not.
+   */
   readonly onPage?: () => void;
-  /** The state has jumped to a snapshot or checkpoint. */
+  /** The state was replaced by a snapshot or checkpoint. */
   readonly onRestored?: (position: LogOffset) => void;
   readonly onState?: (reachable: boolean) => void;
 }
 
-/** Counts of what a journal has passed over or done, for metrics. */
+/** Counts of skipped records and completed operations, for metrics. */
 export interface JournalCounts {
-  /** Records that do not fit the schema. */
+  /** Records that do not match the schema. */
   readonly unreadable: number;
   /** Records that landed again, or after a later one of their writer. */
   readonly repeated: number;
-  /** Times that records had expired before they were read. */
+  /** Number of times that records had expired before they were read. */
   readonly gaps: number;
   readonly checkpointsWritten: number;
   readonly appendCalls: number;
 }
 
-const DEFAULT_GIVE_UP_MILLISECONDS = 5_000;
-const DEFAULT_CHECKPOINT_MILLISECONDS = 600_000;
-const FRESH_READ_MILLISECONDS = 15_000;
+const DEFAULT_APPEND_TIMEOUT_MILLISECONDS = 5_000;
+const DEFAULT_CHECKPOINT_INTERVAL_MILLISECONDS = 600_000;
+const FRESHNESS_READ_TIMEOUT_MILLISECONDS = 15_000;
 
 /**
- * One process's view of one stream: reads it without holes into a fold and
- * appends to it. The position only rises: a replica that answers with an older
- * head delays the journal and never takes it back.
+ * One process's view of one stream: reads it without gaps into a fold and
+ * appends to it. The position only increases: a replica that answers with an
+ * older head delays the journal and never moves it back.
  */
 export class Journal {
   readonly #options: JournalOptions;
@@ -77,38 +81,38 @@
   readonly #checkpoints: CheckpointWriter;
   readonly #peers: PeerSource;
   readonly #prefix: StreamPrefix;
-  #askingAtStart = false;
-  #toldReachable = true;
+  #isQueryingPeersAtStart = false;
+  #reportedReachable = true;
   #checkpointsWritten = 0;
 
   constructor(options: JournalOptions) {
     this.#options = options;
-    this.#prefix = this.#makePrefix();
-    this.#reader = this.#makeReader();
-    this.#appender = this.#makeAppender();
-    this.#checkpoints = this.#makeCheckpoints();
+    this.#prefix = this.#createPrefix();
+    this.#reader = this.#createReader();
+    this.#appender = this.#createAppender();
+    this.#checkpoints = this.#createCheckpoints();
     this.#peers = new PeerSource({
       timer: options.timer,
       peers: options.peers,
-      // Where the peer's state ends before a gap as well, the next read finds
-      // the rest of the gap.
+      // If the peer's state also ends before a gap, the next read detects the
+      // rest of the gap.
       onSnapshot: (snapshot) => this.#prefix.restore(snapshot),
     });
   }
 
   /**
-   * Asks the peers as well as the log. What goes wrong otherwise: the replica
-   * of the log that answers first is behind, and a restarted process follows
-   * an older configuration than before its restart.
+   * Starts reading, and queries the peers as well as the log. If the first
+   * replica of the log to answer is behind, a restarted process would otherwise
+   * follow an older configuration than before its restart.
    */
   start(): void {
-    this.#askingAtStart = true;
-    void this.#peers.ask().then(() => this.#askingAtStart = false);
+    this.#isQueryingPeersAtStart = true;
+    void this.#peers.query().then(() => this.#isQueryingPeersAtStart = false);
     this.#reader.start();
     if (this.#options.writesCheckpoints !== false) this.#checkpoints.start();
   }
 
-  /** Settles what is open; a record that was sent may still land. */
+  /** Settles pending appends; a record that was sent may still land. */
   stop(): void {
     this.#reader.stop();
     this.#checkpoints.stop();
@@ -116,14 +120,14 @@
   }
 
   /**
-   * Settles once the record has been read back, with its offset.
-   * `append_not_made`: no reader ever takes it; `append_unknown`: one may.
+   * Appends a record; settles with its offset once it has been read back.
+   * `append_not_made`: no reader ever applies it; `append_unknown`: one may.
    */
   append(body: RecordBody): Promise<Result<LogOffset, JournalFailure>> {
     return this.#appender.append(body);
   }
 
-  /** Offset of the last record that the fold stands for; -1 at first. */
+  /** Offset of the last record that the state includes; -1 before the first. */
   get position(): LogOffset {
     return this.#prefix.position;
   }
@@ -133,33 +137,36 @@
     return this.#reader.reachable;
   }
 
-  /** True once everything that any replica has told of has been read. */
+  /** True once every record that any replica is known to have has been read. */
   get caughtUp(): boolean {
     const head = this.#reader.highestHead;
-    if (this.#askingAtStart || this.missingRecords) return false;
+    if (this.#isQueryingPeersAtStart || this.hasMissingRecords) return false;
     return head >= 0 && this.position + 1 >= head;
   }
 
   /**
-   * Another process has read the stream up to below `head`. What goes wrong
-   * without it: a replica of the log is stuck, this process takes it for the
-   * whole log and follows an old configuration for as long.
+   * Another process has read the stream up to below `head`. Otherwise, if a
+   * replica of the log is stuck, this process would take its head for the end
+   * of the log and follow an old configuration until the replica recovers.
    */
   noteHead(head: number): void {
     this.#reader.noteHead(head);
   }
 
-  /** True while records are missing and no state after them has been found. */
-  get missingRecords(): boolean {
-    return this.#prefix.missingRecords;
+  /**
+   * True while records are missing and no state that includes them has been
+   * found.
+   */
+  get hasMissingRecords(): boolean {
+    return this.#prefix.hasMissingRecords;
   }
 
   /** Timer time of the log's last answer. */
-  get lastAnswer(): number | undefined {
-    return this.#reader.lastAnswer;
+  get lastAnswerAt(): number | undefined {
+    return this.#reader.lastAnswerAt;
   }
 
-  /** Asks the log now whether everything on it has been read here. */
+  /** Reads the log to check that this process has read all of it. */
   async isFresh(): Promise<boolean> {
     const { log, stream, timer } = this.#options;
     const answer = await beforeDeadline(
@@ -168,7 +175,7 @@
         limit: 1,
         waitMilliseconds: 0,
       }),
-      { timer, milliseconds: FRESH_READ_MILLISECONDS },
+      { timer, milliseconds: FRESHNESS_READ_TIMEOUT_MILLISECONDS },
     );
     if (answer === undefined || answer.isErr()) return false;
     return answer.value.head <= this.position + 1;
@@ -189,79 +196,83 @@
     return this.#prefix.save();
   }
 
-  #makePrefix(): StreamPrefix {
+  #createPrefix(): StreamPrefix {
     const { fold, guards, incarnation, writer } = this.#options;
     return new StreamPrefix({
       fold,
       guards,
       onApplied: (offset, body) => {
-        if (body.kind === "checkpoint") this.#checkpoints.seen(body.upTo);
+        if (body.kind === "checkpoint") {
+          this.#checkpoints.checkpointRead(body.upTo);
+        }
         this.#options.onApplied?.(offset, body);
       },
       onRead: (offset, envelope) => {
         const isOwn = envelope.writer === writer &&
           envelope.incarnation === incarnation;
-        if (isOwn) this.#appender.seen(offset, envelope.sequence);
+        if (isOwn) this.#appender.confirm(offset, envelope.sequence);
       },
       onRestored: (position) => this.#options.onRestored?.(position),
     });
   }
 
-  #makeReader(): StreamReader {
+  #createReader(): StreamReader {
     return new StreamReader({
       ...this.#options,
       next: () => this.#prefix.next,
       onItems: (items) => {
-        this.#prefix.take(items);
+        this.#prefix.processItems(items);
         this.#options.onPage?.();
       },
       onGap: async (oldest) => {
-        if (this.#prefix.openGap(oldest)) await this.#peers.ask();
+        if (this.#prefix.handleGap(oldest)) await this.#peers.query();
       },
-      onReachable: (reachable) => this.#reachability(reachable),
-      onIdle: () => this.#idle(),
+      onReachable: (reachable) => this.#handleReachability(reachable),
+      onIdle: () => this.#handleIdle(),
     });
   }
 
-  async #reachability(reachable: boolean): Promise<void> {
-    if (reachable !== this.#toldReachable) this.#options.onState?.(reachable);
-    this.#toldReachable = reachable;
+  async #handleReachability(reachable: boolean): Promise<void> {
+    if (reachable !== this.#reportedReachable) {
+      this.#options.onState?.(reachable);
+    }
+    this.#reportedReachable = reachable;
     if (reachable) return;
-    if (this.#hasState()) await this.#peers.askInOutage();
-    else await this.#peers.ask();
+    if (this.#hasState()) await this.#peers.queryDuringOutage();
+    else await this.#peers.query();
   }
 
   #hasState(): boolean {
-    return this.position >= 0 && !this.missingRecords;
+    return this.position >= 0 && !this.hasMissingRecords;
   }
 
-  /** The replica that was asked has nothing new. */
-  async #idle(): Promise<void> {
-    if (this.missingRecords) await this.#peers.ask();
-    else if (this.caughtUp) this.#peers.troubleEnded();
-    else await this.#peers.askWhileBehind();
+  /** Handles a read without new records. */
+  async #handleIdle(): Promise<void> {
+    if (this.hasMissingRecords) await this.#peers.query();
+    else if (this.caughtUp) this.#peers.resetBackoff();
+    else await this.#peers.queryWhileBehind();
   }
 
-  #makeAppender(): Appender {
+  #createAppender(): Appender {
     return new Appender({
       ...this.#options,
       delayMilliseconds: this.#options.appendDelayMilliseconds,
-      giveUpMilliseconds: this.#options.giveUpMilliseconds ??
-        DEFAULT_GIVE_UP_MILLISECONDS,
+      timeoutMilliseconds: this.#options.giveUpMilliseconds ??
+        DEFAULT_APPEND_TIMEOUT_MILLISECONDS,
       onHead: (head) => this.noteHead(head),
       reachable: () => this.reachable,
     });
   }
 
-  #makeCheckpoints(): CheckpointWriter {
+  #createCheckpoints(): CheckpointWriter {
     return new CheckpointWriter({
       timer: this.#options.timer,
       random: this.#options.random,
-      records: this.#options.checkpointRecords,
-      milliseconds: this.#options.checkpointMilliseconds ??
-        DEFAULT_CHECKPOINT_MILLISECONDS,
+      intervalRecords: this.#options.checkpointRecords,
+      intervalMilliseconds: this.#options.checkpointMilliseconds ??
+        DEFAULT_CHECKPOINT_INTERVAL_MILLISECONDS,
       position: () => this.position,
-      ready: () => this.reachable && this.caughtUp,
+      canWrite: () => this.reachable && this.caughtUp,
       write: () => this.#writeCheckpoint(),
     });
   }
--- a/src/core/journal/journal_test.ts
+++ b/src/core/journal/journal_test.ts
@@ -24,12 +24,15 @@
 const EXPIRED = defineError<Record<never, never>>()({
   name: "log_expired",
   title: "Records expired",
-  message: () => "The wanted records have expired",
+  message: () => "The requested records have expired",
   hint: "Start from a checkpoint.",
 });
 
-/** A log service that does not give pages without the wanted record. */
-function failsWhereExpired(log: LogService): LogService {
+/**
+ * A log service that fails a read of expired records instead of returning a
+ * page.
+ */
+function failingExpiredReads(log: LogService): LogService {
   return {
     append: (stream, records) => log.append(stream, records),
     read: async (stream, options) => {
@@ -59,7 +62,7 @@
     return parts;
   }
 
-  function watch(promise: Promise<Result<LogOffset, JournalFailure>>) {
+  function trackOutcome(promise: Promise<Result<LogOffset, JournalFailure>>) {
     const seen: { outcome?: string } = {};
     void promise.then((result) => {
       seen.outcome = result.isOk() ? `at ${result.value}` : result.error.name;
@@ -68,11 +71,11 @@
   }
 
   describe("appending", () => {
-    it("shares one append among records that come together", async () => {
+    it("batches concurrent records into one append", async () => {
       const one = start("one");
       await timer.advance(50);
       const outcomes = ["a", "b", "c"].map((name) =>
-        watch(one.journal.append(body(name)))
+        trackOutcome(one.journal.append(body(name)))
       );
       await timer.advance(100);
       expect(outcomes.map((seen) => seen.outcome)).to.deep.equal([
@@ -83,28 +86,29 @@
       expect(one.journal.counts.appendCalls).to.equal(1);
     });
 
-    // The log takes a record and its answer is lost on the way back. Without
-    // reading forward the writer would append a second one, and a publication
-    // would act twice.
-    it("finds its record again after a lost answer", async () => {
+    // The log appends a record, but the answer is lost. Without reading it
+    // back, the writer would append a second one, and a publication would take
+    // effect twice.
+    it("finds its record after a lost answer", async () => {
       const one = start("one");
       await timer.advance(50);
       one.faults.lostAnswers = 1;
-      const seen = watch(one.journal.append(body("a")));
+      const seen = trackOutcome(one.journal.append(body("a")));
       await timer.advance(2_000);
       expect(seen.outcome).to.equal("at 0");
       expect(log.head(ORDERS)).to.equal(1);
     });
 
-    // The request is lost and the append sent again; then the first one, held
-    // up somewhere, lands as well. Without dropping it the record counts twice.
-    it("counts a record once that lands a second time", async () => {
+    // An append is sent again because the first request seems lost; then the
+    // delayed first one lands as well. Without dropping it, the record counts
+    // twice.
+    it("counts a record that lands twice once", async () => {
       const one = start("one");
       const two = start("two");
       await timer.advance(50);
       one.faults.lateAppends = 1;
       one.faults.lateMilliseconds = 3_000;
-      const seen = watch(one.journal.append(body("a")));
+      const seen = trackOutcome(one.journal.append(body("a")));
       await timer.advance(10_000);
       expect(seen.outcome).to.equal("at 0");
       expect(log.head(ORDERS)).to.equal(2);
@@ -112,47 +116,48 @@
       expect(two.journal.counts.repeated).to.equal(1);
     });
 
-    // A writer gives a record up and goes on; the record lands after a later
-    // one of the same writer. Readers would follow an order that its planner
-    // has long replaced, if they let it count.
-    it("voids a given-up record that lands behind a later one", async () => {
+    // A writer gives a record up and continues; the record lands after a later
+    // one of the same writer. If it counted, readers would follow an order that
+    // its planner has already replaced.
+    it("voids an abandoned record that lands after a later one", async () => {
       const one = start("one", { giveUpMilliseconds: 100 });
       await timer.advance(50);
       one.faults.lateAppends = 1;
       one.faults.lateMilliseconds = 5_000;
-      const first = watch(one.journal.append(body("old")));
+      const first = trackOutcome(one.journal.append(body("old")));
       await timer.advance(1_000);
-      const second = watch(one.journal.append(body("new")));
+      const second = trackOutcome(one.journal.append(body("new")));
       await timer.advance(10_000);
       expect(first.outcome).to.equal("append_unknown");
       expect(second.outcome).to.equal("at 0");
       expect(one.fold.taken).to.deep.equal(["new"]);
     });
 
-    // The log is down when a record is to be written. A caller that is told
-    // "unknown" here could not be told truthfully that its request has not run.
-    it("says that nothing was appended while the log is down", async () => {
+    // The log is down when a record is appended. If the result were "unknown",
+    // the caller could not be told that its request has not run.
+    it("reports that nothing was appended while the log is down", async () => {
       const one = start("one", { giveUpMilliseconds: 500 });
       await timer.advance(50);
       one.faults.down = true;
-      const first = watch(one.journal.append(body("a")));
+      const first = trackOutcome(one.journal.append(body("a")));
       await timer.advance(1_000);
       expect(first.outcome).to.equal("append_not_made");
       await timer.advance(15_000);
       expect(one.journal.reachable).to.equal(false);
-      const second = watch(one.journal.append(body("b")));
+      const second = trackOutcome(one.journal.append(body("b")));
       await timer.advance(0);
       expect(second.outcome).to.equal("append_not_made");
     });
 
-    // The first try gets no answer, and then the log goes down. The record of
-    // the first try is still on its way and lands when the caller has gone.
-    it("stays in doubt when the log goes down after a lost answer", async () => {
+    // The first attempt gets no answer, and then the log goes down. The record
+    // of the first attempt is still in transit and lands after the caller has
+    // gone.
+    it("reports an unknown outcome when the log goes down after a lost answer", async () => {
       const one = start("one", { giveUpMilliseconds: 2_000 });
       await timer.advance(50);
       one.faults.lateAppends = 1;
       one.faults.lateMilliseconds = 5_000;
-      const seen = watch(one.journal.append(body("a")));
+      const seen = trackOutcome(one.journal.append(body("a")));
       await timer.advance(100);
       one.faults.down = true;
       await timer.advance(4_000);
@@ -162,10 +167,10 @@
       expect(one.fold.taken).to.deep.equal(["a"]);
     });
 
-    it("settles what is open when it stops", async () => {
+    it("settles pending appends when it stops", async () => {
       const one = start("one");
       await timer.advance(50);
-      const queued = watch(one.journal.append(body("a")));
+      const queued = trackOutcome(one.journal.append(body("a")));
       one.journal.stop();
       await timer.advance(100);
       expect(queued.outcome).to.equal("append_not_made");
@@ -174,8 +179,8 @@
 
   describe("reading", () => {
     // Another replica of the log answers with an older head. A reader that
-    // believed it would go back to a configuration that it has left already.
-    it("stays where it is when a replica answers an older head", async () => {
+    // trusted it would return to a configuration that has been replaced.
+    it("keeps its position when a replica answers with an older head", async () => {
       const one = start("one");
       log.put(ORDERS, [record("a", 0), record("b", 1), record("c", 2)]);
       await timer.advance(1_000);
@@ -186,8 +191,8 @@
     });
 
     // A replica that is behind answers at once instead of holding the read
-    // open. Without a pause the reader asks it again as fast as it can.
-    it("does not ask a replica that is behind without pause", async () => {
+    // open. Without a pause, the reader would query it in a tight loop.
+    it("pauses between reads of a replica that is behind", async () => {
       const one = start("one");
       log.put(ORDERS, [record("a", 0), record("b", 1)]);
       await timer.advance(100);
@@ -197,9 +202,9 @@
       expect(log.readCalls - before).to.be.below(120);
     });
 
-    // Someone appends what no version of the software knows. The reader must
-    // go on behind it.
-    it("passes over records that do not fit the schema", async () => {
+    // A record that no software version knows is on the log. The reader must
+    // continue after it.
+    it("skips records that do not match the schema", async () => {
       const one = start("one");
       log.put(ORDERS, ["garbage", record("a", 0), {
         ...record("b", 1) as object,
@@ -211,9 +216,9 @@
     });
 
     // A newer version writes a kind of record that this one does not know, and
-    // an older record of the same writer lands late behind it. If only newer
-    // readers remembered the sequence number, the versions would differ.
-    it("remembers the sequence number of records it can't read", async () => {
+    // an older record of the same writer lands late. If only newer readers
+    // stored the sequence number, the states of the versions would diverge.
+    it("stores the sequence number of records with an unknown body", async () => {
       const one = start("one");
       const newer = { ...record("b", 5) as object, body: { kind: "newer" } };
       log.put(ORDERS, [newer, record("late", 4)]);
@@ -221,7 +226,7 @@
       expect(one.fold.taken).to.deep.equal([]);
     });
 
-    it("tells when the log goes and comes back", async () => {
+    it("reports when the log becomes unreachable and reachable", async () => {
       const states: boolean[] = [];
       const one = start("one", { onState: (state) => states.push(state) });
       await timer.advance(100);
@@ -235,9 +240,9 @@
       expect(one.fold.taken).to.deep.equal(["a", "b"]);
     });
 
-    // The connection hangs without an answer and without an error. A reader
-    // that waits for it forever misses every later change.
-    it("asks again after a read that never comes back", async () => {
+    // A read hangs without an answer or an error. A reader without a timeout
+    // would miss every later change.
+    it("retries a read that never returns", async () => {
       const one = start("one");
       await timer.advance(100);
       one.faults.silent = true;
@@ -251,9 +256,9 @@
 
   describe("expired records", () => {
     // A process was paused for so long that the records it needs next have
-    // expired. If it went on at the oldest one, it would miss claims and
-    // orders without a sign and differ from all others for good.
-    it("goes on from a checkpoint after a gap", async () => {
+    // expired. If it continued at the oldest one, it would silently miss claims
+    // and orders, and its state would diverge permanently from all others'.
+    it("continues from a checkpoint after a gap", async () => {
       const writer = start("writer", { checkpointRecords: 5 });
       const late = start("late", { writesCheckpoints: false });
       await timer.advance(100);
@@ -272,19 +277,20 @@
       expect(late.journal.position).to.equal(writer.journal.position);
     });
 
-    it("never skips silently where there is no checkpoint", async () => {
+    it("does not skip records silently when there is no checkpoint", async () => {
       const one = start("one", { writesCheckpoints: false });
       log.put(ORDERS, ["a", "b", "c", "d"].map(record));
       log.expire(ORDERS, 2);
       await timer.advance(20_000);
       expect(one.fold.taken).to.deep.equal([]);
-      expect(one.journal.missingRecords).to.equal(true);
+      expect(one.journal.hasMissingRecords).to.equal(true);
       expect(one.journal.caughtUp).to.equal(false);
     });
 
-    // A checkpoint ends before the oldest record that is left. Between the two
-    // a record is missing, so a reader that took it would lose a claim.
-    it("passes over a checkpoint that leaves a hole", async () => {
+    // A checkpoint ends before the oldest record that is left. A record between
+    // the two is missing, so a reader that used the checkpoint would lose a
+    // claim.
+    it("skips a checkpoint that leaves a gap", async () => {
       const one = start("one", { writesCheckpoints: false });
       log.put(ORDERS, ["a", "b", "c", "d"].map(record));
       const state = { fold: { taken: ["a"] }, writers: [] };
@@ -296,13 +302,13 @@
       }]);
       log.expire(ORDERS, 2);
       await timer.advance(20_000);
-      expect(one.journal.missingRecords).to.equal(true);
+      expect(one.journal.hasMissingRecords).to.equal(true);
       expect(one.fold.taken).to.deep.equal([]);
     });
 
-    // A process starts when the records it would need have expired, and no
-    // checkpoint stands on the stream yet; its peers still know the state.
-    it("takes a peer's state after a gap", async () => {
+    // A process starts when the records it needs have expired and the stream
+    // has no checkpoint yet; its peers still have the state.
+    it("restores a peer's state after a gap", async () => {
       const peer = start("peer", { writesCheckpoints: false });
       log.put(ORDERS, ["a", "b", "c", "d"].map(record));
       await timer.advance(100);
@@ -315,16 +321,17 @@
       expect(late.journal.caughtUp).to.equal(true);
     });
 
-    // Another log service answers a read of expired records with a failure
-    // instead of its oldest offset. The reader would fail over and over.
-    it("finds the oldest record where an expired read fails", async () => {
+    // Another log service fails a read of expired records instead of returning
+    // its oldest offset. Without handling this, the reader would fail on every
+    // retry.
+    it("finds the oldest record when a read of expired records fails", async () => {
       const peer = start("peer", { writesCheckpoints: false });
       log.put(ORDERS, ["a", "b", "c", "d"].map(record));
       await timer.advance(100);
       log.expire(ORDERS, 3);
       let asked = 0;
       const late = start("late", {
-        log: failsWhereExpired(log),
+        log: failingExpiredReads(log),
         peers: () =>
           Promise.resolve(
             asked++ === 0 ? undefined : peer.journal.snapshot(),
@@ -336,9 +343,9 @@
       expect(late.fold.taken).to.deep.equal(["a", "b", "c", "d"]);
     });
 
-    // All 40 entries of a region see at the same moment that a checkpoint is
-    // due. Without spreading them the log gets 40 copies of the whole state.
-    it("writes one checkpoint for many processes, seldom two", async () => {
+    // All 40 entries of a region find a checkpoint due at the same time.
+    // Without random delays, the log gets 40 copies of the whole state.
+    it("writes one checkpoint for many processes, rarely two", async () => {
       const all = Array.from(
         { length: 40 },
         (_, index) => start(`entry-${index}`, { checkpointRecords: 10 }),
@@ -353,9 +360,9 @@
       expect(written).to.be.within(1, 3);
     });
 
-    // Hardly anything is published for days, and the log keeps records for a
-    // limited time. Without a checkpoint by time the last claim expires.
-    it("writes the state again by time where records are few", async () => {
+    // Almost nothing is published for days, and the log's retention is limited.
+    // Without checkpoints by time, the last claim expires.
+    it("writes checkpoints by time when records are few", async () => {
       const one = start("one", { checkpointMilliseconds: 60_000 });
       log.put(ORDERS, [record("a", 0)]);
       await timer.advance(200_000);
@@ -364,9 +371,9 @@
   });
 
   describe("starting", () => {
-    // The log is in an outage while a VM is replaced. Its new process would
-    // have no configuration and could serve nobody.
-    it("takes a peer's state while the log is down", async () => {
+    // The log is down while a VM is replaced. Its new process would have no
+    // configuration and could serve no caller.
+    it("restores a peer's state while the log is down", async () => {
       const peer = start("peer");
       log.put(ORDERS, ["a", "b"].map(record));
       await timer.advance(100);
@@ -389,11 +396,9 @@
       expect(fresh.fold.taken).to.deep.equal(["a", "b", "c"]);
     });
 
-    // A restarted process reads from a replica that is behind. Without asking
-    // its peers it would follow an older configuration than before.
     // The log is down for half an hour. All entries have the same state, and
-    // each would fetch it from its peers again and again.
-    it("asks its peers seldom while it has a state", async () => {
+    // without backoff each would fetch it from its peers repeatedly.
+    it("queries its peers rarely while it has a state", async () => {
       let asked = 0;
       const one = start("one", {
         peers: () => {
@@ -409,9 +414,10 @@
       expect(asked).to.be.within(2, 8);
     });
 
-    // Only this process is cut off from the log. Its peers read on, and it
-    // would follow an old configuration for as long as the cut lasts.
-    it("hears of changes from peers while it alone is cut off", async () => {
+    // Only this process is cut off from the log. Its peers continue to read;
+    // without their state it would follow an old configuration until the link
+    // recovers.
+    it("gets changes from peers while it alone is cut off", async () => {
       const peer = start("peer");
       const one = start("one", {
         peers: () => Promise.resolve(peer.journal.snapshot()),
@@ -426,9 +432,10 @@
       expect(one.fold.taken).to.deep.equal(["a", "b"]);
     });
 
-    // The replica that this process reads is stuck. It would follow an old
-    // configuration for as long, and take the others' silence for their death.
-    it("notices by others that its replica is stuck", async () => {
+    // The replica that this process reads is stuck. The process would follow an
+    // old configuration meanwhile, and mistake missing heartbeats of others for
+    // failures.
+    it("detects by its peers that its replica is stuck", async () => {
       const peer = start("peer");
       const one = start("one", {
         peers: () => Promise.resolve(peer.journal.snapshot()),
@@ -444,18 +451,19 @@
       expect(one.fold.taken).to.deep.equal(["a"]);
     });
 
-    // The same, noticed by the answer to an append of its own.
-    it("notices by its own append that its replica is stuck", async () => {
+    // The same, detected by the answer to an append of its own.
+    it("detects by its own append that its replica is stuck", async () => {
       const one = start("one");
       await timer.advance(1_000);
       one.faults.lagRecords = 100;
-      watch(one.journal.append(body("a")));
+      trackOutcome(one.journal.append(body("a")));
       await timer.advance(1_000);
       expect(one.journal.caughtUp).to.equal(false);
     });
 
-    // A peer that is far behind answers a process that has read more itself.
-    it("does not go back to a peer's older state", async () => {
+    // A peer that is far behind answers a process that has read more records
+    // itself.
+    it("ignores a peer's older state", async () => {
       const one = start("one", {
         peers: () =>
           Promise.resolve({ upTo: 0, state: { fold: { taken: ["a"] } } }),
@@ -468,7 +476,9 @@
       expect(one.fold.taken).to.deep.equal(["a", "b", "c"]);
     });
 
-    it("starts at the highest of log and peers", async () => {
+    // A restarted process reads from a replica that is behind. Without querying
+    // its peers it would follow an older configuration than before.
+    it("starts from the highest state of log and peers", async () => {
       const peer = start("peer");
       log.put(ORDERS, ["a", "b", "c"].map(record));
       await timer.advance(100);
--- a/src/core/journal/log_service.ts
+++ b/src/core/journal/log_service.ts
@@ -5,17 +5,17 @@
 /** Name of a stream of the platform's log service. */
 export type StreamName = Branded<string, "StreamName">;
 
-/** What a read gives: contiguous records and where the stream stands. */
+/** Result of a read: contiguous records and the ends of the stream. */
 export interface LogPage {
-  /** Records from the wanted offset on, in order, without holes. */
+  /** Records from the requested offset on, in order, without gaps. */
   readonly records: readonly LogItem[];
-  /** Offset of the oldest record that the service still keeps. */
+  /** Offset of the oldest record that the service still stores. */
   readonly oldest: LogOffset;
-  /** Offset behind the newest record that the answering replica knows. */
+  /** Offset after the newest record that the answering replica has. */
   readonly head: LogOffset;
 }
 
-/** One record as it stands on the log; `value` is whatever was appended. */
+/** One record of the log; `value` is whatever was appended. */
 export interface LogItem {
   readonly offset: LogOffset;
   readonly value: unknown;
@@ -23,8 +23,8 @@
 
 /**
  * `log_unavailable`: the call had no effect. `log_unknown`: the answer was
- * lost, the append may have happened or may still happen.
- * `log_expired`: the wanted offset is older than what the service keeps.
+ * lost; the append may have happened or may still happen. `log_expired`: the
+ * requested offset is older than the oldest stored record.
  */
 export type LogFailure = Failure<
   "log_unavailable" | "log_unknown" | "log_expired"
@@ -32,15 +32,18 @@
 
 export interface LogReadOptions {
   readonly from: LogOffset;
-  /** Most records that the answer may hold. */
+  /** Maximum number of records in the answer. */
   readonly limit: number;
-  /** How long the service may wait for a record to come, milliseconds. */
+  /**
+   * Long-poll timeout: how long the service may wait for a record,
+   * milliseconds.
+   */
   readonly waitMilliseconds: number;
 }
 
-/** The platform's append-only log service, as the core sees it. */
+/** The platform's append-only log service, as the core uses it. */
 export interface LogService {
-  /** Appends the records next to each other; gives the first one's offset. */
+  /** Appends the records contiguously; returns the first one's offset. */
   append(
     stream: StreamName,
     records: readonly unknown[],
--- a/src/core/journal/outage_test.ts
+++ b/src/core/journal/outage_test.ts
@@ -30,9 +30,9 @@
     return { timer, ...made };
   }
 
-  it("refuses at once what comes while the log turns appends away", async () => {
+  it("fails an append at once while the log rejects appends", async () => {
     // The log goes down while the reader's long poll is still open. A caller
-    // would wait out the whole time of an append for a refusal that is certain.
+    // would wait for the whole append timeout for a certain failure.
     const { timer, journal, faults } = await make();
     faults.down = true;
     void journal.append(RECORD);
@@ -43,8 +43,9 @@
     expect(timer.now()).to.equal(before);
   });
 
-  it("takes records again once the log is back", async () => {
-    // Refusing must end with the outage, or a region stays without keys.
+  it("appends again once the log is back", async () => {
+    // Rejecting must end with the outage, or a region stays without idempotency
+    // keys.
     const { timer, journal, faults } = await make();
     faults.down = true;
     void journal.append(RECORD);
--- a/src/core/journal/record_reading.ts
+++ b/src/core/journal/record_reading.ts
@@ -1,7 +1,9 @@
 import type { RecordBody } from "../../generated/log_records.ts";
 import { validateRecordBody } from "../../generated/validators.js";
 
-/** The part of a record that every version of the software reads alike. */
+/**
+ * The part of a record that every version of the software reads the same way.
+ */
 export interface RecordEnvelope {
   readonly writer: string;
   readonly incarnation: string;
@@ -10,10 +12,10 @@
 }
 
 /**
- * Reads the envelope without looking at the body. What goes wrong otherwise:
- * an older reader passes over a record of a kind that it does not know,
- * forgets its sequence number as well, and later admits a late record that
- * newer readers drop; the two versions differ from there on.
+ * Reads the envelope without validating the body. Otherwise an older reader
+ * that skips a record of an unknown kind does not store its sequence number
+ * either, and later admits a late record that newer readers drop; the states of
+ * the two versions then diverge.
  */
 export function readEnvelope(value: unknown): RecordEnvelope | undefined {
   if (typeof value !== "object" || value === null) return undefined;
@@ -30,7 +32,7 @@
   return { writer, incarnation, sequence: sequence as number, body };
 }
 
-/** The body where it is of a known kind and shape. */
+/** The body if its kind is known and it matches the schema. */
 export function readBody(body: unknown): RecordBody | undefined {
   return validateRecordBody(body) ? body as RecordBody : undefined;
 }
--- a/src/core/journal/record_shapes_test.ts
+++ b/src/core/journal/record_shapes_test.ts
@@ -8,7 +8,10 @@
 
 const SCHEMA = new URL("../../schema/log_records.json", import.meta.url);
 
-/** Fields of the records by which every reader decides; "?" marks optional. */
+/**
+ * Fields of the records that determine every reader's state; "?" marks
+ * optional.
+ */
 const SHAPES: Record<string, string> = {
   PublicationRecord: "kind publicationId base publisher? content",
   ClaimRecord: "kind holder replaces",
@@ -25,10 +28,11 @@
   };
 
   // A new version adds a field to a kind of record. Processes of the old
-  // version pass over such records while the new ones apply them, and during
-  // a roll-out the fleet splits for good. A new need takes a new kind.
+  // version skip such records while the new ones apply them, so during a
+  // rollout their states diverge permanently. A change requires a new kind of
+  // record.
   for (const [name, shape] of Object.entries(SHAPES)) {
-    it(`${name} stays as it was`, () => {
+    it(`${name} keeps its fields`, () => {
       const { properties, required } = definitions[name];
       const fields = Object.keys(properties ?? {}).map((field) =>
         required?.includes(field) ? field : `${field}?`
--- a/src/core/journal/schedules_test.ts
+++ b/src/core/journal/schedules_test.ts
@@ -86,7 +86,7 @@
     });
   }
 
-  async take({ kind, process, wait }: Step): Promise<void> {
+  async applyStep({ kind, process, wait }: Step): Promise<void> {
     const { faults, journal } = this.parts[process];
     if (kind === "append") this.append(process);
     else if (kind === "burst") {
@@ -106,7 +106,10 @@
     await this.timer.advance(wait);
   }
 
-  /** As much as the log may forget while one reader still has the state. */
+  /**
+   * Expires as much of the log as possible while one reader still has the
+   * state.
+   */
   expire(): void {
     const position = Math.max(
       ...this.parts.map(({ journal }) => journal.position),
@@ -131,21 +134,21 @@
 
 describe("Journals of several processes under any faults", () => {
   // Answers get lost, appends land late or twice, replicas are behind, records
-  // expire, processes restart. Whatever the order of these, no two processes
-  // may ever differ but by how far they have read; what a writer was told must
-  // be true, and nothing may count twice.
-  it("agree on one history, and writers are told the truth", async () => {
+  // expire, processes restart. In any order of these, the states of two
+  // processes may differ only by how far they have read, append results must be
+  // correct, and no record may count twice.
+  it("agree on one history and report correct append results", async () => {
     const found = await searchSchedules({});
     expect(found.counterexample).to.equal(null);
   });
 
-  // A search that can't see what a guard prevents proves nothing.
+  // The search must fail when a guard is disabled, or it proves nothing.
   const guards: readonly (keyof JournalGuards)[] = [
     "dropsRepeats",
     "closesGaps",
   ];
   for (const guard of guards) {
-    it(`differ in some schedule without ${guard}`, async () => {
+    it(`diverge in some schedule without ${guard}`, async () => {
       const found = await searchSchedules({ [guard]: false });
       expect(found.failed).to.equal(true);
     });
@@ -168,7 +171,7 @@
 ): Promise<void> {
   let positions = fleet.parts.map(() => -1);
   for (const next of steps) {
-    await fleet.take(next);
+    await fleet.applyStep(next);
     expectPrefixes(fleet.parts.map(({ fold }) => fold.taken));
     const now = fleet.parts.map(({ journal }) => journal.position);
     if (next.kind === "restart") positions[next.process] = -1;
@@ -179,7 +182,7 @@
   }
   await fleet.heal();
   expectOneHistory(fleet);
-  expectTruth(fleet);
+  expectCorrectOutcomes(fleet);
 }
 
 function expectOneHistory({ parts }: Fleet): void {
@@ -191,12 +194,12 @@
   expect(new Set(fold.taken).size).to.equal(fold.taken.length);
 }
 
-function expectTruth({ outcomes, parts }: Fleet): void {
+function expectCorrectOutcomes({ outcomes, parts }: Fleet): void {
   const [{ fold }] = parts;
   for (const [marker, outcome] of outcomes) {
     expect(outcome).to.not.equal("open");
-    const stands = fold.taken.includes(marker);
-    if (outcome === "made") expect(stands, marker).to.equal(true);
-    if (outcome === "append_not_made") expect(stands, marker).to.equal(false);
+    const isOnLog = fold.taken.includes(marker);
+    if (outcome === "made") expect(isOnLog, marker).to.equal(true);
+    if (outcome === "append_not_made") expect(isOnLog, marker).to.equal(false);
   }
 }
--- a/src/core/journal/sequence_filter.ts
+++ b/src/core/journal/sequence_filter.ts
@@ -8,38 +8,39 @@
 ];
 
 /**
- * Runs whose last sequence number is remembered, those that wrote last. Load:
- * 40 entries in a region that restart 300 times a day, and 660 operators'
- * commands, each a run of its own: hours of them, while an append is under way
- * for minutes at the most. Limit: 256 runs are 30 KB in a checkpoint. Counted
- * in runs and not in time, because every reader has to forget at the same place.
+ * Runs whose last sequence number is stored; the least recent writer is
+ * evicted. 40 entries of a region that restart 300 times a day and 660
+ * operators' commands, each a run of its own, fill it in hours, while an append
+ * is in flight for minutes at most. 256 runs take 30 KB in a checkpoint. The
+ * limit is a count and not a time because every reader has to evict at the same
+ * position.
  */
-export const MOST_REMEMBERED_RUNS = 256;
+export const MAX_STORED_RUNS = 256;
 
 /**
  * Drops a record whose sequence number is not above its writer's last one.
  *
- * What goes wrong without it: an append whose answer was lost is sent again
- * and lands twice, or lands long after its writer gave it up and went on; one
- * would notice a publication or an order that acts a second time. Because a
- * record lower than its writer's last is void, a writer that reads back a later
- * record of its own knows that the missing one can't take effect any more.
+ * Without it, an append whose answer was lost is sent again and lands twice, or
+ * lands long after its writer gave it up, so that a publication or order takes
+ * effect a second time. Because a record lower than its writer's last one is
+ * void, a writer that reads back a later record of its own knows that the
+ * missing one can no longer take effect.
  *
- * The verdict is part of the state that peers and checkpoints hand over:
- * a reader that joined late drops exactly the records that the others drop.
+ * The filter is part of the state in snapshots and checkpoints: a reader that
+ * joined late drops exactly the records that the others drop.
  */
 export class SequenceFilter {
   /** In the order of their last records, the oldest first. */
   #runs = new Map<string, SavedRun>();
 
-  /** True where the record counts; remembers its sequence number then. */
+  /** Returns true and stores the sequence number if the record counts. */
   admit({ incarnation, sequence, writer }: RecordEnvelope): boolean {
     const key = runKey(writer, incarnation);
     const last = this.#runs.get(key)?.[2] ?? -1;
     if (sequence <= last) return false;
     this.#runs.delete(key);
     this.#runs.set(key, [writer, incarnation, sequence]);
-    if (this.#runs.size > MOST_REMEMBERED_RUNS) this.#forgetOldest();
+    if (this.#runs.size > MAX_STORED_RUNS) this.#evictOldest();
     return true;
   }
 
@@ -54,7 +55,7 @@
     );
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     const [oldest] = this.#runs.keys();
     this.#runs.delete(oldest);
   }
--- a/src/core/journal/sequence_filter_test.ts
+++ b/src/core/journal/sequence_filter_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { MOST_REMEMBERED_RUNS, SequenceFilter } from "./sequence_filter.ts";
+import { MAX_STORED_RUNS, SequenceFilter } from "./sequence_filter.ts";
 
 function record(writer: string, sequence: number) {
   return { writer, incarnation: "run", sequence, body: undefined };
@@ -15,26 +15,27 @@
     expect(filter.admit(record("b", 0))).to.equal(true);
   });
 
-  // Every operator's command is a run of its own, thousands in a week. The
-  // filter would grow without end in every process and checkpoint.
-  it("remembers the runs that wrote last and no more", () => {
+  // Every operator's command is a run of its own, thousands in a week. Without
+  // a limit, the filter would grow without bound in every process and
+  // checkpoint.
+  it("stores only the runs that wrote last", () => {
     const filter = new SequenceFilter();
     filter.admit(record("first", 0));
     filter.admit(record("second", 0));
     filter.admit(record("first", 1));
-    for (let index = 0; index < MOST_REMEMBERED_RUNS - 1; index += 1) {
+    for (let index = 0; index < MAX_STORED_RUNS - 1; index += 1) {
       filter.admit(record(`operator-${index}`, 0));
     }
-    expect(filter.save()).to.have.length(MOST_REMEMBERED_RUNS);
+    expect(filter.save()).to.have.length(MAX_STORED_RUNS);
     expect(filter.admit(record("first", 1))).to.equal(false);
     expect(filter.admit(record("second", 0))).to.equal(true);
   });
 
-  // A reader that joined by a checkpoint must forget at the same place as one
-  // that read everything, or the two admit different records.
-  it("forgets alike after saving and loading", () => {
+  // A reader that joined from a checkpoint must evict at the same position as
+  // one that read everything, or the two admit different records.
+  it("evicts the same runs after saving and loading", () => {
     const whole = new SequenceFilter();
-    for (let index = 0; index < MOST_REMEMBERED_RUNS; index += 1) {
+    for (let index = 0; index < MAX_STORED_RUNS; index += 1) {
       whole.admit(record(`run-${index}`, 0));
     }
     const joined = new SequenceFilter();
--- a/src/core/journal/stream_fold.ts
+++ b/src/core/journal/stream_fold.ts
@@ -2,15 +2,15 @@
 import type { RecordBody } from "../../generated/log_records.ts";
 
 /**
- * The state that a contiguous prefix of a stream amounts to. A record's
- * validity may depend on the records before it and on nothing else: no clock,
- * no random number, no setting and no software version, so that every reader
- * of the prefix comes to the same state, however late it reads.
+ * State computed from a contiguous prefix of a stream. A record's validity may
+ * depend only on the records before it, and on no clock, random number, setting
+ * or software version, so that every reader of the prefix computes the same
+ * state, however late it reads.
  */
 export interface StreamFold {
   apply(offset: LogOffset, body: RecordBody): void;
   /** The whole state as plain JSON, for checkpoints and peers. */
   save(): Record<string, unknown>;
-  /** Replaces the whole state by a saved one. */
+  /** Replaces the whole state with a saved one. */
   load(state: Record<string, unknown>): void;
 }
--- a/src/core/journal/stream_prefix.ts
+++ b/src/core/journal/stream_prefix.ts
@@ -12,27 +12,30 @@
 import { SequenceFilter } from "./sequence_filter.ts";
 import type { StreamFold } from "./stream_fold.ts";
 
-/** Guards that a test may take out; the product never passes them. */
+/** Checks that a test can disable; production code leaves all enabled. */
 export interface JournalGuards {
-  /** A record that lands again, or behind a later one, does not count. */
+  /** A record that lands again, or after a later one of its writer, is void. */
   readonly dropsRepeats: boolean;
-  /** Expired records are made up for by a state from behind them. */
+  /** Expired records are replaced by a state that includes them. */
   readonly closesGaps: boolean;
 }
 
 export interface StreamPrefixOptions {
   readonly fold: StreamFold;
   readonly guards?: Partial<JournalGuards>;
-  /** A record counts and the fold has it. */
+  /** A record counts and the fold has applied it. */
   readonly onApplied: (offset: LogOffset, body: RecordBody) => void;
-  /** A record has been read and is new, whether its body is known or not. */
+  /**
+   * A record has been read and is not a repeat, whether its body is known or
+   * not.
+   */
   readonly onRead: (offset: LogOffset, envelope: RecordEnvelope) => void;
-  /** The state has jumped to a snapshot or checkpoint. */
+  /** The state was replaced by a snapshot or checkpoint. */
   readonly onRestored: (position: LogOffset) => void;
 }
 
 /**
- * The contiguous prefix of a stream that a process stands for: position, fold
+ * The contiguous prefix of a stream that a process has applied: position, fold
  * and filter, which only move forward and only together.
  */
 export class StreamPrefix {
@@ -48,7 +51,7 @@
     this.#options = options;
   }
 
-  /** Offset of the last record that the fold stands for; -1 at first. */
+  /** Offset of the last record that the state includes; -1 before the first. */
   get position(): LogOffset {
     return numbered(this.#position);
   }
@@ -58,12 +61,15 @@
     return numbered(this.#search?.next ?? this.#position + 1);
   }
 
-  /** True while records are missing and no state after them has been found. */
-  get missingRecords(): boolean {
+  /**
+   * True while records are missing and no state that includes them has been
+   * found.
+   */
+  get hasMissingRecords(): boolean {
     return this.#search !== undefined;
   }
 
-  /** Records that do not fit the schema. */
+  /** Records that do not match the schema. */
   get unreadable(): number {
     return this.#unreadable;
   }
@@ -73,12 +79,12 @@
     return this.#repeated;
   }
 
-  /** Times that records had expired before they were read. */
+  /** Number of times that records had expired before they were read. */
   get gaps(): number {
     return this.#gaps;
   }
 
-  /** The whole state; what another process needs to go on from here. */
+  /** The whole state that another process needs to continue from here. */
   save(): StreamSnapshot {
     const state = {
       fold: this.#options.fold.save(),
@@ -87,7 +93,7 @@
     return { upTo: this.#position, state };
   }
 
-  /** Jumps forward to a saved state; one that is not ahead changes nothing. */
+  /** Replaces the state with a saved one; ignores one that is not ahead. */
   restore({ state, upTo }: StreamSnapshot): void {
     if (upTo <= this.#position) return;
     this.#search = undefined;
@@ -97,22 +103,22 @@
     this.#options.onRestored(numbered(upTo));
   }
 
-  /** Takes records that were read from `next` on. */
-  take(items: readonly LogItem[]): void {
+  /** Processes records that were read from `next` on. */
+  processItems(items: readonly LogItem[]): void {
     for (const item of items) {
-      if (this.#search !== undefined) this.#lookForCheckpoint(item);
+      if (this.#search !== undefined) this.#searchCheckpoint(item);
       else this.#apply(item);
     }
   }
 
   /**
-   * Records between the position and `oldest` have expired. What goes wrong
-   * without this: the fold goes on without them, and this process differs from
-   * all others for good. Instead nothing counts until there is a state from
-   * behind the gap. False where there is no gap any more.
+   * Handles the expiry of the records between the position and `oldest`. If the
+   * fold continued without them, this process's state would diverge permanently
+   * from all others'. Instead no record counts until a state that includes the
+   * missing ones is found. Returns false if the gap is already closed.
    */
-  openGap(oldest: LogOffset): boolean {
-    // A peer's state may have come while the read was under way.
+  handleGap(oldest: LogOffset): boolean {
+    // A peer's state may have arrived while the read was in progress.
     if (this.#position + 1 >= oldest) return false;
     this.#gaps += 1;
     if (this.#options.guards?.closesGaps === false) {
@@ -123,9 +129,9 @@
     return true;
   }
 
-  #lookForCheckpoint(item: LogItem): void {
+  #searchCheckpoint(item: LogItem): void {
     const body = readBody(readEnvelope(item.value)?.body);
-    const found = this.#search?.look(item, body);
+    const found = this.#search?.inspect(item, body);
     if (found === undefined) return;
     this.restore(found.checkpoint);
     for (const next of found.following) this.#apply(next);
--- a/src/core/journal/stream_reader.ts
+++ b/src/core/journal/stream_reader.ts
@@ -14,48 +14,52 @@
   readonly stream: StreamName;
   readonly timer: TimerService;
   readonly random: Random;
-  /** Offset of the next record that is wanted. */
+  /** Offset of the next record to read. */
   readonly next: () => LogOffset;
-  /** Takes the records that follow `next`, in order and without holes. */
+  /** Processes the records from `next` on, in order and without gaps. */
   readonly onItems: (items: readonly LogItem[]) => void;
-  /** Records from `next` on have expired; `oldest` is what is left. */
+  /** Records from `next` on have expired; `oldest` is the first one left. */
   readonly onGap: (oldest: LogOffset) => Promise<void>;
-  /** A read came back without records. */
+  /** A read returned no records. */
   readonly onIdle: () => Promise<void>;
   readonly onReachable: (reachable: boolean) => Promise<void>;
 }
 
-const MOST_RECORDS_IN_PAGE = 500;
+const MAX_RECORDS_PER_PAGE = 500;
 /**
- * How long the log service holds a read open while nothing new stands on the
- * stream. Load: 410 nodes that each tail three streams make 120 idle reads a
- * second at 10 s, about 50 bytes a second a node.
+ * Long-poll timeout of reads at the end of the stream. 410 nodes that each tail
+ * three streams make 120 idle reads per second at 10 s, about 50 bytes per
+ * second and node.
  */
 const LONG_POLL_MILLISECONDS = 10_000;
-/** A read without an answer for this long after its wait counts as failed. */
-const READ_GRACE_MILLISECONDS = 3_000;
-const FIRST_RETRY_MILLISECONDS = 100;
-const LONGEST_RETRY_MILLISECONDS = 2_000;
 /**
- * Pause after an answer without records that came before the wait was over,
- * as from a replica that is behind. Harm prevented: a tight loop of reads.
+ * A read without an answer this long after its long-poll timeout has failed.
+ */
+const READ_TIMEOUT_MARGIN_MILLISECONDS = 3_000;
+const INITIAL_RETRY_MILLISECONDS = 100;
+const MAX_RETRY_MILLISECONDS = 2_000;
+/**
+ * Pause after an empty answer before the end of the long poll, as from a
+ * replica that is behind. Without it the reader would loop without delay.
  */
 const EARLY_ANSWER_PAUSE_MILLISECONDS = 100;
-/** Failed reads in a row after which the log counts as out of reach. */
+/** Consecutive failed reads after which the log counts as unreachable. */
 const FAILURES_UNTIL_UNREACHABLE = 2;
-/** An offset that no stream has; a read there tells the oldest record. */
-const BEYOND_EVERY_HEAD: LogOffset = numbered(2 ** 52);
+/**
+ * An offset beyond any stream's head; a read there returns the oldest offset.
+ */
+const OFFSET_BEYOND_HEAD: LogOffset = numbered(2 ** 52);
 
-/** Reads a stream forward without end, through outages and stale replicas. */
+/** Reads a stream forward continuously, through outages and stale replicas. */
 export class StreamReader {
   readonly #options: StreamReaderOptions;
   #stopped = true;
-  #run = 0;
+  #generation = 0;
   #failures = 0;
-  #retryMilliseconds = FIRST_RETRY_MILLISECONDS;
+  #retryMilliseconds = INITIAL_RETRY_MILLISECONDS;
   #reachable = true;
   #highestHead = -1;
-  #lastAnswer: number | undefined;
+  #lastAnswerAt: number | undefined;
 
   constructor(options: StreamReaderOptions) {
     this.#options = options;
@@ -65,60 +69,61 @@
     return this.#reachable;
   }
 
-  /** Highest head that any replica has told of; -1 before the first answer. */
+  /** Highest head that any replica has reported; -1 before the first answer. */
   get highestHead(): number {
     return this.#highestHead;
   }
 
-  /** Somebody knows of records below `head`, whatever the replica says. */
+  /** Records below `head` exist, whatever the replica reports. */
   noteHead(head: number): void {
     this.#highestHead = Math.max(this.#highestHead, head);
   }
 
   /** Timer time of the log's last answer. */
-  get lastAnswer(): number | undefined {
-    return this.#lastAnswer;
+  get lastAnswerAt(): number | undefined {
+    return this.#lastAnswerAt;
   }
 
   start(): void {
     if (!this.#stopped) return;
     this.#stopped = false;
-    void this.#loop(++this.#run);
+    void this.#loop(++this.#generation);
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#run += 1;
+    this.#generation += 1;
   }
 
-  async #loop(run: number): Promise<void> {
-    while (run === this.#run) {
-      const asked = this.#options.timer.now();
+  async #loop(generation: number): Promise<void> {
+    while (generation === this.#generation) {
+      const requestedAt = this.#options.timer.now();
       const isFirst = this.#highestHead < 0;
       const from = this.#options.next();
       const answer = await this.#read(from);
-      if (run !== this.#run) return;
+      if (generation !== this.#generation) return;
       if (answer === "failed") await this.#afterFailure();
       else if (answer === "expired") await this.#findOldest();
-      else await this.#afterPage(answer, { from, asked, isFirst });
+      else await this.#afterPage(answer, { from, requestedAt, isFirst });
     }
   }
 
   async #read(from: LogOffset): Promise<LogPage | "failed" | "expired"> {
-    // The first read does not wait: a starting process wants to know at once
-    // whether the log answers. Nor does a read after an outage: a long poll on
-    // a quiet stream would hide for its whole length that the log is back.
-    const asksWhetherUp = this.#highestHead < 0 || !this.#reachable;
-    const waitMilliseconds = asksWhetherUp ? 0 : LONG_POLL_MILLISECONDS;
+    // The first read does not wait: a starting process has to know at once
+    // whether the log answers. Nor does a read after an outage: on a quiet
+    // stream, a long poll would delay the detection of the recovery by its
+    // whole timeout.
+    const skipsLongPoll = this.#highestHead < 0 || !this.#reachable;
+    const waitMilliseconds = skipsLongPoll ? 0 : LONG_POLL_MILLISECONDS;
     const answer = await beforeDeadline(
       this.#options.log.read(this.#options.stream, {
         from,
-        limit: MOST_RECORDS_IN_PAGE,
+        limit: MAX_RECORDS_PER_PAGE,
         waitMilliseconds,
       }),
       {
         timer: this.#options.timer,
-        milliseconds: waitMilliseconds + READ_GRACE_MILLISECONDS,
+        milliseconds: waitMilliseconds + READ_TIMEOUT_MARGIN_MILLISECONDS,
       },
     );
     if (answer === undefined) return "failed";
@@ -128,21 +133,21 @@
 
   async #afterPage(
     page: LogPage,
-    options: { from: LogOffset; asked: number; isFirst: boolean },
+    options: { from: LogOffset; requestedAt: number; isFirst: boolean },
   ): Promise<void> {
-    await this.#answered(page);
+    await this.#handleAnswer(page);
     if (page.oldest > options.from) {
       await this.#options.onGap(page.oldest);
       return;
     }
-    const items = contiguous(page.records, options.from);
+    const items = contiguousFrom(page.records, options.from);
     if (items.length > 0) {
       this.#options.onItems(items);
       return;
     }
     await this.#options.onIdle();
-    const took = this.#options.timer.now() - options.asked;
-    if (!options.isFirst && took < EARLY_ANSWER_PAUSE_MILLISECONDS) {
+    const elapsed = this.#options.timer.now() - options.requestedAt;
+    if (!options.isFirst && elapsed < EARLY_ANSWER_PAUSE_MILLISECONDS) {
       await this.#pause(EARLY_ANSWER_PAUSE_MILLISECONDS);
     }
   }
@@ -154,26 +159,26 @@
       await this.#options.onReachable(false);
     }
     const wait = this.#retryMilliseconds;
-    this.#retryMilliseconds = Math.min(wait * 2, LONGEST_RETRY_MILLISECONDS);
+    this.#retryMilliseconds = Math.min(wait * 2, MAX_RETRY_MILLISECONDS);
     await this.#pause(wait);
   }
 
   async #findOldest(): Promise<void> {
     const answer = await this.#options.log.read(this.#options.stream, {
-      from: BEYOND_EVERY_HEAD,
+      from: OFFSET_BEYOND_HEAD,
       limit: 1,
       waitMilliseconds: 0,
     });
     if (answer.isErr()) return await this.#afterFailure();
-    await this.#answered(answer.value);
+    await this.#handleAnswer(answer.value);
     await this.#options.onGap(answer.value.oldest);
   }
 
-  async #answered(page: LogPage): Promise<void> {
-    this.#lastAnswer = this.#options.timer.now();
+  async #handleAnswer(page: LogPage): Promise<void> {
+    this.#lastAnswerAt = this.#options.timer.now();
     this.#highestHead = Math.max(this.#highestHead, page.head);
     this.#failures = 0;
-    this.#retryMilliseconds = FIRST_RETRY_MILLISECONDS;
+    this.#retryMilliseconds = INITIAL_RETRY_MILLISECONDS;
     if (this.#reachable) return;
     this.#reachable = true;
     await this.#options.onReachable(true);
@@ -188,16 +193,16 @@
 }
 
 /**
- * The records from the wanted offset on, up to the first hole. A hole would
- * make this reader's state differ from everyone else's for good.
+ * The records from the requested offset on, up to the first gap. Reading past a
+ * gap would make this reader's state diverge permanently from all others'.
  */
-function contiguous(
+function contiguousFrom(
   records: readonly LogItem[],
   from: LogOffset,
 ): readonly LogItem[] {
   const start = records.findIndex((item) => item.offset === from);
   if (start < 0) return [];
   const wanted = records.slice(start);
-  const hole = wanted.findIndex((item, index) => item.offset !== from + index);
-  return hole < 0 ? wanted : wanted.slice(0, hole);
+  const gap = wanted.findIndex((item, index) => item.offset !== from + index);
+  return gap < 0 ? wanted : wanted.slice(0, gap);
 }
