--- a/src/core/authority/authority_test.ts
+++ b/src/core/authority/authority_test.ts
@@ -36,17 +36,17 @@
 }
 
 describe("OrdersFold", () => {
-  // Two entries claim at the same moment. If both held the claim, their orders
-  // would contradict each other at the engines.
-  it("lets the first of two racing claims win", () => {
+  // Two entries claim concurrently. If both held the claim, engines would get
+  // contradicting orders.
+  it("keeps the first of two concurrent claims", () => {
     const fold = foldOf([claim("a", -1), claim("b", -1)]);
     expect(fold.claim).to.deep.equal({ offset: 0, holder: "a" });
   });
 
-  // A planner is paused, another takes over, and the first wakes up and
-  // appends what it had in hand. Without the check its order would move an
-  // engine that the new planner has moved elsewhere.
-  it("voids orders behind a newer claim", () => {
+  // A planner is paused, another takes over, and the first resumes and appends
+  // a pending order. Without the check, it would move an engine that the new
+  // planner has moved elsewhere.
+  it("voids orders of a replaced claim", () => {
     const fold = foldOf([
       claim("a", -1),
       claim("b", 0),
@@ -57,16 +57,16 @@
     expect(fold.voidOrders).to.equal(1);
   });
 
-  // A claim lands late, after others have held the claim. Its writer would
-  // take the authority back without knowing it.
-  it("passes over a claim that replaces an old one", () => {
+  // A claim lands late, after others have held the claim. Its writer would take
+  // the claim back without knowing it.
+  it("ignores a claim that replaces an old one", () => {
     const fold = foldOf([claim("a", -1), claim("b", 0), claim("late", 0)]);
     expect(fold.claim?.holder).to.equal("b");
   });
 
-  // An order lands twice, the second time behind its successor. The engine
-  // would be sent back to where it was.
-  it("passes over an order whose number is not above the last", () => {
+  // An order lands twice, the second time after its successor. The engine would
+  // be moved back.
+  it("ignores an order whose number is not above the last", () => {
     const fold = foldOf([
       claim("a", -1),
       order(0, 0, "prefill"),
@@ -80,7 +80,7 @@
     });
   });
 
-  it("keeps the orders under way through a takeover", () => {
+  it("keeps pending orders across a takeover", () => {
     const fold = foldOf([claim("a", -1), order(0, 3), claim("b", 0)]);
     expect(fold.standingOrder("triage-1")?.offset).to.equal(1);
     expect(fold.lastNumber("triage-1")).to.equal(3);
@@ -107,11 +107,11 @@
     timer = new ManualTimerService();
     log = new FakeLog({ timer });
     takeovers = 0;
-    const watcher = makeJournal(
+    const observer = makeJournal(
       new OrdersFold({ onClaim: () => takeovers += 1 }),
       { log, timer, name: "watcher", stream: ORDERS },
     );
-    watcher.journal.start();
+    observer.journal.start();
     planners = Array.from(
       { length: 10 },
       (_, index) => makePlanner({ log, timer, name: `entry-${index}` }),
@@ -128,7 +128,7 @@
     ).length;
   }
 
-  it("finds one holder and keeps it", async () => {
+  it("elects one holder and keeps it", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
     expect(holders()).to.have.length(1);
@@ -138,7 +138,8 @@
     expect(claims()).to.equal(before);
   });
 
-  // The planner's VM is killed. Nobody shifts roles until another takes over.
+  // The planner's VM is killed. No roles change until another planner takes
+  // over.
   it("takes over from a holder that is killed", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
@@ -149,8 +150,8 @@
     expect(next).to.have.length(1);
   });
 
-  // One holder after the other is killed. If each takeover's silence were
-  // taken for a living holder's habit, every further one would take longer.
+  // One holder after the other is killed. If the gap of each takeover counted
+  // as a gap of a running holder, every further takeover would take longer.
   it("takes over as fast after several kills", async () => {
     await timer.advance(5_000);
     for (let kill = 0; kill < 5; kill += 1) {
@@ -163,9 +164,9 @@
     }
   });
 
-  // A planned stop without handover would leave the region without a planner
-  // for the whole allowed silence.
-  it("hands over at once on a planned stop", async () => {
+  // Without a release, a planned stop would leave the region without a planner
+  // for the whole claim timeout.
+  it("releases the claim at once on a planned stop", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
     void holder.keeper.stop();
@@ -174,8 +175,8 @@
     expect(holders()[0]).to.not.equal(holder);
   });
 
-  // The log is down for minutes. No renewal can be read, and every entry
-  // would take that for the holder's death and claim when the log is back.
+  // The log is down for minutes. No renewal can be read, and every entry would
+  // treat the holder as failed and claim when the log recovers.
   it("does not claim because of an outage of the log", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
@@ -188,9 +189,10 @@
     expect(claims()).to.equal(before);
   });
 
-  // The log turns slow: every call takes 4 s, more than the allowed silence.
-  // The claim would go from entry to entry, each time with a new number.
-  it("does not pass the claim about while the log is slow", async () => {
+  // The log becomes slow: every call takes 4 s, more than the claim timeout.
+  // The claim would move from entry to entry, each time with a new fencing
+  // token.
+  it("does not move the claim while the log is slow", async () => {
     await timer.advance(5_000);
     const before = claims();
     for (const { faults } of planners) faults.slowMilliseconds = 4_000;
@@ -198,10 +200,10 @@
     expect(claims()).to.equal(before);
   });
 
-  // The holder is killed while the log takes a second for every call. Several
-  // entries look at the log at the same time, one claims, and the others must
-  // not replace that fresh claim because of the old holder's silence.
-  it("lets a fresh claim stand that came while others looked", async () => {
+  // The holder is killed while every call of the log takes a second. Several
+  // entries read the log concurrently, one claims, and the others must not
+  // replace that new claim because of the old holder's timeout.
+  it("keeps a new claim that lands during others' reads", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
     holder.faults.silent = true;
@@ -218,10 +220,10 @@
     expect(takeovers).to.equal(2);
   });
 
-  // The holder's process restarts and reads its own name on the claim. It
-  // knows nothing of what its earlier run had under way, so it must not go on
-  // under the old number as if nothing had happened.
-  it("does not take its earlier run's claim for its own", async () => {
+  // The holder's process restarts and reads its own name on the claim. It has
+  // no state of its earlier incarnation's pending work, so it must not continue
+  // under the old fencing token.
+  it("does not treat an earlier incarnation's claim as its own", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
     holder.faults.silent = true;
--- a/src/core/authority/claim_keeper.ts
+++ b/src/core/authority/claim_keeper.ts
@@ -4,10 +4,10 @@
 import type { Subscription, TimerService } from "../time/mod.ts";
 import { type Claim, NO_HOLDER } from "./claim.ts";
 
-/** What a keeper looks at; the folds of claims give it. */
+/** State that a keeper observes; the folds that apply claims provide it. */
 export interface ClaimView {
   readonly claim: Claim | undefined;
-  /** Offset of the last record that shows the claim's holder alive. */
+  /** Offset of the last record that the claim's holder can have written. */
   readonly lastSign: number;
 }
 
@@ -18,100 +18,114 @@
   readonly random: Random;
   readonly process: ProcessId;
   readonly incarnation: Incarnation;
-  /** Silence of the holder after which others claim. */
+  /** Time without a record of the holder after which others claim. */
   readonly claimSilenceMilliseconds: number;
-  /** False where this process must not hold the claim, as when it leaves. */
+  /**
+   * False while this process must not hold the claim, such as during shutdown.
+   */
   readonly eligible?: () => boolean;
-  /** Timer time at which the holder last spoke to this process directly. */
-  readonly heardDirectly?: (holder: string) => number | undefined;
+  /** Timer time of the holder's last direct message to this process. */
+  readonly lastContactWith?: (holder: string) => number | undefined;
   readonly onGained?: (claim: Claim) => void;
   readonly onLost?: (claim: Claim | undefined) => void;
 }
 
 /**
- * Renewals in one span of allowed silence. Load: 11 regions with two claims
- * each, at 3 s of silence, make 22 renewals a second for the whole platform,
- * of several hundred appends. Three, so that one lost append is no takeover.
+ * Renewals per claim timeout. 11 regions with two claims each make 22 renewals
+ * per second for the whole platform at a timeout of 3 s, out of several hundred
+ * appends. Three, so that a single lost append does not cause a takeover.
  */
-const RENEWALS_IN_SILENCE = 3;
-const LOOKS_IN_SILENCE = 10;
+const RENEWALS_PER_TIMEOUT = 3;
+const CHECKS_PER_TIMEOUT = 10;
 /**
- * Share of the patience over which claimants spread. Load: the 40 entries of a
- * region that all see the same silence. Harm prevented: 40 claims of which 39
- * are void; at half the patience one claim mostly stands before the next is due.
+ * Largest jitter of the takeover timeout, as a share of it. Without jitter, the
+ * 40 entries of a region that all detect the same timeout append 40 claims, of
+ * which 39 are void; at half the timeout, one claim is usually on the log
+ * before the next is due.
  */
 const JITTER_SHARE = 0.5;
 /**
- * Share of the silence over which claims on a free authority spread: 1 s at
- * 3 s of silence, against about 40 ms until a claim has been read by all, so
- * that of 40 entries two or three claim.
+ * Largest delay of claims on an unheld authority, as a share of the claim
+ * timeout: 1 s at 3 s, against about 40 ms until all processes have read a
+ * claim, so that two or three of 40 entries claim.
+ */
+const UNHELD_JITTER_SHARE = 1 / 3;
+/**
+ * Ratio of the takeover timeout to the longest recent gap between records of
+ * the holder.
  */
-const FREE_SPREAD_SHARE = 1 / 3;
-/** Patience against the longest recent pause between signs of life. */
-const PATIENCE_TO_LONGEST_PAUSE = 2;
-/** What each sign of life takes off the longest pause that is remembered. */
-const PAUSE_DECAY = 0.9;
+const TIMEOUT_TO_LONGEST_GAP = 2;
+/**
+ * Factor by which the stored longest gap decays with each record of the holder.
+ */
+const GAP_DECAY = 0.9;
 
 /**
- * Holds a claim while its process can, and takes one over from a holder that
- * has fallen silent. It serves liveness alone: whoever holds the claim is
- * decided by the log, so a wrong guess here costs a takeover and no safety.
+ * Holds a claim while its process is able to, and takes one over from a holder
+ * that stopped renewing it. This affects liveness only: the log determines who
+ * holds the claim, so a false detection costs a takeover but not safety.
  *
- * Silence counts only while this process reads the log without delay. What
- * goes wrong otherwise: after an outage or while the log is slow every
- * entry takes the missing renewals for a dead holder, and the claim flaps.
+ * The timeout counts only while this process reads the log without delay.
+ * Otherwise, after an outage or while the log is slow, every entry takes the
+ * missing renewals for a failed holder, and the claim flaps between entries.
  */
 export class ClaimKeeper {
   readonly #options: ClaimKeeperOptions;
-  readonly #self: string;
-  #look: Subscription | undefined;
-  #seenSign = -1;
+  readonly #ownName: string;
+  #nextCheck: Subscription | undefined;
+  #seenRecord = -1;
   #seenClaim: number | undefined;
-  #silentSince: number;
-  /** Drawn anew after each sign of life, so that claimants differ. */
-  #draw: number;
-  #longestPause = 0;
-  #lastRenewal = -Infinity;
-  #lastLook: number;
+  #timeoutStart: number;
+  /**
+   * Random share of the jitter, drawn again after each record of the holder so
+   * that claimants differ.
+   */
+  #jitter: number;
+  #longestGap = 0;
+  #lastRenewalAt = -Infinity;
+  #lastCheckAt: number;
   #appending = false;
-  #held: number | undefined;
+  #heldOffset: number | undefined;
   #stopped = true;
 
   constructor(options: ClaimKeeperOptions) {
     this.#options = options;
-    this.#self = holderName(options.process, options.incarnation);
-    this.#silentSince = options.timer.now();
-    this.#lastLook = options.timer.now();
-    this.#draw = options.random();
+    this.#ownName = holderName(options.process, options.incarnation);
+    this.#timeoutStart = options.timer.now();
+    this.#lastCheckAt = options.timer.now();
+    this.#jitter = options.random();
   }
 
-  /** The claim of this run of the process, while it is in force. */
+  /** The claim of this incarnation, while it is in force. */
   get held(): Claim | undefined {
     const { claim } = this.#options.view;
-    return claim?.holder === this.#self ? claim : undefined;
+    return claim?.holder === this.#ownName ? claim : undefined;
   }
 
   start(): void {
     this.#stopped = false;
-    this.#silentSince = this.#options.timer.now();
-    this.#lastLook = this.#options.timer.now();
-    this.#planLook();
+    this.#timeoutStart = this.#options.timer.now();
+    this.#lastCheckAt = this.#options.timer.now();
+    this.#scheduleCheck();
   }
 
-  /** Call after each record, so that a change of holder is told at once. */
+  /**
+   * Calls `onLost` and `onGained` if the holder has changed; call it after each
+   * record.
+   */
   changed(): void {
     const held = this.held?.offset;
-    if (held === this.#held) return;
-    const wasHeld = this.#held !== undefined;
-    this.#held = held;
+    if (held === this.#heldOffset) return;
+    const wasHeld = this.#heldOffset !== undefined;
+    this.#heldOffset = held;
     if (wasHeld) this.#options.onLost?.(this.#options.view.claim);
     if (this.held !== undefined) this.#options.onGained?.(this.held);
   }
 
-  /** Hands the claim over, so that a planned stop leaves no pause. */
+  /** Releases the claim, so that a planned stop does not leave a gap. */
   async stop(): Promise<void> {
     this.#stopped = true;
-    this.#look?.cancel();
+    this.#nextCheck?.cancel();
     const held = this.held;
     if (held === undefined) return;
     await this.#options.journal.append({
@@ -121,109 +135,116 @@
     });
   }
 
-  /** Looks at uneven times, so that entries started together drift apart. */
-  #planLook(): void {
+  /**
+   * Schedules checks at random intervals, so that entries started together do
+   * not stay synchronized.
+   */
+  #scheduleCheck(): void {
     const { claimSilenceMilliseconds, random, timer } = this.#options;
-    const period = claimSilenceMilliseconds / LOOKS_IN_SILENCE;
-    this.#look = timer.after(2 * period * random(), () => {
-      this.#planLook();
-      this.#consider();
+    const period = claimSilenceMilliseconds / CHECKS_PER_TIMEOUT;
+    this.#nextCheck = timer.after(2 * period * random(), () => {
+      this.#scheduleCheck();
+      this.#check();
     });
   }
 
-  #consider(): void {
+  #check(): void {
     this.changed();
-    this.#noteOwnPause();
-    this.#noteSigns();
+    this.#detectOwnPause();
+    this.#observeHolder();
     if (this.#appending || this.#options.eligible?.() === false) return;
     if (this.held !== undefined) this.#renew();
-    else if (this.#isSilent()) void this.#claimAfterRead();
+    else if (this.#hasTimedOut()) void this.#claimAfterRead();
   }
 
   /**
-   * A pause of this very process says nothing about the holder. Taken for the
-   * holder's it would stretch the patience to a multiple of the pause, and a
-   * dead holder's claim would stay untaken that long: a publication would
-   * wait for its verdict meanwhile.
+   * Restarts the timeout after a pause of this process, which says nothing
+   * about the holder. Counted as a gap of the holder, the pause would stretch
+   * the takeover timeout to a multiple of it; a failed holder's claim would
+   * stay unclaimed that long, and publications would wait for their verdicts.
    */
-  #noteOwnPause(): void {
+  #detectOwnPause(): void {
     const now = this.#options.timer.now();
-    const slept = now - this.#lastLook >= this.#options
+    const wasPaused = now - this.#lastCheckAt >= this.#options
       .claimSilenceMilliseconds;
-    this.#lastLook = now;
-    if (slept) this.#countAnew();
+    this.#lastCheckAt = now;
+    if (wasPaused) this.#restartTimeout();
   }
 
-  #noteSigns(): void {
+  #observeHolder(): void {
     const { journal, timer, view } = this.#options;
-    const heard = this.#heardDirectly();
-    if (heard > this.#silentSince) this.#silentSince = heard;
-    const quiet = journal.reachable && journal.caughtUp;
-    if (quiet && view.lastSign === this.#seenSign) return;
-    const pause = timer.now() - this.#silentSince;
-    const decayed = this.#longestPause * PAUSE_DECAY;
-    // The pause before another holder's first sign is a takeover, which says
-    // nothing about how far apart a living holder's signs are.
+    const contactAt = this.#lastDirectContact();
+    if (contactAt > this.#timeoutStart) this.#timeoutStart = contactAt;
+    const isCurrent = journal.reachable && journal.caughtUp;
+    if (isCurrent && view.lastSign === this.#seenRecord) return;
+    const gap = timer.now() - this.#timeoutStart;
+    const decayed = this.#longestGap * GAP_DECAY;
+    // The gap before another holder's first record is a takeover, which does
+    // not show how far apart a running holder's records are.
     const isSameHolder = view.claim?.offset === this.#seenClaim;
-    this.#longestPause = quiet && isSameHolder
-      ? Math.max(decayed, pause)
+    this.#longestGap = isCurrent && isSameHolder
+      ? Math.max(decayed, gap)
       : decayed;
-    this.#seenSign = view.lastSign;
+    this.#seenRecord = view.lastSign;
     this.#seenClaim = view.claim?.offset;
-    this.#countAnew();
+    this.#restartTimeout();
   }
 
-  #countAnew(): void {
-    this.#silentSince = this.#options.timer.now();
-    this.#draw = this.#options.random();
+  #restartTimeout(): void {
+    this.#timeoutStart = this.#options.timer.now();
+    this.#jitter = this.#options.random();
   }
 
-  #heardDirectly(): number {
+  #lastDirectContact(): number {
     const holder = this.#options.view.claim?.holder;
     if (holder === undefined || holder === NO_HOLDER) return -Infinity;
-    return this.#options.heardDirectly?.(holder) ?? -Infinity;
+    return this.#options.lastContactWith?.(holder) ?? -Infinity;
   }
 
-  /** Silence, milliseconds, after which this process claims. */
-  #patience(): number {
+  /**
+   * Time without a record of the holder after which this process claims,
+   * milliseconds.
+   */
+  #takeoverTimeout(): number {
     const { claimSilenceMilliseconds } = this.#options;
-    if (this.#isFree()) {
-      return claimSilenceMilliseconds * FREE_SPREAD_SHARE * this.#draw;
+    if (this.#isUnheld()) {
+      return claimSilenceMilliseconds * UNHELD_JITTER_SHARE * this.#jitter;
     }
     const allowed = Math.max(
       claimSilenceMilliseconds,
-      PATIENCE_TO_LONGEST_PAUSE * this.#longestPause,
+      TIMEOUT_TO_LONGEST_GAP * this.#longestGap,
     );
-    return allowed * (1 + JITTER_SHARE * this.#draw);
+    return allowed * (1 + JITTER_SHARE * this.#jitter);
   }
 
   /**
-   * A claim that nobody holds, or that an earlier run of this very process
-   * held, needs no wait for signs of life.
+   * A claim without a holder, or held by an earlier incarnation of this
+   * process, can be claimed after a short random delay.
    */
-  #isFree(): boolean {
+  #isUnheld(): boolean {
     const holder = this.#options.view.claim?.holder;
     return holder === undefined || holder === NO_HOLDER ||
       holder.startsWith(`${this.#options.process}${HOLDER_SEPARATOR}`);
   }
 
-  #isSilent(): boolean {
-    return this.#options.timer.now() - this.#silentSince >= this.#patience();
+  #hasTimedOut(): boolean {
+    return this.#options.timer.now() - this.#timeoutStart >=
+      this.#takeoverTimeout();
   }
 
   /**
-   * Claims after a fresh read of the log. What goes wrong without it: the log
-   * turns slow, the holder's renewals come late, and the claim goes from
-   * entry to entry, each time with a new number. The read takes as long as the
-   * log is slow, and what was on its way arrives meanwhile.
+   * Claims after a fresh read of the log. Without it, when the log becomes slow
+   * and the holder's renewals arrive late, the claim moves from entry to entry,
+   * each time with a new fencing token. The read takes as long as the log is
+   * slow, and delayed records arrive meanwhile.
    */
   async #claimAfterRead(): Promise<void> {
     this.#appending = true;
     const isFresh = await this.#options.journal.isFresh();
-    if (!isFresh) this.#countAnew();
-    // Signs of life, or another's claim, may have come meanwhile.
-    this.#noteSigns();
-    if (this.#isSilent() && !this.#stopped) await this.#claim();
+    if (!isFresh) this.#restartTimeout();
+    // Records of the holder, or another process's claim, may have arrived.
+    this.#observeHolder();
+    if (this.#hasTimedOut() && !this.#stopped) await this.#claim();
     this.#appending = false;
   }
 
@@ -231,21 +252,23 @@
     const { journal, view } = this.#options;
     await journal.append({
       kind: "claim",
-      holder: this.#self,
+      holder: this.#ownName,
       replaces: view.claim?.offset ?? -1,
     });
-    // Also after a failure: a log that takes no appends hides the holder's
-    // renewals as well, so the silence counts anew.
-    this.#countAnew();
+    // Also after a failure: while the log rejects appends, the holder's
+    // renewals are missing as well, so the timeout restarts.
+    this.#restartTimeout();
     if (!this.#stopped) this.changed();
   }
 
   #renew(): void {
     const { claimSilenceMilliseconds, timer, view } = this.#options;
     const now = timer.now();
-    const period = claimSilenceMilliseconds / RENEWALS_IN_SILENCE;
-    if (now - Math.max(this.#silentSince, this.#lastRenewal) < period) return;
-    this.#lastRenewal = now;
+    const period = claimSilenceMilliseconds / RENEWALS_PER_TIMEOUT;
+    if (now - Math.max(this.#timeoutStart, this.#lastRenewalAt) < period) {
+      return;
+    }
+    this.#lastRenewalAt = now;
     void this.#appendRenewal(view.claim?.offset ?? -1);
   }
 
@@ -259,9 +282,9 @@
 const HOLDER_SEPARATOR = "#";
 
 /**
- * Name under which one run of a process holds claims. The incarnation belongs
- * to it: a restarted process must not take its earlier run's claim for its
- * own, as it knows nothing of what that run had under way.
+ * Name under which one incarnation of a process holds claims. It includes the
+ * incarnation because a restarted process must not treat its earlier claim as
+ * its own: it has no state of that incarnation's pending work.
  */
 export function holderName(
   process: ProcessId,
--- a/src/core/authority/mod.ts
+++ b/src/core/authority/mod.ts
@@ -1,4 +1,4 @@
-/** Who may give orders: claims and fencing by position on the log. */
+/** Leadership by claims on the log, and fencing of orders by log position. */
 export { loadClaim, nextClaim, NO_HOLDER } from "./claim.ts";
 export type { Claim } from "./claim.ts";
 export { ClaimKeeper, holderName } from "./claim_keeper.ts";
--- a/src/core/authority/orders_fold.ts
+++ b/src/core/authority/orders_fold.ts
@@ -8,7 +8,7 @@
 import type { StreamFold } from "../journal/mod.ts";
 import { type Claim, loadClaim, nextClaim } from "./claim.ts";
 
-/** The last valid order of an endpoint. */
+/** The last valid order for an endpoint. */
 export interface EndpointOrder {
   readonly offset: number;
   readonly claim: number;
@@ -16,13 +16,13 @@
   readonly target: EngineTarget;
 }
 
-/** Guards that a test may take out; the product never passes them. */
+/** Checks that a test can disable; production code leaves all enabled. */
 export interface OrdersGuards {
-  /** A claim counts only if it replaces the one in force. */
+  /** A claim is valid only if it replaces the one in force. */
   readonly replacesInForce: boolean;
-  /** An order counts only under the claim in force. */
+  /** An order is valid only under the claim in force. */
   readonly checksClaim: boolean;
-  /** An order counts only with a number above its endpoint's last. */
+  /** An order is valid only with a number above its endpoint's last one. */
   readonly checksNumber: boolean;
 }
 
@@ -31,19 +31,19 @@
   /** A valid order has been applied. */
   readonly onOrder?: (endpoint: string, order: EndpointOrder) => void;
   readonly onClaim?: (claim: Claim) => void;
-  /** An order has no effect, because its claim or number is superseded. */
+  /** An order is void, because its claim or number is superseded. */
   readonly onVoid?: (offset: number, record: OrderRecord) => void;
 }
 
 /**
- * Claims and orders of one region. An order counts only under the claim in
- * force where it stands and with a number above its endpoint's last one.
+ * Claims and orders of one region. An order is valid only under the claim in
+ * force at its position and with a number above its endpoint's last one.
  *
- * What goes wrong without the position check: a planner that was paused or cut
- * off wakes up, still believes in its claim and moves engines that the new
- * planner has moved elsewhere. One would notice two planners' orders in turn
- * at one engine. Here its records stand behind the new claim and are void for
- * every reader; no clock takes part.
+ * The claim fences orders by position: a planner that was paused or cut off
+ * resumes, still treats its claim as valid and moves engines that the new
+ * planner has already moved, so that one engine gets orders of two planners in
+ * turn. Its records come after the new claim and are void for every reader,
+ * without the use of a clock.
  */
 export class OrdersFold implements StreamFold {
   readonly #options: OrdersFoldOptions;
@@ -67,17 +67,17 @@
     return this.#claim;
   }
 
-  /** Offset of the last record that its claim's holder can have written. */
+  /** Offset of the last record that the claim's holder can have written. */
   get lastSign(): number {
     return this.#lastSign;
   }
 
-  /** Orders without effect that this reader has seen; not part of the state. */
+  /** Void orders that this reader has seen; not part of the state. */
   get voidOrders(): number {
     return this.#voidOrders;
   }
 
-  /** The order that the endpoint is to follow, if there is one. */
+  /** The order that the endpoint has to follow, if there is one. */
   standingOrder(endpoint: string): StandingOrder | undefined {
     const order = this.#orders.get(endpoint);
     if (order === undefined) return undefined;
@@ -90,7 +90,7 @@
     return this.#orders.get(endpoint)?.number ?? -1;
   }
 
-  /** Every endpoint's last valid order, which a new planner continues from. */
+  /** Every endpoint's last valid order, from which a new planner continues. */
   get orders(): ReadonlyMap<string, EndpointOrder> {
     return this.#orders;
   }
--- a/src/core/authority/schedules_test.ts
+++ b/src/core/authority/schedules_test.ts
@@ -8,7 +8,10 @@
 import { ManualTimerService } from "../time/mod.ts";
 
 const PLANNERS = 4;
-/** Silence of 3 s, half as much again, a read and an append, with room. */
+/**
+ * Claim timeout of 3 s, up to half of it as jitter, a read and an append, with
+ * margin.
+ */
 const TAKEOVER_MILLISECONDS = 8_000;
 
 const step = fc.record({
@@ -31,7 +34,7 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Planners of a region, each replaced when it ends. */
+/** Planners of a region, each replaced when it stops. */
 class Fleet {
   readonly timer = new ManualTimerService();
   readonly log = new FakeLog({ timer: this.timer });
@@ -58,7 +61,7 @@
     );
   }
 
-  async take({ kind, target, wait }: Step): Promise<void> {
+  async applyStep({ kind, target, wait }: Step): Promise<void> {
     const { faults, keeper } = this.planners[target];
     if (kind === "lag") faults.lagRecords = 4;
     else if (kind === "slow") faults.slowMilliseconds = 2_000;
@@ -87,9 +90,9 @@
 async function runSchedule(steps: readonly Step[]): Promise<void> {
   const fleet = new Fleet();
   await fleet.timer.advance(5_000);
-  for (const next of steps) await fleet.take(next);
+  for (const next of steps) await fleet.applyStep(next);
   fleet.heal();
-  // Reads that hang are given up after 13 s, late appends land within 10 s.
+  // Hanging reads time out after 13 s, late appends land within 10 s.
   await fleet.timer.advance(25_000 + TAKEOVER_MILLISECONDS);
   expect(fleet.holders(), "holders after healing").to.have.length(1);
   const [holder] = fleet.holders();
@@ -101,10 +104,10 @@
 }
 
 describe("Claims under any faults", () => {
-  // Planners are killed, cut off, slowed down, hand over and restart in any
-  // sequence. Once the faults are over there must be one planner, it must stay,
-  // and when it is killed another must take over in time; else the region
-  // stays without anyone who shifts roles.
+  // Planners are killed, cut off, slowed down, release their claims and restart
+  // in any sequence. After the faults end there must be one planner, it must
+  // keep the claim, and when it is killed another must take over in time;
+  // otherwise no process of the region changes roles.
   it("end with one holder that stays until it is killed", async () => {
     const found = await fc.check(
       fc.asyncProperty(fc.array(step, { maxLength: 15 }), runSchedule),
--- a/src/core/membership/hash.ts
+++ b/src/core/membership/hash.ts
@@ -1,28 +1,28 @@
 const FNV_OFFSET_BASIS = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
-const TWO_TO_THE_32 = 2 ** 32;
+const UINT32_RANGE = 2 ** 32;
 
 /**
- * A number in (0, 1) for a text: FNV-1a with the finalizer of MurmurHash3,
- * because FNV-1a alone leaves the high bits of similar names alike. xxhash is
- * as good but comes as WebAssembly that has to be started asynchronously,
- * which an embedder's constructor can't wait for; the values feed rankings of
- * a few thousand names, where 32 bits are enough.
+ * Hashes a text to a number in (0, 1): FNV-1a with the finalizer of
+ * MurmurHash3, because FNV-1a alone leaves the high bits of similar names
+ * alike. xxhash is as good but comes as WebAssembly that has to be initialized
+ * asynchronously, which an embedder's constructor can't await; the values rank
+ * a few thousand names, for which 32 bits are enough.
  */
 export function hashToUnit(text: string): number {
-  return unitOf(hashOn(FNV_OFFSET_BASIS, text));
+  return toUnit(continueHash(FNV_OFFSET_BASIS, text));
 }
 
 /**
- * Gives the function that hashes the prefix with a text behind it: the value
- * of `hashToUnit` for both, without hashing the prefix each time.
+ * Returns a function that hashes the prefix followed by a text: the value of
+ * `hashToUnit` for both, without hashing the prefix each time.
  */
-export function hashBehind(prefix: string): (text: string) => number {
-  const hash = hashOn(FNV_OFFSET_BASIS, prefix);
-  return (text) => unitOf(hashOn(hash, text));
+export function hashWithPrefix(prefix: string): (text: string) => number {
+  const hash = continueHash(FNV_OFFSET_BASIS, prefix);
+  return (text) => toUnit(continueHash(hash, text));
 }
 
-function hashOn(start: number, text: string): number {
+function continueHash(start: number, text: string): number {
   let hash = start;
   for (let index = 0; index < text.length; index += 1) {
     hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME);
@@ -30,11 +30,11 @@
   return hash;
 }
 
-function unitOf(hash: number): number {
-  return ((mix(hash) >>> 0) + 0.5) / TWO_TO_THE_32;
+function toUnit(hash: number): number {
+  return ((finalize(hash) >>> 0) + 0.5) / UINT32_RANGE;
 }
 
-function mix(value: number): number {
+function finalize(value: number): number {
   let hash = value ^ (value >>> 16);
   hash = Math.imul(hash, 0x85ebca6b);
   hash ^= hash >>> 13;
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -7,9 +7,9 @@
   type TimerService,
 } from "../time/mod.ts";
 
-/** Guards that a test may take out; the product never passes them. */
+/** Checks that a test can disable; production code leaves all enabled. */
 export interface MembershipGuards {
-  /** A late report of an earlier run does not count. */
+  /** A late report of an earlier incarnation is ignored. */
   readonly checksIncarnation: boolean;
 }
 
@@ -18,26 +18,26 @@
   readonly vmList: VmList;
   readonly timer: TimerService;
   readonly random: Random;
-  /** How often the VM list is read. */
+  /** Interval between reads of the VM list. */
   readonly readMilliseconds: number;
-  /** How long a suspected member is left alone before it is tried again. */
+  /** How long a suspected member is not used before it is tried again. */
   readonly suspectMilliseconds: number;
   /** The usable members have changed. */
   readonly onChange?: () => void;
 }
 
-/** A VM as this process sees it, from the list and from the VM itself. */
+/** A VM as this process sees it, from the VM list and the VM's own reports. */
 export interface Member {
   readonly id: string;
   readonly vm: ListedVm | undefined;
-  /** The newest run that has reported directly. */
+  /** The newest incarnation that has reported directly. */
   readonly incarnation: string | undefined;
-  /** True once the list or the member itself has said that it leaves. */
+  /** True once the list or the member itself reports that it is leaving. */
   readonly leaving: boolean;
-  /** True while this process alone can't reach it. */
+  /** True while this process considers it unreachable. */
   readonly suspected: boolean;
   /** Timer time of its last direct report. */
-  readonly heardAt: number | undefined;
+  readonly lastReportAt: number | undefined;
 }
 
 interface MemberState {
@@ -45,184 +45,200 @@
   vm: ListedVm | undefined;
   incarnation: string | undefined;
   readonly superseded: Set<string>;
-  /** What the current run said of itself. */
-  saysLeaving: boolean;
+  /** Whether the current incarnation reported that it is leaving. */
+  reportsLeaving: boolean;
   suspectedUntil: number;
-  heardAt: number | undefined;
+  lastReportAt: number | undefined;
 }
 
 /**
- * Runs of one member that are remembered as over. A report of an older run can
- * be late by seconds, while a restart takes longer than that.
+ * Number of superseded incarnations stored per member. A report of an older one
+ * can be late by seconds, while a restart takes longer than that.
  */
-const MOST_SUPERSEDED = 8;
+const MAX_SUPERSEDED_INCARNATIONS = 8;
 /**
- * A VM that the list leaves out counts as gone only after this many reads,
- * where it has not spoken since. Harm prevented: one short answer of the
- * list takes working endpoints away.
+ * Number of consecutive reads without a VM after which it is removed, unless it
+ * has reported meanwhile. Otherwise one incomplete answer of the list removes
+ * working endpoints.
  */
-const READS_UNTIL_GONE = 2;
-const READ_JITTER_SHARE = 0.2;
-const READ_ANSWER_MILLISECONDS = 5_000;
+const READS_UNTIL_REMOVED = 2;
+const JITTER_SHARE = 0.2;
+const READ_TIMEOUT_MILLISECONDS = 5_000;
 
 /**
  * The members of the region as one entry sees them: the platform's VM list,
- * which lags and has outages, corrected by what members say themselves.
+ * which lags and has outages, corrected by the members' own reports.
  *
- * Suspicion is local: an entry that can't reach a side stops using it and says
- * nothing to others, since it may be the entry that is cut off.
+ * Suspicion is local: an entry that can't reach a sidecar stops using it and
+ * does not share this, since the entry itself may be the one that is cut off.
  */
 export class Membership {
   readonly #options: MembershipOptions;
   readonly #members = new Map<string, MemberState>();
-  readonly #missing = new Map<string, number>();
-  #next: Subscription | undefined;
+  readonly #missedReads = new Map<string, number>();
+  #nextRead: Subscription | undefined;
   #stopped = true;
-  #listedAt: number | undefined;
+  #lastListAt: number | undefined;
 
   constructor(options: MembershipOptions) {
     this.#options = options;
   }
 
-  /** Timer time of the last list that could be read. */
-  get listedAt(): number | undefined {
-    return this.#listedAt;
+  /** Timer time of the last successful read of the VM list. */
+  get lastListAt(): number | undefined {
+    return this.#lastListAt;
   }
 
   start(): void {
     this.#stopped = false;
-    void this.#readAndPlan();
+    void this.#readAndSchedule();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#next?.cancel();
+    this.#nextRead?.cancel();
   }
 
   member(id: string): Member | undefined {
     const state = this.#members.get(id);
-    return state === undefined ? undefined : this.#view(state);
+    return state === undefined ? undefined : this.#viewOf(state);
   }
 
   members(): readonly Member[] {
-    return [...this.#members.values()].map((state) => this.#view(state));
+    return [...this.#members.values()].map((state) => this.#viewOf(state));
   }
 
-  /** True where new work may go to the member. */
+  /** True if new work may be sent to the member. */
   isUsable(id: string): boolean {
     const state = this.#members.get(id);
     return state !== undefined && !isLeaving(state) &&
       !this.#isSuspected(state);
   }
 
-  /** Takes a side's direct report; false where it comes from an older run. */
+  /**
+   * Applies a sidecar's direct report; returns false if it is from an older
+   * incarnation.
+   */
   sideReported(report: SideReport): boolean {
     const { side, incarnation, state } = report;
-    return this.#heard(side, {
+    return this.#lastReportAt(side, {
       incarnation,
       leaving: state === "leaving",
     });
   }
 
-  /** Takes an entry's status; false where it comes from an older run. */
-  entryReported(status: EntryStatus): boolean {
+  /**
+   * Applies an entry's status; returns false if it is from an older
+   * incarnation.
+   */
+  recordEntryStatus(status: EntryStatus): boolean {
     const { entry, incarnation, state } = status;
-    return this.#heard(entry, { incarnation, leaving: state === "draining" });
+    return this.#lastReportAt(entry, {
+      incarnation,
+      leaving: state === "draining",
+    });
   }
 
-  /** This process can't reach the member; it leaves it alone for a while. */
+  /**
+   * Marks a member that this process can't reach as suspected for a limited
+   * time.
+   */
   suspect(id: string): void {
     const state = this.#members.get(id);
     if (state === undefined) return;
     const { random, suspectMilliseconds, timer } = this.#options;
     const wasUsable = this.isUsable(id);
     state.suspectedUntil = timer.now() +
-      withJitter(suspectMilliseconds, { random, share: READ_JITTER_SHARE });
-    if (wasUsable) this.#changed();
+      withJitter(suspectMilliseconds, { random, share: JITTER_SHARE });
+    if (wasUsable) this.#notifyChange();
   }
 
-  /** The member has answered this process. */
-  trust(id: string): void {
+  /** Ends the suspicion of a member that has answered this process. */
+  clearSuspicion(id: string): void {
     const state = this.#members.get(id);
     if (state === undefined || !this.#isSuspected(state)) return;
     state.suspectedUntil = -Infinity;
-    this.#changed();
+    this.#notifyChange();
   }
 
-  /** Reads the VM list once; a list that can't be read changes nothing. */
+  /** Reads the VM list once; a failed read changes nothing. */
   async refresh(): Promise<void> {
     const answer = await beforeDeadline(this.#options.vmList.read(), {
       timer: this.#options.timer,
-      milliseconds: READ_ANSWER_MILLISECONDS,
+      milliseconds: READ_TIMEOUT_MILLISECONDS,
     });
     if (answer === undefined || answer.isErr()) return;
-    this.#listedAt = this.#options.timer.now();
+    this.#lastListAt = this.#options.timer.now();
     const listed = new Set(answer.value.map((vm) => vm.id));
-    for (const vm of answer.value) this.#takeListed(vm);
+    for (const vm of answer.value) this.#applyListed(vm);
     for (const state of [...this.#members.values()]) {
-      if (!listed.has(state.id)) this.#takeMissing(state);
+      if (!listed.has(state.id)) this.#applyMissing(state);
     }
-    this.#changed();
+    this.#notifyChange();
   }
 
-  async #readAndPlan(): Promise<void> {
+  async #readAndSchedule(): Promise<void> {
     await this.refresh();
     if (this.#stopped) return;
     const { random, readMilliseconds, timer } = this.#options;
-    this.#next = timer.after(
-      withJitter(readMilliseconds, { random, share: READ_JITTER_SHARE }),
-      () => void this.#readAndPlan(),
+    this.#nextRead = timer.after(
+      withJitter(readMilliseconds, { random, share: JITTER_SHARE }),
+      () => void this.#readAndSchedule(),
     );
   }
 
-  #takeListed(vm: ListedVm): void {
+  #applyListed(vm: ListedVm): void {
     const state = this.#state(vm.id);
-    this.#missing.delete(vm.id);
+    this.#missedReads.delete(vm.id);
     state.vm = vm;
   }
 
-  #takeMissing(state: MemberState): void {
+  #applyMissing(state: MemberState): void {
     const { readMilliseconds, timer } = this.#options;
-    const heard = state.heardAt ?? -Infinity;
-    const missing = (this.#missing.get(state.id) ?? 0) + 1;
-    this.#missing.set(state.id, missing);
-    if (missing < READS_UNTIL_GONE) return;
-    // A VM that speaks is there, whatever the list has: the list lags.
-    if (timer.now() - heard < READS_UNTIL_GONE * readMilliseconds) return;
+    const recordReport = state.lastReportAt ?? -Infinity;
+    const missing = (this.#missedReads.get(state.id) ?? 0) + 1;
+    this.#missedReads.set(state.id, missing);
+    if (missing < READS_UNTIL_REMOVED) return;
+    // A VM that still reports is running, whatever the list contains: the list
+    // lags.
+    if (timer.now() - recordReport < READS_UNTIL_REMOVED * readMilliseconds) {
+      return;
+    }
     this.#members.delete(state.id);
-    this.#missing.delete(state.id);
+    this.#missedReads.delete(state.id);
   }
 
-  #heard(
+  #lastReportAt(
     id: string,
     report: { incarnation: string; leaving: boolean },
   ): boolean {
     const state = this.#state(id);
-    if (this.#isOlderRun(state, report.incarnation)) return false;
+    if (this.#isOlderIncarnation(state, report.incarnation)) return false;
     if (state.incarnation !== report.incarnation) {
       this.#supersede(state, report.incarnation);
     }
-    state.heardAt = this.#options.timer.now();
+    state.lastReportAt = this.#options.timer.now();
     const wasUsable = this.isUsable(id);
     state.suspectedUntil = -Infinity;
-    if (report.leaving) state.saysLeaving = true;
-    if (wasUsable !== this.isUsable(id)) this.#changed();
+    if (report.leaving) state.reportsLeaving = true;
+    if (wasUsable !== this.isUsable(id)) this.#notifyChange();
     return true;
   }
 
   /**
-   * A late report of an earlier run must not replace what the newer run said;
-   * one would notice a side that was left taking work again, or a running one
-   * left alone. Incarnations sort by their time of making; because a clock may
-   * have been set back, that order counts only while the other run is heard.
+   * True for a late report of an earlier incarnation, which must not replace
+   * what the newer one reported; otherwise a leaving sidecar gets work again,
+   * or a running one gets none. Incarnations sort by creation time; because a
+   * clock may have been set back, that order counts only while the other
+   * incarnation still reports.
    */
-  #isOlderRun(state: MemberState, incarnation: string): boolean {
+  #isOlderIncarnation(state: MemberState, incarnation: string): boolean {
     if (this.#options.guards?.checksIncarnation === false) return false;
     if (state.superseded.has(incarnation)) return true;
     if (state.incarnation === undefined) return false;
     if (incarnation >= state.incarnation) return false;
-    const heard = state.heardAt ?? -Infinity;
-    return this.#options.timer.now() - heard <
+    const lastReportAt = state.lastReportAt ?? -Infinity;
+    return this.#options.timer.now() - lastReportAt <
       this.#options.suspectMilliseconds;
   }
 
@@ -230,13 +246,14 @@
     if (state.incarnation !== undefined) {
       state.superseded.add(state.incarnation);
       const [oldest] = state.superseded;
-      if (state.superseded.size > MOST_SUPERSEDED) {
+      if (state.superseded.size > MAX_SUPERSEDED_INCARNATIONS) {
         state.superseded.delete(oldest);
       }
     }
     state.incarnation = incarnation;
-    // The run that was leaving is over; its successor speaks for itself.
-    state.saysLeaving = false;
+    // The incarnation that was leaving is over; its successor reports its own
+    // state.
+    state.reportsLeaving = false;
   }
 
   #state(id: string): MemberState {
@@ -247,9 +264,9 @@
       vm: undefined,
       incarnation: undefined,
       superseded: new Set(),
-      saysLeaving: false,
+      reportsLeaving: false,
       suspectedUntil: -Infinity,
-      heardAt: undefined,
+      lastReportAt: undefined,
     };
     this.#members.set(id, state);
     return state;
@@ -259,23 +276,23 @@
     return this.#options.timer.now() < state.suspectedUntil;
   }
 
-  #view(state: MemberState): Member {
+  #viewOf(state: MemberState): Member {
     return {
       id: state.id,
       vm: state.vm,
       incarnation: state.incarnation,
       leaving: isLeaving(state),
       suspected: this.#isSuspected(state),
-      heardAt: state.heardAt,
+      lastReportAt: state.lastReportAt,
     };
   }
 
-  #changed(): void {
+  #notifyChange(): void {
     this.#options.onChange?.();
   }
 }
 
-/** The list lags, so it must not undo what the member has said itself. */
+/** The list lags, so it must not override the member's own report. */
 function isLeaving(state: MemberState): boolean {
-  return state.saysLeaving || state.vm?.leaving === true;
+  return state.reportsLeaving || state.vm?.leaving === true;
 }
--- a/src/core/membership/membership_test.ts
+++ b/src/core/membership/membership_test.ts
@@ -77,22 +77,22 @@
 
   afterEach(() => membership.stop());
 
-  it("knows the listed VMs", () => {
+  it("uses the listed VMs", () => {
     expect(membership.isUsable("a")).to.equal(true);
     expect(membership.isUsable("unknown")).to.equal(false);
   });
 
-  // The list is in an outage for minutes. Forgetting everyone would refuse
-  // every caller although all endpoints work.
-  it("keeps its members while the list can't be read", async () => {
+  // The VM list is unavailable for minutes. If the members were dropped, every
+  // caller would be refused although all endpoints work.
+  it("keeps its members while the list is unavailable", async () => {
     listed = undefined;
     await timer.advance(600_000);
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // One answer of the list lacks a VM. Taking it away at once would cut a
-  // working endpoint off for a whole reading period.
-  it("keeps a member that one answer of the list leaves out", async () => {
+  // One answer of the list lacks a VM. Removing it at once would cut off a
+  // working endpoint for a whole read interval.
+  it("keeps a member that is missing from one answer of the list", async () => {
     listed = [vm("b")];
     await timer.advance(READ_MILLISECONDS * 1.2);
     expect(membership.isUsable("a")).to.equal(true);
@@ -100,7 +100,7 @@
     expect(membership.member("a")).to.equal(undefined);
   });
 
-  it("keeps a member that speaks although the list lacks it", async () => {
+  it("keeps a member that reports although the list lacks it", async () => {
     listed = [vm("b")];
     for (let second = 0; second < 60; second += 1) {
       membership.sideReported(report("a", "run-1"));
@@ -109,23 +109,24 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // A side says that it leaves, and the list, late, still shows it live. Work
-  // sent there would come back refused, over and over.
-  it("believes a side that leaves before the list does", async () => {
+  // A sidecar reports that it is leaving, and the lagging list still shows it
+  // as active. Work sent there would be refused repeatedly.
+  it("uses a sidecar's leaving report before the list shows it", async () => {
     membership.sideReported(report("a", "run-1", "leaving"));
     await timer.advance(READ_MILLISECONDS * 3);
     expect(membership.isUsable("a")).to.equal(false);
   });
 
-  it("gives no work to a VM that the list shows leaving", async () => {
+  it("does not use a VM that the list shows as leaving", async () => {
     listed = [vm("a", true), vm("b")];
     await timer.advance(READ_MILLISECONDS * 1.2);
     expect(membership.isUsable("a")).to.equal(false);
   });
 
-  // The list shows a VM leaving, the departure is called off, and the list
-  // says so. The endpoint would stay unused for good.
-  it("takes a VM back that the list no longer shows leaving", async () => {
+  // The list shows a VM as leaving, then the departure is cancelled and the
+  // list shows it as active. Without the update, the endpoint would stay
+  // unused.
+  it("uses a VM again that the list no longer shows as leaving", async () => {
     listed = [vm("a", true)];
     await timer.advance(READ_MILLISECONDS * 1.2);
     listed = [vm("a")];
@@ -133,9 +134,9 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // A side restarts. A report of its earlier run, held up on the way, says
-  // that it leaves; believing it would take the new run out of service.
-  it("does not let an older run speak for a newer one", () => {
+  // A sidecar restarts. A delayed report of its earlier incarnation says that
+  // it is leaving, which would take the new incarnation out of service.
+  it("ignores a report of an older incarnation", () => {
     membership.sideReported(report("a", "run-1"));
     membership.sideReported(report("a", "run-2"));
     const late = report("a", "run-1", "leaving");
@@ -143,8 +144,8 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  it("would let an older run speak without the check", () => {
-    const unguarded = new Membership({
+  it("applies a report of an older incarnation without the check", () => {
+    const unchecked = new Membership({
       vmList: { read: () => Promise.resolve(err(failure(UNAVAILABLE, {}))) },
       timer,
       random: seededRandom(1),
@@ -152,36 +153,36 @@
       suspectMilliseconds: 3_000,
       guards: { checksIncarnation: false },
     });
-    unguarded.sideReported(report("a", "run-2"));
-    unguarded.sideReported(report("a", "run-1", "leaving"));
-    expect(unguarded.isUsable("a")).to.equal(false);
+    unchecked.sideReported(report("a", "run-2"));
+    unchecked.sideReported(report("a", "run-1", "leaving"));
+    expect(unchecked.isUsable("a")).to.equal(false);
   });
 
-  // The same, at an entry that has never heard of the earlier run.
-  it("does not take an older run for a new one", () => {
+  // The same, at an entry that has no report of the earlier incarnation.
+  it("does not treat an older incarnation as a new one", () => {
     membership.sideReported(report("a", "run-2"));
     const late = report("a", "run-1", "leaving");
     expect(membership.sideReported(late)).to.equal(false);
   });
 
-  // A VM's clock was set back before its side restarted, so the new run's
-  // incarnation sorts below the old one's. Rejected forever, the side would
-  // never get work again.
-  it("takes a lower incarnation once the other is silent", async () => {
+  // A VM's clock was set back before its sidecar restarted, so the new
+  // incarnation sorts below the old one. Rejected permanently, the sidecar
+  // would never get work again.
+  it("accepts a lower incarnation once the other stops reporting", async () => {
     membership.sideReported(report("a", "run-2"));
     await timer.advance(4_000);
     expect(membership.sideReported(report("a", "run-1"))).to.equal(true);
   });
 
-  it("starts a new run without the old one's leaving", () => {
+  it("does not carry the leaving state over to a new incarnation", () => {
     membership.sideReported(report("a", "run-1", "leaving"));
     membership.sideReported(report("a", "run-2"));
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // The connection to one side is cut. The entry must leave it alone for a
-  // while and then try again by itself, since nobody else tells it to.
-  it("suspects for a while only", async () => {
+  // The connection to one sidecar fails. The entry must not use it for a while
+  // and then retry on its own, since no other process reports the recovery.
+  it("suspects a member for a limited time", async () => {
     membership.suspect("a");
     expect(membership.isUsable("a")).to.equal(false);
     await timer.advance(4_000);
@@ -202,21 +203,21 @@
     spill: 4,
   };
 
-  it("takes most from the own zone and a few from others", () => {
+  it("picks most members from the own zone and a few from others", () => {
     const picked = rendezvousSubset(members, options);
     const own = picked.filter((one) => one.availabilityZone === "petaling");
     expect(picked).to.have.length(16);
     expect(own).to.have.length(12);
   });
 
-  it("fills up from other zones where the own one is small", () => {
+  it("fills up from other zones when the own one is small", () => {
     const few = members.slice(0, 6);
     expect(rendezvousSubset(few, options)).to.have.length(6);
   });
 
-  // One VM is replaced. If the pick of every entry changed with it, each
-  // would connect to new endpoints and lose what it knows of the old ones.
-  it("changes one pick at most when one member goes", () => {
+  // One VM is replaced. If the pick of every entry changed with it, each would
+  // connect to new endpoints and lose its state of the old ones.
+  it("changes at most one pick when one member is removed", () => {
     const before = rendezvousSubset(members, options);
     const after = rendezvousSubset(members.slice(1), options);
     const kept = after.filter((one) => before.includes(one));
--- a/src/core/membership/mod.ts
+++ b/src/core/membership/mod.ts
@@ -1,4 +1,4 @@
-/** Who is there, who leaves, and which of them this process uses. */
+/** Members of the region, their state, and the subset that a process uses. */
 export { hashToUnit } from "./hash.ts";
 export { Membership } from "./membership.ts";
 export type {
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -1,36 +1,36 @@
-import { hashBehind } from "./hash.ts";
+import { hashWithPrefix } from "./hash.ts";
 
 /** Something that can be ranked, such as an endpoint or an entry. */
 export interface RankedMember {
   readonly id: string;
-  /** Share of picks relative to others; 1 where it is left out. */
+  /** Share of picks relative to others; 1 by default. */
   readonly weight?: number;
 }
 
-/** Something that can be picked by where it stands. */
+/** A ranked member with its availability zone. */
 export interface RendezvousMember extends RankedMember {
   readonly availabilityZone: string;
 }
 
 export interface SubsetOptions {
-  /** Who picks; another picker gets another subset. */
+  /** Name of the process that picks; each picker gets its own subset. */
   readonly picker: string;
   readonly availabilityZone: string;
-  /** Members to pick in all. */
+  /** Total number of members to pick. */
   readonly size: number;
   /**
-   * Of these, how many to take from other zones even where the own zone has
-   * enough, so that there is somewhere to spill to when the own zone fails.
+   * How many of these to take from other zones even if the own zone has enough,
+   * so that work can spill over when the own zone fails.
    */
   readonly spill?: number;
 }
 
 /**
- * A bounded subset of the members for one picker: own zone first, the rest
- * from the other zones. Load: 12,000 endpoints before 410 entries; each entry
- * keeps state and reports for its subset only, so both stay flat as the fleet
- * grows. Rendezvous hashing with weights moves only the picks of a member that
- * comes or goes, so that a replaced VM does not make every entry connect anew.
+ * Returns a bounded subset of the members for one picker: own zone first, the
+ * rest from the other zones. With 12,000 endpoints and 410 entries, each entry
+ * keeps state and reports for its subset only, so both stay constant as the
+ * fleet grows. Weighted rendezvous hashing changes only the picks of an added
+ * or removed member, so that a replaced VM does not make every entry reconnect.
  */
 export function rendezvousSubset<Member extends RendezvousMember>(
   members: readonly Member[],
@@ -45,18 +45,19 @@
 }
 
 export interface AttachmentOptions {
-  /** Name of the side that attaches. */
+  /** Name of the sidecar that attaches. */
   readonly side: string;
   readonly availabilityZone: string;
-  /** Entries to attach to; two where it is left out. */
+  /** Number of entries to attach to; two by default. */
   readonly count?: number;
 }
 
 const DEFAULT_ATTACHMENTS = 2;
 
 /**
- * The entries that a side watches: two of its own zone, others only where the
- * zone has too few. With one entry a paused relay would hold its sides back.
+ * Returns the entries that a sidecar watches: two of its own zone, others only
+ * if the zone has too few. With a single entry, a pause of that entry would
+ * block its sidecars.
  */
 export function attachments<Member extends RendezvousMember>(
   entries: readonly Member[],
@@ -73,29 +74,34 @@
   return member.availabilityZone === options.availabilityZone;
 }
 
-/** The members, the picker's best first; one that goes moves no other. */
+/**
+ * Returns the members in the picker's order, highest score first; removing one
+ * does not reorder the others.
+ */
 export function rendezvousOrder<Member extends RankedMember>(
   members: readonly Member[],
   picker: string,
 ): Member[] {
-  return scored(members, picker).sort(byScore).map(({ member }) => member);
+  return scoreMembers(members, picker).sort(compareScores).map(({ member }) =>
+    member
+  );
 }
 
 /**
- * The first of the members in the picker's order. Many members are not sorted
- * for a few.
+ * Returns the first `count` members in the picker's order without sorting all
+ * members.
  */
 export function rendezvousFirst<Member extends RankedMember>(
   members: readonly Member[],
   { count, picker }: { readonly picker: string; readonly count: number },
 ): Member[] {
   const first: Scored<Member>[] = [];
-  for (const each of scored(members, picker)) {
-    const isAmong = first.length < count ||
-      byScore(each, first[first.length - 1]) < 0;
-    if (!isAmong) continue;
+  for (const each of scoreMembers(members, picker)) {
+    const belongs = first.length < count ||
+      compareScores(each, first[first.length - 1]) < 0;
+    if (!belongs) continue;
     first.push(each);
-    first.sort(byScore);
+    first.sort(compareScores);
     first.length = Math.min(first.length, count);
   }
   return first.map(({ member }) => member);
@@ -106,19 +112,19 @@
   readonly score: number;
 }
 
-/** Each member with its weighted rendezvous score: the highest wins. */
-function scored<Member extends RankedMember>(
+/** Returns each member with its weighted rendezvous score; the highest wins. */
+function scoreMembers<Member extends RankedMember>(
   members: readonly Member[],
   picker: string,
 ): Scored<Member>[] {
-  const unitOf = hashBehind(`${picker}\u0000`);
+  const hash = hashWithPrefix(`${picker}\u0000`);
   return members.map((member) => ({
     member,
-    score: -(member.weight ?? 1) / Math.log(unitOf(member.id)),
+    score: -(member.weight ?? 1) / Math.log(hash(member.id)),
   }));
 }
 
-function byScore(
+function compareScores(
   one: Scored<RankedMember>,
   other: Scored<RankedMember>,
 ): number {
--- a/src/core/membership/rendezvous_first_test.ts
+++ b/src/core/membership/rendezvous_first_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { hashBehind, hashToUnit } from "./hash.ts";
+import { hashToUnit, hashWithPrefix } from "./hash.ts";
 import { rendezvousFirst, rendezvousOrder } from "./mod.ts";
 
 describe("rendezvousFirst", () => {
@@ -8,7 +8,7 @@
     weight: 1 + index % 3,
   }));
 
-  it("gives the first of the whole order", () => {
+  it("returns the first members of the full order", () => {
     for (const picker of ["a", "part-17", ""]) {
       for (const count of [1, 2, 5]) {
         expect(rendezvousFirst(members, { picker, count }))
@@ -17,7 +17,7 @@
     }
   });
 
-  it("gives all members where there are fewer", () => {
+  it("returns all members when there are fewer", () => {
     const few = members.slice(0, 2);
     expect(rendezvousFirst(few, { picker: "a", count: 5 }))
       .to.have.deep.members(few);
@@ -25,9 +25,9 @@
 });
 
 describe("hashBehind", () => {
-  it("hashes the prefix and the text as one", () => {
+  it("hashes the prefix and the text as one string", () => {
     for (const text of ["", "engine-1", "part\u00e9"]) {
-      expect(hashBehind("picker\u0000")(text))
+      expect(hashWithPrefix("picker\u0000")(text))
         .to.equal(hashToUnit(`picker\u0000${text}`));
     }
   });
