--- a/src/core/configuration/check.ts
+++ b/src/core/configuration/check.ts
@@ -8,27 +8,27 @@
 } from "../../generated/validators.js";
 import { checkInventory } from "./check_inventory.ts";
 import { checkRules } from "./check_rules.ts";
-import { type ConfigurationProblem, describe, problem } from "./problem.ts";
+import { type ConfigurationProblem, formatValue, problem } from "./problem.ts";
 
-/** What operators publish. */
+/** Content of a configuration that operators publish. */
 export interface ConfigurationContent {
   readonly inventory: Inventory;
   readonly rules: Rules;
 }
 
-/** Reads content that may be anything; gives every problem that it finds. */
+/** Validates content of any type; returns every problem found. */
 export function checkConfiguration(
   content: unknown,
 ): readonly ConfigurationProblem[] {
   const { inventory, rules } = (content ?? {}) as Record<string, unknown>;
-  const shape = [
+  const shapeProblems = [
     ...checkShape(inventory, {
       path: "/inventory",
       validate: validateInventory,
     }),
     ...checkShape(rules, { path: "/rules", validate: validateRules }),
   ];
-  if (shape.length > 0) return shape;
+  if (shapeProblems.length > 0) return shapeProblems;
   const checked = { inventory, rules } as ConfigurationContent;
   return [
     ...checkInventory(checked.inventory),
@@ -46,15 +46,15 @@
   if (options.validate(value)) return [];
   return (options.validate.errors ?? []).map((error) => ({
     path: options.path + error.instancePath,
-    found: describe(valueAt(value, error.instancePath)),
-    expected: expectation(error),
+    found: formatValue(valueAt(value, error.instancePath)),
+    expected: expectedValue(error),
   }));
 }
 
-function expectation(error: ValidationProblem): string {
+function expectedValue(error: ValidationProblem): string {
   const extra = error.params.additionalProperty ?? error.params.allowedValues;
   const message = error.message ?? error.keyword;
-  return extra === undefined ? message : `${message}: ${describe(extra)}`;
+  return extra === undefined ? message : `${message}: ${formatValue(extra)}`;
 }
 
 function valueAt(value: unknown, path: string): unknown {
--- a/src/core/configuration/check_inventory.ts
+++ b/src/core/configuration/check_inventory.ts
@@ -6,7 +6,7 @@
 } from "../../generated/inventory.ts";
 import { type ConfigurationProblem, duplicates, problem } from "./problem.ts";
 
-/** What the schema can't say of an inventory. */
+/** Checks of an inventory that the schema can't express. */
 export function checkInventory(inventory: Inventory): ConfigurationProblem[] {
   const zones = new Set<string>(inventory.availabilityZones);
   const problems = [
@@ -109,7 +109,10 @@
   ];
 }
 
-/** A model in two pools would leave it open which engines answer for it. */
+/**
+ * Checks that each model is in one pool, since two pools would leave it
+ * undefined which engines serve it.
+ */
 function checkRepeatedModels(inventory: Inventory): ConfigurationProblem[] {
   const places = inventory.pools.flatMap((pool, poolIndex) =>
     (pool.models ?? []).map((model, index) => ({
--- a/src/core/configuration/check_rules.ts
+++ b/src/core/configuration/check_rules.ts
@@ -2,7 +2,10 @@
 import type { ClassMatch, Rules } from "../../generated/rules.ts";
 import { type ConfigurationProblem, duplicates, problem } from "./problem.ts";
 
-/** What the schema can't say of rules, which name what the inventory has. */
+/**
+ * Checks of rules that the schema can't express, such as references to the
+ * inventory.
+ */
 export function checkRules(
   rules: Rules,
   inventory: Inventory,
@@ -30,7 +33,10 @@
   return problems;
 }
 
-/** Sums of shares such as 0.1 + 0.2 + 0.7 differ from 1 by less than this. */
+/**
+ * Tolerance for rounding: sums of shares such as 0.1 + 0.2 + 0.7 differ from 1
+ * by less than this.
+ */
 const SHARE_ROUNDING = 1e-9;
 
 function checkShares(rules: Rules): ConfigurationProblem[] {
--- a/src/core/configuration/configuration_fold.ts
+++ b/src/core/configuration/configuration_fold.ts
@@ -15,7 +15,7 @@
 import { checkConfiguration, type ConfigurationContent } from "./check.ts";
 import type { ConfigurationProblem } from "./problem.ts";
 
-/** A publication that waits for its verdict. */
+/** A publication without a verdict yet. */
 export interface PendingPublication {
   readonly offset: number;
   readonly publicationId: string;
@@ -24,7 +24,7 @@
   readonly content: Readonly<Record<string, unknown>>;
 }
 
-/** What became of a publication. */
+/** Outcome of a publication that has a verdict. */
 export interface PublicationOutcome {
   readonly publicationId: string;
   readonly publisher: string;
@@ -35,22 +35,24 @@
   readonly reasons: readonly string[];
   /** Version in force after the verdict. */
   readonly version: number;
-  /** Publication whose version was in force instead, where one beat it. */
+  /**
+   * Publication whose version was in force instead, if the base was outdated.
+   */
   readonly beatenBy?: {
     readonly publicationId: string;
     readonly publisher: string;
   };
 }
 
-/** Guards that a test may take out; the product never passes them. */
+/** Checks that a test can disable; production code leaves all enabled. */
 export interface ConfigurationGuards {
-  /** A claim counts only if it replaces the one in force. */
+  /** A claim is valid only if it replaces the one in force. */
   readonly replacesInForce: boolean;
-  /** A verdict counts only under the claim in force. */
+  /** A verdict is valid only under the claim in force. */
   readonly checksClaim: boolean;
-  /** A publication comes into force only on the version that it replaces. */
+  /** A publication can be accepted only if its base is the version in force. */
   readonly checksBase: boolean;
-  /** A publication that stands again does not count again. */
+  /** A repeated publication is void. */
   readonly dropsRepeats: boolean;
 }
 
@@ -58,7 +60,7 @@
   readonly guards?: Partial<ConfigurationGuards>;
 }
 
-interface InForce {
+interface ActiveConfiguration {
   readonly version: number;
   readonly publicationId: string;
   readonly publisher: string;
@@ -66,40 +68,40 @@
 }
 
 /**
- * Publications that may wait. Load: 7,300 changes a day are one in 12 s; a
- * judge that takes over after 9 s finds a handful. Harm prevented: a tool that
- * appends without end fills every process's memory. What stands behind the
- * limit is void for every reader alike.
+ * Largest number of publications without a verdict. 7,300 changes a day are one
+ * in 12 s, so a validator that takes over after 9 s finds a handful. Without a
+ * limit, a tool that appends continuously fills every process's memory.
+ * Publications beyond the limit are void for every reader.
  */
-export const MOST_PENDING_PUBLICATIONS = 64;
+export const MAX_PENDING_PUBLICATIONS = 64;
 /**
- * Outcomes that are kept, so that an operator whose answer was lost finds out
- * what happened: at 660 changes a day in a region, most of a working day.
+ * Number of stored outcomes, from which an operator whose answer was lost can
+ * learn the result: at 660 changes a day in a region, most of a working day.
  */
-export const MOST_KEPT_OUTCOMES = 256;
+export const MAX_STORED_OUTCOMES = 256;
 
 /**
- * The configuration of one region by its stream. A publication comes into
- * force by the first verdict on it that stands under the claim in force, and only
- * if its base is the version in force at that place.
+ * Configuration of one region, computed from its stream. A publication takes
+ * effect with the first verdict on it under the claim in force, and only if its
+ * base is the version in force at that position.
  *
- * What goes wrong otherwise: if every reader judged content by itself, readers
- * of two software versions would accept different publications, have
- * different bases from then on, and never agree again. Here the content plays
- * no part in acceptance; a reader that can't apply what was accepted keeps
- * the last content that it could and says so in `unapplied`.
+ * If every reader validated content itself, readers of two software versions
+ * would accept different publications, have different bases from then on, and
+ * diverge permanently. Here the content has no influence on acceptance; a
+ * reader that can't apply the accepted content keeps the last content that it
+ * could apply and reports the reasons in `applyProblems`.
  */
 export class ConfigurationFold implements StreamFold {
   readonly #guards: ConfigurationGuards;
   readonly #listeners = new Set<() => void>();
   #claim: Claim | undefined;
   #lastSign = -1;
-  #inForce: InForce | undefined;
+  #active: ActiveConfiguration | undefined;
   #pending = new Map<number, PendingPublication>();
   #outcomes: PublicationOutcome[] = [];
   #applied: ConfigurationContent | undefined;
   #appliedVersion = 0;
-  #unapplied: readonly ConfigurationProblem[] = [];
+  #applyProblems: readonly ConfigurationProblem[] = [];
 
   constructor(options: ConfigurationFoldOptions = {}) {
     this.#guards = {
@@ -113,16 +115,18 @@
 
   /** Offset of the accepting verdict plus one; 0 before the first. */
   get version(): ConfigurationVersion {
-    return numbered(this.#inForce?.version ?? 0);
+    return numbered(this.#active?.version ?? 0);
   }
 
   /** Whether a publication made on this version could be accepted now. */
-  fits(base: number): boolean {
+  isBasedOnVersionInForce(base: number): boolean {
     return base === this.version || !this.#guards.checksBase;
   }
 
-  /** Version whose content this process follows; below `version` where it
-   * can't apply what is in force. */
+  /**
+   * Version whose content this process applies; below `version` if it can't
+   * apply the version in force.
+   */
   get appliedVersion(): ConfigurationVersion {
     return numbered(this.#appliedVersion);
   }
@@ -135,9 +139,11 @@
     return this.#applied?.rules;
   }
 
-  /** Why the version in force can't be applied here; empty where it is. */
-  get unapplied(): readonly ConfigurationProblem[] {
-    return this.#unapplied;
+  /**
+   * Reasons that the version in force can't be applied; empty if it is applied.
+   */
+  get applyProblems(): readonly ConfigurationProblem[] {
+    return this.#applyProblems;
   }
 
   get claim(): Claim | undefined {
@@ -154,12 +160,12 @@
     return [...this.#pending.values()];
   }
 
-  /** What became of the last publications, oldest first. */
+  /** Outcomes of the last publications, oldest first. */
   get history(): readonly PublicationOutcome[] {
     return this.#outcomes;
   }
 
-  /** What became of a publication; nothing while it waits or is not known. */
+  /** Outcome of a publication; undefined while it is pending or unknown. */
   outcome(publicationId: string): PublicationOutcome | undefined {
     return this.#outcomes.findLast((outcome) =>
       outcome.publicationId === publicationId
@@ -185,7 +191,7 @@
     return {
       claim: this.#claim ?? null,
       lastSign: this.#lastSign,
-      inForce: this.#inForce ?? null,
+      inForce: this.#active ?? null,
       pending: this.pending,
       outcomes: this.#outcomes,
     };
@@ -201,19 +207,21 @@
     );
     this.#outcomes = [...(state.outcomes ?? []) as PublicationOutcome[]];
     const before = this.version;
-    this.#inForce = (state.inForce ?? undefined) as InForce | undefined;
-    if (this.version !== before) this.#putInForce();
+    this.#active = (state.inForce ?? undefined) as
+      | ActiveConfiguration
+      | undefined;
+    if (this.version !== before) this.#applyActive();
   }
 
   #addPublication(offset: number, record: PublicationRecord): void {
     const { publicationId, base, content } = record;
     const isRepeat = this.outcome(publicationId) !== undefined ||
       this.pending.some((other) => other.publicationId === publicationId);
-    // A base at or above the publication's own place is no version that its
-    // publisher can have seen; it must not match one that comes later.
+    // A base at or above the publication's own offset is no version that its
+    // publisher can have seen; it must not match a later one.
     if (isRepeat && this.#guards.dropsRepeats) return;
     if (base > offset) return;
-    if (this.#pending.size >= MOST_PENDING_PUBLICATIONS) return;
+    if (this.#pending.size >= MAX_PENDING_PUBLICATIONS) return;
     const publisher = record.publisher ?? "";
     this.#pending.set(offset, {
       offset,
@@ -242,35 +250,35 @@
     const publication = this.#pending.get(record.publication);
     if (publication === undefined) return;
     this.#pending.delete(record.publication);
-    const fits = this.fits(publication.base);
-    const accepted = record.accepted && fits;
-    const beaten = fits ? undefined : this.#inForce;
-    if (accepted) this.#accept(offset, publication);
-    this.#keepOutcome(publication, {
+    const isUpToDate = this.isBasedOnVersionInForce(publication.base);
+    const accepted = record.accepted && isUpToDate;
+    const conflicting = isUpToDate ? undefined : this.#active;
+    if (accepted) this.#activate(offset, publication);
+    this.#storeOutcome(publication, {
       accepted,
-      reasons: fits ? record.reasons ?? [] : [
+      reasons: isUpToDate ? record.reasons ?? [] : [
         `it replaces version ${publication.base}, in force is ${this.version}`,
       ],
-      beaten,
+      conflicting,
     });
-    if (accepted) this.#putInForce();
+    if (accepted) this.#applyActive();
   }
 
-  #accept(offset: number, publication: PendingPublication): void {
+  #activate(offset: number, publication: PendingPublication): void {
     const { publicationId, publisher, content } = publication;
-    this.#inForce = { version: offset + 1, publicationId, publisher, content };
+    this.#active = { version: offset + 1, publicationId, publisher, content };
   }
 
-  #keepOutcome(
+  #storeOutcome(
     publication: PendingPublication,
     options: {
       accepted: boolean;
       reasons: readonly string[];
-      beaten: InForce | undefined;
+      conflicting: ActiveConfiguration | undefined;
     },
   ): void {
     const { publicationId, publisher, offset, base } = publication;
-    const { accepted, reasons, beaten } = options;
+    const { accepted, reasons, conflicting } = options;
     this.#outcomes.push({
       publicationId,
       publisher,
@@ -279,20 +287,22 @@
       accepted,
       reasons,
       version: this.version,
-      ...(beaten === undefined ? {} : {
+      ...(conflicting === undefined ? {} : {
         beatenBy: {
-          publicationId: beaten.publicationId,
-          publisher: beaten.publisher,
+          publicationId: conflicting.publicationId,
+          publisher: conflicting.publisher,
         },
       }),
     });
-    if (this.#outcomes.length > MOST_KEPT_OUTCOMES) this.#outcomes.shift();
+    if (this.#outcomes.length > MAX_STORED_OUTCOMES) this.#outcomes.shift();
   }
 
-  #putInForce(): void {
-    const content = this.#inForce?.content;
-    this.#unapplied = content === undefined ? [] : checkConfiguration(content);
-    if (this.#unapplied.length === 0 && content !== undefined) {
+  #applyActive(): void {
+    const content = this.#active?.content;
+    this.#applyProblems = content === undefined
+      ? []
+      : checkConfiguration(content);
+    if (this.#applyProblems.length === 0 && content !== undefined) {
       this.#applied = content as unknown as ConfigurationContent;
       this.#appliedVersion = this.version;
     }
--- a/src/core/configuration/configuration_judge.ts
+++ b/src/core/configuration/configuration_judge.ts
@@ -14,43 +14,47 @@
   readonly check?: (content: unknown) => readonly ConfigurationProblem[];
 }
 
-/** Reasons in one verdict; further ones help nobody and make it long. */
-const MOST_REASONS = 20;
+/** Largest number of reasons in one verdict, which keeps the record short. */
+const MAX_REASONS = 20;
 
 /**
- * Judges publications while its process holds the claim, one after another,
- * so that each is held against the version that the former verdict left.
- * A verdict from a process that has lost the claim is void by position.
+ * Validates publications and appends verdicts while its process holds the
+ * claim, one at a time, so that each is checked against the version that the
+ * previous verdict left. A verdict of a process that has lost the claim is void
+ * by its position.
  */
 export class ConfigurationJudge {
   readonly #options: ConfigurationJudgeOptions;
-  #judging = false;
+  #isProcessing = false;
 
   constructor(options: ConfigurationJudgeOptions) {
     this.#options = options;
   }
 
-  /** Call after each record of the stream and now and then besides. */
+  /**
+   * Starts processing pending publications; call it after each record of the
+   * stream and periodically.
+   */
   consider(): void {
-    if (!this.#judging) void this.#judgeAll();
+    if (!this.#isProcessing) void this.#processPending();
   }
 
-  async #judgeAll(): Promise<void> {
-    this.#judging = true;
+  async #processPending(): Promise<void> {
+    this.#isProcessing = true;
     for (;;) {
       const claim = this.#options.heldClaim();
       const [publication] = this.#options.fold.pending;
       if (claim === undefined || publication === undefined) break;
-      if (!await this.#judge(publication, claim)) break;
+      if (!await this.#appendVerdict(publication, claim)) break;
     }
-    this.#judging = false;
+    this.#isProcessing = false;
   }
 
-  async #judge(
+  async #appendVerdict(
     publication: PendingPublication,
     claim: number,
   ): Promise<boolean> {
-    const reasons = this.#reasonsAgainst(publication);
+    const reasons = this.#rejectionReasons(publication);
     const result = await this.#options.journal.append({
       kind: "verdict",
       claim,
@@ -61,16 +65,16 @@
     return result.isOk();
   }
 
-  #reasonsAgainst(publication: PendingPublication): string[] {
+  #rejectionReasons(publication: PendingPublication): string[] {
     const { fold } = this.#options;
     const { version } = fold;
-    if (!fold.fits(publication.base)) {
+    if (!fold.isBasedOnVersionInForce(publication.base)) {
       return [
         `it replaces version ${publication.base}, in force is ${version}`,
       ];
     }
     const check = this.#options.check ?? checkConfiguration;
-    return check(publication.content).slice(0, MOST_REASONS).map((problem) =>
+    return check(publication.content).slice(0, MAX_REASONS).map((problem) =>
       `${problem.path}: found ${problem.found}, expected ${problem.expected}`
     );
   }
--- a/src/core/configuration/configuration_test.ts
+++ b/src/core/configuration/configuration_test.ts
@@ -41,7 +41,7 @@
 }
 
 describe("ConfigurationFold", () => {
-  it("puts a publication in force by the first valid verdict", () => {
+  it("applies a publication with the first valid verdict", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
@@ -52,9 +52,9 @@
     expect(fold.outcome("a")?.accepted).to.equal(true);
   });
 
-  // Two operators change the same version at the same time. If both came into
+  // Two operators change the same version concurrently. If both came into
   // force, the second would silently undo the first one's change.
-  it("lets one of two racing publications win and tells which", () => {
+  it("accepts one of two concurrent publications and reports which", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
@@ -67,10 +67,10 @@
     expect(fold.outcome("b")?.beatenBy?.publicationId).to.equal("a");
   });
 
-  // A judge is paused after it has looked at a publication, loses its claim,
-  // wakes up and appends its verdict. Readers that took it would follow a
-  // process that has no authority any more.
-  it("passes over the verdict of a judge that has lost its claim", () => {
+  // A validator is paused after it has checked a publication, loses its claim,
+  // resumes and appends its verdict. Readers that accepted it would follow a
+  // process that no longer holds the claim.
+  it("ignores the verdict of a validator that has lost its claim", () => {
     const fold = foldOf([
       claim("old", -1),
       publication("a", 0),
@@ -82,8 +82,8 @@
   });
 
   // A verdict whose answer was lost is appended twice. The second must not
-  // make a new version of the same content.
-  it("keeps the version when a verdict stands twice", () => {
+  // create a new version of the same content.
+  it("keeps the version when a verdict is on the log twice", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
@@ -94,8 +94,8 @@
   });
 
   // A publication lands a second time, long after it was accepted. The change
-  // that came after it would be reverted.
-  it("passes over a publication that lands again", () => {
+  // that followed it would be reverted.
+  it("ignores a publication that lands again", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
@@ -110,16 +110,16 @@
     expect(fold.outcome("a")?.accepted).to.equal(true);
   });
 
-  // A tool writes a base far ahead. Should a version with just this number
-  // come later, the old publication would revert it.
-  it("passes over a base that is no version yet", () => {
+  // A tool writes a base far ahead. If a version with that number came later,
+  // the old publication would revert it.
+  it("ignores a base that is not an existing version", () => {
     const fold = foldOf([claim("judge", -1), publication("ahead", 4)]);
     expect(fold.pending).to.deep.equal([]);
   });
 
-  // A tool publishes without end while nobody judges. Every process of the
-  // fleet would hold every publication in memory.
-  it("holds a bounded number of publications that wait", () => {
+  // A tool publishes continuously while no process appends verdicts. Without a
+  // limit, every process of the fleet would store every publication.
+  it("stores a bounded number of pending publications", () => {
     const bodies = Array.from(
       { length: 200 },
       (_, i) => publication(`p${i}`, 0),
@@ -127,10 +127,10 @@
     expect(foldOf(bodies).pending).to.have.length(64);
   });
 
-  // A newer version of the software accepts content that this one can't
-  // read. If this one decided for itself, it would have another base for every
-  // later publication and the fleet would split for good.
-  it("follows a verdict on content that it can't apply, and says so", () => {
+  // A newer version of the software accepts content that this one can't read.
+  // If this one decided on its own, its base would differ for every later
+  // publication and the fleet would diverge permanently.
+  it("follows a verdict on content that it can't apply and reports it", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
@@ -146,7 +146,7 @@
     expect(fold.version).to.equal(5);
     expect(fold.appliedVersion).to.equal(3);
     expect(fold.inventory?.pools[0].weights).to.equal("a");
-    expect(fold.unapplied).to.not.have.length(0);
+    expect(fold.applyProblems).to.not.have.length(0);
   });
 
   it("is the same after saving and loading", () => {
@@ -173,11 +173,11 @@
     return content;
   }
 
-  it("finds nothing wrong with a good configuration", () => {
+  it("finds no problems in a valid configuration", () => {
     expect(checkConfiguration(sampleContent())).to.deep.equal([]);
   });
 
-  it("names place, finding and expectation", () => {
+  it("reports the path, the found and the expected value", () => {
     const content = changed(({ inventory }) => {
       inventory.pools[0].endpoints[0].availabilityZone = "nowhere";
     });
@@ -188,7 +188,10 @@
     }]);
   });
 
-  const wrong: Record<string, (content: ConfigurationContent) => void> = {
+  const invalidChanges: Record<
+    string,
+    (content: ConfigurationContent) => void
+  > = {
     "/inventory/pools/0/endpoints/1/id": ({ inventory }) => {
       const [first] = inventory.pools[0].endpoints;
       inventory.pools[0].endpoints.push({ ...first, side: "10.0.0.2:7000" });
@@ -219,14 +222,14 @@
     },
     "/rules/matches/0/class": ({ rules }) => rules.matches = [{ class: "no" }],
   };
-  for (const [path, change] of Object.entries(wrong)) {
-    it(`finds what is wrong at ${path}`, () => {
+  for (const [path, change] of Object.entries(invalidChanges)) {
+    it(`finds the problem at ${path}`, () => {
       const problems = checkConfiguration(changed(change));
       expect(problems.map((problem) => problem.path)).to.include(path);
     });
   }
 
-  it("stands content of any kind", () => {
+  it("reports problems for content of any type", () => {
     for (const content of [undefined, null, 3, "text", [], {}]) {
       expect(checkConfiguration(content)).to.not.have.length(0);
     }
@@ -261,19 +264,19 @@
     publicationId: string,
     base = 0,
   ): { outcome?: string; message?: string } {
-    const seen: { outcome?: string; message?: string } = {};
+    const tracked: { outcome?: string; message?: string } = {};
     void publisher.publish(sampleContent(publicationId), {
       publicationId,
       base,
       publisher: `operator of ${publicationId}`,
     }).then((result) => {
-      seen.outcome = result.isOk() ? "accepted" : result.error.name;
-      if (result.isErr()) seen.message = result.error.message;
+      tracked.outcome = result.isOk() ? "accepted" : result.error.name;
+      if (result.isErr()) tracked.message = result.error.message;
     });
-    return seen;
+    return tracked;
   }
 
-  it("brings a publication into force at every reader", async () => {
+  it("applies a publication at every reader", async () => {
     const entries = ["a", "b", "c"].map((name) =>
       makeJudge({ log, timer, name })
     );
@@ -287,9 +290,9 @@
     }
   });
 
-  // Two operators publish at the same moment. The one that loses must learn
-  // which change it has to look at before it tries again.
-  it("tells the operator that lost which change came first", async () => {
+  // Two operators publish concurrently. The one that loses must learn which
+  // change to look at before it retries.
+  it("reports the conflicting change to the operator that lost", async () => {
     makeJudge({ log, timer, name: "a" });
     const one = operator("one");
     const two = operator("two");
@@ -308,8 +311,8 @@
     );
   });
 
-  // The log takes the publication and the answer is lost; the operator runs
-  // the command again. It must find the first try and not publish twice.
+  // The log appends the publication, but the answer is lost; the operator runs
+  // the command again. It must find the first attempt and not publish twice.
   it("finds a publication whose answer was lost", async () => {
     makeJudge({ log, timer, name: "a" });
     const one = operator("one");
@@ -327,9 +330,9 @@
     expect(publications).to.have.length(1);
   });
 
-  // The judge is killed after the publication stands on the log. Without a
-  // takeover the operator waits forever.
-  it("gets a verdict although the judge is killed", async () => {
+  // The validator is killed after the publication is on the log. Without a
+  // takeover the operator never gets a verdict.
+  it("gets a verdict although the validator is killed", async () => {
     const entries = ["a", "b"].map((name) => makeJudge({ log, timer, name }));
     const one = operator("one");
     await timer.advance(5_000);
@@ -340,7 +343,7 @@
     expect(seen.outcome).to.equal("accepted");
   });
 
-  it("tells the operator what is wrong with the content", async () => {
+  it("reports invalid content to the operator", async () => {
     makeJudge({ log, timer, name: "a" });
     const one = operator("one");
     await timer.advance(5_000);
@@ -354,8 +357,8 @@
   });
 
   // The log is down before the publication reaches it. The operator must not
-  // be left in doubt where nothing has happened.
-  it("says that nothing was published while the log is down", async () => {
+  // get an unknown outcome when nothing has happened.
+  it("reports that nothing was published while the log is down", async () => {
     const one = operator("one");
     await timer.advance(1_000);
     one.faults.down = true;
--- a/src/core/configuration/errors.ts
+++ b/src/core/configuration/errors.ts
@@ -3,8 +3,9 @@
 
 /**
  * `publication_rejected`: it is not in force and never will be.
- * `publication_not_made`: it does not stand on the log and never will.
- * `publication_unknown`: it may come into force; ask again by its id.
+ * `publication_not_made`: it is not on the log and never will be.
+ * `publication_unknown`: it may still come into force; query its outcome by its
+ * id.
  */
 export type PublicationFailure = Failure<
   "publication_rejected" | "publication_not_made" | "publication_unknown"
@@ -17,7 +18,7 @@
   title: "Publication rejected",
   message: ({ publicationId, reasons }) =>
     `Publication "${publicationId}" was rejected: ${reasons.join("; ")}`,
-  hint: "Look at the version in force, make the change on top of it, publish.",
+  hint: "Apply the change to the version in force and publish it again.",
 });
 
 export const PUBLICATION_NOT_MADE = defineError<
@@ -27,15 +28,15 @@
   title: "Publication not made",
   message: ({ publicationId, reason }) =>
     `Publication "${publicationId}" was not appended: ${reason}`,
-  hint: "Nothing has changed; publish again when the log service is reachable.",
+  hint: "Nothing was changed; publish again when the log service is reachable.",
 });
 
 export const PUBLICATION_UNKNOWN = defineError<
   { publicationId: string; reason: string }
 >()({
   name: "publication_unknown",
-  title: "Publication in doubt",
+  title: "Publication outcome unknown",
   message: ({ publicationId, reason }) =>
-    `Cannot tell yet what became of publication "${publicationId}": ${reason}`,
+    `Outcome of publication "${publicationId}" is not known yet: ${reason}`,
   hint: "Run the command again with the same publication id.",
 });
--- a/src/core/configuration/mod.ts
+++ b/src/core/configuration/mod.ts
@@ -1,4 +1,4 @@
-/** Publishing, judging and following the operators' configuration. */
+/** Publishing, validating and applying the operators' configuration. */
 export { checkConfiguration } from "./check.ts";
 export type { ConfigurationContent } from "./check.ts";
 export type { ConfigurationProblem } from "./problem.ts";
--- a/src/core/configuration/problem.ts
+++ b/src/core/configuration/problem.ts
@@ -1,12 +1,12 @@
-/** Something in a configuration that keeps it from being accepted. */
+/** A reason that a configuration can't be accepted. */
 export interface ConfigurationProblem {
-  /** Place in the content, such as `/inventory/pools/0/endpoints/2/id`. */
+  /** JSON pointer to the value, such as `/inventory/pools/0/endpoints/2/id`. */
   readonly path: string;
   readonly found: string;
   readonly expected: string;
 }
 
-/** A problem for each value that has come before. */
+/** Returns a problem for each value that repeats an earlier one. */
 export function duplicates(
   values: readonly string[],
   options: { path: (index: number) => string; what: string },
@@ -29,11 +29,15 @@
   path: string,
   options: { found: unknown; expected: string },
 ): ConfigurationProblem {
-  return { path, found: describe(options.found), expected: options.expected };
+  return {
+    path,
+    found: formatValue(options.found),
+    expected: options.expected,
+  };
 }
 
-/** A value as an operator would write it. */
-export function describe(value: unknown): string {
+/** Formats a value as an operator would write it. */
+export function formatValue(value: unknown): string {
   if (value === undefined) return "nothing";
   if (typeof value === "string") return value;
   return JSON.stringify(value);
--- a/src/core/configuration/publisher.ts
+++ b/src/core/configuration/publisher.ts
@@ -18,21 +18,24 @@
   readonly journal: Journal;
   readonly fold: ConfigurationFold;
   readonly timer: TimerService;
-  /** How long a verdict is waited for. */
+  /** How long to wait for the stream to be read, and then for the verdict. */
   readonly verdictMilliseconds: number;
 }
 
 export interface PublicationOptions {
-  /** Chosen once for each change; the same again never acts twice. */
+  /**
+   * Idempotency id, chosen once per change; a repeated publication with it has
+   * no further effect.
+   */
   readonly publicationId: string;
-  /** Version that the change was made on. */
+  /** Version that the change is based on. */
   readonly base: number;
   readonly publisher?: string;
 }
 
-const LOOK_EVERY_MILLISECONDS = 50;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Publishes a configuration for an operator and learns what became of it. */
+/** Publishes a configuration for an operator and waits for its outcome. */
 export class Publisher {
   readonly #options: PublisherOptions;
 
@@ -41,8 +44,9 @@
   }
 
   /**
-   * Appends the publication, unless it is known already from a try whose
-   * answer was lost, and waits for its verdict. Gives the accepted outcome.
+   * Appends the publication, unless an earlier attempt whose answer was lost
+   * has done so, and waits for its verdict. Returns the outcome if it is
+   * accepted.
    */
   async publish(
     content: ConfigurationContent,
@@ -54,10 +58,10 @@
       return err(failure(PUBLICATION_UNKNOWN, { publicationId, reason }));
     }
     if (!this.#isKnown(publicationId)) {
-      const refused = await this.#append(content, options);
-      if (refused !== undefined) return err(refused);
+      const appendFailure = await this.#append(content, options);
+      if (appendFailure !== undefined) return err(appendFailure);
     }
-    return this.#verdict(publicationId);
+    return this.#awaitVerdict(publicationId);
   }
 
   async #append(
@@ -75,7 +79,7 @@
     if (this.#isKnown(publicationId)) return undefined;
     if (result.isOk()) {
       const reasons = [
-        "too many publications wait, or its base is no version yet",
+        "too many publications are pending, or its base is not an existing version",
       ];
       return failure(PUBLICATION_REJECTED, { publicationId, reasons });
     }
@@ -86,7 +90,7 @@
     return failure(definition, { publicationId, reason });
   }
 
-  async #verdict(
+  async #awaitVerdict(
     publicationId: string,
   ): Promise<Result<PublicationOutcome, PublicationFailure>> {
     const { fold } = this.#options;
@@ -94,10 +98,10 @@
     const outcome = fold.outcome(publicationId);
     if (outcome?.accepted) return ok(outcome);
     if (outcome !== undefined) {
-      const reasons = explain(outcome);
+      const reasons = rejectionReasons(outcome);
       return err(failure(PUBLICATION_REJECTED, { publicationId, reasons }));
     }
-    const reason = "no verdict came in time";
+    const reason = "no verdict before the timeout";
     return err(failure(PUBLICATION_UNKNOWN, { publicationId, reason }));
   }
 
@@ -112,14 +116,14 @@
     const deadline = timer.now() + verdictMilliseconds;
     while (!condition()) {
       if (timer.now() >= deadline) return false;
-      await pause(timer, LOOK_EVERY_MILLISECONDS);
+      await pause(timer, POLL_INTERVAL_MILLISECONDS);
     }
     return true;
   }
 }
 
-/** Reasons of a rejection, with the publication that came first. */
-function explain(outcome: PublicationOutcome): readonly string[] {
+/** Reasons of a rejection, including the conflicting publication. */
+function rejectionReasons(outcome: PublicationOutcome): readonly string[] {
   const { beatenBy, reasons } = outcome;
   if (beatenBy === undefined) return reasons;
   const by = beatenBy.publisher === "" ? "" : ` by ${beatenBy.publisher}`;
--- a/src/core/configuration/schedules_test.ts
+++ b/src/core/configuration/schedules_test.ts
@@ -41,19 +41,22 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-interface Told {
+interface PublicationAttempt {
   readonly publicationId: string;
   outcome: string;
 }
 
-/** Entries that judge in turn and operators that race each other. */
+/**
+ * Entries that take turns as validator, and operators with concurrent
+ * publications.
+ */
 class Fleet {
   readonly timer = new ManualTimerService();
   readonly log = new FakeLog({ timer: this.timer });
-  readonly told: Told[] = [];
+  readonly attempts: PublicationAttempt[] = [];
   readonly entries: TestJudge[] = [];
   readonly operators: { publisher: Publisher; faults: LogFaults }[] = [];
-  /** Highest version that each entry's place has had, over restarts too. */
+  /** Highest version of each entry's index, across restarts. */
   readonly versions: number[] = Array(ENTRIES).fill(0);
   #runs = 0;
 
@@ -99,23 +102,23 @@
   }
 
   publish(operator: number, publicationId: string): void {
-    const told = { publicationId, outcome: "open" };
-    this.told.push(told);
+    const attempt = { publicationId, outcome: "open" };
+    this.attempts.push(attempt);
     const base = this.entries[0].fold.version;
     void this.operators[operator].publisher.publish(
       sampleContent(publicationId),
       { publicationId, base },
     ).then((result) => {
-      told.outcome = result.isOk() ? "accepted" : result.error.name;
+      attempt.outcome = result.isOk() ? "accepted" : result.error.name;
     });
   }
 
-  /** The append is held up on its way, and then the log is out of reach. */
-  async publishAndCut(operator: number, late: number): Promise<void> {
+  /** The append is delayed, and then the log becomes unreachable. */
+  async publishAndDisconnect(operator: number, late: number): Promise<void> {
     const { faults } = this.operators[operator];
     faults.lateAppends = 1;
     faults.lateMilliseconds = late;
-    this.publish(operator, `change-${this.told.length}`);
+    this.publish(operator, `change-${this.attempts.length}`);
     await this.timer.advance(100);
     faults.down = true;
   }
@@ -126,20 +129,20 @@
       : this.operators[target - ENTRIES].faults;
   }
 
-  async take({ kind, target, wait }: Step): Promise<void> {
+  async applyStep({ kind, target, wait }: Step): Promise<void> {
     const faults = this.faultsOf(target);
     const entry = target % ENTRIES;
     const operator = target % OPERATORS;
     if (kind === "publish") {
-      this.publish(operator, `change-${this.told.length}`);
+      this.publish(operator, `change-${this.attempts.length}`);
     } else if (kind === "race") {
       for (let index = 0; index < OPERATORS; index += 1) {
-        this.publish(index, `change-${this.told.length}`);
+        this.publish(index, `change-${this.attempts.length}`);
       }
     } else if (kind === "publishAndCut") {
-      await this.publishAndCut(operator, 2 * wait);
+      await this.publishAndDisconnect(operator, 2 * wait);
     } else if (kind === "publishAgain") {
-      const last = this.told.at(-1)?.publicationId;
+      const last = this.attempts.at(-1)?.publicationId;
       if (last !== undefined) this.publish(operator, last);
     } else if (kind === "lag") faults.lagRecords = 3;
     else if (kind === "slow") faults.slowMilliseconds = 1_500;
@@ -159,7 +162,7 @@
   async heal(): Promise<void> {
     for (let index = 0; index < ENTRIES; index += 1) {
       Object.assign(this.faultsOf(index), noFaults());
-      // An entry whose claim was handed over is about to be replaced.
+      // An entry that released its claim is about to be replaced.
       this.entries[index].journal.stop();
       this.startEntry(index);
       await this.timer.advance(5_000);
@@ -173,7 +176,7 @@
   const fleet = new Fleet();
   await fleet.timer.advance(4_000);
   for (const next of steps) {
-    await fleet.take(next);
+    await fleet.applyStep(next);
     fleet.entries.forEach(({ fold }, index) => {
       const isFresh = next.kind === "restart" &&
         next.target % ENTRIES === index;
@@ -187,17 +190,22 @@
     expect(other.fold.save()).to.deep.equal(fold.save());
   }
   expect(fold.pending).to.deep.equal([]);
-  expectTruth(fleet.told, fold);
+  expectCorrectOutcomes(fleet.attempts, fold);
 }
 
-function expectTruth(told: readonly Told[], fold: ConfigurationFold): void {
-  for (const { outcome, publicationId } of told) {
+function expectCorrectOutcomes(
+  attempts: readonly PublicationAttempt[],
+  fold: ConfigurationFold,
+): void {
+  for (const { outcome, publicationId } of attempts) {
     const history = fold.outcome(publicationId);
     if (outcome === "accepted") expect(history?.accepted).to.equal(true);
     if (outcome === "publication_rejected") {
       expect(history?.accepted).to.not.equal(true);
     }
-    const again = told.filter((other) => other.publicationId === publicationId);
+    const again = attempts.filter((other) =>
+      other.publicationId === publicationId
+    );
     if (outcome === "publication_not_made" && again.length === 1) {
       expect(history).to.equal(undefined);
     }
@@ -205,11 +213,12 @@
 }
 
 describe("Publishing under any faults", () => {
-  // Operators race, answers get lost, appends land late, judges restart, hand
-  // over or are cut off in the middle of a verdict. No entry may ever go back
-  // to an older version, all must end with the same one, every publication gets
-  // its verdict, and what an operator was told must be true.
-  it("never reverts and tells operators the truth", async () => {
+  // Operators publish concurrently, answers get lost, appends land late,
+  // validators restart, release their claim or are cut off during a verdict. No
+  // entry may return to an older version, all must end with the same one, every
+  // publication must get its verdict, and the results returned to operators
+  // must be correct.
+  it("never reverts and returns correct results to operators", async () => {
     const found = await fc.check(
       fc.asyncProperty(
         fc.array(step, { minLength: 6, maxLength: 20 }),
--- a/src/core/errors/mod.ts
+++ b/src/core/errors/mod.ts
@@ -1,6 +1,6 @@
 /**
- * One catalogue entry: what happened and what the operator can do about it.
- * `Values` are the facts that the message names.
+ * Definition of an error: what happened and what the operator can do about it.
+ * `Values` are the values in the message.
  */
 export interface ErrorDefinition<Name extends string, Values> {
   readonly name: Name;
@@ -9,7 +9,7 @@
   readonly hint: string;
 }
 
-/** A failure as a value; every failure in the system has this form. */
+/** A failure as a value; every failure in the system has this type. */
 export interface Failure<Name extends string = string> {
   readonly name: Name;
   readonly title: string;
@@ -17,14 +17,14 @@
   readonly hint: string;
 }
 
-/** Makes a catalogue entry; keeps the name as a literal type. */
+/** Defines an error; keeps the name as a literal type. */
 export function defineError<Values>() {
   return <Name extends string>(
     definition: ErrorDefinition<Name, Values>,
   ): ErrorDefinition<Name, Values> => definition;
 }
 
-/** Makes the failure that a catalogue entry describes. */
+/** Creates a failure from its definition. */
 export function failure<Name extends string, Values>(
   definition: ErrorDefinition<Name, Values>,
   values: Values,
--- a/src/core/errors/result.ts
+++ b/src/core/errors/result.ts
@@ -1,2 +1,2 @@
-/** Results travel as `neverthrow` values; throwing is for bugs only. */
+/** Results are `neverthrow` values; exceptions are for bugs only. */
 export { err, errAsync, ok, okAsync, Result, ResultAsync } from "neverthrow";
--- a/src/core/identity/mod.ts
+++ b/src/core/identity/mod.ts
@@ -1,11 +1,11 @@
 /**
- * Branded identifiers. A plain string does not pass for any of them, so that a
- * side's name can't be handed over where an endpoint's is meant.
+ * Branded identifiers. A plain string is not assignable to any of them, so that
+ * a sidecar's name can't be passed where an endpoint's is expected.
  */
 
 declare const brand: unique symbol;
 
-/** A value that carries a name in its type only. */
+/** A value with a nominal type. */
 export type Branded<Value, Name extends string> = Value & {
   readonly [brand]: Name;
 };
@@ -13,48 +13,57 @@
 /** An endpoint of the inventory: one replica of a model engine or plain service. */
 export type EndpointId = Branded<string, "EndpointId">;
 /**
- * When a replica started, Unix milliseconds of its own clock. A replica may
- * start again under its id; the id and this time together name one run of it.
+ * Start time of a replica, Unix milliseconds of its own clock. A replica can
+ * restart under the same id; the id and this time together identify one run of
+ * it.
  */
 export type ReplicaStart = Branded<number, "ReplicaStart">;
-/** A process of the system, entry or side, as its settings name it. */
+/** A process of the system, entry or sidecar, as named in its settings. */
 export type ProcessId = Branded<string, "ProcessId">;
 /** One run of a process; a restarted process has a new one. */
 export type Incarnation = Branded<string, "Incarnation">;
 export type RegionId = Branded<string, "RegionId">;
 export type AvailabilityZoneId = Branded<string, "AvailabilityZoneId">;
 export type WorkspaceId = Branded<string, "WorkspaceId">;
-/** A class of work of the operators' rules, such as "urgent". */
+/** A class of work in the operators' rules, such as "urgent". */
 export type WorkClassName = Branded<string, "WorkClassName">;
 export type ModelName = Branded<string, "ModelName">;
 export type ServiceName = Branded<string, "ServiceName">;
 /** One request of a caller at one entry. */
 export type RequestId = Branded<string, "RequestId">;
-/** What a request asks for, whatever its id: requests of the same bytes share it. */
+/**
+ * Digest of a request's content, independent of its id: requests of the same
+ * bytes share it.
+ */
 export type RequestDigest = Branded<string, "RequestDigest">;
-/** What a caller's key is known by; the key itself is kept nowhere. */
+/** Digest of a caller's API key; the key itself is not stored. */
 export type KeyDigest = Branded<string, "KeyDigest">;
-/** A span of the wall clock in which usage is counted, by its number. */
+/** Number of a wall-clock time window in which usage is counted. */
 export type UsageWindow = Branded<number, "UsageWindow">;
-/** One try of a request on one endpoint; frames carry it. */
+/** One attempt of a request at one endpoint; its frames contain it. */
 export type AttemptId = Branded<string, "AttemptId">;
 /** A caller's `Idempotency-Key`. */
 export type IdempotencyKey = Branded<string, "IdempotencyKey">;
-/** Position of a record in a stream of the log; the first record has 0. */
+/** Position of a record in a stream of the log; the first record is at 0. */
 export type LogOffset = Branded<number, "LogOffset">;
-/** Offset of the verdict that accepted a configuration; 0 means none yet. */
+/**
+ * Offset of the verdict that accepted a configuration, plus one; 0 before the
+ * first.
+ */
 export type ConfigurationVersion = Branded<number, "ConfigurationVersion">;
-/** Offset of a claim: orders of a lower number are void. */
+/**
+ * Offset of a claim, used as a fencing token: orders with a lower one are void.
+ */
 export type FencingNumber = Branded<number, "FencingNumber">;
 
-/** Marks a checked string as an identifier of the wanted kind. */
+/** Brands a validated string as an identifier of the expected type. */
 export function identifier<Id extends Branded<string, string>>(
   value: string,
 ): Id {
   return value as Id;
 }
 
-/** Marks a checked number as a branded one. */
+/** Brands a validated number as an identifier of the expected type. */
 export function numbered<Id extends Branded<number, string>>(
   value: number,
 ): Id {
--- a/src/core/links/mod.ts
+++ b/src/core/links/mod.ts
@@ -1,6 +1,7 @@
 /**
- * What the cores of entry and side need from the network, as functions passed
- * to them: over sockets in a process, through a simulated network in a test.
+ * Network operations that the cores of entry and sidecar need, as functions
+ * passed to them: over sockets in production, over a simulated network in
+ * tests.
  */
 import type { Result } from "neverthrow";
 import type { Failure } from "../errors/mod.ts";
@@ -18,37 +19,45 @@
 } from "../../generated/messages.ts";
 import type { EngineTarget } from "../../generated/log_records.ts";
 
-/** Where a process of the system listens to its peers, as `host:port`. */
+/**
+ * Address at which a process of the system listens for its peers, as
+ * `host:port`.
+ */
 export type PeerAddress = Branded<string, "PeerAddress">;
 
 /**
- * `link_not_sent`: nothing reached the other process, and nothing will.
- * `link_lost`: the message may have arrived, now or later.
+ * `link_not_sent`: the message did not and will not reach the other process.
+ * `link_lost`: the message may have arrived or may still arrive.
  */
 export type LinkFailure = Failure<"link_not_sent" | "link_lost">;
 
-/** An attempt that is under way at a side. */
+/** An attempt in progress at a sidecar. */
 export interface AttemptCall {
   /**
-   * Settles when no further frame can come. It says nothing about the answer:
-   * only an end or response frame does.
+   * Settles when no further frame can arrive. It does not imply that the answer
+   * is complete: only an end or response frame does.
    */
   readonly closed: Promise<Result<void, LinkFailure>>;
-  /** Gives the attempt up; the side cancels it at its endpoint. */
+  /** Cancels the attempt; the sidecar cancels it at its endpoint. */
   cancel(): void;
-  /** Holds the frames back at their source while the caller reads slowly. */
+  /**
+   * Applies backpressure at the source of the frames while the caller reads
+   * slowly.
+   */
   pause(): void;
   resume(): void;
 }
 
-/** What an entry asks of sides. */
+/** Requests of an entry to sidecars. */
 export interface SideLink {
   run(
     side: PeerAddress,
     attempt: AttemptRequest,
     onFrame: (frame: AttemptFrame) => void,
   ): AttemptCall;
-  /** Asks what became of a record on the `once` stream, and may bar it. */
+  /**
+   * Queries the state of a record on the `once` stream, and optionally bars it.
+   */
   ask(
     side: PeerAddress,
     question: OnceQuestion,
@@ -56,31 +65,34 @@
   report(side: PeerAddress): Promise<Result<SideReport, LinkFailure>>;
 }
 
-/** State of one stream after all records up to `upTo`, taken from a peer. */
+/** State of one stream after all records up to `upTo`, fetched from a peer. */
 export interface StreamSnapshot {
   readonly upTo: number;
   readonly state: Readonly<Record<string, unknown>>;
 }
 
-/** What sides, entries and operators ask of entries. */
+/** Requests of sidecars, entries and operators to entries. */
 export interface EntryLink {
   watch(
     entry: PeerAddress,
     question: WatchQuestion,
   ): Promise<Result<WatchAnswer, LinkFailure>>;
-  /** Without a question: the whole status. */
+  /** Returns the whole status if there is no question. */
   status(
     entry: PeerAddress,
     question?: StatusQuestion,
   ): Promise<Result<EntryStatus, LinkFailure>>;
-  /** The peer's state of a stream; used where the log itself can't be read. */
+  /**
+   * Returns the peer's state of a stream; used when the log itself is
+   * unreadable.
+   */
   snapshot(
     entry: PeerAddress,
     stream: string,
   ): Promise<Result<StreamSnapshot, LinkFailure>>;
 }
 
-/** Load and state as an engine tells them, possibly late. */
+/** Load and state as an engine reports them, possibly late. */
 export interface EngineObservation {
   readonly role: "mixed" | "prefill" | "decode";
   readonly models: readonly string[];
@@ -92,7 +104,7 @@
   readonly ageMilliseconds: number;
 }
 
-/** `endpoint_refused`: not started. The others: may have run. */
+/** `endpoint_refused`: not started. All others: may have run. */
 export type EndpointFailure = Failure<
   | "endpoint_refused"
   | "endpoint_unreachable"
@@ -101,28 +113,28 @@
   | "endpoint_error"
 >;
 
-/** The whole answer of a plain service. */
+/** The complete response of a plain service. */
 export interface ServiceResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** A generation under way at the engine. */
+/** A generation in progress at the engine. */
 export interface GenerationCall {
-  /** Settles with the reason of the end; every token has been given before. */
+  /** Settles with the finish reason, after every token has been passed on. */
   readonly finished: Promise<Result<"stop" | "length", EndpointFailure>>;
   cancel(): void;
   pause(): void;
   resume(): void;
 }
 
-/** What an engine gave out for another engine to take in. */
+/** Reference to a cache exported by one engine, for import by another. */
 export type CacheReference = Readonly<Record<string, unknown>>;
 
 /**
- * What a side asks of the endpoint that it stands beside. An attempt may bring
- * another engine's cache; an engine that can't take it in makes it anew.
+ * Requests of a sidecar to its endpoint. An attempt may reference another
+ * engine's cache; an engine that can't import it recomputes the cache.
  */
 export interface EndpointLink {
   generate(
@@ -134,21 +146,21 @@
   ): Promise<Result<ServiceResponse, EndpointFailure>>;
   observe(): Promise<Result<EngineObservation, EndpointFailure>>;
   /**
-   * Gives out the cache of an answer under way, with the tokens it has made so
-   * far. Absent where the endpoint can't.
+   * Exports the cache of an answer in progress, with the tokens generated so
+   * far. Undefined if the endpoint does not support it.
    */
   exportCache?(
     attempt: AttemptRequest,
     tokens: readonly string[],
   ): Promise<Result<CacheReference, EndpointFailure>>;
-  /** Gives the engine its target state with a fencing number (log offset). */
+  /** Sets the engine's target state with a fencing token (log offset). */
   order(
     target: EngineTarget,
     fencing: number,
   ): Promise<Result<void, EndpointFailure | Failure<"order_fenced">>>;
 }
 
-/** One VM of the platform's list; the list lags behind the truth. */
+/** One VM of the platform's list, which can be outdated. */
 export interface ListedVm {
   readonly id: string;
   readonly address: PeerAddress;
