--- a/src/core/authority/claim_keeper.ts
+++ b/src/core/authority/claim_keeper.ts
@@ -82,7 +82,7 @@
    */
   #jitter: number;
   #longestGap = 0;
-  #lastRenewalAt = -Infinity;
+  #lastRenewal = -Infinity;
   #lastCheckAt: number;
   #appending = false;
   #heldOffset: number | undefined;
@@ -265,10 +265,8 @@
     const { claimSilenceMilliseconds, timer, view } = this.#options;
     const now = timer.now();
     const period = claimSilenceMilliseconds / RENEWALS_PER_TIMEOUT;
-    if (now - Math.max(this.#timeoutStart, this.#lastRenewalAt) < period) {
-      return;
-    }
-    this.#lastRenewalAt = now;
+    if (now - Math.max(this.#timeoutStart, this.#lastRenewal) < period) return;
+    this.#lastRenewal = now;
     void this.#appendRenewal(view.claim?.offset ?? -1);
   }
 
--- a/src/core/configuration/configuration_fold.ts
+++ b/src/core/configuration/configuration_fold.ts
@@ -60,7 +60,7 @@
   readonly guards?: Partial<ConfigurationGuards>;
 }
 
-interface ActiveConfiguration {
+interface ActiveVersion {
   readonly version: number;
   readonly publicationId: string;
   readonly publisher: string;
@@ -96,7 +96,7 @@
   readonly #listeners = new Set<() => void>();
   #claim: Claim | undefined;
   #lastSign = -1;
-  #active: ActiveConfiguration | undefined;
+  #active: ActiveVersion | undefined;
   #pending = new Map<number, PendingPublication>();
   #outcomes: PublicationOutcome[] = [];
   #applied: ConfigurationContent | undefined;
@@ -208,7 +208,7 @@
     this.#outcomes = [...(state.outcomes ?? []) as PublicationOutcome[]];
     const before = this.version;
     this.#active = (state.inForce ?? undefined) as
-      | ActiveConfiguration
+      | ActiveVersion
       | undefined;
     if (this.version !== before) this.#applyActive();
   }
@@ -274,7 +274,7 @@
     options: {
       accepted: boolean;
       reasons: readonly string[];
-      conflicting: ActiveConfiguration | undefined;
+      conflicting: ActiveVersion | undefined;
     },
   ): void {
     const { publicationId, publisher, offset, base } = publication;
--- a/src/core/journal/checkpoint_writer.ts
+++ b/src/core/journal/checkpoint_writer.ts
@@ -5,7 +5,7 @@
   readonly timer: TimerService;
   readonly random: Random;
   /** Number of records after which a new checkpoint is due. */
-  readonly intervalRecords: number;
+  readonly recordInterval: number;
   /**
    * Time after which a new checkpoint is due, regardless of the number of
    * records.
@@ -36,7 +36,7 @@
  */
 export class CheckpointWriter {
   readonly #options: CheckpointWriterOptions;
-  #lastCheckpoint = -1;
+  #lastUpTo = -1;
   #lastCheckpointAt: number;
   #checkTimer: Subscription | undefined;
   #pendingWrite: Subscription | undefined;
@@ -60,9 +60,9 @@
   }
 
   /** A checkpoint of any process has been read. */
-  checkpointRead(upTo: number): void {
-    if (upTo < this.#lastCheckpoint) return;
-    this.#lastCheckpoint = upTo;
+  observe(upTo: number): void {
+    if (upTo < this.#lastUpTo) return;
+    this.#lastUpTo = upTo;
     this.#lastCheckpointAt = this.#options.timer.now();
   }
 
@@ -81,9 +81,7 @@
   #isDue(): boolean {
     const position = this.#options.position();
     if (position < 0) return false;
-    if (position - this.#lastCheckpoint >= this.#options.intervalRecords) {
-      return true;
-    }
+    if (position - this.#lastUpTo >= this.#options.recordInterval) return true;
     const age = this.#options.timer.now() - this.#lastCheckpointAt;
     return age >= this.#options.intervalMilliseconds;
   }
--- a/src/core/journal/journal.ts
+++ b/src/core/journal/journal.ts
@@ -82,7 +82,7 @@
   readonly #peers: PeerSource;
   readonly #prefix: StreamPrefix;
   #isQueryingPeersAtStart = false;
-  #reportedReachable = true;
+  #lastReachable = true;
   #checkpointsWritten = 0;
 
   constructor(options: JournalOptions) {
@@ -202,9 +202,7 @@
       fold,
       guards,
       onApplied: (offset, body) => {
-        if (body.kind === "checkpoint") {
-          this.#checkpoints.checkpointRead(body.upTo);
-        }
+        if (body.kind === "checkpoint") this.#checkpoints.observe(body.upTo);
         this.#options.onApplied?.(offset, body);
       },
       onRead: (offset, envelope) => {
@@ -233,10 +231,8 @@
   }
 
   async #handleReachability(reachable: boolean): Promise<void> {
-    if (reachable !== this.#reportedReachable) {
-      this.#options.onState?.(reachable);
-    }
-    this.#reportedReachable = reachable;
+    if (reachable !== this.#lastReachable) this.#options.onState?.(reachable);
+    this.#lastReachable = reachable;
     if (reachable) return;
     if (this.#hasState()) await this.#peers.queryDuringOutage();
     else await this.#peers.query();
@@ -268,7 +264,7 @@
     return new CheckpointWriter({
       timer: this.#options.timer,
       random: this.#options.random,
-      intervalRecords: this.#options.checkpointRecords,
+      recordInterval: this.#options.checkpointRecords,
       intervalMilliseconds: this.#options.checkpointMilliseconds ??
         DEFAULT_CHECKPOINT_INTERVAL_MILLISECONDS,
       position: () => this.position,
--- a/src/core/journal/peer_source.ts
+++ b/src/core/journal/peer_source.ts
@@ -11,7 +11,7 @@
 /**
  * Shortest interval between queries, used by a process without a usable state.
  */
-const MIN_QUERY_INTERVAL_MILLISECONDS = 5_000;
+const QUERY_INTERVAL_MILLISECONDS = 5_000;
 /**
  * Initial delay before a process that has a state queries its peers while it
  * can't read the log; doubled each time. In an outage of the log, all 40
@@ -44,9 +44,7 @@
   async query(): Promise<void> {
     const { onSnapshot, peers, timer } = this.#options;
     if (peers === undefined) return;
-    if (timer.now() - this.#lastQueryAt < MIN_QUERY_INTERVAL_MILLISECONDS) {
-      return;
-    }
+    if (timer.now() - this.#lastQueryAt < QUERY_INTERVAL_MILLISECONDS) return;
     this.#lastQueryAt = timer.now();
     const snapshot = await beforeDeadline(peers(), {
       timer,
--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -93,7 +93,7 @@
 ): Decision {
   const { fold, now } = view;
   if (fold.isExpired(acquisition.key)) {
-    return resultDecision(expiredResult(acquisition.mayHaveRun));
+    return finish(expiredResult(acquisition.mayHaveRun));
   }
   const owner = fold.owner(acquisition.key);
   if (owner === undefined) {
@@ -101,11 +101,9 @@
       ? { kind: "wait" }
       : takeOwnership(acquisition, -1);
   }
-  if (owner.record === acquisition.ownRecord) {
-    return resultDecision(runResult(owner));
-  }
+  if (owner.record === acquisition.ownRecord) return finish(runResult(owner));
   if (owner.fingerprint !== acquisition.fingerprint) {
-    return resultDecision(keyConflict());
+    return finish(keyConflict());
   }
   if (owner.record === acquisition.barredRecord) {
     return takeOwnership(acquisition, owner.record);
@@ -258,6 +256,6 @@
   );
 }
 
-function resultDecision(value: AcquireResult): Decision {
+function finish(value: AcquireResult): Decision {
   return { kind: "result", result: value };
 }
--- a/src/core/once/side_table.ts
+++ b/src/core/once/side_table.ts
@@ -111,9 +111,7 @@
    * the message may have reached the previous one.
    */
   begin(permit: OncePermit): "run" | NotRunFrame["reason"] | "already" {
-    if (this.#isOtherIncarnation(permit.sideIncarnation)) {
-      return "wrong_incarnation";
-    }
+    if (this.#isOtherRun(permit.sideIncarnation)) return "wrong_incarnation";
     const known = this.#records.get(permit.record);
     if (known !== undefined && this.#guards.remembersRuns) {
       return known.state === "barred" ? "barred" : "already";
@@ -135,7 +133,7 @@
    * wrong.
    */
   refuse(permit: OncePermit): boolean {
-    if (this.#isOtherIncarnation(permit.sideIncarnation)) return false;
+    if (this.#isOtherRun(permit.sideIncarnation)) return false;
     const known = this.#records.get(permit.record);
     if (known !== undefined) return known.state === "barred";
     if (permit.record <= this.#highestEvicted) return false;
@@ -180,7 +178,7 @@
 
   /** State of a record; with `bar`, a record that has not run never will. */
   ask(question: OnceQuestion): OnceAnswer {
-    if (this.#isOtherIncarnation(question.sideIncarnation)) {
+    if (this.#isOtherRun(question.sideIncarnation)) {
       return { state: "other_incarnation" };
     }
     const known = this.#records.get(question.record);
@@ -198,7 +196,7 @@
    * delayed message runs the predecessor's record a second time, such as a case
    * number issued twice.
    */
-  #isOtherIncarnation(incarnation: string): boolean {
+  #isOtherRun(incarnation: string): boolean {
     return this.#guards.checksIncarnation && incarnation !== this.#incarnation;
   }
 
