--- a/src/core/configuration/configuration_fold.ts
+++ b/src/core/configuration/configuration_fold.ts
@@ -207,9 +207,7 @@
     );
     this.#outcomes = [...(state.outcomes ?? []) as PublicationOutcome[]];
     const before = this.version;
-    this.#active = (state.inForce ?? undefined) as
-      | ActiveVersion
-      | undefined;
+    this.#active = (state.inForce ?? undefined) as ActiveVersion | undefined;
     if (this.version !== before) this.#applyActive();
   }
 
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -237,8 +237,8 @@
     if (state.superseded.has(incarnation)) return true;
     if (state.incarnation === undefined) return false;
     if (incarnation >= state.incarnation) return false;
-    const lastReportAt = state.lastReportAt ?? -Infinity;
-    return this.#options.timer.now() - lastReportAt <
+    const reportedAt = state.lastReportAt ?? -Infinity;
+    return this.#options.timer.now() - reportedAt <
       this.#options.suspectMilliseconds;
   }
 
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -72,7 +72,7 @@
   readonly #owners = new Map<string, OnceOwner>();
   readonly #keysByBucket = new Map<number, string[]>();
   /** Interned endpoint and incarnation strings, shared by all keys. */
-  readonly #internedStrings = new Map<string, string>();
+  readonly #strings = new Map<string, string>();
   readonly #listeners = new Set<() => void>();
   #streamTime = 0;
   /** Keys with an earlier time are void; only increases. */
@@ -146,9 +146,7 @@
     this.#upTo = Number(state.upTo ?? -1);
     this.#streamTime = Number(state.streamTime ?? 0);
     this.#expiryThreshold = expiryThresholdOf(state, this.#window);
-    for (const owner of (state.owners ?? []) as OnceOwner[]) {
-      this.#storeOwner(owner);
-    }
+    for (const owner of (state.owners ?? []) as OnceOwner[]) this.#store(owner);
     for (const listener of [...this.#listeners]) listener();
   }
 
@@ -167,11 +165,11 @@
       endpoint: identifier(this.#intern(record.endpoint)),
       sideIncarnation: identifier(this.#intern(record.sideIncarnation)),
     };
-    this.#storeOwner(owner);
+    this.#store(owner);
     this.#onOwner(owner, record.replaces);
   }
 
-  #storeOwner(owner: OnceOwner): void {
+  #store(owner: OnceOwner): void {
     const known = this.#owners.has(owner.key);
     this.#owners.set(owner.key, owner);
     if (known) return;
@@ -197,12 +195,10 @@
   }
 
   #intern(value: string): string {
-    const known = this.#internedStrings.get(value);
+    const known = this.#strings.get(value);
     if (known !== undefined) return known;
-    if (this.#internedStrings.size >= MAX_INTERNED_STRINGS) {
-      this.#internedStrings.clear();
-    }
-    this.#internedStrings.set(value, value);
+    if (this.#strings.size >= MAX_INTERNED_STRINGS) this.#strings.clear();
+    this.#strings.set(value, value);
     return value;
   }
 }
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -92,9 +92,7 @@
  */
 export function expiredResult(mayHaveRun: boolean): AcquireResult {
   if (mayHaveRun) {
-    return unknownResult(
-      "The idempotency key expired while the outcome of the work was unknown",
-    );
+    return unknownResult("The key expired with an unknown outcome");
   }
   return notRun(
     "key_expired",
