--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -61,7 +61,7 @@
  * has reported meanwhile. Otherwise one incomplete answer of the list removes
  * working endpoints.
  */
-const READS_UNTIL_REMOVED = 2;
+const MAX_MISSED_READS = 2;
 const JITTER_SHARE = 0.2;
 const READ_TIMEOUT_MILLISECONDS = 5_000;
 
@@ -121,7 +121,7 @@
    */
   sideReported(report: SideReport): boolean {
     const { side, incarnation, state } = report;
-    return this.#lastReportAt(side, {
+    return this.#recordReport(side, {
       incarnation,
       leaving: state === "leaving",
     });
@@ -133,7 +133,7 @@
    */
   recordEntryStatus(status: EntryStatus): boolean {
     const { entry, incarnation, state } = status;
-    return this.#lastReportAt(entry, {
+    return this.#recordReport(entry, {
       incarnation,
       leaving: state === "draining",
     });
@@ -195,20 +195,18 @@
 
   #applyMissing(state: MemberState): void {
     const { readMilliseconds, timer } = this.#options;
-    const recordReport = state.lastReportAt ?? -Infinity;
+    const reportedAt = state.lastReportAt ?? -Infinity;
     const missing = (this.#missedReads.get(state.id) ?? 0) + 1;
     this.#missedReads.set(state.id, missing);
-    if (missing < READS_UNTIL_REMOVED) return;
+    if (missing < MAX_MISSED_READS) return;
     // A VM that still reports is running, whatever the list contains: the list
     // lags.
-    if (timer.now() - recordReport < READS_UNTIL_REMOVED * readMilliseconds) {
-      return;
-    }
+    if (timer.now() - reportedAt < MAX_MISSED_READS * readMilliseconds) return;
     this.#members.delete(state.id);
     this.#missedReads.delete(state.id);
   }
 
-  #lastReportAt(
+  #recordReport(
     id: string,
     report: { incarnation: string; leaving: boolean },
   ): boolean {
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -91,9 +91,7 @@
  * so.
  */
 export function expiredResult(mayHaveRun: boolean): AcquireResult {
-  if (mayHaveRun) {
-    return unknownResult("The key expired with an unknown outcome");
-  }
+  if (mayHaveRun) return unknownResult("The key expired with unknown outcome");
   return notRun(
     "key_expired",
     "This request was not run; the outcome of earlier requests with its key is no longer known",
