--- a/src/core/authority/authority_test.ts
+++ b/src/core/authority/authority_test.ts
@@ -57,15 +57,15 @@
     expect(fold.voidOrders).to.equal(1);
   });
 
-  // A claim lands late, after others have held the claim. Its writer would take
-  // the claim back without knowing it.
+  // A claim is appended late, after others have held the claim. Its writer
+  // would take the claim back without knowing it.
   it("ignores a claim that replaces an old one", () => {
     const fold = foldOf([claim("a", -1), claim("b", 0), claim("late", 0)]);
     expect(fold.claim?.holder).to.equal("b");
   });
 
-  // An order lands twice, the second time after its successor. The engine would
-  // be moved back.
+  // An order is on the log twice, the second time after its successor. The
+  // engine would be moved back.
   it("ignores an order whose number is not above the last", () => {
     const fold = foldOf([
       claim("a", -1),
@@ -203,7 +203,7 @@
   // The holder is killed while every call of the log takes a second. Several
   // entries read the log concurrently, one claims, and the others must not
   // replace that new claim because of the old holder's timeout.
-  it("keeps a new claim that lands during others' reads", async () => {
+  it("keeps a new claim that is appended during others' reads", async () => {
     await timer.advance(5_000);
     const [holder] = holders();
     holder.faults.silent = true;
--- a/src/core/authority/schedules_test.ts
+++ b/src/core/authority/schedules_test.ts
@@ -92,7 +92,7 @@
   await fleet.timer.advance(5_000);
   for (const next of steps) await fleet.applyStep(next);
   fleet.heal();
-  // Hanging reads time out after 13 s, late appends land within 10 s.
+  // Hanging reads time out after 13 s, late appends complete within 10 s.
   await fleet.timer.advance(25_000 + TAKEOVER_MILLISECONDS);
   expect(fleet.holders(), "holders after healing").to.have.length(1);
   const [holder] = fleet.holders();
--- a/src/core/configuration/configuration_test.ts
+++ b/src/core/configuration/configuration_test.ts
@@ -93,9 +93,9 @@
     expect(fold.version).to.equal(3);
   });
 
-  // A publication lands a second time, long after it was accepted. The change
-  // that followed it would be reverted.
-  it("ignores a publication that lands again", () => {
+  // A publication is appended a second time, long after it was accepted. The
+  // change that followed it would be reverted.
+  it("ignores a publication that is appended again", () => {
     const fold = foldOf([
       claim("judge", -1),
       publication("a", 0),
--- a/src/core/configuration/schedules_test.ts
+++ b/src/core/configuration/schedules_test.ts
@@ -213,7 +213,7 @@
 }
 
 describe("Publishing under any faults", () => {
-  // Operators publish concurrently, answers get lost, appends land late,
+  // Operators publish concurrently, answers get lost, appends complete late,
   // validators restart, release their claim or are cut off during a verdict. No
   // entry may return to an older version, all must end with the same one, every
   // publication must get its verdict, and the results returned to operators
--- a/src/core/journal/appender.ts
+++ b/src/core/journal/appender.ts
@@ -75,8 +75,8 @@
  * append in flight, each settled once its own record has been read back.
  *
  * After a lost answer the same records are sent again with the same sequence
- * numbers. The first copy that lands counts, and every reader's filter drops
- * the others, so a repeated append has no second effect.
+ * numbers. Only the first copy on the log counts, since every reader's filter
+ * drops the others, so a repeated append has no second effect.
  */
 export class Appender {
   readonly #options: AppenderOptions;
--- a/src/core/journal/journal.ts
+++ b/src/core/journal/journal.ts
@@ -57,7 +57,7 @@
 export interface JournalCounts {
   /** Records that do not match the schema. */
   readonly unreadable: number;
-  /** Records that landed again, or after a later one of their writer. */
+  /** Duplicate records, and records after a later one of their writer. */
   readonly repeated: number;
   /** Number of times that records had expired before they were read. */
   readonly gaps: number;
@@ -112,7 +112,7 @@
     if (this.#options.writesCheckpoints !== false) this.#checkpoints.start();
   }
 
-  /** Settles pending appends; a record that was sent may still land. */
+  /** Settles pending appends; a record that was sent may still be appended. */
   stop(): void {
     this.#reader.stop();
     this.#checkpoints.stop();
--- a/src/core/journal/journal_test.ts
+++ b/src/core/journal/journal_test.ts
@@ -100,9 +100,9 @@
     });
 
     // An append is sent again because the first request seems lost; then the
-    // delayed first one lands as well. Without dropping it, the record counts
-    // twice.
-    it("counts a record that lands twice once", async () => {
+    // delayed first one completes as well. Without dropping it, the record
+    // counts twice.
+    it("counts a duplicated record once", async () => {
       const one = start("one");
       const two = start("two");
       await timer.advance(50);
@@ -116,10 +116,10 @@
       expect(two.journal.counts.repeated).to.equal(1);
     });
 
-    // A writer gives a record up and continues; the record lands after a later
-    // one of the same writer. If it counted, readers would follow an order that
-    // its planner has already replaced.
-    it("voids an abandoned record that lands after a later one", async () => {
+    // A writer gives an append up and continues; the append completes after a
+    // later one of the same writer. If the record counted, readers would follow
+    // an order that its planner has already replaced.
+    it("voids an abandoned record that is appended after a later one", async () => {
       const one = start("one", { giveUpMilliseconds: 100 });
       await timer.advance(50);
       one.faults.lateAppends = 1;
@@ -150,8 +150,8 @@
     });
 
     // The first attempt gets no answer, and then the log goes down. The record
-    // of the first attempt is still in transit and lands after the caller has
-    // gone.
+    // of the first attempt is still in transit and is appended after the caller
+    // has gone.
     it("reports an unknown outcome when the log goes down after a lost answer", async () => {
       const one = start("one", { giveUpMilliseconds: 2_000 });
       await timer.advance(50);
@@ -216,8 +216,9 @@
     });
 
     // A newer version writes a kind of record that this one does not know, and
-    // an older record of the same writer lands late. If only newer readers
-    // stored the sequence number, the states of the versions would diverge.
+    // an older record of the same writer is appended late. If only newer
+    // readers stored the sequence number, the states of the versions would
+    // diverge.
     it("stores the sequence number of records with an unknown body", async () => {
       const one = start("one");
       const newer = { ...record("b", 5) as object, body: { kind: "newer" } };
--- a/src/core/journal/schedules_test.ts
+++ b/src/core/journal/schedules_test.ts
@@ -133,8 +133,8 @@
 }
 
 describe("Journals of several processes under any faults", () => {
-  // Answers get lost, appends land late or twice, replicas are behind, records
-  // expire, processes restart. In any order of these, the states of two
+  // Answers get lost, appends complete late or twice, replicas are behind,
+  // records expire, processes restart. In any order of these, the states of two
   // processes may differ only by how far they have read, append results must be
   // correct, and no record may count twice.
   it("agree on one history and report correct append results", async () => {
--- a/src/core/journal/sequence_filter.ts
+++ b/src/core/journal/sequence_filter.ts
@@ -20,11 +20,11 @@
 /**
  * Drops a record whose sequence number is not above its writer's last one.
  *
- * Without it, an append whose answer was lost is sent again and lands twice, or
- * lands long after its writer gave it up, so that a publication or order takes
- * effect a second time. Because a record lower than its writer's last one is
- * void, a writer that reads back a later record of its own knows that the
- * missing one can no longer take effect.
+ * Without it, an append whose answer was lost is sent again and the record is
+ * on the log twice, or an append completes long after its writer gave it up, so
+ * that a publication or order takes effect a second time. Because a record
+ * lower than its writer's last one is void, a writer that reads back a later
+ * record of its own knows that the missing one can no longer take effect.
  *
  * The filter is part of the state in snapshots and checkpoints: a reader that
  * joined late drops exactly the records that the others drop.
--- a/src/core/journal/stream_prefix.ts
+++ b/src/core/journal/stream_prefix.ts
@@ -14,7 +14,9 @@
 
 /** Checks that a test can disable; production code leaves all enabled. */
 export interface JournalGuards {
-  /** A record that lands again, or after a later one of its writer, is void. */
+  /**
+   * A duplicate of a record, or one after a later one of its writer, is void.
+   */
   readonly dropsRepeats: boolean;
   /** Expired records are replaced by a state that includes them. */
   readonly closesGaps: boolean;
@@ -74,7 +76,7 @@
     return this.#unreadable;
   }
 
-  /** Records that landed again, or after a later one of their writer. */
+  /** Duplicate records, and records after a later one of their writer. */
   get repeated(): number {
     return this.#repeated;
   }
--- a/src/core/membership/membership_test.ts
+++ b/src/core/membership/membership_test.ts
@@ -258,7 +258,7 @@
     expect(heavy).to.be.within(290, 400);
   });
 
-  it("attaches a side to two entries of its zone", () => {
+  it("attaches a sidecar to two entries of its zone", () => {
     const picked = attachments(members, {
       side: "side-1",
       availabilityZone: "klang-port",
--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -153,19 +153,22 @@
   return view.now - notSeen.since >= BAR_GRACE_MILLISECONDS;
 }
 
-/** Records that an append has started; from here on it may land at any time. */
+/**
+ * Records that an append has started; the record may appear on the log at any
+ * time from now on.
+ */
 export function noteAppend(acquisition: Acquisition, body: OnceRecord): void {
   acquisition.appended = body.replaces;
   acquisition.inDoubt = true;
 }
 
 /**
- * Records the outcome of the append; returns "log_down" where it failed.
+ * Records the outcome of the append; returns "log_down" if it failed.
  *
  * An append with an unknown outcome ends the request as well: holding the
- * caller until its deadline would gain nothing, since a record that lands later
- * names a permit that was never sent, and any reader of that record bars it
- * first.
+ * caller until its deadline would gain nothing, since a record that is appended
+ * later names a permit that was never sent, and any reader of that record bars
+ * it first.
  */
 export function takeAppended(
   acquisition: Acquisition,
--- a/src/core/once/coordinator_test.ts
+++ b/src/core/once/coordinator_test.ts
@@ -20,9 +20,9 @@
 const KEY = "019b76da-a800-7000-8000-000000000001";
 const LOST = defineError<Record<never, never>>()({
   name: "link_lost",
-  title: "Lost",
-  message: () => "Lost",
-  hint: "Ask again",
+  title: "Link lost",
+  message: () => "The link was lost",
+  hint: "Retry",
 });
 
 function journalFailure(name: JournalFailure["name"]): JournalFailure {
@@ -91,38 +91,39 @@
     });
 
     it("is refused at once while the log is down", async () => {
-      const bench = new Harness();
-      bench.append = () =>
+      const harness = new Harness();
+      harness.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
-      const result = await bench.acquire();
+      const result = await harness.acquire();
       expect(result).to.have.nested.property("refusal.reason", "log_down");
-      expect(bench.timer.now()).to.equal(0);
+      expect(harness.timer.now()).to.equal(0);
     });
 
     it("requires a key that contains its time", async () => {
-      const bench = new Harness();
-      expect(await bench.acquire({ key: undefined }))
+      const harness = new Harness();
+      expect(await harness.acquire({ key: undefined }))
         .to.have.nested.property("refusal.reason", "key_needed");
-      expect(await bench.acquire({ key: "booking-7" }))
+      expect(await harness.acquire({ key: "booking-7" }))
         .to.have.nested.property("refusal.reason", "invalid");
     });
 
     it("does not send after an append with unknown outcome, and a retry can still run", async () => {
       // The log appends the record, but the answer is lost. The entry answers
       // "not run"; the caller's retry must make exactly one booking.
-      const bench = new Harness();
-      bench.append = (body) => {
-        bench.appendRecord(body);
+      const harness = new Harness();
+      harness.append = (body) => {
+        harness.appendRecord(body);
         return Promise.resolve(err(journalFailure("append_unknown")));
       };
-      bench.ask = () => err(failure(LOST, {}));
-      const first = await bench.acquireAndAdvance();
+      harness.ask = () => err(failure(LOST, {}));
+      const first = await harness.acquireAndAdvance();
       expect(first.kind).to.equal("unknown");
-      bench.ask = (question) => ok(bench.side.ask(question));
-      bench.append = (body) => Promise.resolve(ok(bench.appendRecord(body)));
-      const second = await bench.acquireAndAdvance();
+      harness.ask = (question) => ok(harness.side.ask(question));
+      harness.append = (body) =>
+        Promise.resolve(ok(harness.appendRecord(body)));
+      const second = await harness.acquireAndAdvance();
       expect(permitOf(second).record).to.equal(1);
-      expect(bench.side.begin(permitOf(second))).to.equal("run");
+      expect(harness.side.begin(permitOf(second))).to.equal("run");
     });
   });
 
@@ -130,65 +131,65 @@
     it("gets the first answer", async () => {
       // The caller lost the answer and retries. It must get the same permit
       // number, and the permit must be booked once.
-      const bench = new Harness();
-      const permit = permitOf(await bench.acquireAndAdvance());
-      bench.side.begin(permit);
-      bench.side.finish(permit, { status: 200, body: "permit 3" });
-      expect(await bench.acquireAndAdvance()).to.have.nested.property(
+      const harness = new Harness();
+      const permit = permitOf(await harness.acquireAndAdvance());
+      harness.side.begin(permit);
+      harness.side.finish(permit, { status: 200, body: "permit 3" });
+      expect(await harness.acquireAndAdvance()).to.have.nested.property(
         "answer.body",
         "permit 3",
       );
-      expect(bench.records).to.have.length(1);
+      expect(harness.records).to.have.length(1);
     });
 
     it("gets the first answer while the log is down", async () => {
-      const bench = new Harness();
-      const permit = permitOf(await bench.acquireAndAdvance());
-      bench.side.begin(permit);
-      bench.side.finish(permit, { status: 200, body: "permit 3" });
-      bench.append = () =>
+      const harness = new Harness();
+      const permit = permitOf(await harness.acquireAndAdvance());
+      harness.side.begin(permit);
+      harness.side.finish(permit, { status: 200, body: "permit 3" });
+      harness.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
-      expect((await bench.acquireAndAdvance()).kind).to.equal("answered");
+      expect((await harness.acquireAndAdvance()).kind).to.equal("answered");
     });
 
     it("bars an owner that does not send before taking over", async () => {
       // The first entry is paused between its record and the dispatch. After it
       // resumes, the sidecar must reject its dispatch as barred.
-      const bench = new Harness();
-      const first = permitOf(await bench.acquireAndAdvance());
-      const second = permitOf(await bench.acquireAndAdvance());
-      expect(bench.side.begin(first)).to.equal("barred");
-      expect(bench.side.begin(second)).to.equal("run");
+      const harness = new Harness();
+      const first = permitOf(await harness.acquireAndAdvance());
+      const second = permitOf(await harness.acquireAndAdvance());
+      expect(harness.side.begin(first)).to.equal("barred");
+      expect(harness.side.begin(second)).to.equal("run");
     });
 
     // The VM of the sidecar that ran the call is gone. The caller must learn
     // this while most of its time is left.
     it("returns unknown within seconds when the sidecar is unreachable", async () => {
-      const bench = new Harness();
-      await bench.acquireAndAdvance();
-      bench.ask = () => err(failure(LOST, {}));
+      const harness = new Harness();
+      await harness.acquireAndAdvance();
+      harness.ask = () => err(failure(LOST, {}));
       let result: AcquireResult | undefined;
-      void bench.acquire({ deadline: bench.timer.now() + 60_000 })
+      void harness.acquire({ deadline: harness.timer.now() + 60_000 })
         .then((value) => result = value);
-      await bench.timer.advance(3_000);
+      await harness.timer.advance(3_000);
       expect(result).to.equal(undefined);
-      await bench.timer.advance(2_000);
+      await harness.timer.advance(2_000);
       expect(result?.kind).to.equal("unknown");
     });
 
     it("returns unknown when the sidecar has restarted", async () => {
       // The sidecar failed during the call. Whether it ran is unknown, so a
       // second run could issue a duplicate case number.
-      const bench = new Harness();
-      permitOf(await bench.acquireAndAdvance());
-      bench.ask = () => ok({ state: "other_incarnation" });
-      expect((await bench.acquireAndAdvance()).kind).to.equal("unknown");
+      const harness = new Harness();
+      permitOf(await harness.acquireAndAdvance());
+      harness.ask = () => ok({ state: "other_incarnation" });
+      expect((await harness.acquireAndAdvance()).kind).to.equal("unknown");
     });
 
     it("is refused when the body differs", async () => {
-      const bench = new Harness();
-      await bench.acquireAndAdvance();
-      expect(await bench.acquireAndAdvance({ fingerprint: "g" }))
+      const harness = new Harness();
+      await harness.acquireAndAdvance();
+      expect(await harness.acquireAndAdvance({ fingerprint: "g" }))
         .to.have.nested.property("refusal.reason", "key_conflict");
     });
   });
@@ -196,30 +197,30 @@
   describe("a lost dispatch", () => {
     it("runs again only after the bar", async () => {
       // The connection failed while the work was sent. It may still arrive.
-      const bench = new Harness();
-      const lost = permitOf(await bench.acquireAndAdvance());
-      const again = permitOf(await bench.acquireAndAdvance({ lost }));
+      const harness = new Harness();
+      const lost = permitOf(await harness.acquireAndAdvance());
+      const again = permitOf(await harness.acquireAndAdvance({ lost }));
       expect(again.record).to.equal(1);
-      expect(bench.side.begin(lost)).to.equal("barred");
+      expect(harness.side.begin(lost)).to.equal("barred");
     });
 
     it("returns unknown, never not run, when the sidecar is unreachable", async () => {
-      const bench = new Harness();
-      const lost = permitOf(await bench.acquireAndAdvance());
-      bench.ask = () => err(failure(LOST, {}));
-      expect((await bench.acquireAndAdvance({ lost })).kind).to.equal(
+      const harness = new Harness();
+      const lost = permitOf(await harness.acquireAndAdvance());
+      harness.ask = () => err(failure(LOST, {}));
+      expect((await harness.acquireAndAdvance({ lost })).kind).to.equal(
         "unknown",
       );
     });
 
     it("can return not run once the sidecar has barred it", async () => {
-      const bench = new Harness();
-      const lost = permitOf(await bench.acquireAndAdvance());
-      bench.append = () =>
+      const harness = new Harness();
+      const lost = permitOf(await harness.acquireAndAdvance());
+      harness.append = () =>
         Promise.resolve(err(journalFailure("append_not_made")));
-      expect(await bench.acquireAndAdvance({ lost }))
+      expect(await harness.acquireAndAdvance({ lost }))
         .to.have.nested.property("refusal.reason", "log_down");
-      expect(bench.side.begin(lost)).to.equal("barred");
+      expect(harness.side.begin(lost)).to.equal("barred");
     });
   });
 });
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -58,7 +58,7 @@
  * Owner of each idempotency key, determined by position in the `once` stream
  * alone. The first record of a key owns it; a later one takes over only if it
  * names the current record's offset in `replaces`. Every other record is void
- * for every reader, however late it landed.
+ * for every reader, however late it was appended.
  *
  * Expiry uses no clock: stream time is the highest time of any key read so far.
  * A key that is older than stream time by more than the window is void from
@@ -228,7 +228,7 @@
 
 /**
  * Compare-and-set on the key's current record. Without it, a record whose
- * append was given up and that lands late takes the key from the sidecar that
+ * append was given up but completes late takes the key from the sidecar that
  * runs it: the operation then runs on two endpoints, such as a permit booked
  * twice. A takeover must carry the same fingerprint, or its answer would be
  * returned for a different body.
