--- a/src/side/attempt_desk_test.ts
+++ b/src/side/attempt_executor_test.ts
@@ -14,12 +14,12 @@
   AttemptRequest,
   NotRunFrame,
 } from "../generated/messages.ts";
-import { AttemptDesk } from "./attempt_desk.ts";
+import { AttemptExecutor } from "./attempt_executor.ts";
 
 const REFUSED = defineError<Record<never, never>>()({
   name: "endpoint_refused",
   title: "Refused",
-  message: () => "Nobody listens",
+  message: () => "Connection refused",
   hint: "",
 });
 const RESPONSE: ServiceResponse = {
@@ -28,8 +28,8 @@
   body: "case 1",
 };
 
-/** An endpoint whose every step the test takes. */
-class SteppedEndpoint implements EndpointLink {
+/** An endpoint whose every step the test controls. */
+class ManualEndpoint implements EndpointLink {
   calls = 0;
   cancelled = 0;
   answer: (result: Result<ServiceResponse, EndpointFailure>) => void = () => {};
@@ -70,7 +70,7 @@
   }
 }
 
-function booking(attemptId: string, record = 7): AttemptRequest {
+function serviceCall(attemptId: string, record = 7): AttemptRequest {
   return {
     attemptId,
     requestId: "r",
@@ -94,7 +94,7 @@
   more: Partial<AttemptRequest> = {},
 ): AttemptRequest {
   return {
-    ...booking(attemptId),
+    ...serviceCall(attemptId),
     once: undefined,
     work: {
       kind: "generation",
@@ -106,19 +106,19 @@
   };
 }
 
-describe("AttemptDesk", () => {
+describe("AttemptExecutor", () => {
   let timer: ManualTimerService;
-  let endpoint: SteppedEndpoint;
-  let closed: NotRunFrame["reason"] | undefined;
+  let endpoint: ManualEndpoint;
+  let closedReason: NotRunFrame["reason"] | undefined;
   let frames: AttemptFrame[];
-  let desk: AttemptDesk;
+  let executor: AttemptExecutor;
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    endpoint = new SteppedEndpoint();
-    closed = undefined;
+    endpoint = new ManualEndpoint();
+    closedReason = undefined;
     frames = [];
-    desk = new AttemptDesk({
+    executor = new AttemptExecutor({
       endpointId: "portal-0",
       incarnation: "run-1",
       kind: "service",
@@ -131,74 +131,80 @@
       mostKeptAnswerBytes: 10_000,
       firstTokenSilenceMilliseconds: 5_000,
       tokenSilenceMilliseconds: 1_000,
-      closedBecause: () => closed,
-      tell() {},
+      closedReason: () => closedReason,
+      emitEvent() {},
     });
   });
 
   async function send(attempt: AttemptRequest) {
-    const handle = desk.run(attempt, (frame) => frames.push(frame));
+    const handle = executor.run(attempt, (frame) => frames.push(frame));
     await timer.advance(0);
     return handle;
   }
 
-  function ends(): string[] {
+  function finalFrames(): string[] {
     return frames.filter((frame) => frame.kind !== "token").map((frame) =>
       "reason" in frame ? `${frame.kind} ${frame.reason}` : frame.kind
     );
   }
 
-  describe("a call that may have its effect once only", () => {
-    // The network delivers the dispatch twice. A side that runs both books the
-    // permit twice.
-    it("runs once although its message comes twice", async () => {
-      await send(booking("a"));
-      await send(booking("a"));
+  describe("a non-idempotent call", () => {
+    // The network delivers the message twice. A side that ran both would use
+    // the permit twice.
+    it("runs once if its message arrives twice", async () => {
+      await send(serviceCall("a"));
+      await send(serviceCall("a"));
       expect(endpoint.calls).to.equal(1);
     });
 
-    // The same record comes in another attempt, after the answer was lost.
+    // The same record arrives with another attempt after the answer was lost.
     it("does not run again under another attempt", async () => {
-      await send(booking("a"));
+      await send(serviceCall("a"));
       endpoint.answer(ok(RESPONSE));
       await timer.advance(0);
-      await send(booking("b"));
+      await send(serviceCall("b"));
       expect(endpoint.calls).to.equal(1);
-      expect(ends()).to.deep.equal(["response", "failed already_run"]);
+      expect(finalFrames()).to.deep.equal(["response", "failed already_run"]);
     });
 
-    // The side is draining and says not run. The entry tells its caller so, and
-    // then a delayed copy of the message arrives after the drain was called
-    // off. Without the bar it would run although the caller was told otherwise.
-    it("never runs once it was refused", async () => {
-      closed = "draining";
-      await send(booking("a"));
-      closed = undefined;
-      await send(booking("b"));
+    // The side refuses a call while it drains, and the entry answers its caller
+    // with `not_run`. A delayed duplicate arrives after the drain has been
+    // cancelled; without the bar it would run in spite of that answer.
+    it("never runs after it was refused", async () => {
+      closedReason = "draining";
+      await send(serviceCall("a"));
+      closedReason = undefined;
+      await send(serviceCall("b"));
       expect(endpoint.calls).to.equal(0);
-      expect(ends()).to.deep.equal(["not_run draining", "not_run barred"]);
+      expect(finalFrames()).to.deep.equal([
+        "not_run draining",
+        "not_run barred",
+      ]);
     });
 
-    // Nobody listens at the service. The call has not started, and another
-    // endpoint may take it.
-    it("is truly not run where the endpoint turned it down", async () => {
-      await send(booking("a"));
+    // The service refuses the connection. The call has not started, and another
+    // endpoint may run it.
+    it("ends as not run if the endpoint refused it", async () => {
+      await send(serviceCall("a"));
       endpoint.answer(err(failure(REFUSED, {})));
       await timer.advance(0);
-      expect(ends()).to.deep.equal(["not_run endpoint_down"]);
+      expect(finalFrames()).to.deep.equal(["not_run endpoint_down"]);
       const question = { key: "k", record: 7, sideIncarnation: "run-1" };
-      expect(desk.ask({ ...question, bar: false }).state).to.equal("barred");
+      expect(executor.queryOnceRecord({ ...question, bar: false }).state).to
+        .equal(
+          "barred",
+        );
     });
 
-    // The caller hangs up while the service works. Cutting the call off would
-    // hide whether it had its effect; a repeat has to get its answer.
-    it("goes on when nobody waits any more and keeps its answer", async () => {
-      const handle = await send(booking("a"));
+    // The caller disconnects while the service works. Cancelling the call would
+    // hide whether it took effect; a repeated call has to get its answer.
+    it("continues without a waiting caller and keeps its answer", async () => {
+      const handle = await send(serviceCall("a"));
       handle.cancel();
       endpoint.answer(ok(RESPONSE));
       await timer.advance(0);
       const question = { key: "k", record: 7, sideIncarnation: "run-1" };
-      expect(desk.ask({ ...question, bar: true })).to.include({
+      expect(executor.queryOnceRecord({ ...question, bar: true })).to.include({
         state: "answered",
         body: "case 1",
       });
@@ -206,34 +212,34 @@
   });
 
   describe("a generation", () => {
-    // The engine hangs with its connection open. The caller would hear nothing
+    // The engine hangs with its connection open. The caller would get nothing
     // until the deadline.
-    it("fails after a silence, in time to be resumed elsewhere", async () => {
+    it("fails after the silence limit, in time to be resumed elsewhere", async () => {
       await send(generation("a"));
       endpoint.token("one");
       await timer.advance(1_100);
-      expect(ends()).to.deep.equal(["failed endpoint_error"]);
+      expect(finalFrames()).to.deep.equal(["failed endpoint_error"]);
       expect(endpoint.cancelled).to.equal(1);
     });
 
-    it("is not cut off by a slow but steady engine", async () => {
+    it("is not ended while a slow engine keeps sending tokens", async () => {
       await send(generation("a"));
       for (let index = 0; index < 5; index++) {
         await timer.advance(900);
         endpoint.token("t");
       }
-      expect(ends()).to.deep.equal([]);
+      expect(finalFrames()).to.deep.equal([]);
     });
 
-    // A summary holds the only slot when an alert arrives.
-    it("of bulk work gives its slot back to urgent work", async () => {
+    // A summary has the only slot when an alert arrives.
+    it("of bulk work releases its slot for urgent work", async () => {
       await send(generation("bulk", { priority: 5, mayPause: true }));
       await send(generation("alert"));
-      expect(ends()).to.deep.equal(["failed moved"]);
+      expect(finalFrames()).to.deep.equal(["failed moved"]);
       expect(endpoint.calls).to.equal(2);
     });
 
-    it("counts on behind the tokens that the caller has", async () => {
+    it("continues the token index after the delivered tokens", async () => {
       await send(generation("a", { deliveredTokens: ["x", "y"] }));
       endpoint.token("z");
       endpoint.end(ok("stop"));
@@ -244,23 +250,24 @@
     });
   });
 
-  describe("a planned move", () => {
-    function moved(): AttemptFrame | undefined {
+  describe("a planned migration", () => {
+    function migratedFrame(): AttemptFrame | undefined {
       return frames.find((frame) => frame.kind === "failed");
     }
 
-    // An engine is drained for a role change while it answers on a long log.
-    // Without its cache the next engine would read the whole log again.
-    it("takes the cache along where that is worth it", async () => {
+    // An engine is drained for a role change while it generates an answer to a
+    // long prompt. Without its cache, the next engine would have to prefill the
+    // whole prompt again.
+    it("transfers the cache above the minimum token count", async () => {
       await send(generation("a", {
         promptTokens: 5_000,
         fewestTokensToHandOver: 1_000,
         deliveredTokens: ["x"],
       }));
       endpoint.token("y");
-      await desk.moveAll();
+      await executor.migrateAll();
       expect(endpoint.exported).to.deep.equal(["x", "y"]);
-      expect(moved()).to.deep.include({
+      expect(migratedFrame()).to.deep.include({
         reason: "moved",
         cache: {
           source: "portal-0",
@@ -270,35 +277,35 @@
       });
     });
 
-    it("leaves a short prompt's cache behind", async () => {
+    it("does not transfer a short prompt's cache", async () => {
       await send(generation("a", {
         promptTokens: 100,
         fewestTokensToHandOver: 1_000,
       }));
-      await desk.moveAll();
+      await executor.migrateAll();
       expect(endpoint.exported).to.equal(undefined);
-      expect(moved()).not.to.have.property("cache");
+      expect(migratedFrame()).not.to.have.property("cache");
     });
 
-    // The engine does not answer the request for its cache. The move must not
-    // wait for it longer than the caller can bear.
-    it("does not wait long for a cache that does not come", async () => {
+    // The engine does not answer the cache export. The migration must not wait
+    // for it longer than the caller can tolerate.
+    it("times out a cache export that does not answer", async () => {
       endpoint.exportCache = () => new Promise(() => {});
       await send(generation("a", {
         promptTokens: 5_000,
         fewestTokensToHandOver: 1_000,
       }));
-      void desk.moveAll();
+      void executor.migrateAll();
       await timer.advance(1_100);
-      expect(moved()).to.include({ reason: "moved" });
+      expect(migratedFrame()).to.include({ reason: "moved" });
     });
   });
 
-  describe("a planned stop", () => {
-    it("waits for what runs", async () => {
+  describe("a graceful shutdown", () => {
+    it("waits for running attempts", async () => {
       await send(generation("a"));
       let idle = false;
-      void desk.idleWithin(5_000).then(() => idle = true);
+      void executor.whenIdleWithin(5_000).then(() => idle = true);
       await timer.advance(500);
       expect(idle).to.equal(false);
       endpoint.end(ok("stop"));
--- a/src/side/first_answers.ts
+++ b/src/side/first_answers.ts
@@ -1,70 +1,73 @@
 import type { Subscription, TimerService } from "../core/time/mod.ts";
 import type { WatchAnswer } from "../generated/messages.ts";
 
-export interface FirstAnswersOptions {
+export interface InitialAnswersOptions {
   readonly timer: TimerService;
-  /** Loops that are to have answered, each at an entry of its own. */
-  readonly loops: number;
+  /** Number of watch loops to wait for, each attached to a different entry. */
+  readonly loopCount: number;
   readonly onAnswer: (answer: WatchAnswer) => void;
-  /** Takes the rule out; only the fault matrix passes it. */
+  /** Overrides the wait; only the fault matrix passes it. */
   readonly waitsForAll?: () => boolean;
 }
 
 /**
- * How long a starting side waits for the slower of its entries. Harm that a
- * longer wait does: the side is without a configuration that long when one of
- * its entries is lost, and nine seconds are all it has.
+ * Maximum time that a starting side waits for its slower entry. If one of its
+ * entries is lost, the side has no configuration for this long, and a side has
+ * to be in service again within nine seconds.
  */
-const LONGEST_WAIT_MILLISECONDS = 3_000;
+const MAX_WAIT_MILLISECONDS = 3_000;
 
 /**
- * Holds a starting side's first answers back until all its entries have
- * spoken. A restarted side has forgotten what it had in force; an entry that
- * is cut off from the log would give it an older configuration or order than
- * its earlier run followed, seen as a drained endpoint that takes work again.
- * One of the entries told the earlier run, so the newest of the answers is at
- * least that. Behind the time limit the newest answer heard is taken: a side
- * whose other entry is lost must serve.
+ * Buffers the first answers of a starting side until all its entries have
+ * answered. A restarted side has lost its configuration and order; an entry
+ * that is cut off from the log would give it older ones than its previous
+ * incarnation had, seen as a drained endpoint that accepts work again. The
+ * previous incarnation got its state from one of these entries, so the newest
+ * of the answers is at least as new. After the timeout, the newest answer so
+ * far is used, because a side must also serve when its other entry is lost.
  */
-export class FirstAnswers {
-  readonly #options: FirstAnswersOptions;
-  readonly #held = new Map<number, WatchAnswer>();
-  #limit: Subscription | undefined;
-  #open = false;
+export class InitialAnswers {
+  readonly #options: InitialAnswersOptions;
+  readonly #buffered = new Map<number, WatchAnswer>();
+  #timeout: Subscription | undefined;
+  #isReleased = false;
 
-  constructor(options: FirstAnswersOptions) {
+  constructor(options: InitialAnswersOptions) {
     this.#options = options;
   }
 
   start(): void {
-    this.#limit = this.#options.timer.after(
-      LONGEST_WAIT_MILLISECONDS,
+    this.#timeout = this.#options.timer.after(
+      MAX_WAIT_MILLISECONDS,
       () => this.#release(),
     );
   }
 
   stop(): void {
-    this.#limit?.cancel();
+    this.#timeout?.cancel();
   }
 
-  /** Takes an answer that the loop of this number has got. */
-  take(loop: number, answer: WatchAnswer): void {
-    if (this.#open || this.#options.waitsForAll?.() === false) {
+  /** Receives an answer from the watch loop with this index. */
+  receive(loopIndex: number, answer: WatchAnswer): void {
+    if (this.#isReleased || this.#options.waitsForAll?.() === false) {
       return this.#options.onAnswer(answer);
     }
-    this.#held.set(loop, answer);
-    if (this.#held.size >= this.#options.loops) this.#release();
+    this.#buffered.set(loopIndex, answer);
+    if (this.#buffered.size >= this.#options.loopCount) this.#release();
   }
 
-  /** The newest goes first, so that no older one is in force for a moment. */
+  /**
+   * Delivers the newest answer first, so that no older one is active in
+   * between.
+   */
   #release(): void {
-    this.#open = true;
-    this.#limit?.cancel();
-    const answers = [...this.#held.values()].sort((one, other) =>
-      other.configurationVersion - one.configurationVersion ||
-      (other.order?.offset ?? -1) - (one.order?.offset ?? -1)
+    this.#isReleased = true;
+    this.#timeout?.cancel();
+    const answers = [...this.#buffered.values()].sort((a, b) =>
+      b.configurationVersion - a.configurationVersion ||
+      (b.order?.offset ?? -1) - (a.order?.offset ?? -1)
     );
-    this.#held.clear();
+    this.#buffered.clear();
     for (const answer of answers) this.#options.onAnswer(answer);
   }
 }
--- a/src/side/guards.ts
+++ b/src/side/guards.ts
@@ -1,17 +1,23 @@
 import type { OrderExecutorGuards } from "../core/orders/mod.ts";
 
 /**
- * Stand-ins for a side's guards. Only the fault matrix passes them, to show
- * that its checker sees what happens without; no setting reaches them.
+ * Overrides of a side's safety checks. Only the fault matrix passes them, to
+ * show that its checker detects the resulting violations; no setting reaches
+ * them.
  */
 export interface SideGuards {
-  /** Whether an offered configuration is newer than the one in force. */
+  /** Whether an offered configuration version is newer than the active one. */
   readonly isNewer?: (offered: number, inForce: number) => boolean;
   /** Whether an attempt has arrived before. */
   readonly isRepeat?: (attemptId: string) => boolean;
-  /** Whether the endpoint's work ends before an order is sent. */
+  /**
+   * Whether running work is drained before an order is sent to the endpoint.
+   */
   readonly drains?: () => boolean;
-  /** Whether a side that starts hears all its entries before it acts. */
+  /**
+   * Whether a starting side waits for answers from all its entries before it
+   * acts on one.
+   */
   readonly waitsForAllEntries?: () => boolean;
   readonly orders?: Partial<OrderExecutorGuards>;
 }
--- a/src/side/mod.ts
+++ b/src/side/mod.ts
@@ -1,5 +1,5 @@
-/** The side: the only door to one endpoint. */
-export type { AttemptHandle } from "./attempt_desk.ts";
+/** Side process: all requests and orders for one endpoint pass through it. */
+export type { AttemptHandle } from "./attempt_executor.ts";
 export { SideCore } from "./side_core.ts";
 export type { SideLimits, SideOptions, SideTimes } from "./side_core.ts";
 export type { SideGuards } from "./guards.ts";
--- a/src/side/recent_attempts.ts
+++ b/src/side/recent_attempts.ts
@@ -1,38 +1,38 @@
 import type { TimerService } from "../core/time/mod.ts";
 
-/** How long an attempt's id is remembered, milliseconds. */
-const REMEMBERED_MILLISECONDS = 120_000;
-/** Most ids that are remembered; the oldest go first. */
-const MOST_REMEMBERED = 20_000;
+/** Retention of attempt IDs, milliseconds. */
+const RETENTION_MILLISECONDS = 120_000;
+/** Maximum retained attempt IDs; the oldest are evicted first. */
+const MAX_ATTEMPT_IDS = 20_000;
 
 /**
- * Ids of attempts that have arrived. A message that the network delivers
- * twice would execute a call twice; one would notice a doubled permit. The
- * second message finds its id here and is dropped. The memory is bounded:
- * a copy that is later than the bounds can only come from a link that keeps
- * messages for minutes, which a TCP connection does not.
+ * IDs of recently received attempts, for dropping messages that the network
+ * delivers twice: a duplicate would execute the call again, seen as one permit
+ * used twice. The memory is bounded: a duplicate could only arrive after the
+ * bounds over a link that buffers messages for minutes, which a TCP connection
+ * does not.
  */
 export class RecentAttempts {
   readonly #timer: TimerService;
-  readonly #seen = new Map<string, number>();
+  readonly #arrivedAt = new Map<string, number>();
 
   constructor(timer: TimerService) {
     this.#timer = timer;
   }
 
-  /** False where the attempt has arrived before. */
+  /** Records an attempt. Returns false if it has arrived before. */
   add(attemptId: string): boolean {
-    if (this.#seen.has(attemptId)) return false;
-    this.#seen.set(attemptId, this.#timer.now());
-    this.#forget();
+    if (this.#arrivedAt.has(attemptId)) return false;
+    this.#arrivedAt.set(attemptId, this.#timer.now());
+    this.#evict();
     return true;
   }
 
-  #forget(): void {
-    const oldest = this.#timer.now() - REMEMBERED_MILLISECONDS;
-    for (const [attemptId, at] of this.#seen) {
-      if (at > oldest && this.#seen.size <= MOST_REMEMBERED) return;
-      this.#seen.delete(attemptId);
+  #evict(): void {
+    const cutoff = this.#timer.now() - RETENTION_MILLISECONDS;
+    for (const [attemptId, arrivedAt] of this.#arrivedAt) {
+      if (arrivedAt > cutoff && this.#arrivedAt.size <= MAX_ATTEMPT_IDS) return;
+      this.#arrivedAt.delete(attemptId);
     }
   }
 }
--- a/src/side/service_run.ts
+++ b/src/side/service_run.ts
@@ -11,58 +11,61 @@
   EndpointLoad,
   FailedFrame,
 } from "../generated/messages.ts";
-import { failureEnd } from "./attempt_run.ts";
-import type { AttemptEnd } from "./attempt_run.ts";
+import { endpointFailureOutcome } from "./generation_run.ts";
+import type { AttemptOutcome } from "./generation_run.ts";
 
 export interface ServiceRunOptions {
   readonly timer: TimerService;
   readonly endpoint: EndpointLink;
   readonly emit: (frame: AttemptFrame) => void;
   readonly load: () => EndpointLoad;
-  /** Timer time after which the answer is of no use, milliseconds. */
+  /** Timer time after which the answer is useless, milliseconds. */
   readonly deadline: number;
-  /** Called once when the endpoint is through with the call. */
+  /** Called once when the endpoint has finished the call. */
   readonly done: (
-    end: AttemptEnd,
+    end: AttemptOutcome,
     answer: ServiceResponse | undefined,
   ) => void;
 }
 
 /**
- * One call of a plain service. A call that may have its effect once only is
- * never cancelled at the service: an entry that goes away, or a caller that
- * no longer waits, leaves it running, and its answer is kept for a repeat.
+ * One call of a plain service. A non-idempotent call is never cancelled at the
+ * service: if the entry disconnects or the caller stops waiting, it keeps
+ * running, and its answer is kept for a repeated call.
  */
 export class ServiceRun {
   readonly #attempt: AttemptRequest;
   readonly #options: ServiceRunOptions;
-  readonly #deadline: Subscription;
-  #silent = false;
+  readonly #deadlineTimer: Subscription;
+  #isDetached = false;
 
   constructor(attempt: AttemptRequest, options: ServiceRunOptions) {
     this.#attempt = attempt;
     this.#options = options;
     const timeLeft = Math.max(0, options.deadline - options.timer.now());
-    this.#deadline = options.timer.after(
+    this.#deadlineTimer = options.timer.after(
       timeLeft,
-      () => this.#leaveAlone("deadline"),
+      () => this.#detach("deadline"),
     );
     void options.endpoint.call(attempt).then((result) =>
       this.#onResult(result)
     );
   }
 
-  /** The entry no longer listens; the call goes on. */
-  abandon(): void {
-    this.#leaveAlone("moved");
+  /** Stops sending frames to the entry; the call continues. */
+  detach(): void {
+    this.#detach("moved");
   }
 
   #onResult(result: Result<ServiceResponse, EndpointFailure>): void {
-    this.#deadline.cancel();
+    this.#deadlineTimer.cancel();
     const load = this.#options.load();
     if (result.isErr()) {
       const { name } = result.error;
-      const { end, frame } = failureEnd(this.#attempt, { name, load });
+      const { end, frame } = endpointFailureOutcome(this.#attempt, {
+        name,
+        load,
+      });
       this.#options.done(end, undefined);
       return this.#emit(frame);
     }
@@ -75,12 +78,12 @@
     });
   }
 
-  #leaveAlone(reason: FailedFrame["reason"]): void {
+  #detach(reason: FailedFrame["reason"]): void {
     this.#emit({ kind: "failed", attemptId: this.#attempt.attemptId, reason });
-    this.#silent = true;
+    this.#isDetached = true;
   }
 
   #emit(frame: AttemptFrame): void {
-    if (!this.#silent) this.#options.emit(frame);
+    if (!this.#isDetached) this.#options.emit(frame);
   }
 }
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -29,19 +29,19 @@
   StandingOrder,
   WatchAnswer,
 } from "../generated/messages.ts";
-import { AttemptDesk } from "./attempt_desk.ts";
-import type { AttemptHandle } from "./attempt_desk.ts";
-import { FirstAnswers } from "./first_answers.ts";
+import { AttemptExecutor } from "./attempt_executor.ts";
+import type { AttemptHandle } from "./attempt_executor.ts";
+import { InitialAnswers } from "./first_answers.ts";
 import type { SideGuards } from "./guards.ts";
 import { WatchLoop } from "./watch_loop.ts";
 
-/** Limits of one side; every one of them bounds its memory or its waiting. */
+/** Limits of one side; each of them bounds memory or waiting time. */
 export interface SideLimits {
   readonly mostRunning: number;
   readonly mostWaiting: number;
   readonly mostKeptAnswers: number;
   readonly mostKeptAnswerBytes: number;
-  /** Time that a planned stop leaves to running work, seconds. */
+  /** Time that running work gets to finish on a graceful shutdown, seconds. */
   readonly shutdownSeconds: number;
 }
 
@@ -49,7 +49,10 @@
   readonly reportMilliseconds: number;
   readonly longestOrderMilliseconds: number;
   readonly watchMilliseconds: number;
-  /** Time that running work has before a role change moves it, milliseconds. */
+  /**
+   * Time that running work gets to finish before a role change migrates it,
+   * milliseconds.
+   */
   readonly drainMilliseconds: number;
   readonly firstTokenSilenceMilliseconds: number;
   readonly tokenSilenceMilliseconds: number;
@@ -65,7 +68,9 @@
   readonly random: Random;
   readonly endpoint: EndpointLink;
   readonly entries: EntryLink;
-  /** Entries to attach to at first; later ones are told by the entries. */
+  /**
+   * Entries to attach to initially; later ones come from the entries' answers.
+   */
   readonly entryAddresses: readonly PeerAddress[];
   readonly limits: SideLimits;
   readonly times: SideTimes;
@@ -75,45 +80,52 @@
   readonly guards?: SideGuards;
 }
 
-/** Engines of a pool that load weights together where no planner paces them. */
-const MOST_LOADS_AT_ONCE = 2;
-/** How long a load of weights is reckoned to take for the spread. */
+/**
+ * Maximum engines of a pool that load weights together where no planner limits
+ * them.
+ */
+const MAX_CONCURRENT_LOADS = 2;
+/** Expected duration of a weight load, for spreading the loads. */
 const EXPECTED_LOAD_MILLISECONDS = 30_000;
 
-/** A side is attached to two entries, so that losing one delays nothing. */
-const ATTACHED_ENTRIES = 2;
+/**
+ * A side is attached to two entries, so that the loss of one delays nothing.
+ */
+const ATTACHED_ENTRY_COUNT = 2;
 
 /**
- * The only door to one endpoint. Every request and every order passes it, so
- * it knows the true work in flight, and what it refuses has not run.
+ * Core of a side. Every request and every order for one endpoint passes through
+ * it, so it knows the actual work in progress, and what it refuses has not run.
  */
 export class SideCore {
   readonly #options: SideOptions;
   readonly #logger: Logger;
-  readonly #tell: Tell;
-  readonly #desk: AttemptDesk;
-  readonly #watches: readonly WatchLoop[];
-  readonly #firstAnswers: FirstAnswers;
-  #orders: OrderExecutor | undefined;
+  readonly #emitEvent: Tell;
+  readonly #executor: AttemptExecutor;
+  readonly #watchLoops: readonly WatchLoop[];
+  readonly #initialAnswers: InitialAnswers;
+  #orderExecutor: OrderExecutor | undefined;
   #configuration: EndpointConfiguration | undefined;
   #configurationVersion = 0;
   #ordersRead = -1;
-  #orderTaken = -1;
-  #order: StandingOrder | undefined;
-  /** Offset of the order that stood when this side started; -1 for none. */
-  #standingAtStart = -1;
-  #hasHeard = false;
-  #toldEntries: readonly PeerAddress[] = [];
+  #latestOrderOffset = -1;
+  #latestOrder: StandingOrder | undefined;
+  /**
+   * Offset of the order that was in force when this side started; -1 if none.
+   */
+  #initialOrderOffset = -1;
+  #hasReceivedAnswer = false;
+  #advertisedEntries: readonly PeerAddress[] = [];
   #observation: EngineObservation | undefined;
   #endpointDown = false;
   #leaving = false;
-  #changing = false;
-  #observing: Subscription | undefined;
+  #applyingOrder = false;
+  #observationTimer: Subscription | undefined;
 
   constructor(options: SideOptions) {
     this.#options = options;
     this.#logger = options.logger ?? SILENT_LOGGER;
-    this.#tell = makeTell({
+    this.#emitEvent = makeTell({
       observe: options.observe,
       timer: options.timer,
       process: options.name,
@@ -122,72 +134,74 @@
         incarnation: options.incarnation,
       },
     });
-    this.#desk = new AttemptDesk({
+    this.#executor = new AttemptExecutor({
       ...options,
       ...options.limits,
       ...options.times,
       tracer: options.tracer ?? NO_TRACER,
-      closedBecause: () => this.#closedBecause(),
-      tell: this.#tell,
+      closedReason: () => this.#closedReason(),
+      emitEvent: this.#emitEvent,
     });
-    this.#firstAnswers = new FirstAnswers({
+    this.#initialAnswers = new InitialAnswers({
       timer: options.timer,
-      loops: ATTACHED_ENTRIES,
+      loopCount: ATTACHED_ENTRY_COUNT,
       onAnswer: (answer) => this.#onWatchAnswer(answer),
       waitsForAll: options.guards?.waitsForAllEntries,
     });
-    this.#watches = Array.from(
-      { length: ATTACHED_ENTRIES },
-      (_, place) => this.#makeWatch(place),
+    this.#watchLoops = Array.from(
+      { length: ATTACHED_ENTRY_COUNT },
+      (_, index) => this.#makeWatchLoop(index),
     );
   }
 
   /** Starts watching entries and observing the endpoint. */
   start(): void {
-    this.#tell("process_started", { role: "side" });
-    this.#firstAnswers.start();
-    for (const watch of this.#watches) watch.start();
+    this.#emitEvent("process_started", { role: "side" });
+    this.#initialAnswers.start();
+    for (const watch of this.#watchLoops) watch.start();
     if (this.#options.kind === "engine") this.#startObserving();
   }
 
   /**
    * Graceful shutdown: refuses new work at once, lets running work finish
-   * within the limit, and has what is left resumed elsewhere. Calls that may
-   * have their effect once only are waited for to the end of the limit.
+   * within the limit, and has the remaining work resumed elsewhere.
+   * Non-idempotent calls are waited for until the end of the limit.
    */
   async stop(): Promise<void> {
     this.#leaving = true;
-    this.#tell("side_draining", { cause: "stop" });
-    await this.#desk.idleWithin(this.#options.limits.shutdownSeconds * 1000);
-    await this.#desk.moveAll();
+    this.#emitEvent("side_draining", { cause: "stop" });
+    await this.#executor.whenIdleWithin(
+      this.#options.limits.shutdownSeconds * 1000,
+    );
+    await this.#executor.migrateAll();
     this.halt();
   }
 
-  /** Ends all timers and running work at once. */
+  /** Stops all timers and running work at once. */
   halt(): void {
     this.#leaving = true;
-    for (const watch of this.#watches) watch.stop();
-    this.#firstAnswers.stop();
-    this.#observing?.cancel();
-    this.#orders?.stop();
-    this.#desk.cutAll();
-    this.#tell("process_stopped", {});
+    for (const watch of this.#watchLoops) watch.stop();
+    this.#initialAnswers.stop();
+    this.#observationTimer?.cancel();
+    this.#orderExecutor?.stop();
+    this.#executor.interruptAll();
+    this.#emitEvent("process_stopped", {});
   }
 
   /**
-   * Takes an attempt. Frames go to `emit`; the last is one of end, response,
-   * not run or failed, unless the entry cancels.
+   * Accepts an attempt. Frames go to `emit`; the last one is end, response,
+   * not_run or failed, unless the entry cancels.
    */
   run(
     attempt: AttemptRequest,
     emit: (frame: AttemptFrame) => void,
   ): AttemptHandle {
-    return this.#desk.run(attempt, emit);
+    return this.#executor.run(attempt, emit);
   }
 
-  /** What became of a record of the `once` stream. */
+  /** State of a record of the `once` stream. */
   ask(question: OnceQuestion): OnceAnswer {
-    return this.#desk.ask(question);
+    return this.#executor.queryOnceRecord(question);
   }
 
   report(): SideReport {
@@ -198,26 +212,26 @@
       state: this.#state(),
       role: this.#observation?.role,
       weights: this.#observation?.weights,
-      load: this.#desk.load(),
+      load: this.#executor.load(),
       configurationVersion: this.#configurationVersion,
       ordersRead: this.#ordersRead,
-      orderTaken: this.#orderTaken,
-      orderApplied: this.#orders?.applied ?? -1,
+      orderTaken: this.#latestOrderOffset,
+      orderApplied: this.#orderExecutor?.applied ?? -1,
     };
   }
 
   /** Number of attempts that the endpoint is working on. */
   get running(): number {
-    return this.#desk.running;
+    return this.#executor.running;
   }
 
   #state(): SideReport["state"] {
     if (this.#leaving) return "leaving";
     if (this.#endpointDown) return "down";
-    // An order can take minutes; told first, it would hide from the operator
-    // that a drain is in force, and callers would wait for the endpoint.
+    // An order can take minutes. If `changing` came first, operators would not
+    // see that a drain is in force, and callers would wait for the endpoint.
     if (this.#isDraining()) return "draining";
-    if (this.#changing) return "changing";
+    if (this.#applyingOrder) return "changing";
     return "serving";
   }
 
@@ -226,24 +240,27 @@
     return state === "draining" || state === "withdrawn";
   }
 
-  /** Why the endpoint takes no new work, or nothing where it does. */
-  #closedBecause(): NotRunFrame["reason"] | undefined {
+  /** Reason why the endpoint accepts no new work; undefined if it does. */
+  #closedReason(): NotRunFrame["reason"] | undefined {
     return CLOSED_REASONS[this.#state()];
   }
 
-  #makeWatch(place: number): WatchLoop {
+  #makeWatchLoop(loopIndex: number): WatchLoop {
     return new WatchLoop({
       ...this.#options,
       candidates: () => this.#candidates(),
-      place,
-      loops: ATTACHED_ENTRIES,
+      loopIndex,
+      loopCount: ATTACHED_ENTRY_COUNT,
       report: () => this.report(),
-      onAnswer: (answer) => this.#firstAnswers.take(place, answer),
+      onAnswer: (answer) => this.#initialAnswers.receive(loopIndex, answer),
       waitMilliseconds: this.#options.times.watchMilliseconds,
     });
   }
 
-  /** Entries that were told last come first; the settings' may be gone. */
+  /**
+   * Entries to attach to: those from the latest answer first, because those
+   * from the settings may have been replaced.
+   */
   #candidates(): PeerAddress[] {
     const { endpointId, entryAddresses, availabilityZone } = this.#options;
     const entries = entryAddresses.map((id) => ({ id, availabilityZone }));
@@ -252,69 +269,71 @@
       availabilityZone,
       count: entries.length,
     });
-    const own = ranked.map((entry) => entry.id);
-    return [...new Set([...this.#toldEntries, ...own])];
+    const configured = ranked.map((entry) => entry.id);
+    return [...new Set([...this.#advertisedEntries, ...configured])];
   }
 
   /**
-   * Takes what an entry says is in force. An entry that has read less of the
-   * log than another answers with older positions; taking them would bring a
-   * withdrawn endpoint back into service. Positions only rise here.
+   * Applies an entry's answer. An entry that has read less of the log than
+   * another one answers with older positions; accepting them would bring a
+   * withdrawn endpoint back into service. Positions are therefore monotonic
+   * here.
    */
   #onWatchAnswer(answer: WatchAnswer): void {
     if (answer.entries !== undefined && answer.entries.length > 0) {
-      this.#toldEntries = answer.entries.map((each) => identifier(each));
+      this.#advertisedEntries = answer.entries.map((each) => identifier(each));
     }
-    this.#takeConfiguration(answer);
+    this.#applyConfiguration(answer);
     this.#ordersRead = Math.max(this.#ordersRead, answer.ordersRead);
-    this.#takeOrder(answer);
-    this.#hasHeard = true;
+    this.#acceptOrder(answer);
+    this.#hasReceivedAnswer = true;
   }
 
-  #takeConfiguration(answer: WatchAnswer): void {
+  #applyConfiguration(answer: WatchAnswer): void {
     if (!this.#isNewer(answer.configurationVersion)) return;
     const wasDraining = this.#isDraining();
     this.#configurationVersion = answer.configurationVersion;
-    this.#configuration = answer.endpoint ?? WITHDRAWN;
+    this.#configuration = answer.endpoint ?? WITHDRAWN_CONFIGURATION;
     const facts = {
       version: answer.configurationVersion,
       state: this.#configuration.state,
     };
-    this.#tell("configuration_in_force", facts);
+    this.#emitEvent("configuration_in_force", facts);
     this.#logger.info(facts, "Configuration is in force");
     if (this.#isDraining() && !wasDraining) {
-      this.#tell("side_draining", { cause: "configuration" });
+      this.#emitEvent("side_draining", { cause: "configuration" });
     }
-    this.#carryOutOrder();
+    this.#executeOrder();
   }
 
   #isNewer(version: number): boolean {
-    const isNewer = this.#options.guards?.isNewer ?? isAbove;
+    const isNewer = this.#options.guards?.isNewer ?? isGreater;
     return isNewer(version, this.#configurationVersion);
   }
 
-  #takeOrder({ order }: WatchAnswer): void {
-    if (order === undefined || order.offset <= this.#orderTaken) return;
-    this.#orderTaken = order.offset;
-    this.#order = order;
-    if (!this.#hasHeard) this.#standingAtStart = order.offset;
-    this.#carryOutOrder();
+  #acceptOrder({ order }: WatchAnswer): void {
+    if (order === undefined || order.offset <= this.#latestOrderOffset) return;
+    this.#latestOrderOffset = order.offset;
+    this.#latestOrder = order;
+    if (!this.#hasReceivedAnswer) this.#initialOrderOffset = order.offset;
+    this.#executeOrder();
   }
 
   /**
-   * Gives the newest order to the executor. A withdrawn endpoint gets none; it
-   * gets the order that stands once it serves again, since nobody repeats it.
+   * Passes the latest order to the executor. A withdrawn endpoint gets no
+   * orders; it gets the latest one when it is in service again, because the
+   * order is not repeated.
    */
-  #carryOutOrder(): void {
-    if (this.#order === undefined) return;
+  #executeOrder(): void {
+    if (this.#latestOrder === undefined) return;
     if (this.#configuration?.state === "withdrawn") return;
-    this.#orders ??= this.#makeOrderExecutor();
-    this.#orders.take(this.#order);
+    this.#orderExecutor ??= this.#makeOrderExecutor();
+    this.#orderExecutor.take(this.#latestOrder);
   }
 
   /**
-   * Made with the first order and not before: only then it is known whether
-   * the engine checks fencing numbers.
+   * Created with the first order, because only then it is known whether the
+   * engine checks fencing tokens.
    */
   #makeOrderExecutor(): OrderExecutor {
     const { endpoint, timer, incarnation, times, observe, name } =
@@ -326,9 +345,9 @@
       checksFencing: () => this.#configuration?.checksFencing ?? false,
       incarnation,
       longestOrderMilliseconds: times.longestOrderMilliseconds,
-      drain: () => this.#drainForChange(),
-      resume: () => this.#resumeAfterChange(),
-      acquireWeights: (order) => this.#waitForWeights(order),
+      drain: () => this.#drainForOrder(),
+      resume: () => this.#resumeAfterOrder(),
+      acquireWeights: (order) => this.#delayWeightLoad(order),
       observe,
       process: name,
       guards: this.#options.guards?.orders,
@@ -336,16 +355,17 @@
   }
 
   /**
-   * Spreads loads that no planner paces: a zone comes back with empty engines,
-   * and the orders of all of them stand on the log already. An order that came
-   * while this side ran was paced by its planner and waits for nobody.
+   * Delays a weight load that no planner has paced: when an availability zone
+   * comes back with empty engines, all their orders are already on the log. An
+   * order that arrived while this side was running was paced by its planner and
+   * is not delayed.
    */
-  async #waitForWeights(order: StandingOrder): Promise<() => void> {
+  async #delayWeightLoad(order: StandingOrder): Promise<() => void> {
     const { timer, endpointId } = this.#options;
-    if (order.offset <= this.#standingAtStart) {
+    if (order.offset <= this.#initialOrderOffset) {
       const milliseconds = loadSpread({
         engines: this.#configuration?.poolEngines ?? 1,
-        mostAtOnce: MOST_LOADS_AT_ONCE,
+        mostAtOnce: MAX_CONCURRENT_LOADS,
         loadMilliseconds: EXPECTED_LOAD_MILLISECONDS,
         place: hashToUnit(endpointId),
       });
@@ -354,23 +374,23 @@
     return () => {};
   }
 
-  async #drainForChange(): Promise<void> {
+  async #drainForOrder(): Promise<void> {
     if (this.#options.guards?.drains?.() === false) return;
-    this.#changing = true;
-    this.#tell("side_draining", { cause: "order" });
-    await this.#desk.idleWithin(this.#options.times.drainMilliseconds);
-    await this.#desk.moveAll();
-    await this.#desk.idle();
+    this.#applyingOrder = true;
+    this.#emitEvent("side_draining", { cause: "order" });
+    await this.#executor.whenIdleWithin(this.#options.times.drainMilliseconds);
+    await this.#executor.migrateAll();
+    await this.#executor.whenIdle();
   }
 
-  #resumeAfterChange(): void {
-    this.#changing = false;
+  #resumeAfterOrder(): void {
+    this.#applyingOrder = false;
     void this.#observe();
   }
 
   #startObserving(): void {
     void this.#observe();
-    this.#observing = this.#options.timer.every(
+    this.#observationTimer = this.#options.timer.every(
       this.#options.times.reportMilliseconds,
       () => void this.#observe(),
     );
@@ -387,7 +407,7 @@
     this.#observation = observed.value;
     const slots = this.#configuration?.slots;
     if (slots === undefined) return;
-    this.#desk.useCeiling(roleSlots(slots, observed.value.role));
+    this.#executor.setSlotLimit(roleSlots(slots, observed.value.role));
   }
 }
 
@@ -401,11 +421,11 @@
   changing: "changing_role",
 };
 
-const WITHDRAWN: EndpointConfiguration = {
+const WITHDRAWN_CONFIGURATION: EndpointConfiguration = {
   state: "withdrawn",
   checksFencing: false,
 };
 
-function isAbove(version: number, inForce: number): boolean {
-  return version > inForce;
+function isGreater(version: number, activeVersion: number): boolean {
+  return version > activeVersion;
 }
--- a/src/side/side_core_test.ts
+++ b/src/side/side_core_test.ts
@@ -13,38 +13,42 @@
 import type { WatchAnswer, WatchQuestion } from "../generated/messages.ts";
 import { SideCore } from "./mod.ts";
 
-/** Entries that answer a question when they have news, as the real ones do. */
-class ScriptedEntries {
+/**
+ * Entries that answer a long poll when they have an update, as real ones do.
+ */
+class FakeEntries {
   #answer: WatchAnswer = { configurationVersion: 0, ordersRead: -1 };
-  #waiting: (() => void)[] = [];
+  #pendingPolls: (() => void)[] = [];
 
   readonly link = {
     watch: (_entry: unknown, question: WatchQuestion) => this.#watch(question),
   } as unknown as EntryLink;
 
-  tell(answer: WatchAnswer): void {
+  announce(answer: WatchAnswer): void {
     this.#answer = answer;
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const wake of waiting) wake();
+    const pending = this.#pendingPolls;
+    this.#pendingPolls = [];
+    for (const resolvePoll of pending) resolvePoll();
   }
 
   #watch(
     { report }: WatchQuestion,
   ): Promise<Result<WatchAnswer, LinkFailure>> {
     const { configurationVersion, order } = this.#answer;
-    const isNews = configurationVersion > report.configurationVersion ||
+    const hasUpdate = configurationVersion > report.configurationVersion ||
       (order?.offset ?? -1) > report.orderTaken;
-    if (isNews) return Promise.resolve(ok(this.#answer));
+    if (hasUpdate) return Promise.resolve(ok(this.#answer));
     return new Promise((resolve) => {
-      this.#waiting.push(() => resolve(ok(this.#answer)));
+      this.#pendingPolls.push(() => resolve(ok(this.#answer)));
     });
   }
 }
 
-class OneEngine {
+class FakeEngine {
   readonly orders: EngineTarget[] = [];
-  /** What an order answers; one that never settles is under way for good. */
+  /**
+   * Result of an order; a promise that never resolves keeps the order running.
+   */
   orderOutcome: Promise<Result<undefined, never>> = Promise.resolve(
     ok(undefined),
   );
@@ -77,14 +81,14 @@
 
 describe("SideCore", () => {
   let timer: ManualTimerService;
-  let entries: ScriptedEntries;
-  let engine: OneEngine;
+  let entries: FakeEntries;
+  let engine: FakeEngine;
   let side: SideCore;
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    entries = new ScriptedEntries();
-    engine = new OneEngine();
+    entries = new FakeEntries();
+    engine = new FakeEngine();
     side = new SideCore({
       name: identifier("side-0"),
       incarnation: identifier("run-0"),
@@ -117,60 +121,66 @@
 
   afterEach(() => side.halt());
 
-  function tell(version: number, answer: Partial<WatchAnswer>): void {
-    entries.tell({ configurationVersion: version, ordersRead: 9, ...answer });
+  function announce(version: number, answer: Partial<WatchAnswer>): void {
+    entries.announce({
+      configurationVersion: version,
+      ordersRead: 9,
+      ...answer,
+    });
   }
 
-  // An order stands when an operator withdraws the engine, and later the engine
-  // comes back. Nobody repeats the order, so a side that dropped it would leave
-  // the engine in its old role for good.
-  it("carries out the standing order once a withdrawn engine is back", async () => {
-    tell(1, { endpoint: WITHDRAWN });
+  // An operator withdraws an engine that has an order, and later the engine
+  // returns to service. The order is not repeated, so a side that dropped it
+  // would leave the engine in its old role for good.
+  it("executes the latest order once a withdrawn engine is in service again", async () => {
+    announce(1, { endpoint: WITHDRAWN });
     await timer.advance(5_000);
     const order = { offset: 5, claim: 1, target: { role: "decode" as const } };
-    tell(1, { endpoint: WITHDRAWN, order });
+    announce(1, { endpoint: WITHDRAWN, order });
     await timer.advance(30_000);
     expect(engine.orders).to.deep.equal([]);
-    tell(2, { endpoint: SERVING, order });
+    announce(2, { endpoint: SERVING, order });
     await timer.advance(30_000);
     expect(engine.orders).to.deep.equal([{ role: "decode" }]);
   });
 
   // An operator drains an endpoint while its engine loads weights, which takes
-  // minutes. Told that the endpoint only changes, the operator waits for a drain
-  // that has long been in force, and callers hear that it will soon be back.
-  it("tells that it drains, also while it carries out an order", async () => {
+  // minutes. If the side reported `changing`, the operator would wait for a
+  // drain that is already in force, and callers would get the answer that the
+  // endpoint will soon be back.
+  it("reports draining also while it executes an order", async () => {
     engine.orderOutcome = new Promise(() => {});
-    tell(1, { endpoint: SERVING });
+    announce(1, { endpoint: SERVING });
     const order = { offset: 5, claim: 1, target: { role: "decode" as const } };
-    tell(1, { endpoint: SERVING, order });
+    announce(1, { endpoint: SERVING, order });
     await timer.advance(500);
     expect(engine.orders).to.have.length(1);
     expect(side.report().state).to.equal("changing");
-    tell(2, { endpoint: DRAINING, order });
+    announce(2, { endpoint: DRAINING, order });
     await timer.advance(500);
     expect(side.report().state).to.equal("draining");
   });
 
-  // A zone comes back with empty engines, and the order of each stands on the
-  // log. Without a spread all of them ask the weight store at once.
-  it("spreads the loads that stood when it started", async () => {
+  // An availability zone comes back with empty engines whose orders are already
+  // on the log. Without a spread, all of them would load from the weight store
+  // at once.
+  it("spreads the loads that were ordered before it started", async () => {
     const order = {
       offset: 5,
       claim: 1,
       target: { role: "mixed" as const, weights: "v2" },
     };
-    tell(1, { endpoint: { ...SERVING, poolEngines: 40 }, order });
+    announce(1, { endpoint: { ...SERVING, poolEngines: 40 }, order });
     await timer.advance(20_000);
     expect(engine.orders).to.deep.equal([]);
     await timer.advance(20 * 30_000);
     expect(engine.orders).to.have.length(1);
   });
 
-  it("does not hold back a load that its planner paced", async () => {
-    tell(1, { endpoint: { ...SERVING, poolEngines: 40 } });
+  it("does not delay a load that its planner paced", async () => {
+    announce(1, { endpoint: { ...SERVING, poolEngines: 40 } });
     await timer.advance(5_000);
-    tell(1, {
+    announce(1, {
       endpoint: { ...SERVING, poolEngines: 40 },
       order: {
         offset: 5,
--- a/src/side/watch_loop.ts
+++ b/src/side/watch_loop.ts
@@ -8,52 +8,56 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly entries: EntryLink;
-  /** Entries to attach to, best first; may change at any time. */
+  /** Entries to attach to, best first; the list may change at any time. */
   readonly candidates: () => readonly PeerAddress[];
-  /** This loop's place among the side's loops, from 0. */
-  readonly place: number;
-  /** Number of loops, so that two loops never share an entry. */
-  readonly loops: number;
+  /** Index of this loop among the side's loops, from 0. */
+  readonly loopIndex: number;
+  /** Number of the side's loops; with it, loops never share an entry. */
+  readonly loopCount: number;
   readonly report: () => SideReport;
   readonly onAnswer: (answer: WatchAnswer) => void;
-  /** How long the entry may hold the question open, milliseconds. */
+  /** Maximum time that the entry holds a long poll open, milliseconds. */
   readonly waitMilliseconds: number;
 }
 
-/** Pause before a question is asked again after a failure, milliseconds. */
-const RETRY_MILLISECONDS = 500;
-/** Spreads the sides' returns after an entry's restart over time. */
+/** Base delay before a retry after a failure, milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 500;
+/**
+ * Jitter as a fraction of the retry delay; it spreads the reconnects of the
+ * sides after an entry's restart.
+ */
 const RETRY_JITTER_SHARE = 1;
 
 /**
- * Asks an entry over and over for what is in force for the endpoint. A side
- * keeps two of these, on two entries, so that the loss of one entry delays
- * nothing. After a failure the loop turns to its next candidate: entry VMs are
- * replaced, and a side that stayed with a lost one would never hear again.
+ * Long-polls an entry for the configuration and order in force for the
+ * endpoint. A side runs two loops on two entries, so that the loss of one entry
+ * delays nothing. After a failure, the loop switches to its next candidate:
+ * entry VMs are replaced, and a side that only retried a lost one would never
+ * get an update again.
  */
 export class WatchLoop {
   readonly #options: WatchLoopOptions;
   #failures = 0;
   #stopped = false;
-  #pause: Subscription | undefined;
+  #retryTimer: Subscription | undefined;
 
   constructor(options: WatchLoopOptions) {
     this.#options = options;
   }
 
   start(): void {
-    void this.#ask();
+    void this.#poll();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#pause?.cancel();
+    this.#retryTimer?.cancel();
   }
 
-  async #ask(): Promise<void> {
+  async #poll(): Promise<void> {
     const { entries, report, waitMilliseconds } = this.#options;
     const entry = this.#entry();
-    if (entry === undefined) return this.#askLater();
+    if (entry === undefined) return this.#retryLater();
     const answer = await entries.watch(entry, {
       report: report(),
       waitMilliseconds,
@@ -61,26 +65,29 @@
     if (this.#stopped) return;
     if (answer.isErr()) {
       this.#failures += 1;
-      return this.#askLater();
+      return this.#retryLater();
     }
     this.#options.onAnswer(answer.value);
-    void this.#ask();
+    void this.#poll();
   }
 
-  /** The loops step through the candidates by their number, so they never meet. */
+  /**
+   * Current candidate of this loop. Each loop steps through the candidates by
+   * the number of loops, so two loops never use the same entry.
+   */
   #entry(): PeerAddress | undefined {
-    const { candidates, place, loops } = this.#options;
+    const { candidates, loopIndex, loopCount } = this.#options;
     const all = candidates();
     if (all.length === 0) return undefined;
-    return all[(place + loops * this.#failures) % all.length];
+    return all[(loopIndex + loopCount * this.#failures) % all.length];
   }
 
-  #askLater(): void {
+  #retryLater(): void {
     const { timer, random } = this.#options;
-    const delay = withJitter(RETRY_MILLISECONDS, {
+    const delay = withJitter(RETRY_DELAY_MILLISECONDS, {
       random,
       share: RETRY_JITTER_SHARE,
     });
-    this.#pause = timer.after(delay, () => void this.#ask());
+    this.#retryTimer = timer.after(delay, () => void this.#poll());
   }
 }
--- a/src/side/watch_loop_test.ts
+++ b/src/side/watch_loop_test.ts
@@ -9,7 +9,7 @@
 import type { SideReport, WatchAnswer } from "../generated/messages.ts";
 import { WatchLoop } from "./watch_loop.ts";
 
-const LOST = defineError<Record<never, never>>()({
+const LINK_LOST = defineError<Record<never, never>>()({
   name: "link_lost",
   title: "Lost",
   message: () => "Gone",
@@ -18,8 +18,8 @@
 
 describe("WatchLoop", () => {
   const timer = new ManualTimerService();
-  const asked: string[] = [];
-  const dead = new Set<string>();
+  const polledEntries: string[] = [];
+  const lost = new Set<string>();
   const candidates: PeerAddress[] = ["a", "b", "c", "d"].map((each) =>
     identifier(each)
   );
@@ -27,8 +27,8 @@
   function watch(
     entry: PeerAddress,
   ): Promise<Result<WatchAnswer, LinkFailure>> {
-    asked.push(entry);
-    if (dead.has(entry)) return Promise.resolve(err(failure(LOST, {})));
+    polledEntries.push(entry);
+    if (lost.has(entry)) return Promise.resolve(err(failure(LINK_LOST, {})));
     return new Promise((resolve) => {
       timer.after(
         1_000,
@@ -37,17 +37,17 @@
     });
   }
 
-  // Both entries that a side watches are replaced. A side that kept to them
-  // would never hear of a configuration again.
-  it("turns to its next entry after a failure, apart from other loops", async () => {
-    const loops = [0, 1].map((place) =>
+  // Both entries that a side watches are replaced. A side that only retried
+  // them would never get a configuration again.
+  it("switches to its next entry after a failure, apart from other loops", async () => {
+    const loops = [0, 1].map((index) =>
       new WatchLoop({
         timer,
-        random: seededRandom(place),
+        random: seededRandom(index),
         entries: { watch } as unknown as EntryLink,
         candidates: () => candidates,
-        place,
-        loops: 2,
+        loopIndex: index,
+        loopCount: 2,
         report: () => ({} as SideReport),
         onAnswer() {},
         waitMilliseconds: 1_000,
@@ -55,11 +55,11 @@
     );
     for (const loop of loops) loop.start();
     await timer.advance(500);
-    expect(asked).to.deep.equal(["a", "b"]);
-    dead.add("a").add("b");
-    asked.length = 0;
+    expect(polledEntries).to.deep.equal(["a", "b"]);
+    lost.add("a").add("b");
+    polledEntries.length = 0;
     await timer.advance(3_000);
-    expect(asked).to.include.members(["c", "d"]);
+    expect(polledEntries).to.include.members(["c", "d"]);
     for (const loop of loops) loop.stop();
   });
 });
