--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -13,10 +13,10 @@
 import type { RunContext } from "./run_context.ts";
 
 /**
- * How one attempt ended. `not_run`: certainly nothing was started.
- * `failed`: it may have run, in part or whole.
+ * How one attempt ended. `not_run`: it has certainly not started. `failed`: it
+ * may have run, partly or completely.
  */
-export type AttemptEnd =
+export type AttemptOutcome =
   | { readonly kind: "complete" }
   | {
     readonly kind: "not_run";
@@ -25,7 +25,10 @@
   | {
     readonly kind: "failed";
     readonly reason: FailedFrame["reason"] | "link_lost" | "broken";
-    /** What the engine made so far, for the one that goes on. */
+    /**
+     * Cache that the engine exported, for the engine that resumes the
+     * generation.
+     */
     readonly cache?: CacheHandover;
   };
 
@@ -37,41 +40,46 @@
 }
 
 /**
- * One try of a request at one side, from sending to the frame that ends it.
- * The placement's slot is given back when it ends, whatever the way.
+ * One attempt of a request at one side, from sending it to the frame that ends
+ * it. The placement's slot is released however the attempt ends.
  */
 export class Attempt {
-  readonly ended: Promise<AttemptEnd>;
+  readonly ended: Promise<AttemptOutcome>;
   readonly endpoint: EndpointId;
   readonly #options: AttemptOptions;
   readonly #call: AttemptCall | undefined;
   readonly #sentAt: number;
-  readonly #attemptEnds: () => void;
-  #settle!: (end: AttemptEnd) => void;
+  readonly #untrackAttempt: () => void;
+  #resolveEnded!: (end: AttemptOutcome) => void;
   #firstTokenAt: number | undefined;
   #tokens = 0;
-  #over = false;
+  #isEnded = false;
 
   constructor(options: AttemptOptions) {
     this.#options = options;
     this.endpoint = options.placement.endpoint;
     this.#sentAt = options.context.timer.now();
-    this.ended = new Promise((resolve) => this.#settle = resolve);
+    this.ended = new Promise((resolve) => this.#resolveEnded = resolve);
     options.assembler.begin(options.request.attemptId);
-    this.#attemptEnds = options.context.directory.attemptBegins(this.endpoint);
+    this.#untrackAttempt = options.context.directory.trackAttempt(
+      this.endpoint,
+    );
     this.#call = this.#send();
   }
 
-  /** The caller has gone or time is up; the side cancels the work. */
+  /**
+   * Cancels the attempt at the side, because the caller has disconnected or the
+   * deadline has passed.
+   */
   cancel(): void {
-    if (this.#over) return;
+    if (this.#isEnded) return;
     this.#call?.cancel();
     this.#end({ kind: "failed", reason: "cancelled" }, "cancelled");
   }
 
-  /** The side can't be heard any more; the attempt counts as lost. */
-  giveUp(): void {
-    if (this.#over) return;
+  /** Ends the attempt as lost, because its side is suspected. */
+  markLost(): void {
+    if (this.#isEnded) return;
     this.#call?.cancel();
     this.#end({ kind: "failed", reason: "link_lost" }, "failed");
   }
@@ -91,7 +99,7 @@
       this.#end({ kind: "not_run", reason: "not_sent" }, "not_run");
       return undefined;
     }
-    const call = context.sides.run(
+    const call = context.sideLink.run(
       side,
       request,
       (frame) => this.#onFrame(frame),
@@ -101,16 +109,16 @@
   }
 
   #onFrame(frame: AttemptFrame): void {
-    if (this.#over) return;
-    this.#options.context.directory.signOfLife(
+    if (this.#isEnded) return;
+    this.#options.context.directory.recordFrame(
       this.endpoint,
       "load" in frame ? frame.load : undefined,
     );
-    if (frame.kind === "token") this.#noteToken();
+    if (frame.kind === "token") this.#countToken();
     this.#onEffect(this.#options.assembler.receive(frame), frame);
   }
 
-  #noteToken(): void {
+  #countToken(): void {
     this.#firstTokenAt ??= this.#options.context.timer.now();
     this.#tokens += 1;
   }
@@ -130,12 +138,12 @@
   }
 
   /**
-   * The stream has ended without a last frame. Only a message that was never
-   * sent is certain not to have run.
+   * The stream has closed without a final frame. Only a message that was never
+   * sent has certainly not run.
    */
   #onClosed(result: Result<void, LinkFailure>): void {
-    if (this.#over) return;
-    this.#options.context.directory.messageLost(this.endpoint);
+    if (this.#isEnded) return;
+    this.#options.context.directory.onMessageLost(this.endpoint);
     const notSent = result.isErr() && result.error.name === "link_not_sent";
     if (notSent && !this.#options.assembler.started) {
       this.#end({ kind: "not_run", reason: "not_sent" }, "not_run");
@@ -144,10 +152,10 @@
     }
   }
 
-  #end(end: AttemptEnd, result: AttemptSummary["result"]): void {
-    if (this.#over) return;
-    this.#over = true;
-    this.#attemptEnds();
+  #end(end: AttemptOutcome, result: AttemptSummary["result"]): void {
+    if (this.#isEnded) return;
+    this.#isEnded = true;
+    this.#untrackAttempt();
     const now = this.#options.context.timer.now();
     this.#options.placement.release({
       result,
@@ -157,6 +165,6 @@
         : this.#firstTokenAt - this.#sentAt,
       totalMilliseconds: now - this.#sentAt,
     });
-    this.#settle(end);
+    this.#resolveEnded(end);
   }
 }
--- a/src/entry/catalog.ts
+++ b/src/entry/catalog.ts
@@ -12,9 +12,9 @@
   Pool,
   Route,
 } from "../generated/inventory.ts";
-import { CATALOG_UNKNOWN_MODEL, CATALOG_UNKNOWN_ROUTE } from "./errors.ts";
+import { UNKNOWN_MODEL, UNKNOWN_ROUTE } from "./errors.ts";
 
-/** A plain service's route with the pool behind it. */
+/** A route of a plain service with its pool. */
 export interface RouteMatch {
   readonly pool: Pool;
   readonly idempotent: boolean;
@@ -26,8 +26,8 @@
 }
 
 /**
- * The inventory in force, arranged for look-ups by model, route and endpoint.
- * Made anew for each version; a look-up costs the same for any fleet.
+ * Index of the active inventory by model, route and endpoint. Rebuilt for each
+ * version; the cost of a lookup does not depend on the size of the fleet.
  */
 export class Catalog {
   readonly inventory: Inventory;
@@ -38,13 +38,11 @@
   constructor(inventory: Inventory) {
     this.inventory = inventory;
     for (const pool of inventory.pools) this.#addPool(pool);
-    // The longest prefix decides, so it has to be looked at first.
-    this.#routes.sort((one, other) =>
-      other.route.path.length - one.route.path.length
-    );
+    // Sorted by length, so that the longest matching prefix wins.
+    this.#routes.sort((a, b) => b.route.path.length - a.route.path.length);
   }
 
-  /** Names of all models, in the order of the inventory. */
+  /** Names of all models in inventory order. */
   models(): readonly string[] {
     return [...this.#poolsByModel.keys()];
   }
@@ -52,27 +50,27 @@
   poolOfModel(model: string): Result<Pool, Failure<"unknown_model">> {
     const pool = this.#poolsByModel.get(model);
     if (pool === undefined) {
-      return err(failure(CATALOG_UNKNOWN_MODEL, { model }));
+      return err(failure(UNKNOWN_MODEL, { model }));
     }
     return ok(pool);
   }
 
-  /** `path` may carry a query, which plays no part. */
+  /** The query string of `path` is ignored. */
   poolOfRoute(
     method: string,
     path: string,
   ): Result<RouteMatch, Failure<"unknown_route">> {
-    const plain = path.split("?")[0];
+    const pathname = path.split("?")[0];
     const match = this.#routes.find(({ route }) =>
-      route.method === method && isUnder(plain, route.path)
+      route.method === method && isUnder(pathname, route.path)
     );
     if (match === undefined) {
-      return err(failure(CATALOG_UNKNOWN_ROUTE, { method, path }));
+      return err(failure(UNKNOWN_ROUTE, { method, path }));
     }
     return ok({ pool: match.pool, idempotent: match.route.idempotent });
   }
 
-  /** All endpoints of the inventory that get requests. */
+  /** IDs of all endpoints in the inventory. */
   endpoints(): Iterable<EndpointId> {
     return this.#endpoints.keys();
   }
--- a/src/entry/endpoint_subset.ts
+++ b/src/entry/endpoint_subset.ts
@@ -7,12 +7,12 @@
 export interface EndpointSubsetOptions {
   readonly entry: string;
   readonly availabilityZone: string;
-  readonly mostPerPool: number;
+  readonly maxPerPool: number;
 }
 
 /**
- * Share of the subset that lies in other availability zones, so that an entry
- * has somewhere to spill to in the moment when its own zone is lost.
+ * Fraction of the subset in other availability zones, so that an entry can fail
+ * over at once when its own zone is lost.
  */
 const SPILL_SHARE = 0.25;
 
@@ -20,15 +20,15 @@
 export interface EndpointSubset {
   readonly inventory: Inventory;
   readonly sides: ReadonlyMap<EndpointId, PeerAddress>;
-  /** Share of the inventory's endpoints that this entry uses, 0 to 1. */
+  /** Fraction of the inventory's endpoints that this entry uses, 0 to 1. */
   readonly share: number;
 }
 
 /**
- * Chooses the endpoints that one entry places work on. Load: 12,000 replicas.
- * Harm prevented: state, reports and connections that grow with the fleet at
- * every one of 410 entries. Endpoints of the entry's own availability zone come
- * first; every endpoint is still used by several entries.
+ * Selects the endpoints that one entry places work on. With 12,000 replicas,
+ * state, reports and connections would otherwise grow with the fleet at each of
+ * 410 entries. Endpoints in the entry's own availability zone are preferred;
+ * every endpoint is still used by several entries.
  */
 export function chooseEndpoints(
   inventory: Inventory,
@@ -54,12 +54,12 @@
 }
 
 function choosePool(pool: Pool, options: EndpointSubsetOptions): Pool {
-  if (pool.endpoints.length <= options.mostPerPool) return pool;
+  if (pool.endpoints.length <= options.maxPerPool) return pool;
   const chosen = new Set(rendezvousSubset(pool.endpoints, {
     picker: options.entry,
     availabilityZone: options.availabilityZone,
-    size: options.mostPerPool,
-    spill: Math.ceil(options.mostPerPool * SPILL_SHARE),
+    size: options.maxPerPool,
+    spill: Math.ceil(options.maxPerPool * SPILL_SHARE),
   }));
   const endpoints = pool.endpoints.filter((each) => chosen.has(each));
   return { ...pool, endpoints };
--- a/src/entry/endpoint_subset_test.ts
+++ b/src/entry/endpoint_subset_test.ts
@@ -24,26 +24,26 @@
   return chooseEndpoints(inventory(endpoints), {
     entry,
     availabilityZone: "a",
-    mostPerPool: 16,
+    maxPerPool: 16,
   });
 }
 
 describe("chooseEndpoints", () => {
-  it("keeps an entry's part of the fleet bounded", () => {
+  it("limits the size of an entry's subset", () => {
     const chosen = choose("entry-0");
     expect(chosen.sides.size).to.equal(16);
     expect(chosen.share).to.be.closeTo(16 / 90, 1e-9);
   });
 
-  it("uses the whole of a small fleet", () => {
+  it("uses all endpoints of a small fleet", () => {
     const chosen = choose("entry-0", 10);
     expect(chosen.sides.size).to.equal(10);
     expect(chosen.share).to.equal(1);
   });
 
-  // The entry's own availability zone is lost. With its whole part in there it
-  // could not send its callers' requests anywhere.
-  it("keeps some endpoints of other zones to spill to", () => {
+  // If the entry's whole subset were in its own availability zone, it could not
+  // place any request when that zone is lost.
+  it("includes some endpoints of other zones for failover", () => {
     const zones = choose("entry-0").inventory.pools[0].endpoints.map((each) =>
       each.availabilityZone
     );
@@ -51,20 +51,20 @@
     expect(zones.filter((zone) => zone !== "a")).to.have.length(4);
   });
 
-  it("gives different entries different parts", () => {
+  it("selects different subsets for different entries", () => {
     const [one, other] = ["entry-0", "entry-1"].map((entry) =>
       [...choose(entry).sides.keys()].join()
     );
     expect(one).not.to.equal(other);
   });
 
-  it("sends nothing to a withdrawn endpoint", () => {
+  it("excludes a withdrawn endpoint", () => {
     const withdrawn = inventory(3);
     withdrawn.pools[0].endpoints[0].state = "withdrawn";
     const { sides } = chooseEndpoints(withdrawn, {
       entry: "entry-0",
       availabilityZone: "a",
-      mostPerPool: 16,
+      maxPerPool: 16,
     });
     expect([...sides.keys()]).to.deep.equal(["triage-1", "triage-2"]);
   });
--- a/src/entry/entry_core.ts
+++ b/src/entry/entry_core.ts
@@ -32,25 +32,25 @@
 import { chooseEndpoints } from "./endpoint_subset.ts";
 import type { EndpointSubset } from "./endpoint_subset.ts";
 import type { EntryGuards } from "./guards.ts";
-import { inForceOf, Intake } from "./intake.ts";
-import type { InForce, RequestHandle } from "./intake.ts";
-import { Neighbours } from "./neighbours.ts";
+import { compileConfiguration, RequestIntake } from "./request_intake.ts";
+import type { ActiveConfiguration, RequestHandle } from "./request_intake.ts";
+import { PeerDirectory } from "./peer_directory.ts";
 import { Planner } from "./planner.ts";
-import { Relay } from "./relay.ts";
+import { ConfigurationRelay } from "./relay.ts";
 import { RegionLog } from "./region_log.ts";
 import type { RunContext } from "./run_context.ts";
 import { SideDirectory } from "./side_directory.ts";
 
-/** Limits of one entry; every one of them bounds its memory or its waiting. */
+/** Limits of one entry; each of them bounds memory or waiting time. */
 export interface EntryLimits {
   readonly mostQueued: number;
   readonly mostQueuedPerWorkspace: number;
   readonly mostOpenRequests: number;
-  /** Time that a planned stop leaves to open requests, seconds. */
+  /** Time that open requests get to finish on a graceful shutdown, seconds. */
   readonly shutdownSeconds: number;
-  /** Endpoints of one pool that this entry uses. */
+  /** Maximum endpoints per pool that this entry uses. */
   readonly mostEndpointsPerPool: number;
-  /** Attempts of one request, the first included. */
+  /** Maximum attempts per request, including the first. */
   readonly mostAttempts: number;
 }
 
@@ -61,7 +61,7 @@
   readonly claimSilenceMilliseconds: number;
   readonly checkpointRecords: number;
   readonly planMilliseconds: number;
-  /** How long an idempotency key is remembered, milliseconds. */
+  /** Retention of idempotency keys, milliseconds. */
   readonly keyWindowMilliseconds: number;
   readonly vmListMilliseconds: number;
 }
@@ -76,11 +76,11 @@
   readonly log: LogService;
   readonly sides: SideLink;
   readonly entries: EntryLink;
-  /** The platform's list of VMs, where there is one. */
+  /** The platform's VM list, if there is one. */
   readonly vmList?: VmList;
-  /** Other entries of the region by the settings. */
+  /** Addresses of the region's other entries from the settings. */
   readonly peerAddresses: readonly PeerAddress[];
-  /** A hash of text on which two requests never agree by chance. */
+  /** Collision-resistant hash of a text. */
   readonly hash: (text: string) => string;
   readonly limits: EntryLimits;
   readonly times: EntryTimes;
@@ -91,28 +91,29 @@
 }
 
 /**
- * One entry: admits, queues and places callers' requests, reads the log, and
- * relays what is in force to the sides. It holds no socket and no clock.
+ * Core of an entry: admits, queues and places callers' requests, reads the log,
+ * and relays the configuration and orders in force to the sides. It owns no
+ * sockets and no clock.
  */
 export class EntryCore {
   readonly #options: EntryOptions;
   readonly #logger: Logger;
-  readonly #tell: Tell;
-  readonly #neighbours: Neighbours;
+  readonly #emitEvent: Tell;
+  readonly #peers: PeerDirectory;
   readonly #log: RegionLog;
   readonly #scheduler: Scheduler;
   readonly #directory: SideDirectory;
-  readonly #relay: Relay;
-  readonly #intake: Intake;
+  readonly #relay: ConfigurationRelay;
+  readonly #intake: RequestIntake;
   readonly #planner: Planner;
-  #inForce: InForce | undefined;
+  #active: ActiveConfiguration | undefined;
   #subset: EndpointSubset | undefined;
   #draining = false;
 
   constructor(options: EntryOptions) {
     this.#options = options;
     this.#logger = options.logger ?? SILENT_LOGGER;
-    this.#tell = makeTell({
+    this.#emitEvent = makeTell({
       observe: options.observe,
       timer: options.timer,
       process: options.name,
@@ -120,10 +121,10 @@
         incarnation: options.incarnation,
       },
     });
-    this.#neighbours = new Neighbours({
+    this.#peers = new PeerDirectory({
       ...options,
       ...options.times,
-      onChange: () => this.#useSides(),
+      onChange: () => this.#updateSides(),
     });
     this.#log = this.#makeLog();
     this.#scheduler = createScheduler({
@@ -132,110 +133,115 @@
       availabilityZone: options.availabilityZone,
       limits: options.limits,
       name: options.name,
-      // The entry has chosen its endpoints already; a second choice among them
-      // would leave the rest of a large pool to nobody.
+      // The entry has already selected its subset of endpoints. A second
+      // selection in the scheduler would leave part of a large pool unused.
       policy: {
         ...DEFAULT_POLICY,
         mostEndpoints: options.limits.mostEndpointsPerPool,
       },
-      entriesSharing: () => this.#entriesSharing(),
+      entriesSharing: () => this.#entriesPerEndpoint(),
     });
     this.#directory = this.#makeDirectory();
-    this.#relay = new Relay({
+    this.#relay = new ConfigurationRelay({
       timer: options.timer,
       availabilityZone: options.availabilityZone,
       log: this.#log,
-      neighbours: this.#neighbours,
-      inForce: () => this.#inForce,
+      peers: this.#peers,
+      activeConfiguration: () => this.#active,
     });
     this.#intake = this.#makeIntake();
     this.#planner = this.#makePlanner();
   }
 
   start(): void {
-    this.#tell("process_started", { role: "entry" });
-    this.#neighbours.start();
+    this.#emitEvent("process_started", { role: "entry" });
+    this.#peers.start();
     this.#log.start();
     this.#directory.start();
     this.#planner.start();
   }
 
   /**
-   * Graceful shutdown: new requests are refused and the health page says
-   * draining at once, so that the balancer turns away; claims are handed over;
-   * open requests are finished within the limit, what is left is told the
-   * truth.
+   * Graceful shutdown: refuses new requests and reports `draining` on the
+   * health page at once, so that the load balancer stops sending traffic;
+   * releases the claims; waits for open requests up to the limit, then ends the
+   * remaining ones with a refusal or an unknown outcome.
    */
   async stop(): Promise<void> {
     this.#draining = true;
     this.#intake.close();
-    this.#tell("entry_draining", { cause: "stop" });
+    this.#emitEvent("entry_draining", { cause: "stop" });
     this.#relay.close();
     const limit = this.#options.limits.shutdownSeconds * 1000;
     await Promise.all([
-      this.#log.handOver(),
-      this.#intake.idleWithin(limit),
+      this.#log.releaseClaims(),
+      this.#intake.whenIdleWithin(limit),
     ]);
-    this.#intake.giveUp("The entry is shutting down");
+    this.#intake.abortAll("The entry is shutting down");
     this.halt();
   }
 
-  /** Ends everything at once, as far as this process can. */
+  /** Stops immediately without waiting for open requests. */
   halt(): void {
     this.#draining = true;
     this.#planner.stop();
     this.#directory.stop();
-    this.#neighbours.stop();
+    this.#peers.stop();
     this.#relay.close();
     this.#log.stop();
-    this.#tell("process_stopped", {});
+    this.#emitEvent("process_stopped", {});
   }
 
   get state(): EntryStatus["state"] {
     if (this.#draining) return "draining";
-    return this.#inForce === undefined ? "starting" : "serving";
+    return this.#active === undefined ? "starting" : "serving";
   }
 
-  /** Requests that are not finished yet. */
+  /** Number of unfinished requests. */
   get openRequests(): number {
-    return this.#intake.open;
+    return this.#intake.openCount;
   }
 
-  /** Version of the configuration that this entry follows; 0 for none. */
+  /** Version of the active configuration; 0 if there is none. */
   get configurationVersion(): number {
-    return this.#inForce?.version ?? 0;
+    return this.#active?.version ?? 0;
   }
 
-  /** For what the embedder feeds in besides: loop delay, cache events. */
+  /**
+   * Scheduler of this entry; the embedder feeds it loop delay and cache events.
+   */
   get scheduler(): Scheduler {
     return this.#scheduler;
   }
 
   models(): readonly string[] {
-    return this.#inForce?.catalog.models() ?? [];
+    return this.#active?.catalog.models() ?? [];
   }
 
   routeIsIdempotent(method: string, path: string): boolean | undefined {
-    const match = this.#inForce?.catalog.poolOfRoute(method, path);
+    const match = this.#active?.catalog.poolOfRoute(method, path);
     return match?.isOk() ? match.value.idempotent : undefined;
   }
 
-  /** Takes a request; the sink gets exactly one final outcome. */
+  /** Accepts a request. The sink gets exactly one final outcome. */
   submit(request: CallerRequest, sink: AnswerSink): RequestHandle {
     return this.#intake.submit(request, sink);
   }
 
   /**
-   * Answers a side's long poll; nothing while this entry leaves, so that the
-   * side turns to another one.
+   * Answers a side's long poll. Returns undefined while this entry is draining,
+   * so that the side switches to another entry.
    */
   watch(question: WatchQuestion): Promise<WatchAnswer> | undefined {
     if (this.#draining) return undefined;
-    this.#directory.heard(question.report);
+    this.#directory.recordReport(question.report);
     return this.#relay.watch(question);
   }
 
-  /** What this entry knows; with a cursor, the sides that have changed since. */
+  /**
+   * Status of this entry. With a cursor, lists only the sides that have changed
+   * since.
+   */
   status(question: StatusQuestion = {}): EntryStatus {
     const { name, incarnation, region, availabilityZone } = this.#options;
     const claim = this.#log.orders.claim;
@@ -249,7 +255,7 @@
       ordersRead: this.#log.journals.orders.position,
       ...(claim && { claim: { offset: claim.offset, holder: claim.holder } }),
       logReachable: this.#log.journals.configuration.reachable,
-      openRequests: this.#intake.open,
+      openRequests: this.#intake.openCount,
       sides: this.#directory.reports(this.#changesAfter(question)),
       change: this.#directory.change,
       demand: this.#scheduler.demand().map(({ pool, classes }) => ({
@@ -259,35 +265,39 @@
     };
   }
 
-  /** A cursor of an earlier run of this entry counts its changes, not ours. */
+  /**
+   * The change number to report from. Change numbers restart with each
+   * incarnation, so a cursor from another incarnation counts as 0.
+   */
   #changesAfter({ changedSince }: StatusQuestion): number {
-    const own = changedSince?.incarnation === this.#options.incarnation;
-    return own ? changedSince?.change ?? 0 : 0;
+    const isSameIncarnation =
+      changedSince?.incarnation === this.#options.incarnation;
+    return isSameIncarnation ? changedSince?.change ?? 0 : 0;
   }
 
-  /** This entry's state of a stream, for a peer that can't read the log. */
+  /** Snapshot of a stream's state, for a peer that can't read the log. */
   snapshot(stream: string): StreamSnapshot | undefined {
     return this.#log.snapshot(stream);
   }
 
-  /** A record of the configuration stream has been read. */
-  #onConfiguration(): void {
+  /** Activates the newest accepted configuration after a record was read. */
+  #onConfigurationRecord(): void {
     const { appliedVersion, inventory, rules } = this.#log.configuration;
     if (inventory === undefined || rules === undefined) return;
-    if (this.#inForce?.catalog.inventory === inventory) return;
-    if (this.#isStillReadingIn()) return;
-    this.#inForce = inForceOf(new Catalog(inventory), rules, {
+    if (this.#active?.catalog.inventory === inventory) return;
+    if (this.#isCatchingUp()) return;
+    this.#active = compileConfiguration(new Catalog(inventory), rules, {
       version: appliedVersion,
     });
     this.#subset = chooseEndpoints(inventory, {
       entry: this.#options.name,
       availabilityZone: this.#options.availabilityZone,
-      mostPerPool: this.#options.limits.mostEndpointsPerPool,
+      maxPerPool: this.#options.limits.mostEndpointsPerPool,
     });
     this.#scheduler.configure(this.#subset.inventory, rules);
-    this.#useSides();
-    this.#relay.configured(this.#inForce.catalog);
-    this.#tell("configuration_in_force", { version: appliedVersion });
+    this.#updateSides();
+    this.#relay.onConfigurationActive(this.#active.catalog);
+    this.#emitEvent("configuration_in_force", { version: appliedVersion });
     this.#logger.info(
       { version: appliedVersion },
       "Configuration is in force",
@@ -295,62 +305,71 @@
   }
 
   /**
-   * A restarted entry reads every configuration since the last checkpoint.
-   * Put in force one by one, a version that was replaced long ago would come
-   * back, seen as work sent to an endpoint that was drained; the first one in
-   * force is therefore the newest that the log or a peer knows.
+   * True while a restarted entry is reading configurations since the last
+   * checkpoint. Activating them one by one would bring superseded versions
+   * back, and work would go to an endpoint that has been drained. The first
+   * active configuration is therefore the newest that the log or a peer has.
    */
-  #isStillReadingIn(): boolean {
+  #isCatchingUp(): boolean {
     const { configuration } = this.#log.journals;
-    if (this.#inForce !== undefined) return false;
+    if (this.#active !== undefined) return false;
     return configuration.reachable && !configuration.caughtUp;
   }
 
   /**
-   * Entries that place work on the same endpoints, this one included: where
-   * each uses a part of the fleet only, as many fewer meet at one endpoint.
+   * Number of entries per endpoint, including this one. Where each entry uses
+   * only a subset of the fleet, proportionally fewer entries share an endpoint.
    */
-  #entriesSharing(): number {
+  #entriesPerEndpoint(): number {
     const share = this.#subset?.share ?? 1;
-    return Math.max(1, this.#neighbours.entryCount * share);
+    return Math.max(1, this.#peers.entryCount * share);
   }
 
-  /** Inventory or VM list have changed: who is used, and at which address. */
-  #useSides(): void {
+  /**
+   * Updates the sides in use and their addresses after a change of the
+   * inventory or the VM list.
+   */
+  #updateSides(): void {
     const sides = new Map<EndpointId, PeerAddress>();
-    for (const [endpoint, inventoried] of this.#subset?.sides ?? []) {
+    for (const [endpoint, inventoryAddress] of this.#subset?.sides ?? []) {
       sides.set(
         endpoint,
-        this.#neighbours.sideAddress(endpoint, inventoried),
+        this.#peers.sideAddress(endpoint, inventoryAddress),
       );
-      this.#judgeUse(endpoint);
+      this.#updateUsability(endpoint);
     }
-    this.#directory.use(sides);
+    this.#directory.setSides(sides);
   }
 
-  /** New work goes to sides that this entry hears and that are not leaving. */
-  #judgeUse(endpoint: EndpointId): void {
+  /**
+   * Marks an endpoint as unusable while its side is suspected or its VM is
+   * leaving.
+   */
+  #updateUsability(endpoint: EndpointId): void {
     const unusable = this.#directory.isSuspected(endpoint) ||
-      this.#neighbours.isLeaving(endpoint);
+      this.#peers.isLeaving(endpoint);
     this.#scheduler.suspect(endpoint, unusable);
   }
 
   #onSuspicion(endpoint: EndpointId, suspected: boolean): void {
-    this.#tell(suspected ? "suspected" : "trusted", { endpoint });
-    this.#logger.warn({ endpoint, suspected }, "Suspicion of a side changed");
-    this.#judgeUse(endpoint);
-    if (suspected) this.#intake.suspect(endpoint);
+    this.#emitEvent(suspected ? "suspected" : "trusted", { endpoint });
+    this.#logger.warn(
+      { endpoint, suspected },
+      "Suspected state of a side changed",
+    );
+    this.#updateUsability(endpoint);
+    if (suspected) this.#intake.onSuspected(endpoint);
   }
 
   #makeLog(): RegionLog {
     return new RegionLog({
       ...this.#options,
-      peers: () => this.#neighbours.entries(),
+      peers: () => this.#peers.entries(),
       logger: this.#logger,
-      tell: this.#tell,
+      emitEvent: this.#emitEvent,
       eligible: () => !this.#draining,
-      onConfiguration: () => this.#onConfiguration(),
-      onOrders: () => this.#relay.changed(),
+      onConfigurationChange: () => this.#onConfigurationRecord(),
+      onOrdersChange: () => this.#relay.onLogChange(),
     });
   }
 
@@ -361,24 +380,24 @@
       sides,
       reportMilliseconds: times.reportMilliseconds,
       suspectMilliseconds: times.suspectMilliseconds,
-      accepts: (report) => this.#neighbours.accepts(report),
+      accepts: (report) => this.#peers.accepts(report),
       onReport: (report, at) => this.#scheduler.report(report, at),
       onSuspicion: (endpoint, suspected) =>
         this.#onSuspicion(endpoint, suspected),
     });
   }
 
-  #makeIntake(): Intake {
+  #makeIntake(): RequestIntake {
     const { timer, availabilityZone, hash, limits } = this.#options;
-    return new Intake({
+    return new RequestIntake({
       timer,
       availabilityZone,
       hash,
       mostOpenRequests: limits.mostOpenRequests,
       context: this.#makeContext(),
       tracer: this.#options.tracer ?? NO_TRACER,
-      inForce: () => this.#inForce,
-      tell: this.#tell,
+      activeConfiguration: () => this.#active,
+      emitEvent: this.#emitEvent,
     });
   }
 
@@ -387,12 +406,12 @@
     return {
       timer,
       scheduler: this.#scheduler,
-      sides,
+      sideLink: sides,
       directory: this.#directory,
-      once: this.#makeOnce(),
+      onceCoordinator: this.#makeOnce(),
       mostAttempts: limits.mostAttempts,
       tracer: tracer ?? NO_TRACER,
-      tell: this.#tell,
+      emitEvent: this.#emitEvent,
     };
   }
 
@@ -401,17 +420,20 @@
       fold: this.#log.once,
       append: (body) => this.#log.journals.once.append(body),
       ask: (endpoint, question) =>
-        this.#options.sides.ask(this.#sideOf(endpoint), question),
+        this.#options.sides.ask(this.#sideAddressOf(endpoint), question),
       timer: this.#options.timer,
     });
   }
 
-  /** Also for endpoints outside the subset: a record may name any of them. */
-  #sideOf(endpoint: EndpointId): PeerAddress {
-    const inventoried = this.#inForce?.catalog.sideOf(endpoint);
-    return this.#neighbours.sideAddress(
+  /**
+   * Address of an endpoint's side, also for endpoints outside the subset: a
+   * `once` record may name any endpoint.
+   */
+  #sideAddressOf(endpoint: EndpointId): PeerAddress {
+    const inventoryAddress = this.#active?.catalog.sideOf(endpoint);
+    return this.#peers.sideAddress(
       endpoint,
-      inventoried ?? UNKNOWN_ADDRESS,
+      inventoryAddress ?? UNREACHABLE_ADDRESS,
     );
   }
 
@@ -422,19 +444,19 @@
       planMilliseconds: times.planMilliseconds,
       journal: this.#log.journals.orders,
       orders: this.#log.orders,
-      claim: this.#log.plannerClaim,
+      claim: this.#log.ordersClaim,
       entries,
-      peers: () => this.#neighbours.entries(),
+      peers: () => this.#peers.entries(),
       status: () => this.status(),
-      inForce: () =>
-        this.#inForce && {
-          inventory: this.#inForce.catalog.inventory,
-          rules: this.#inForce.rules,
+      active: () =>
+        this.#active && {
+          inventory: this.#active.catalog.inventory,
+          rules: this.#active.rules,
         },
       logger: this.#logger,
     });
   }
 }
 
-/** Port 0 of the own machine: nobody listens there, so nothing is sent. */
-const UNKNOWN_ADDRESS = identifier<PeerAddress>("127.0.0.1:0");
+/** Port 0 on the local host: connecting always fails, so nothing is sent. */
+const UNREACHABLE_ADDRESS = identifier<PeerAddress>("127.0.0.1:0");
--- a/src/entry/errors.ts
+++ b/src/entry/errors.ts
@@ -1,6 +1,6 @@
 import { defineError } from "../core/errors/mod.ts";
 
-export const CATALOG_UNKNOWN_MODEL = defineError<{ model: string }>()({
+export const UNKNOWN_MODEL = defineError<{ model: string }>()({
   name: "unknown_model",
   title: "Model not served here",
   message: (values) => `No pool of the inventory serves "${values.model}"`,
@@ -8,7 +8,7 @@
     "Ask for a model that GET /v1/models lists, or publish an inventory that has it",
 });
 
-export const CATALOG_UNKNOWN_ROUTE = defineError<{
+export const UNKNOWN_ROUTE = defineError<{
   method: string;
   path: string;
 }>()({
@@ -18,10 +18,10 @@
   hint: "Check the routes of the plain services in the inventory",
 });
 
-export const NO_VM_LIST_SET = defineError<Record<never, never>>()({
+export const VM_LIST_NOT_CONFIGURED = defineError<Record<never, never>>()({
   name: "vm_list_unavailable",
   title: "No VM list",
-  message: () => "The settings name no VM list",
+  message: () => "The settings contain no VM list",
   hint:
     "Set platform.vmList, or keep addresses current in settings and inventory",
 });
--- a/src/entry/order_plan.ts
+++ b/src/entry/order_plan.ts
@@ -9,8 +9,8 @@
 import type { EngineTarget } from "../generated/log_records.ts";
 import type { SideReport } from "../generated/messages.ts";
 
-/** An order that should stand on the log. */
-export interface WantedOrder {
+/** An order that should be on the log. */
+export interface DesiredOrder {
   readonly endpoint: string;
   readonly number: number;
   readonly target: EngineTarget;
@@ -18,27 +18,27 @@
 
 export interface OrderPlanOptions {
   readonly inventory: Inventory;
-  /** Every endpoint's last valid order. */
-  readonly standing: ReadonlyMap<string, EndpointOrder>;
+  /** Last valid order of each endpoint. */
+  readonly currentOrders: ReadonlyMap<string, EndpointOrder>;
   readonly reports: ReadonlyMap<string, SideReport>;
-  /** Role changes that the mix calls for. */
-  readonly changes: readonly RoleChange[];
-  /** Engines of the region that may load weights at the same time. */
-  readonly mostLoadsAtOnce: number;
+  /** Role changes that the role planner requests. */
+  readonly roleChanges: readonly RoleChange[];
+  /** Maximum engines in the region that load weights at the same time. */
+  readonly maxConcurrentLoads: number;
 }
 
-interface Candidate extends WantedOrder {
+interface Candidate extends DesiredOrder {
   readonly needsLoading: boolean;
 }
 
 /**
- * The orders that are missing on the log. What the inventory wants and what
- * the mix wants become one target per engine here; nothing else gives
- * orders, so a publication and a shift can't contradict each other. An order
- * that stands already is not repeated: a planner that takes over continues
- * what its predecessor began.
+ * Returns the orders that are missing on the log. The inventory's target and
+ * the requested role changes are merged into one target per engine here, and
+ * nothing else creates orders, so a publication and a role change can't
+ * contradict each other. An order that is already on the log is not repeated: a
+ * planner that takes over continues the orders of its predecessor.
  */
-export function missingOrders(options: OrderPlanOptions): WantedOrder[] {
+export function missingOrders(options: OrderPlanOptions): DesiredOrder[] {
   const candidates = options.inventory.pools.flatMap((pool) =>
     pool.endpoints.flatMap((endpoint) =>
       candidateFor(endpoint, { pool, ...options }) ?? []
@@ -46,8 +46,8 @@
   );
   const allowed = new Set(
     pickLoads(candidates, {
-      loading: loadingNow(options),
-      mostAtOnce: options.mostLoadsAtOnce,
+      loading: loadingEndpoints(options),
+      mostAtOnce: options.maxConcurrentLoads,
     }).map((candidate) => candidate.endpoint),
   );
   return candidates.filter((each) => allowed.has(each.endpoint))
@@ -62,17 +62,21 @@
   if (pool.kind !== "engine" || endpoint.state === "withdrawn") {
     return undefined;
   }
-  const standing = options.standing.get(endpoint.id);
+  const currentOrder = options.currentOrders.get(endpoint.id);
   const report = options.reports.get(endpoint.id);
-  if (standing === undefined && report === undefined) return undefined;
-  const target = targetOf(endpoint, { ...options, order: standing, report });
-  const has = standing !== undefined
-    ? isSameTarget(standing.target, target)
-    : report !== undefined && reportShows(report, target);
-  if (has) return undefined;
+  if (currentOrder === undefined && report === undefined) return undefined;
+  const target = desiredTarget(endpoint, {
+    ...options,
+    order: currentOrder,
+    report,
+  });
+  const isCurrent = currentOrder !== undefined
+    ? isSameTarget(currentOrder.target, target)
+    : report !== undefined && reportMatches(report, target);
+  if (isCurrent) return undefined;
   return {
     endpoint: endpoint.id,
-    number: (standing?.number ?? -1) + 1,
+    number: (currentOrder?.number ?? -1) + 1,
     target,
     needsLoading: target.weights !== undefined &&
       target.weights !== report?.weights,
@@ -80,10 +84,10 @@
 }
 
 /**
- * The role is the last one that was ordered until the mix calls for another;
- * the inventory's role is where an engine starts, or stays where it is fixed.
+ * The role stays the last one ordered until the role planner requests another.
+ * The inventory's role is the initial one, and a fixed role never changes.
  */
-function targetOf(
+function desiredTarget(
   endpoint: InventoryEndpoint,
   options: OrderPlanOptions & {
     pool: Pool;
@@ -91,11 +95,11 @@
     report: SideReport | undefined;
   },
 ): EngineTarget {
-  const { pool, order, report, changes } = options;
-  const change = changes.find((each) => each.endpoint === endpoint.id);
+  const { pool, order, report, roleChanges } = options;
+  const roleChange = roleChanges.find((each) => each.endpoint === endpoint.id);
   const role = endpoint.fixedRole
     ? endpoint.role ?? "mixed"
-    : change?.to ?? order?.target.role ?? endpoint.role ?? report?.role ??
+    : roleChange?.to ?? order?.target.role ?? endpoint.role ?? report?.role ??
       "mixed";
   const target: EngineTarget = { role };
   if (pool.models !== undefined) target.models = pool.models;
@@ -103,21 +107,24 @@
   return target;
 }
 
-/** A report names no models; the side compares those at the engine itself. */
-function reportShows(report: SideReport, target: EngineTarget): boolean {
+/**
+ * True if the report matches the target. Reports carry no models; the side
+ * compares those with the engine's.
+ */
+function reportMatches(report: SideReport, target: EngineTarget): boolean {
   const sameWeights = target.weights === undefined ||
     target.weights === report.weights;
   return report.role === target.role && sameWeights;
 }
 
-function loadingNow(options: OrderPlanOptions): Set<string> {
+function loadingEndpoints(options: OrderPlanOptions): Set<string> {
   const loading = new Set<string>();
-  for (const [endpoint, order] of options.standing) {
+  for (const [endpoint, order] of options.currentOrders) {
     const report = options.reports.get(endpoint);
     if (report === undefined || order.target.weights === undefined) continue;
-    const done = (report.orderApplied ?? -1) >= order.offset ||
+    const isApplied = (report.orderApplied ?? -1) >= order.offset ||
       report.weights === order.target.weights;
-    if (!done) loading.add(endpoint);
+    if (!isApplied) loading.add(endpoint);
   }
   return loading;
 }
--- a/src/entry/order_plan_test.ts
+++ b/src/entry/order_plan_test.ts
@@ -47,12 +47,12 @@
 function plan(options: Partial<OrderPlanOptions>) {
   return missingOrders({
     inventory: inventory(),
-    standing: new Map(),
+    currentOrders: new Map(),
     reports: new Map(
       ["t-0", "t-1", "t-2", "t-3"].map((id) => [id, report(id)]),
     ),
-    changes: [],
-    mostLoadsAtOnce: 2,
+    roleChanges: [],
+    maxConcurrentLoads: 2,
     ...options,
   });
 }
@@ -66,49 +66,56 @@
 };
 
 describe("missingOrders", () => {
-  it("orders nothing where every engine is as wanted", () => {
+  it("creates no order if every engine matches its target", () => {
     expect(plan({})).to.deep.equal([]);
   });
 
-  it("orders the role that the mix calls for", () => {
-    expect(plan({ changes: [TO_PREFILL] })).to.deep.equal([
+  it("orders a requested role change", () => {
+    expect(plan({ roleChanges: [TO_PREFILL] })).to.deep.equal([
       { endpoint: "t-1", number: 0, target: { role: "prefill" } },
     ]);
   });
 
-  // A planner dies after it has ordered a change, and another takes over while
+  // A planner fails after it has ordered a change, and another takes over while
   // the engine is still draining. A second order for the same change would take
-  // the engine out twice.
-  it("continues an order under way instead of giving it again", () => {
+  // the engine out of service twice.
+  it("does not repeat an order that is being carried out", () => {
     const standing = new Map([["t-1", order({ target: { role: "prefill" } })]]);
-    expect(plan({ standing })).to.deep.equal([]);
+    expect(plan({ currentOrders: standing })).to.deep.equal([]);
   });
 
-  it("numbers an order above the endpoint's last", () => {
+  it("numbers an order after the endpoint's last one", () => {
     const standing = new Map([["t-1", order({ number: 4 })]]);
-    const [next] = plan({ standing, changes: [TO_PREFILL] });
+    const [next] = plan({ currentOrders: standing, roleChanges: [TO_PREFILL] });
     expect(next.number).to.equal(5);
   });
 
-  // New weights are published for a whole pool. If every engine loaded at
-  // once, the whole line would be silent while the weight store is asked by all.
-  it("lets only some engines load weights at the same time", () => {
+  // New weights are published for a whole pool. If every engine loaded them at
+  // once, the pool would be out of service and the weight store would get all
+  // requests at once.
+  it("limits the engines that load weights at the same time", () => {
     const wanted = inventory({ weights: "v2" });
     expect(plan({ inventory: wanted })).to.have.length(2);
     const standing = new Map([
       ["t-0", order({ target: { role: "mixed", weights: "v2" } })],
     ]);
-    expect(plan({ inventory: wanted, standing }).map((each) => each.endpoint))
+    expect(
+      plan({ inventory: wanted, currentOrders: standing }).map((each) =>
+        each.endpoint
+      ),
+    )
       .to.deep.equal(["t-1"]);
   });
 
-  it("leaves a fixed role alone whatever the mix calls for", () => {
+  it("ignores role changes for an engine with a fixed role", () => {
     const fixed = inventory();
     fixed.pools[0].endpoints[1].fixedRole = true;
-    expect(plan({ inventory: fixed, changes: [TO_PREFILL] })).to.deep.equal([]);
+    expect(plan({ inventory: fixed, roleChanges: [TO_PREFILL] })).to.deep.equal(
+      [],
+    );
   });
 
-  it("orders nothing to a withdrawn engine", () => {
+  it("creates no order for a withdrawn engine", () => {
     const withdrawn = inventory({ weights: "v2" });
     for (const endpoint of withdrawn.pools[0].endpoints) {
       endpoint.state = "withdrawn";
--- a/src/entry/neighbours.ts
+++ b/src/entry/peer_directory.ts
@@ -6,38 +6,41 @@
 import type { Random } from "../core/random/mod.ts";
 import type { TimerService } from "../core/time/mod.ts";
 import type { SideReport } from "../generated/messages.ts";
-import { NO_VM_LIST_SET } from "./errors.ts";
+import { VM_LIST_NOT_CONFIGURED } from "./errors.ts";
 
-export interface NeighboursOptions {
+export interface PeerDirectoryOptions {
   readonly name: string;
   readonly timer: TimerService;
   readonly random: Random;
-  /** Absent: the settings and the inventory alone say who is there. */
+  /** If absent, only the settings and the inventory determine the peers. */
   readonly vmList?: VmList;
-  /** Other entries by the settings. */
+  /** Addresses of other entries from the settings. */
   readonly peerAddresses: readonly PeerAddress[];
   readonly suspectMilliseconds: number;
-  /** How often the VM list is read. */
+  /** Interval between reads of the VM list, milliseconds. */
   readonly vmListMilliseconds: number;
   readonly onChange: () => void;
 }
 
-/** Addresses of entries that a side is told: two to use, the rest in reserve. */
-const ENTRIES_TOLD = 6;
+/**
+ * Entry addresses that are sent to a side: two to attach to and four as
+ * fallbacks.
+ */
+const ADVERTISED_ENTRY_COUNT = 6;
 
 /**
- * Which VMs there are besides this one: entries and sides with their present
- * addresses, by settings, inventory and the platform's list. The list lags, so
- * what a VM says of itself goes before it.
+ * Directory of the region's other VMs: entries and sides with their current
+ * addresses, from the settings, the inventory and the platform's VM list. The
+ * list lags behind, so a VM's own reports take precedence over it.
  */
-export class Neighbours {
-  readonly #options: NeighboursOptions;
+export class PeerDirectory {
+  readonly #options: PeerDirectoryOptions;
   readonly #membership: Membership;
 
-  constructor(options: NeighboursOptions) {
+  constructor(options: PeerDirectoryOptions) {
     this.#options = options;
     this.#membership = new Membership({
-      vmList: options.vmList ?? NO_VM_LIST,
+      vmList: options.vmList ?? UNAVAILABLE_VM_LIST,
       timer: options.timer,
       random: options.random,
       readMilliseconds: options.vmListMilliseconds,
@@ -54,7 +57,7 @@
     this.#membership.stop();
   }
 
-  /** Peer addresses of the other entries of the region. */
+  /** Peer addresses of the region's other entries. */
   entries(): readonly PeerAddress[] {
     const addresses = new Set(this.#options.peerAddresses);
     for (const member of this.#listedEntries()) {
@@ -63,12 +66,12 @@
     return [...addresses];
   }
 
-  /** Number of entries that share the region's callers, this one included. */
+  /** Number of entries that share the region's callers, including this one. */
   get entryCount(): number {
     return this.entries().length + 1;
   }
 
-  /** Entries for a side to attach to, best first; none without a VM list. */
+  /** Entries for a side to attach to, best first; empty without a VM list. */
   entriesFor(endpoint: string, availabilityZone: string): string[] {
     const listed = this.#listedEntries(true).map((member) => ({
       id: member.id,
@@ -78,36 +81,36 @@
     return attachments(listed, {
       side: endpoint,
       availabilityZone,
-      count: ENTRIES_TOLD,
+      count: ADVERTISED_ENTRY_COUNT,
     }).map((entry) => entry.address);
   }
 
   /**
-   * Address of the side beside an endpoint. A VM that was replaced has a new
-   * one, which the list knows before the operators publish it.
+   * Address of an endpoint's side. The VM list has the new address of a
+   * replaced VM before the operators publish it in the inventory.
    */
-  sideAddress(endpoint: string, inventoried: PeerAddress): PeerAddress {
-    return this.#membership.member(endpoint)?.vm?.address ?? inventoried;
+  sideAddress(endpoint: string, inventoryAddress: PeerAddress): PeerAddress {
+    return this.#membership.member(endpoint)?.vm?.address ?? inventoryAddress;
   }
 
-  /** True where the VM list says that the endpoint's VM is leaving. */
+  /** True if the VM list marks the endpoint's VM as leaving. */
   isLeaving(endpoint: string): boolean {
     return this.#membership.member(endpoint)?.vm?.leaving ?? false;
   }
 
-  /** False for a late report of a run that a newer one has replaced. */
+  /** False for a report of an incarnation that a newer one has replaced. */
   accepts(report: SideReport): boolean {
     return this.#membership.sideReported(report);
   }
 
-  #listedEntries(withOwn = false): Member[] {
+  #listedEntries(includeSelf = false): Member[] {
     return this.#membership.members().filter((member) =>
       member.vm?.role === "entry" && !member.leaving &&
-      (withOwn || member.id !== this.#options.name)
+      (includeSelf || member.id !== this.#options.name)
     );
   }
 }
 
-const NO_VM_LIST: VmList = {
-  read: () => Promise.resolve(err(failure(NO_VM_LIST_SET, {}))),
+const UNAVAILABLE_VM_LIST: VmList = {
+  read: () => Promise.resolve(err(failure(VM_LIST_NOT_CONFIGURED, {}))),
 };
--- a/src/entry/planner.ts
+++ b/src/entry/planner.ts
@@ -20,7 +20,7 @@
 } from "../generated/messages.ts";
 import type { Rules } from "../generated/rules.ts";
 import { missingOrders } from "./order_plan.ts";
-import type { WantedOrder } from "./order_plan.ts";
+import type { DesiredOrder } from "./order_plan.ts";
 
 export interface PlannerOptions {
   readonly timer: TimerService;
@@ -31,78 +31,82 @@
   readonly entries: EntryLink;
   /** The region's other entries. */
   readonly peers: () => readonly PeerAddress[];
-  /** This entry's own status. */
+  /** Status of this entry. */
   readonly status: () => EntryStatus;
-  readonly inForce: () => { inventory: Inventory; rules: Rules } | undefined;
+  readonly active: () => { inventory: Inventory; rules: Rules } | undefined;
   readonly logger: Logger;
 }
 
 /**
- * Engines of a region that may load weights at the same time. Load: a roll-out
- * of new weights. Harm prevented: the rate-limited weight store is asked by
- * the whole region at once, and each load takes minutes. Limit: a tenth of
- * today's ten replicas out for loading costs less than one replica's slots.
+ * Maximum engines in a region that load weights at the same time. During a
+ * rollout of new weights, the whole region would otherwise load from the
+ * rate-limited weight store at once, and each load takes minutes. With ten
+ * replicas, at most a fifth of them is out of service for loading.
  */
-const MOST_LOADS_AT_ONCE = 2;
-/** A peer that has been silent this long no longer counts in the demand. */
-const FORGET_PEER_MILLISECONDS = 60_000;
+const MAX_CONCURRENT_LOADS = 2;
+/** Peers that have been silent this long no longer count in the demand. */
+const PEER_EXPIRY_MILLISECONDS = 60_000;
 
 /**
- * Questions for a status that the planner sends in a second. Load: 36 other
- * entries in a region. Harm prevented: the entry that plans spends more on
- * control than a node may. Limit: at about 3 KB for an answer with the demand
- * on 14 pools, one question a second is 3 KB/s.
+ * Status queries per second of the planner. With 36 other entries in a region,
+ * the entry that plans would otherwise exceed a node's control traffic budget.
+ * With demand on 14 pools an answer has about 3 KB, so one query a second is 3
+ * KB/s.
  */
-const MOST_ASKED_PER_SECOND = 1;
+const MAX_STATUS_QUERIES_PER_SECOND = 1;
 
-/** What a peer has told, its answers put together. */
-interface HeardPeer {
+/**
+ * Last status of a peer, with the reports merged from its incremental answers.
+ */
+interface PeerState {
   readonly status: EntryStatus;
   readonly sides: ReadonlyMap<string, SideReport>;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /**
- * Plans the region's roles while this entry holds the planner's claim, and
- * appends the orders that are missing. What it appends after it has lost the
- * claim is void by position, so it need not be sure that it still holds it.
+ * Plans the region's roles while this entry holds the claim on the orders
+ * stream, and appends the missing orders. Orders appended after the claim was
+ * lost are void by their position on the log, so the planner need not verify
+ * that it still holds the claim.
  */
 export class Planner {
   readonly #options: PlannerOptions;
   readonly #roles = new RolePlanner();
-  readonly #heard = new Map<PeerAddress, HeardPeer>();
-  #planning: Subscription | undefined;
-  #busy = false;
-  #lastPlan = -Infinity;
+  readonly #peers = new Map<PeerAddress, PeerState>();
+  #planTimer: Subscription | undefined;
+  #isPlanning = false;
+  #lastPlanAt = -Infinity;
 
   constructor(options: PlannerOptions) {
     this.#options = options;
   }
 
   start(): void {
-    this.#planning = this.#options.timer.every(
+    this.#planTimer = this.#options.timer.every(
       this.#options.planMilliseconds,
       () => void this.plan(),
     );
   }
 
   stop(): void {
-    this.#planning?.cancel();
+    this.#planTimer?.cancel();
   }
 
-  /** Makes one plan and appends its orders; nothing without the claim. */
+  /** Makes one plan and appends its orders; does nothing without the claim. */
   async plan(): Promise<void> {
-    if (this.#busy || !this.#mayPlan()) return;
-    this.#busy = true;
-    this.#lastPlan = this.#options.timer.now();
-    await this.#askPeers();
+    if (this.#isPlanning || !this.#mayPlan()) return;
+    this.#isPlanning = true;
+    this.#lastPlanAt = this.#options.timer.now();
+    await this.#queryPeers();
     await this.#appendMissing();
-    this.#busy = false;
+    this.#isPlanning = false;
   }
 
   /**
-   * A planner that has not read the whole stream would plan a fleet that is
-   * in mid-change by its predecessor's orders.
+   * True if a plan is due and this entry may make it. A planner that has not
+   * read the whole stream would ignore its predecessor's orders that are still
+   * being carried out.
    */
   #mayPlan(): boolean {
     const { claim, journal } = this.#options;
@@ -110,58 +114,66 @@
       journal.caughtUp && this.#isDue();
   }
 
-  /** With many peers a plan is made more rarely, as each has to be asked. */
+  /**
+   * Each peer has to be queried, so the interval between plans grows with the
+   * number of peers.
+   */
   #isDue(): boolean {
     const { timer, peers } = this.#options;
-    const period = peers().length * 1000 / MOST_ASKED_PER_SECOND;
-    return timer.now() - this.#lastPlan >= period;
+    const period = peers().length * 1000 / MAX_STATUS_QUERIES_PER_SECOND;
+    return timer.now() - this.#lastPlanAt >= period;
   }
 
-  async #askPeers(): Promise<void> {
+  async #queryPeers(): Promise<void> {
     const { entries, peers, timer } = this.#options;
     await Promise.all(
       peers().map(async (peer) => {
-        const before = this.#heard.get(peer);
-        const answer = await entries.status(peer, questionAfter(before));
+        const previous = this.#peers.get(peer);
+        const answer = await entries.status(
+          peer,
+          incrementalQuestion(previous),
+        );
         if (answer.isErr()) return;
-        this.#heard.set(peer, {
+        this.#peers.set(peer, {
           status: answer.value,
-          sides: mergedSides(before, answer.value),
-          at: timer.now(),
+          sides: mergeSides(previous, answer.value),
+          receivedAt: timer.now(),
         });
       }),
     );
-    for (const [peer, { at }] of this.#heard) {
-      if (timer.now() - at > FORGET_PEER_MILLISECONDS) this.#heard.delete(peer);
+    for (const [peer, { receivedAt: at }] of this.#peers) {
+      if (timer.now() - at > PEER_EXPIRY_MILLISECONDS) this.#peers.delete(peer);
     }
   }
 
   async #appendMissing(): Promise<void> {
-    const inForce = this.#options.inForce();
+    const active = this.#options.active();
     const claim = this.#options.claim.held;
-    if (inForce === undefined || claim === undefined) return;
+    if (active === undefined || claim === undefined) return;
     const reports = this.#reports();
-    const changes = this.#roles.plan(this.#picture(inForce, reports));
+    const roleChanges = this.#roles.plan(
+      this.#plannerInput(active, reports),
+    );
     const missing = missingOrders({
-      inventory: inForce.inventory,
-      standing: this.#options.orders.orders,
+      inventory: active.inventory,
+      currentOrders: this.#options.orders.orders,
       reports,
-      changes,
-      mostLoadsAtOnce: MOST_LOADS_AT_ONCE,
+      roleChanges,
+      maxConcurrentLoads: MAX_CONCURRENT_LOADS,
     });
     await Promise.all(
       missing.map((order) =>
-        this.#append(order, { claim: claim.offset, changes })
+        this.#append(order, { claim: claim.offset, roleChanges })
       ),
     );
   }
 
   async #append(
-    order: WantedOrder,
-    options: { claim: number; changes: readonly RoleChange[] },
+    order: DesiredOrder,
+    options: { claim: number; roleChanges: readonly RoleChange[] },
   ): Promise<void> {
     const { journal, logger } = this.#options;
-    const gain = options.changes.find((each) =>
+    const gain = options.roleChanges.find((each) =>
       each.endpoint === order.endpoint
     )?.netGain;
     const appended = await journal.append({
@@ -174,11 +186,16 @@
     else logger.warn({ ...facts, error: appended.error }, "Order not appended");
   }
 
-  /** The region's newest report of each endpoint's side, own ones first. */
+  /**
+   * Newest report of each endpoint's side in the region; on a tie, this entry's
+   * own report wins.
+   */
   #reports(): Map<string, SideReport> {
     const reports = new Map<string, SideReport>();
-    const heard = [...this.#heard.values()].map(({ sides }) => sides.values());
-    for (const sides of [this.#options.status().sides, ...heard]) {
+    const peerSides = [...this.#peers.values()].map(({ sides }) =>
+      sides.values()
+    );
+    for (const sides of [this.#options.status().sides, ...peerSides]) {
       for (const report of sides) {
         const known = reports.get(report.endpoint);
         if (isNewer(report, known)) reports.set(report.endpoint, report);
@@ -187,35 +204,37 @@
     return reports;
   }
 
-  #picture(
-    inForce: { inventory: Inventory; rules: Rules },
+  #plannerInput(
+    active: { inventory: Inventory; rules: Rules },
     reports: ReadonlyMap<string, SideReport>,
   ): PlannerPicture {
     const { timer, journal } = this.#options;
-    const engines = inForce.inventory.pools.filter((pool) =>
+    const engines = active.inventory.pools.filter((pool) =>
       pool.kind === "engine" && pool.engine !== undefined
     );
     return {
       now: timer.now(),
-      pools: engines.map((pool) => this.#poolPicture(pool, reports)),
-      rules: inForce.rules.planner ?? {},
+      pools: engines.map((pool) => this.#poolInput(pool, reports)),
+      rules: active.rules.planner ?? {},
       logAvailable: journal.reachable,
     };
   }
 
-  #poolPicture(
+  #poolInput(
     pool: Pool,
     reports: ReadonlyMap<string, SideReport>,
   ): PoolPicture {
     const now = this.#options.timer.now();
-    const ages = [...this.#heard.values()].map(({ at }) => now - at);
+    const ages = [...this.#peers.values()].map(({ receivedAt }) =>
+      now - receivedAt
+    );
     return {
       pool: pool.name,
       engine: pool.engine as NonNullable<Pool["engine"]>,
       endpoints: pool.endpoints
         .filter((endpoint) => endpoint.state !== "withdrawn")
         .map((endpoint) => this.#plannedEndpoint(endpoint, reports)),
-      demand: this.#demandOn(pool.name),
+      demand: this.#demandForPool(pool.name),
       demandAgeMilliseconds: Math.max(0, ...ages),
     };
   }
@@ -227,27 +246,30 @@
     const report = reports.get(endpoint.id);
     const order = this.#options.orders.standingOrder(endpoint.id);
     const role = report?.role ?? endpoint.role ?? "mixed";
-    const done = order === undefined ||
+    const isApplied = order === undefined ||
       (report?.orderApplied ?? -1) >= order.offset;
     return {
       endpoint: identifier(endpoint.id),
       availabilityZone: endpoint.availabilityZone,
       role,
-      ...(!done && { changingTo: order.target.role }),
+      ...(!isApplied && { changingTo: order.target.role }),
       serving: report?.state === "serving" && endpoint.state !== "draining",
       fixedRole: endpoint.fixedRole ?? false,
     };
   }
 
-  /** Sum of what the entries see, by class. */
-  #demandOn(pool: string): ClassDemand[] {
-    const statuses = [...this.#heard.values()].map(({ status }) => status);
+  /** Demand on a pool, summed over all entries by class. */
+  #demandForPool(pool: string): ClassDemand[] {
+    const statuses = [...this.#peers.values()].map(({ status }) => status);
     const sums = new Map<string, ClassDemand>();
     for (const status of [...statuses, this.#options.status()]) {
       for (const report of status.demand ?? []) {
         if (report.pool !== pool) continue;
-        for (const one of report.classes) {
-          sums.set(one.className, added(sums.get(one.className), one));
+        for (const classDemand of report.classes) {
+          sums.set(
+            classDemand.className,
+            addDemand(sums.get(classDemand.className), classDemand),
+          );
         }
       }
     }
@@ -255,20 +277,23 @@
   }
 }
 
-/** Asks for what has changed only, where this peer has answered before. */
-function questionAfter(before: HeardPeer | undefined): StatusQuestion {
-  const { incarnation, change } = before?.status ?? {};
+/** Asks only for changes since this peer's last answer, if there is one. */
+function incrementalQuestion(previous: PeerState | undefined): StatusQuestion {
+  const { incarnation, change } = previous?.status ?? {};
   if (incarnation === undefined || change === undefined) return {};
   return { changedSince: { incarnation, change } };
 }
 
-/** A restarted peer tells everything anew, so nothing of before is kept. */
-function mergedSides(
-  before: HeardPeer | undefined,
+/**
+ * Merges an answer into the known reports. A restarted peer sends all its
+ * reports again, so the earlier ones are dropped.
+ */
+function mergeSides(
+  previous: PeerState | undefined,
   status: EntryStatus,
 ): Map<string, SideReport> {
-  const isSameRun = before?.status.incarnation === status.incarnation;
-  const sides = new Map(isSameRun ? before?.sides : []);
+  const isSameIncarnation = previous?.status.incarnation === status.incarnation;
+  const sides = new Map(isSameIncarnation ? previous?.sides : []);
   for (const report of status.sides) sides.set(report.endpoint, report);
   return sides;
 }
@@ -280,23 +305,23 @@
     (report.orderApplied ?? -1) > (known.orderApplied ?? -1);
 }
 
-/** Sum of two demands of one class, means weighted by the arrivals. */
-function added(
+/** Sum of two demands of one class; means are weighted by arrivals. */
+function addDemand(
   sum: ClassDemand | undefined,
-  one: Omit<ClassDemand, "value">,
+  added: Omit<ClassDemand, "value">,
 ): ClassDemand {
-  if (sum === undefined) return { ...one, value: 1 };
-  const arrivalsPerSecond = sum.arrivalsPerSecond + one.arrivalsPerSecond;
+  if (sum === undefined) return { ...added, value: 1 };
+  const arrivalsPerSecond = sum.arrivalsPerSecond + added.arrivalsPerSecond;
   if (arrivalsPerSecond === 0) return sum;
-  const share = one.arrivalsPerSecond / arrivalsPerSecond;
+  const share = added.arrivalsPerSecond / arrivalsPerSecond;
   return {
     ...sum,
     arrivalsPerSecond,
-    promptTokens: mix(sum.promptTokens, one.promptTokens, share),
-    outputTokens: mix(sum.outputTokens, one.outputTokens, share),
+    promptTokens: weightedMean(sum.promptTokens, added.promptTokens, share),
+    outputTokens: weightedMean(sum.outputTokens, added.outputTokens, share),
   };
 }
 
-function mix(one: number, other: number, share: number): number {
-  return one * (1 - share) + other * share;
+function weightedMean(first: number, second: number, share: number): number {
+  return first * (1 - share) + second * share;
 }
--- a/src/entry/region_log.ts
+++ b/src/entry/region_log.ts
@@ -25,15 +25,19 @@
 
 const STREAM_KINDS: readonly StreamKind[] = ["configuration", "orders", "once"];
 
-/** Some peers are enough; asking all 40 of a region would be a storm. */
-const MOST_PEERS_ASKED = 5;
+/**
+ * Maximum peers that are asked for a snapshot; asking all 40 of a region would
+ * flood it with requests.
+ */
+const MAX_SNAPSHOT_PEERS = 5;
 
 /**
- * How long a caller's key may wait for its place on the log. Load: an outage
- * or a slow log. Harm prevented: a booking that can't be made holds its caller
- * on a silent line. An append takes some tens of milliseconds.
+ * Timeout for appending an idempotency key's record, for an outage or a slow
+ * log: a call whose record can't be written would otherwise keep its caller
+ * waiting without an answer. An append normally takes some tens of
+ * milliseconds.
  */
-const ONCE_APPEND_MILLISECONDS = 1_500;
+const ONCE_APPEND_TIMEOUT_MILLISECONDS = 1_500;
 
 export interface RegionLogOptions {
   readonly name: ProcessId;
@@ -43,7 +47,10 @@
   readonly random: Random;
   readonly log: LogService;
   readonly entries: EntryLink;
-  /** The region's other entries, to take state from while the log is down. */
+  /**
+   * The region's other entries, which provide snapshots while the log is
+   * unreachable.
+   */
   readonly peers: () => readonly PeerAddress[];
   readonly times: {
     readonly appendDelayMilliseconds: number;
@@ -53,18 +60,20 @@
   };
   readonly logger: Logger;
   readonly guards?: EntryGuards;
-  readonly tell: Tell;
-  /** False while this process must not take a claim, as when it leaves. */
+  readonly emitEvent: Tell;
+  /**
+   * False while this process must not take a claim, such as while it drains.
+   */
   readonly eligible: () => boolean;
-  /** The configuration stream has moved on. */
-  readonly onConfiguration: () => void;
-  /** The orders stream has moved on. */
-  readonly onOrders: () => void;
+  /** Called after the state of the configuration stream may have changed. */
+  readonly onConfigurationChange: () => void;
+  /** Called after the state of the orders stream may have changed. */
+  readonly onOrdersChange: () => void;
 }
 
 /**
  * One entry's view of its region's three streams, and the claims that it may
- * hold on them. The streams are apart so that a burst of idempotency keys
+ * hold on them. The streams are separate so that a burst of idempotency keys
  * delays neither a publication nor an order.
  */
 export class RegionLog {
@@ -72,12 +81,12 @@
   readonly orders: OrdersFold;
   readonly once: OnceFold;
   readonly journals: Readonly<Record<StreamKind, Journal>>;
-  readonly judgeClaim: ClaimKeeper;
-  readonly plannerClaim: ClaimKeeper;
+  readonly configurationClaim: ClaimKeeper;
+  readonly ordersClaim: ClaimKeeper;
   readonly #options: RegionLogOptions;
-  readonly #judge: ConfigurationJudge;
+  readonly #validator: ConfigurationJudge;
   readonly #reachable = new Map<string, boolean>();
-  #judging: Subscription | undefined;
+  #validationTimer: Subscription | undefined;
 
   constructor(options: RegionLogOptions) {
     this.#options = options;
@@ -92,39 +101,44 @@
       orders: this.#openJournal("orders", this.orders),
       once: this.#openJournal("once", this.once),
     };
-    this.judgeClaim = this.#makeClaim("configuration", {
+    this.configurationClaim = this.#makeClaim("configuration", {
       view: this.configuration,
-      onGained: () => this.#judge.consider(),
+      onGained: () => this.#validator.consider(),
     });
-    this.plannerClaim = this.#makeClaim("orders", { view: this.orders });
-    this.#judge = new ConfigurationJudge({
+    this.ordersClaim = this.#makeClaim("orders", { view: this.orders });
+    this.#validator = new ConfigurationJudge({
       journal: this.journals.configuration,
       fold: this.configuration,
-      heldClaim: () => this.judgeClaim.held?.offset,
+      heldClaim: () => this.configurationClaim.held?.offset,
     });
   }
 
   start(): void {
     for (const journal of Object.values(this.journals)) journal.start();
-    this.judgeClaim.start();
-    this.plannerClaim.start();
-    this.#judging = this.#options.timer.every(
+    this.configurationClaim.start();
+    this.ordersClaim.start();
+    this.#validationTimer = this.#options.timer.every(
       this.#options.times.claimSilenceMilliseconds,
-      () => this.#judge.consider(),
+      () => this.#validator.consider(),
     );
   }
 
-  /** Gives up the claims, so that another entry takes them without a wait. */
-  async handOver(): Promise<void> {
-    await Promise.all([this.judgeClaim.stop(), this.plannerClaim.stop()]);
+  /**
+   * Releases the claims, so that another entry can take them without waiting.
+   */
+  async releaseClaims(): Promise<void> {
+    await Promise.all([
+      this.configurationClaim.stop(),
+      this.ordersClaim.stop(),
+    ]);
   }
 
   stop(): void {
-    this.#judging?.cancel();
+    this.#validationTimer?.cancel();
     for (const journal of Object.values(this.journals)) journal.stop();
   }
 
-  /** State of one of the region's streams by its name, for a peer. */
+  /** Snapshot of a stream by its name, for a peer. */
   snapshot(stream: string): StreamSnapshot | undefined {
     const kind = STREAM_KINDS.find((each) => this.#streamName(each) === stream);
     return kind && this.journals[kind].snapshot();
@@ -147,10 +161,12 @@
       incarnation,
       appendDelayMilliseconds: times.appendDelayMilliseconds,
       checkpointRecords: times.checkpointRecords,
-      ...(kind === "once" && { giveUpMilliseconds: ONCE_APPEND_MILLISECONDS }),
-      peers: () => this.#askPeers(stream),
+      ...(kind === "once" &&
+        { giveUpMilliseconds: ONCE_APPEND_TIMEOUT_MILLISECONDS }),
+      peers: () => this.#fetchPeerSnapshot(stream),
       onApplied: () => this.#onRecord(kind),
-      // The newest record may be one that counts for nothing.
+      // The newest record of a page may be one that the fold ignores, so that
+      // `onApplied` is not called for it.
       onPage: () => this.#onRecord(kind),
       onRestored: () => this.#onRecord(kind),
       onState: (reachable) => this.#onReachable(stream, reachable),
@@ -159,12 +175,12 @@
 
   #onRecord(kind: StreamKind): void {
     if (kind === "configuration") {
-      this.judgeClaim.changed();
-      this.#judge.consider();
-      this.#options.onConfiguration();
+      this.configurationClaim.changed();
+      this.#validator.consider();
+      this.#options.onConfigurationChange();
     } else if (kind === "orders") {
-      this.plannerClaim.changed();
-      this.#options.onOrders();
+      this.ordersClaim.changed();
+      this.#options.onOrdersChange();
     }
   }
 
@@ -172,24 +188,26 @@
     const { logger } = this.#options;
     if (this.#reachable.get(stream) === reachable) return;
     this.#reachable.set(stream, reachable);
-    if (reachable) logger.info({ stream }, "The log can be read");
-    else logger.warn({ stream }, "The log can't be read");
+    if (reachable) logger.info({ stream }, "The log stream is readable");
+    else logger.warn({ stream }, "The log stream is not readable");
   }
 
-  /** The furthest state of a stream that any peer offers. */
-  async #askPeers(stream: string): Promise<StreamSnapshot | undefined> {
+  /** Returns the most recent snapshot of a stream that any asked peer has. */
+  async #fetchPeerSnapshot(
+    stream: string,
+  ): Promise<StreamSnapshot | undefined> {
     const { entries, peers } = this.#options;
     const answers = await Promise.all(
-      peers().slice(0, MOST_PEERS_ASKED).map((peer) =>
+      peers().slice(0, MAX_SNAPSHOT_PEERS).map((peer) =>
         entries.snapshot(peer, stream)
       ),
     );
-    let best: StreamSnapshot | undefined;
+    let latest: StreamSnapshot | undefined;
     for (const answer of answers) {
       if (answer.isErr()) continue;
-      if (answer.value.upTo > (best?.upTo ?? -1)) best = answer.value;
+      if (answer.value.upTo > (latest?.upTo ?? -1)) latest = answer.value;
     }
-    return best;
+    return latest;
   }
 
   #makeClaim(
@@ -219,24 +237,24 @@
   }
 
   #makeOrdersFold(): OrdersFold {
-    const { tell } = this.#options;
+    const { emitEvent } = this.#options;
     return new OrdersFold({
       guards: this.#options.guards?.orders,
       onClaim: (claim) =>
-        tell("claim_seen", {
+        emitEvent("claim_seen", {
           stream: this.#streamName("orders"),
           claim: claim.offset,
           holder: claim.holder,
         }),
       onOrder: (endpoint, order) =>
-        tell("order_valid", {
+        emitEvent("order_valid", {
           endpoint,
           order: order.offset,
           claim: order.claim,
           target: targetText(order.target),
         }),
       onVoid: (offset, record) =>
-        tell("order_void", {
+        emitEvent("order_void", {
           endpoint: record.endpoint,
           order: offset,
           claim: record.claim,
@@ -249,7 +267,7 @@
     return new OnceFold({
       windowMilliseconds: this.#options.times.keyWindowMilliseconds,
       onOwner: (owner, replaces) =>
-        this.#options.tell("once_owned", {
+        this.#options.emitEvent("once_owned", {
           key: owner.key,
           record: owner.record,
           endpoint: owner.endpoint,
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -10,117 +10,121 @@
   WatchQuestion,
 } from "../generated/messages.ts";
 import type { Catalog } from "./catalog.ts";
-import type { Neighbours } from "./neighbours.ts";
+import type { PeerDirectory } from "./peer_directory.ts";
 import type { RegionLog } from "./region_log.ts";
-import { WatchDesk } from "./watch_desk.ts";
+import { PendingWatches } from "./watch_desk.ts";
 
-export interface RelayOptions {
+export interface ConfigurationRelayOptions {
   readonly timer: TimerService;
   readonly availabilityZone: string;
   readonly log: RegionLog;
-  readonly neighbours: Neighbours;
-  /** The inventory in force and its version; undefined while none is. */
-  readonly inForce: () => RelayedConfiguration | undefined;
+  readonly peers: PeerDirectory;
+  /** The active inventory with its version, if there is one. */
+  readonly activeConfiguration: () => RelayedConfiguration | undefined;
 }
 
-/** What sides are told of: an inventory and the version that it belongs to. */
+/** An inventory and the version that it belongs to. */
 export interface RelayedConfiguration {
   readonly catalog: Catalog;
   readonly version: number;
 }
 
-/** Version that is told while no configuration is in force. */
+/** Version in answers while no configuration is active. */
 const NO_VERSION = 0;
 
 /**
- * Relays what is in force from the log to the sides that are attached to this
- * entry. Load: 12,000 sides. Harm prevented: each of them reading the log, which
- * would take more reads than the platform gives. A relay that is behind delays
- * its sides; it can't mislead them, since their positions only rise.
+ * Relays the configuration and orders in force from the log to the sides that
+ * are attached to this entry. 12,000 sides that read the log themselves would
+ * exceed the read rate that the platform allows. A relay that lags only delays
+ * its sides: the positions that a side accepts are monotonic.
  */
-export class Relay {
-  readonly #options: RelayOptions;
-  readonly #desk: WatchDesk;
-  readonly #takenOrders = new TakenOrders();
+export class ConfigurationRelay {
+  readonly #options: ConfigurationRelayOptions;
+  readonly #watches: PendingWatches;
+  readonly #acknowledgedOrders = new TakenOrders();
 
-  constructor(options: RelayOptions) {
+  constructor(options: ConfigurationRelayOptions) {
     this.#options = options;
-    this.#desk = new WatchDesk({
+    this.#watches = new PendingWatches({
       timer: options.timer,
       answerFor: (endpoint) => this.#answerFor(endpoint),
     });
   }
 
-  /** Answers a side's long poll, at once or when there is news for it. */
+  /** Answers a side's long poll, at once or when there is an update for it. */
   watch(question: WatchQuestion): Promise<WatchAnswer> {
-    this.#hear(question.report);
-    return this.#desk.watch(question);
+    this.#recordReport(question.report);
+    return this.#watches.watch(question);
   }
 
-  /** The log has moved on: tells the sides that it concerns. */
-  changed(): void {
-    this.#desk.changed();
+  /** Called when the log has new records; answers the affected long polls. */
+  onLogChange(): void {
+    this.#watches.answerChanged();
   }
 
-  /** Another inventory is in force. */
-  configured(catalog: Catalog): void {
-    this.#takenOrders.keepOnly(new Set(catalog.endpoints()));
-    this.#desk.changed();
+  /** Called when another inventory becomes active. */
+  onConfigurationActive(catalog: Catalog): void {
+    this.#acknowledgedOrders.keepOnly(new Set(catalog.endpoints()));
+    this.#watches.answerChanged();
   }
 
-  /** Answers all that wait, so that the sides turn to another entry. */
+  /**
+   * Answers all pending long polls, so that the sides switch to another entry.
+   */
   close(): void {
-    this.#desk.closeAll();
+    this.#watches.answerAll();
   }
 
   /**
-   * A side that is attached to another entry too may have been told more than
-   * this entry has read: a replica of the log may be stuck.
+   * Records the side's positions. A side that is also attached to another entry
+   * may be ahead of this one, whose log replica may be stuck.
    */
-  #hear(report: SideReport): void {
+  #recordReport(report: SideReport): void {
     const { configuration, orders } = this.#options.log.journals;
-    this.#takenOrders.note(report);
+    this.#acknowledgedOrders.note(report);
     configuration.noteHead(report.configurationVersion);
     orders.noteHead(report.ordersRead + 1);
   }
 
   /**
-   * Version and endpoint come from the same inventory. The log may have applied
-   * a version that is not in force here yet: a side that is told it without its
-   * endpoint takes itself for withdrawn and gets no work until the next one.
+   * Takes version and endpoint from the same inventory. The log may have
+   * applied a version that is not active here yet; a side that got this version
+   * without its endpoint would consider itself withdrawn and get no work until
+   * the next version.
    */
   #answerFor(endpoint: string): WatchAnswer {
-    const { availabilityZone, inForce, log, neighbours } = this.#options;
-    const { catalog, version = NO_VERSION } = inForce() ?? {};
-    const inventoried = catalog?.endpoint(identifier(endpoint));
-    const zone = inventoried?.availabilityZone ?? availabilityZone;
+    const { availabilityZone, activeConfiguration, log, peers } = this.#options;
+    const { catalog, version = NO_VERSION } = activeConfiguration() ?? {};
+    const inventoryEndpoint = catalog?.endpoint(identifier(endpoint));
+    const zone = inventoryEndpoint?.availabilityZone ?? availabilityZone;
     const order = this.#orderFor(endpoint);
     const configuration = this.#configurationOf(identifier(endpoint));
     return {
       configurationVersion: version,
       ordersRead: log.journals.orders.position,
-      entries: neighbours.entriesFor(endpoint, zone),
+      entries: peers.entriesFor(endpoint, zone),
       ...(order && { order }),
       ...(configuration && { endpoint: configuration }),
     };
   }
 
-  /** A withdrawn endpoint gets nothing, not even orders. */
+  /** A withdrawn endpoint gets no orders. */
   #orderFor(endpoint: string): StandingOrder | undefined {
-    const { inForce, log } = this.#options;
-    const state = inForce()?.catalog.endpoint(identifier(endpoint))?.state;
+    const { activeConfiguration, log } = this.#options;
+    const state = activeConfiguration()?.catalog.endpoint(identifier(endpoint))
+      ?.state;
     if (state === "withdrawn") return undefined;
-    const standing = log.orders.standingOrder(endpoint);
-    return this.#takenOrders.answerWith(endpoint, standing);
+    const order = log.orders.standingOrder(endpoint);
+    return this.#acknowledgedOrders.answerWith(endpoint, order);
   }
 
   #configurationOf(id: EndpointId): EndpointConfiguration | undefined {
-    const catalog = this.#options.inForce()?.catalog;
-    const inventoried = catalog?.endpoint(id);
-    if (inventoried === undefined) return undefined;
+    const catalog = this.#options.activeConfiguration()?.catalog;
+    const inventoryEndpoint = catalog?.endpoint(id);
+    if (inventoryEndpoint === undefined) return undefined;
     const engine = catalog?.engineOf(id);
     return {
-      state: inventoried.state ?? "serving",
+      state: inventoryEndpoint.state ?? "serving",
       checksFencing: engine?.checksFencing ?? false,
       resumesStreams: engine?.resumesStreams ?? false,
       ...(engine && {
--- a/src/entry/relay_test.ts
+++ b/src/entry/relay_test.ts
@@ -2,9 +2,9 @@
 import { ManualTimerService } from "../core/time/mod.ts";
 import type { SideReport, WatchAnswer } from "../generated/messages.ts";
 import { Catalog } from "./catalog.ts";
-import type { Neighbours } from "./neighbours.ts";
+import type { PeerDirectory } from "./peer_directory.ts";
 import type { RegionLog } from "./region_log.ts";
-import { Relay, type RelayedConfiguration } from "./relay.ts";
+import { ConfigurationRelay, type RelayedConfiguration } from "./relay.ts";
 
 const REPORT: SideReport = {
   side: "side-portal",
@@ -33,7 +33,7 @@
   }],
 } as unknown as Catalog["inventory"];
 
-/** A log that has applied version 3; nothing stands on its other streams. */
+/** A log that has applied version 3; its other streams are empty. */
 const LOG = {
   configuration: { appliedVersion: 3 },
   journals: {
@@ -43,32 +43,32 @@
   orders: { standingOrder: () => undefined },
 } as unknown as RegionLog;
 
-const NEIGHBOURS = { entriesFor: () => [] } as unknown as Neighbours;
+const PEERS = { entriesFor: () => [] } as unknown as PeerDirectory;
 
-describe("Relay", () => {
-  // An entry that has just been started has applied the newest publication and
-  // still reads in, so that nothing is in force there. A side asks. Told the
-  // version and no endpoint it takes itself for withdrawn, and as it takes no
-  // version twice it stays so: its endpoint gets no work until the next
-  // publication, and callers are refused beside engines that are idle.
-  it("names no version before the inventory of it is in force", async () => {
+describe("ConfigurationRelay", () => {
+  // A restarted entry has applied the newest publication but is still catching
+  // up, so no configuration is active. If it answered a side with the version
+  // and no endpoint, the side would consider itself withdrawn. As it accepts a
+  // version only once, its endpoint would get no work until the next
+  // publication, and callers would be refused while engines are idle.
+  it("sends no version before its inventory is active", async () => {
     const timer = new ManualTimerService();
-    const inForce: { now?: RelayedConfiguration } = {};
-    const relay = new Relay({
+    const active: { value?: RelayedConfiguration } = {};
+    const relay = new ConfigurationRelay({
       timer,
       availabilityZone: "shah-alam",
       log: LOG,
-      neighbours: NEIGHBOURS,
-      inForce: () => inForce.now,
+      peers: PEERS,
+      activeConfiguration: () => active.value,
     });
     let answer: WatchAnswer | undefined;
     void relay.watch({ report: REPORT, waitMilliseconds: 1_000 })
-      .then((given) => answer = given);
+      .then((received) => answer = received);
     await timer.advance(100);
     expect(answer).to.equal(undefined);
     const catalog = new Catalog(INVENTORY);
-    inForce.now = { catalog, version: 3 };
-    relay.configured(catalog);
+    active.value = { catalog, version: 3 };
+    relay.onConfigurationActive(catalog);
     await timer.advance(0);
     expect(answer).to.deep.include({ configurationVersion: 3 });
     expect(answer?.endpoint?.state).to.equal("serving");
--- a/src/entry/profile.ts
+++ b/src/entry/request_profile.ts
@@ -16,7 +16,7 @@
 export interface ProfileOptions {
   readonly catalog: Catalog;
   readonly workClass: WorkClass;
-  /** Timer time of the arrival, milliseconds. */
+  /** Arrival time on the timer's clock, milliseconds. */
   readonly now: number;
   readonly availabilityZone: AvailabilityZoneId;
   readonly hash: (text: string) => string;
@@ -24,32 +24,38 @@
 
 export interface ProfiledRequest {
   readonly profile: RequestProfile;
-  /** Whether the pool's engines resume a stream behind given tokens. */
-  readonly resumes: boolean;
-  /** Tokens from which on a moved answer takes its cache along, if ever. */
+  /** Whether the pool's engines can resume a stream after given tokens. */
+  readonly resumesStreams: boolean;
+  /**
+   * Minimum tokens for a resumed generation to transfer its cache; undefined if
+   * the pool never does.
+   */
   readonly fewestTokensToHandOver?: number;
 }
 
 /**
- * Characters of a token, for the estimate that admission starts from: about
- * four in English text with the common tokenizers. Engines' own counts are
- * learned from; an estimate that is a third off shifts a predicted finish by
- * a part of the prefill only.
+ * Characters per token for the initial estimate of admission: about four in
+ * English text with the common tokenizers. The engines' own counts correct it
+ * later; an error of a third shifts a predicted finish by part of the prefill
+ * only.
  */
 const CHARACTERS_PER_TOKEN = 4;
 /** Tokens that a message's role and separators add. */
 const TOKENS_PER_MESSAGE = 4;
-/** Length of the text whose hash names a cached prefix, characters. */
+/**
+ * Length of a block of prompt text that is hashed for prefix affinity,
+ * characters.
+ */
 const PREFIX_BLOCK_CHARACTERS = 1024;
 /**
- * Longest prefix that is looked at, blocks. Shared system prompts and a file's
- * head fit; hashing the whole of a long log would cost the loop more time
- * than the affinity gains.
+ * Maximum length of a hashed prefix, blocks. It covers shared system prompts
+ * and the head of a file; hashing a whole long log would block the event loop
+ * for longer than the affinity saves.
  */
-const MOST_PREFIX_BLOCKS = 16;
+const MAX_PREFIX_BLOCKS = 16;
 
-/** What admission and placement look at of a request. */
-export function profileOf(
+/** Builds the profile that admission and placement use. */
+export function profileRequest(
   request: CallerRequest,
   options: ProfileOptions,
 ): Result<ProfiledRequest, Refusal> {
@@ -60,7 +66,7 @@
   const text = generation ? promptText(work) : "";
   const deadline = deadlineOf(request, options);
   return ok({
-    resumes: pool.value.engine?.resumesStreams ?? false,
+    resumesStreams: pool.value.engine?.resumesStreams ?? false,
     fewestTokensToHandOver: fewestTokensToHandOver(pool.value.engine),
     profile: {
       requestId: request.requestId,
@@ -94,7 +100,7 @@
     .mapErr((error) => refusal("unknown_route", error.message));
 }
 
-/** The earlier of the rules' deadline and the caller's own. */
+/** The earlier of the work class's deadline and the caller's. */
 function deadlineOf(request: CallerRequest, options: ProfileOptions): number {
   const byRules = options.workClass.deadlineSeconds * 1000;
   const byCaller = request.deadlineMilliseconds ?? Infinity;
@@ -115,18 +121,23 @@
     TOKENS_PER_MESSAGE * work.messages.length;
 }
 
-/** Each block's hash covers all before it, so equal hashes mean equal heads. */
+/**
+ * Chained block hashes: each hash covers all text before it, so equal hashes
+ * mean equal prefixes.
+ */
 function prefixHashes(
   text: string,
   hash: (text: string) => string,
 ): string[] {
   const hashes: string[] = [];
-  let former = "";
-  for (let block = 0; block < MOST_PREFIX_BLOCKS; block++) {
+  let previousHash = "";
+  for (let block = 0; block < MAX_PREFIX_BLOCKS; block++) {
     const start = block * PREFIX_BLOCK_CHARACTERS;
     if (start + PREFIX_BLOCK_CHARACTERS > text.length) break;
-    former = hash(former + text.slice(start, start + PREFIX_BLOCK_CHARACTERS));
-    hashes.push(former);
+    previousHash = hash(
+      previousHash + text.slice(start, start + PREFIX_BLOCK_CHARACTERS),
+    );
+    hashes.push(previousHash);
   }
   return hashes;
 }
--- a/src/entry/request_run.ts
+++ b/src/entry/request_run.ts
@@ -24,7 +24,7 @@
 } from "../generated/messages.ts";
 import type { WorkClass } from "../generated/rules.ts";
 import { Attempt } from "./attempt.ts";
-import type { AttemptEnd } from "./attempt.ts";
+import type { AttemptOutcome } from "./attempt.ts";
 import type { RunContext } from "./run_context.ts";
 
 export interface RequestRunOptions {
@@ -33,77 +33,81 @@
   readonly sink: AnswerSink;
   readonly profile: RequestProfile;
   readonly workClass: WorkClass;
-  /** Whether a generation that was cut off can go on at another engine. */
-  readonly resumes: boolean;
-  /** Tokens from which on a moved answer takes its cache along, if ever. */
+  /** Whether an interrupted generation can resume at another engine. */
+  readonly resumesStreams: boolean;
+  /**
+   * Minimum tokens for a resumed generation to transfer its cache; undefined if
+   * the pool never does.
+   */
   readonly fewestTokensToHandOver?: number;
-  /** The way in which this kind of request is served to its outcome. */
+  /** Serves this kind of request until it has an outcome. */
   readonly serve: (run: RequestRun) => Promise<void>;
   /**
-   * Whether an attempt is cancelled when nobody waits for it any more. A call
-   * that may have its effect once only is not: cutting it off would hide the
-   * effect, not undo it.
+   * Whether an attempt is cancelled when nobody waits for it any more. A
+   * non-idempotent call is not: cancelling it would hide its effect instead of
+   * undoing it.
    */
   readonly cancelsAttempts: boolean;
-  /** Called once, when the final outcome has been given. */
+  /** Called once, when the final outcome is known. */
   readonly done: (outcome: Outcome) => void;
 }
 
 /**
- * When a caller should come back after a fault that is no matter of load: a
- * suspicion or a restart is over in about a second.
+ * Retry-After for failures that are not caused by load: a suspicion or a
+ * restart is over in about a second.
  */
 const RETRY_AFTER_MILLISECONDS = 1_000;
 
 /**
- * The life of one request at an entry, up to exactly one final outcome: queue,
- * attempts, resumption, answer. The final outcome is given the moment it is
- * known; nothing holds it back.
+ * One request at an entry, from queueing through attempts and resumption to
+ * exactly one final outcome, which is delivered as soon as it is known.
  */
 export class RequestRun {
   readonly options: RequestRunOptions;
   readonly assembler: AnswerAssembler;
   #attempt: Attempt | undefined;
   #waiting: WaitingRequest | undefined;
-  /** True once any attempt may have had its effect. */
+  /** True once any attempt may have had an effect. */
   #mayHaveRun = false;
-  /** Cache of the attempt that was moved last. */
+  /** Cache exported by the last failed attempt. */
   #cache: CacheHandover | undefined;
   readonly #excluded = new Set<EndpointId>();
-  readonly #deadline: Subscription;
+  readonly #deadlineTimer: Subscription;
   #attempts = 0;
-  /** How the last attempt ended, the reason of the next one. */
-  #lastEnd = "none";
+  /**
+   * Failure reason of the last attempt, reported as the reason of the retry.
+   */
+  #lastFailure = "none";
   #settled = false;
 
   constructor(options: RequestRunOptions) {
     this.options = options;
     this.assembler = new AnswerAssembler({
-      onToken: (text, index) => this.#deliver(text, index),
+      onToken: (text, index) => this.#deliverToken(text, index),
     });
     const timeLeft = options.profile.deadline - options.context.timer.now();
-    this.#deadline = options.context.timer.after(
+    this.#deadlineTimer = options.context.timer.after(
       timeLeft,
       () => this.#onDeadline(),
     );
   }
 
-  /** Serves the request to its outcome. */
+  /** Starts serving the request. */
   start(): void {
     void this.options.serve(this);
   }
 
-  /** The caller has hung up: nobody is left to answer. */
+  /** The caller has disconnected. */
   cancel(): void {
     if (this.#settled) return;
     this.#waiting?.cancel();
-    this.#abandonAttempt();
-    this.finish(unknownOutcome("The caller has hung up"));
+    this.#cancelAttempt();
+    this.finish(unknownOutcome("The caller has disconnected"));
   }
 
-  /** The entry is leaving and can't wait for the answer any longer. */
-  giveUp(detail: string): void {
-    this.#endWaiting({
+  /** Ends the request because the entry shuts down. */
+  abort(detail: string): void {
+    this.#terminate({
       kind: "not_run",
       reason: "draining",
       detail,
@@ -111,17 +115,19 @@
     });
   }
 
-  /** The caller reads again. */
+  /** The caller reads again; resumes the stream. */
   drained(): void {
     this.#attempt?.resume();
   }
 
-  /** This entry can't hear the endpoint's side any more. */
-  suspect(endpoint: EndpointId): void {
-    if (this.#attempt?.endpoint === endpoint) this.#attempt.giveUp();
+  /**
+   * The side of this endpoint is suspected; an attempt at it counts as lost.
+   */
+  onSuspected(endpoint: EndpointId): void {
+    if (this.#attempt?.endpoint === endpoint) this.#attempt.markLost();
   }
 
-  /** True once the final outcome has been given. */
+  /** True once the final outcome is known. */
   get settled(): boolean {
     return this.#settled;
   }
@@ -131,23 +137,24 @@
   }
 
   /**
-   * Waits for a slot. The slot that a settled request gets goes back unused.
+   * Waits for a slot. If the request has settled meanwhile, the slot is
+   * released unused.
    */
   async place(
     submitted: Result<WaitingRequest, Refusal>,
   ): Promise<Result<Placement, Refusal>> {
     if (submitted.isErr()) return err(submitted.error);
     this.#waiting = submitted.value;
-    const queued = this.#startSpan("entry.queue");
+    const queueSpan = this.#startSpan("entry.queue");
     const placed = await submitted.value.placed;
-    queued.end();
+    queueSpan.end();
     this.#waiting = undefined;
     if (placed.isErr()) return placed;
     if (this.#settled) {
-      placed.value.release(UNUSED_SLOT);
-      return err(notPlaced("nobody waits any more"));
+      placed.value.release(UNUSED_SLOT_SUMMARY);
+      return err(noEndpoint("the request has already ended"));
     }
-    this.options.context.tell("request_placed", {
+    this.options.context.emitEvent("request_placed", {
       requestId: this.options.request.requestId,
       endpoint: placed.value.endpoint,
       className: this.options.profile.className,
@@ -155,8 +162,8 @@
     return placed;
   }
 
-  /** The profile as it stands after the attempts so far. */
-  profileNow(): RequestProfile {
+  /** The profile updated with the results of the attempts so far. */
+  currentProfile(): RequestProfile {
     return {
       ...this.options.profile,
       deliveredTokens: this.assembler.deliveredTokens.length,
@@ -164,11 +171,11 @@
     };
   }
 
-  /** Sends one attempt and waits for its end. */
+  /** Sends one attempt and waits until it has ended. */
   async runAttempt(
     placement: Placement,
     permit?: OncePermit,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptOutcome> {
     const resumed = this.assembler.deliveredTokens.length > 0;
     const span = this.#startSpan(resumed ? "entry.resume" : "entry.dispatch", {
       endpoint: placement.endpoint,
@@ -177,7 +184,7 @@
       permit,
       traceparent: span.traceparent ?? this.options.request.traceparent,
     });
-    this.#tellSent(request);
+    this.#emitSentEvent(request);
     this.#attempt = new Attempt({
       context: this.options.context,
       request,
@@ -187,7 +194,7 @@
     const end = await this.#attempt.ended;
     this.#attempt = undefined;
     if (end.kind !== "complete") {
-      this.#lastEnd = end.reason;
+      this.#lastFailure = end.reason;
       this.#excluded.add(placement.endpoint);
       span.fail(end.reason);
     }
@@ -199,7 +206,7 @@
     return end;
   }
 
-  /** Gives the whole answer's end to the caller. */
+  /** Finishes the request with the complete answer. */
   finishAnswered(): void {
     const complete = this.assembler.complete;
     if (complete === undefined) return;
@@ -208,15 +215,15 @@
       this.finish({ kind: "answered", tokens, reason });
     } else {
       const { status, contentType = "text/plain", body } = complete.frame;
-      this.giveResponse({ status, contentType, body });
+      this.deliverResponse({ status, contentType, body });
     }
   }
 
-  giveResponse(
+  deliverResponse(
     answer: { status: number; contentType: string; body: string },
   ): void {
     if (this.#settled) return;
-    this.options.context.tell("response_delivered", {
+    this.options.context.emitEvent("response_delivered", {
       requestId: this.options.request.requestId,
       status: answer.status,
       body: answer.body,
@@ -225,8 +232,11 @@
     this.finish({ kind: "answered", tokens: 0, reason: "response" });
   }
 
-  /** A refusal is only true while no attempt can have run. */
-  finishWithout(refusal: Refusal): void {
+  /**
+   * Finishes with the refusal, or with an unknown outcome if an attempt may
+   * have run.
+   */
+  finishRefused(refusal: Refusal): void {
     if (!this.#mayHaveRun) return this.finish(refusal);
     this.finish({
       ...unknownOutcome(`The answer could not be completed: ${refusal.detail}`),
@@ -237,9 +247,9 @@
   finish(outcome: Outcome): void {
     if (this.#settled) return;
     this.#settled = true;
-    this.#deadline.cancel();
+    this.#deadlineTimer.cancel();
     const { request, context, profile, sink, done } = this.options;
-    context.tell("request_finished", {
+    context.emitEvent("request_finished", {
       requestId: request.requestId,
       className: profile.className,
       onTime: context.timer.now() <= profile.deadline,
@@ -253,7 +263,7 @@
   }
 
   #onDeadline(): void {
-    this.#endWaiting({
+    this.#terminate({
       kind: "not_run",
       reason: "late",
       detail: "The deadline has passed",
@@ -261,36 +271,37 @@
     });
   }
 
-  #endWaiting(refusal: Refusal): void {
+  #terminate(refusal: Refusal): void {
     if (this.#settled) return;
     this.#waiting?.cancel();
     if (this.#attempt !== undefined || this.#isKeyOwned()) {
       this.#mayHaveRun = true;
     }
-    this.#abandonAttempt();
-    this.finishWithout(refusal);
+    this.#cancelAttempt();
+    this.finishRefused(refusal);
   }
 
   /**
-   * A repeat has sent nothing itself while the first call with its key may
-   * have run. Told "not run", the caller would send the call with a new key,
-   * and it would take effect twice.
+   * True if a record exists for the request's key. A repeated call may have
+   * sent nothing itself while the first call with its key may have run. If it
+   * ended as `not_run`, the caller would send the call with a new key, and it
+   * would take effect twice.
    */
   #isKeyOwned(): boolean {
     const { context, request } = this.options;
     const { idempotencyKey, workspace } = request;
     if (idempotencyKey === undefined) return false;
-    return context.once.isOwned(idempotencyKey, workspace);
+    return context.onceCoordinator.isOwned(idempotencyKey, workspace);
   }
 
-  #abandonAttempt(): void {
+  #cancelAttempt(): void {
     if (this.options.cancelsAttempts) this.#attempt?.cancel();
   }
 
-  #deliver(text: string, index: number): void {
+  #deliverToken(text: string, index: number): void {
     if (this.#settled) return;
     const { context, request, sink } = this.options;
-    context.tell("token_delivered", {
+    context.emitEvent("token_delivered", {
       requestId: request.requestId,
       index,
       text,
@@ -300,7 +311,7 @@
 
   #attemptRequest(
     endpoint: EndpointId,
-    given: { permit: OncePermit | undefined; traceparent: string | undefined },
+    extra: { permit: OncePermit | undefined; traceparent: string | undefined },
   ): AttemptRequest {
     const { request, workClass, profile, context } = this.options;
     this.#attempts += 1;
@@ -322,13 +333,13 @@
     if (fewestTokensToHandOver !== undefined) {
       attempt.fewestTokensToHandOver = fewestTokensToHandOver;
     }
-    if (given.permit !== undefined) attempt.once = given.permit;
+    if (extra.permit !== undefined) attempt.once = extra.permit;
     else if (!profile.idempotent) {
       const report = context.directory.reportOf(endpoint);
       if (report) attempt.sideIncarnation = report.incarnation;
     }
-    if (given.traceparent !== undefined) {
-      attempt.traceparent = given.traceparent;
+    if (extra.traceparent !== undefined) {
+      attempt.traceparent = extra.traceparent;
     }
     return attempt;
   }
@@ -341,7 +352,7 @@
     });
   }
 
-  #tellSent(attempt: AttemptRequest): void {
+  #emitSentEvent(attempt: AttemptRequest): void {
     const { context } = this.options;
     const facts: Record<string, string | number | boolean> = {
       requestId: attempt.requestId,
@@ -353,25 +364,25 @@
       facts.key = attempt.once.key;
     }
     if (this.#attempts > 1) {
-      context.tell("retry", { ...facts, reason: this.#lastEnd });
+      context.emitEvent("retry", { ...facts, reason: this.#lastFailure });
     }
-    context.tell("attempt_sent", facts);
+    context.emitEvent("attempt_sent", facts);
   }
 }
 
-/** How a slot that was not used goes back. */
-export const UNUSED_SLOT: AttemptSummary = {
+/** Attempt summary for releasing an unused slot. */
+export const UNUSED_SLOT_SUMMARY: AttemptSummary = {
   result: "cancelled",
   tokens: 0,
   totalMilliseconds: 0,
 };
 
-/** No endpoint has taken the request, for the reason that `detail` gives. */
-export function notPlaced(detail: string): Refusal {
+/** Refusal for a request that no endpoint accepted; `detail` is the reason. */
+export function noEndpoint(detail: string): Refusal {
   return {
     kind: "not_run",
     reason: "no_endpoint",
-    detail: `No endpoint took the request: ${detail}`,
+    detail: `No endpoint accepted the request: ${detail}`,
     retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS,
   };
 }
--- a/src/entry/run_context.ts
+++ b/src/entry/run_context.ts
@@ -5,15 +5,15 @@
 import type { TimerService } from "../core/time/mod.ts";
 import type { SideDirectory } from "./side_directory.ts";
 
-/** What every request's run at one entry shares. */
+/** Dependencies that all request runs of one entry share. */
 export interface RunContext {
   readonly timer: TimerService;
   readonly scheduler: Scheduler;
-  readonly sides: SideLink;
+  readonly sideLink: SideLink;
   readonly directory: SideDirectory;
-  readonly once: OnceCoordinator;
-  /** Most attempts of one request, the first included. */
+  readonly onceCoordinator: OnceCoordinator;
+  /** Maximum attempts per request, including the first. */
   readonly mostAttempts: number;
   readonly tracer: Tracer;
-  readonly tell: Tell;
+  readonly emitEvent: Tell;
 }
--- a/src/entry/side_directory.ts
+++ b/src/entry/side_directory.ts
@@ -10,81 +10,82 @@
   readonly reportMilliseconds: number;
   /** Silence after which this entry stops using a side, milliseconds. */
   readonly suspectMilliseconds: number;
-  /** False for a report that a newer run of the side has overtaken. */
+  /** False for a report of an incarnation that a newer one has replaced. */
   readonly accepts: (report: SideReport) => boolean;
   readonly onReport: (report: SideReport, receivedAt: number) => void;
   readonly onSuspicion: (endpoint: EndpointId, suspected: boolean) => void;
 }
 
-interface KnownSide {
+interface TrackedSide {
   readonly endpoint: EndpointId;
   readonly address: PeerAddress;
   report: SideReport | undefined;
-  /** Number of the change in which its planning facts were last new. */
-  changed: number;
-  lastHeard: number;
+  /** Number of the last change of the fields that the planner uses. */
+  changeNumber: number;
+  lastSeenAt: number;
   suspected: boolean;
-  asking: boolean;
-  /** Attempts of this entry that are under way at the side. */
-  attempts: number;
+  polling: boolean;
+  /** Running attempts of this entry at the side. */
+  activeAttempts: number;
 }
 
 /**
- * Questions for a report that one entry sends in a second. Load: an entry that
- * uses a hundred sides. Harm prevented: asking each of them every second would
- * cost 60 KB/s, twelve times what a node may spend on control. Limit: four
- * questions of about 600 bytes are half of that allowance. What is rarer than a
- * second for an idle side is made up for by the load that ends every answer.
+ * Report requests per second of one entry. Polling each of a hundred sides
+ * every second would cost 60 KB/s, twelve times a node's control traffic
+ * budget. Four requests of about 600 bytes use half of the budget. The load in
+ * every final frame makes up for polling an idle side less than once a second.
  */
-const MOST_ASKED_PER_SECOND = 4;
-/** Rounds of asking that an idle side may miss before it is suspected. */
-const ROUNDS_UNTIL_SUSPECTED = 2.5;
-/** A side that is attached here and has not spoken for this long is gone. */
-const FORGET_ATTACHED_MILLISECONDS = 60_000;
+const MAX_REPORT_REQUESTS_PER_SECOND = 4;
+/** Poll cycles that an idle side may miss before it is suspected. */
+const POLL_CYCLES_UNTIL_SUSPECTED = 2.5;
+/** Expiry of the report of an attached side, milliseconds. */
+const ATTACHED_EXPIRY_MILLISECONDS = 60_000;
 
 interface AttachedSide {
   readonly report: SideReport;
-  readonly at: number;
-  readonly changed: number;
+  readonly receivedAt: number;
+  readonly changeNumber: number;
 }
 
 /**
- * What this entry knows of the sides that it uses: by asking them, by the
- * frames of its own attempts, and by the long polls of attached sides.
+ * State of the sides that this entry uses, from report polling, frames of its
+ * own attempts, and long polls of attached sides.
  *
- * Suspicion is this entry's own: an entry that is cut off from a side stops
- * using it and tells nobody, because the cut may be on the entry's own end.
+ * Suspicion is local: an entry that is partitioned from a side stops using it
+ * and does not inform other entries, because the fault may be on its own link.
  */
 export class SideDirectory {
   readonly #options: SideDirectoryOptions;
-  readonly #sides = new Map<EndpointId, KnownSide>();
-  /** Reports of sides that are attached here and not used by this entry. */
+  readonly #sides = new Map<EndpointId, TrackedSide>();
+  /** Reports of attached sides that this entry does not use. */
   readonly #attached = new Map<string, AttachedSide>();
-  #asking: Subscription | undefined;
-  /** Sides whose turn to be asked has not come yet in this round. */
-  #round: Iterator<KnownSide> | undefined;
-  #allowance = 0;
+  #pollTimer: Subscription | undefined;
+  /** Sides that are still to be polled in this cycle. */
+  #pollCycle: Iterator<TrackedSide> | undefined;
+  #pollCredit = 0;
   #change = 0;
-  #lastTick = 0;
+  #lastTickAt = 0;
 
   constructor(options: SideDirectoryOptions) {
     this.#options = options;
   }
 
   start(): void {
-    this.#lastTick = this.#options.timer.now();
-    this.#asking = this.#options.timer.every(
+    this.#lastTickAt = this.#options.timer.now();
+    this.#pollTimer = this.#options.timer.every(
       this.#options.reportMilliseconds,
       () => this.#tick(),
     );
   }
 
   stop(): void {
-    this.#asking?.cancel();
+    this.#pollTimer?.cancel();
   }
 
-  /** Uses just these sides from now on; what is known of them stays. */
-  use(sides: ReadonlyMap<EndpointId, PeerAddress>): void {
+  /**
+   * Replaces the set of sides in use; the state of sides that remain is kept.
+   */
+  setSides(sides: ReadonlyMap<EndpointId, PeerAddress>): void {
     for (const known of [...this.#sides.values()]) {
       if (sides.get(known.endpoint) !== known.address) {
         this.#sides.delete(known.endpoint);
@@ -105,207 +106,232 @@
     return this.#sides.get(endpoint)?.suspected ?? false;
   }
 
-  /** Number of the newest change in what a planner looks at. */
+  /** Number of the latest change of the fields that the planner uses. */
   get change(): number {
     return this.#change;
   }
 
   /**
-   * The newest report of each side that is used or attached here, of those
-   * whose planning facts have changed after the given change.
+   * Latest reports of the sides that are used or attached here, filtered to
+   * those whose planning fields changed after the given change number.
    */
   reports(afterChange = 0): SideReport[] {
-    this.#forgetAttached();
+    this.#dropExpiredAttached();
     const known = [...this.#sides.values(), ...this.#attached.values()];
-    return known.filter((side) => side.changed > afterChange)
+    return known.filter((side) => side.changeNumber > afterChange)
       .map((side) => side.report as SideReport);
   }
 
-  /** A report that came with a side's long poll. */
-  heard(report: SideReport): void {
+  /** Records a report that came with a side's long poll. */
+  recordReport(report: SideReport): void {
     const side = this.#sides.get(identifier(report.endpoint));
-    if (side !== undefined) return this.#take(side, report);
-    const at = this.#options.timer.now();
-    const before = this.#attached.get(report.endpoint);
-    const changed = this.#changeOf(report, before);
-    this.#attached.set(report.endpoint, { report, at, changed });
+    if (side !== undefined) return this.#acceptReport(side, report);
+    const receivedAt = this.#options.timer.now();
+    const previous = this.#attached.get(report.endpoint);
+    const changeNumber = this.#changeNumberFor(report, previous);
+    this.#attached.set(report.endpoint, {
+      report,
+      receivedAt,
+      changeNumber,
+    });
   }
 
-  /** A frame came: the side lives; its last one tells the load as well. */
-  signOfLife(endpoint: EndpointId, load?: EndpointLoad): void {
+  /**
+   * Records a frame as a sign that the side is alive; final frames also carry
+   * its load.
+   */
+  recordFrame(endpoint: EndpointId, load?: EndpointLoad): void {
     const side = this.#sides.get(endpoint);
     if (side === undefined) return;
-    side.lastHeard = this.#options.timer.now();
+    side.lastSeenAt = this.#options.timer.now();
     this.#setSuspected(side, false);
     if (load === undefined || side.report === undefined) return;
     side.report = { ...side.report, load };
-    this.#options.onReport(side.report, side.lastHeard);
+    this.#options.onReport(side.report, side.lastSeenAt);
   }
 
-  /** An attempt begins or ends at the side; while it runs, silence counts. */
-  attemptBegins(endpoint: EndpointId): () => void {
+  /**
+   * Counts a running attempt at the side until the returned function is called.
+   * Meanwhile the shorter silence timeout applies.
+   */
+  trackAttempt(endpoint: EndpointId): () => void {
     const side = this.#sides.get(endpoint);
     if (side === undefined) return () => {};
-    if (side.attempts === 0) side.lastHeard = this.#options.timer.now();
-    side.attempts += 1;
+    if (side.activeAttempts === 0) side.lastSeenAt = this.#options.timer.now();
+    side.activeAttempts += 1;
     let ended = false;
     return () => {
-      if (!ended) side.attempts -= 1;
+      if (!ended) side.activeAttempts -= 1;
       ended = true;
     };
   }
 
   /**
-   * A message to the side was lost. It is asked at once: where the question
-   * fails as well, waiting for the usual silence would send more work there.
+   * A message to the side was lost. Requests a report at once and suspects the
+   * side if that fails as well: waiting for the usual silence timeout would
+   * send it more work.
    */
-  messageLost(endpoint: EndpointId): void {
+  onMessageLost(endpoint: EndpointId): void {
     const side = this.#sides.get(endpoint);
-    if (side !== undefined && !side.asking) {
-      void this.#ask(side, { suspectIfLost: true });
+    if (side !== undefined && !side.polling) {
+      void this.#poll(side, { suspectIfLost: true });
     }
   }
 
   #add(endpoint: EndpointId, address: PeerAddress): void {
     if (this.#sides.has(endpoint)) return;
-    const side: KnownSide = {
+    const side: TrackedSide = {
       endpoint,
       address,
       report: undefined,
-      changed: 0,
-      lastHeard: this.#options.timer.now(),
+      changeNumber: 0,
+      lastSeenAt: this.#options.timer.now(),
       suspected: false,
-      asking: false,
-      attempts: 0,
+      polling: false,
+      activeAttempts: 0,
     };
     this.#sides.set(endpoint, side);
     this.#attached.delete(endpoint);
-    // New sides are asked at once: without a report they get no work.
-    void this.#ask(side);
+    // A new side is polled at once; it gets no work until it has reported.
+    void this.#poll(side);
   }
 
   #tick(): void {
     const { timer, reportMilliseconds } = this.#options;
     const now = timer.now();
-    this.#forgiveOwnPause(now);
+    this.#excludeOwnPause(now);
     for (const side of this.#sides.values()) {
-      this.#judge(side);
-      const silent = now - side.lastHeard >= reportMilliseconds;
-      const matters = side.attempts > 0 || side.report === undefined;
-      if (silent && matters && !side.asking) void this.#ask(side);
+      this.#checkSilence(side);
+      const isSilent = now - side.lastSeenAt >= reportMilliseconds;
+      const needsReport = side.activeAttempts > 0 || side.report === undefined;
+      if (isSilent && needsReport && !side.polling) void this.#poll(side);
     }
-    this.#askNextInRound();
+    this.#pollNextSides();
   }
 
   /**
-   * Leaves out the time in which this process itself stood still. What goes
-   * wrong without it: an entry whose VM was paused wakes up, takes every side
-   * for silent, and gives up all its healthy streams at once with nowhere left
-   * to resume them.
+   * Excludes time in which this process itself was paused. Otherwise an entry
+   * whose VM resumes after a pause would suspect every side and abort all its
+   * healthy streams at once, with no endpoint left to resume them.
    */
-  #forgiveOwnPause(now: number): void {
+  #excludeOwnPause(now: number): void {
     const { reportMilliseconds } = this.#options;
-    const late = now - this.#lastTick - reportMilliseconds;
-    this.#lastTick = now;
-    if (late < reportMilliseconds) return;
-    for (const side of this.#sides.values()) side.lastHeard += late;
+    const paused = now - this.#lastTickAt - reportMilliseconds;
+    this.#lastTickAt = now;
+    if (paused < reportMilliseconds) return;
+    for (const side of this.#sides.values()) side.lastSeenAt += paused;
   }
 
-  /** Goes round all sides within the rate; a round may take many ticks. */
-  #askNextInRound(): void {
-    const perTick = MOST_ASKED_PER_SECOND * this.#options.reportMilliseconds /
+  /**
+   * Polls the sides in turn within the rate limit; a cycle may take many ticks.
+   */
+  #pollNextSides(): void {
+    const perTick = MAX_REPORT_REQUESTS_PER_SECOND *
+      this.#options.reportMilliseconds /
       1000;
-    this.#allowance = Math.min(
-      this.#allowance + perTick,
+    this.#pollCredit = Math.min(
+      this.#pollCredit + perTick,
       Math.max(1, perTick),
     );
-    for (; this.#allowance >= 1; this.#allowance -= 1) {
-      const side = this.#nextInRound();
+    for (; this.#pollCredit >= 1; this.#pollCredit -= 1) {
+      const side = this.#nextInCycle();
       if (side === undefined) return;
-      if (!side.asking) void this.#ask(side);
+      if (!side.polling) void this.#poll(side);
     }
   }
 
-  #nextInRound(): KnownSide | undefined {
-    const next = this.#round?.next();
+  #nextInCycle(): TrackedSide | undefined {
+    const next = this.#pollCycle?.next();
     if (next !== undefined && !next.done) return next.value;
-    this.#round = [...this.#sides.values()].values();
-    const first = this.#round.next();
+    this.#pollCycle = [...this.#sides.values()].values();
+    const first = this.#pollCycle.next();
     return first.done ? undefined : first.value;
   }
 
-  async #ask(
-    side: KnownSide,
+  async #poll(
+    side: TrackedSide,
     options: { suspectIfLost: boolean } = { suspectIfLost: false },
   ): Promise<void> {
-    side.asking = true;
+    side.polling = true;
     const report = await this.#options.sides.report(side.address);
-    side.asking = false;
+    side.polling = false;
     if (this.#sides.get(side.endpoint) !== side) return;
-    if (report.isOk()) this.#take(side, report.value);
+    if (report.isOk()) this.#acceptReport(side, report.value);
     else if (options.suspectIfLost) this.#setSuspected(side, true);
-    else this.#judge(side);
+    else this.#checkSilence(side);
   }
 
-  #take(side: KnownSide, report: SideReport): void {
+  #acceptReport(side: TrackedSide, report: SideReport): void {
     if (report.endpoint !== side.endpoint) return;
     if (!this.#options.accepts(report)) return;
-    side.changed = this.#changeOf(report, side);
+    side.changeNumber = this.#changeNumberFor(report, side);
     side.report = report;
-    side.lastHeard = this.#options.timer.now();
+    side.lastSeenAt = this.#options.timer.now();
     this.#setSuspected(side, false);
-    this.#options.onReport(report, side.lastHeard);
+    this.#options.onReport(report, side.lastSeenAt);
   }
 
-  /** Number of the change that a report brings; the former one without news. */
-  #changeOf(
+  /**
+   * Returns the change number for a report: the previous one if the planning
+   * fields are unchanged, otherwise a new one.
+   */
+  #changeNumberFor(
     report: SideReport,
-    before: { report: SideReport | undefined; changed: number } | undefined,
+    known: { report: SideReport | undefined; changeNumber: number } | undefined,
   ): number {
-    if (before?.report !== undefined && isSamePlan(before.report, report)) {
-      return before.changed;
+    if (
+      known?.report !== undefined &&
+      isSameForPlanning(known.report, report)
+    ) {
+      return known.changeNumber;
     }
     this.#change += 1;
     return this.#change;
   }
 
-  #forgetAttached(): void {
-    const oldest = this.#options.timer.now() - FORGET_ATTACHED_MILLISECONDS;
-    for (const [endpoint, { at }] of this.#attached) {
-      if (at < oldest) this.#attached.delete(endpoint);
+  #dropExpiredAttached(): void {
+    const cutoff = this.#options.timer.now() - ATTACHED_EXPIRY_MILLISECONDS;
+    for (const [endpoint, { receivedAt }] of this.#attached) {
+      if (receivedAt < cutoff) this.#attached.delete(endpoint);
     }
   }
 
-  #judge(side: KnownSide): void {
-    const silent = this.#options.timer.now() - side.lastHeard;
-    const patience = side.attempts > 0
+  #checkSilence(side: TrackedSide): void {
+    const silence = this.#options.timer.now() - side.lastSeenAt;
+    const timeout = side.activeAttempts > 0
       ? this.#options.suspectMilliseconds
-      : this.#idlePatience();
-    if (silent > patience) this.#setSuspected(side, true);
+      : this.#idleTimeout();
+    if (silence > timeout) this.#setSuspected(side, true);
   }
 
-  /** An idle side is asked once in a round only, so its silence means less. */
-  #idlePatience(): number {
+  /**
+   * Silence timeout of an idle side. It is polled only once per cycle, so the
+   * timeout is longer.
+   */
+  #idleTimeout(): number {
     const { reportMilliseconds, suspectMilliseconds } = this.#options;
-    const round = Math.max(
+    const cycleMilliseconds = Math.max(
       reportMilliseconds,
-      this.#sides.size * 1000 / MOST_ASKED_PER_SECOND,
+      this.#sides.size * 1000 / MAX_REPORT_REQUESTS_PER_SECOND,
+    );
+    return Math.max(
+      suspectMilliseconds,
+      POLL_CYCLES_UNTIL_SUSPECTED * cycleMilliseconds,
     );
-    return Math.max(suspectMilliseconds, ROUNDS_UNTIL_SUSPECTED * round);
   }
 
-  #setSuspected(side: KnownSide, suspected: boolean): void {
+  #setSuspected(side: TrackedSide, suspected: boolean): void {
     if (side.suspected === suspected) return;
     side.suspected = suspected;
     this.#options.onSuspicion(side.endpoint, suspected);
   }
 }
 
-/** Whether a planner would plan the same by both reports. */
-function isSamePlan(one: SideReport, other: SideReport): boolean {
-  return one.incarnation === other.incarnation && one.state === other.state &&
-    one.role === other.role && one.weights === other.weights &&
-    one.orderTaken === other.orderTaken &&
-    one.orderApplied === other.orderApplied &&
-    one.configurationVersion === other.configurationVersion;
+/** True if the two reports are equal in all fields that the planner uses. */
+function isSameForPlanning(a: SideReport, b: SideReport): boolean {
+  return a.incarnation === b.incarnation && a.state === b.state &&
+    a.role === b.role && a.weights === b.weights &&
+    a.orderTaken === b.orderTaken &&
+    a.orderApplied === b.orderApplied &&
+    a.configurationVersion === b.configurationVersion;
 }
--- a/src/entry/side_directory_test.ts
+++ b/src/entry/side_directory_test.ts
@@ -8,7 +8,7 @@
 import type { SideReport } from "../generated/messages.ts";
 import { SideDirectory } from "./side_directory.ts";
 
-const LOST = defineError<Record<never, never>>()({
+const LINK_LOST = defineError<Record<never, never>>()({
   name: "link_lost",
   title: "Lost",
   message: () => "Gone",
@@ -28,34 +28,39 @@
   };
 }
 
-/** Time that passes a little between any two looks, as real time does. */
-class PassingTimerService extends ManualTimerService {
-  #looks = 0;
-  /** Alarms stand still, as in a process that is paused. */
+/** A clock that advances slightly with every read, as a real one does. */
+class AdvancingTimerService extends ManualTimerService {
+  #reads = 0;
+  /**
+   * Time for which the process was paused: the clock advances but no timer
+   * fires.
+   */
   pausedMilliseconds = 0;
 
   override now(): number {
-    return super.now() + this.pausedMilliseconds + this.#looks++ / 1_000;
+    return super.now() + this.pausedMilliseconds + this.#reads++ / 1_000;
   }
 }
 
 describe("SideDirectory", () => {
-  let timer: PassingTimerService;
-  let asked: number;
-  let silent: Set<string>;
+  let timer: AdvancingTimerService;
+  let requestCount: number;
+  let silentSides: Set<string>;
   let suspicions: string[];
   let directory: SideDirectory;
 
   beforeEach(() => {
-    timer = new PassingTimerService();
-    asked = 0;
-    silent = new Set();
+    timer = new AdvancingTimerService();
+    requestCount = 0;
+    silentSides = new Set();
     suspicions = [];
     const sides = {
       report(address: string) {
-        asked += 1;
+        requestCount += 1;
         return Promise.resolve(
-          silent.has(address) ? err(failure(LOST, {})) : ok(reportOf(address)),
+          silentSides.has(address)
+            ? err(failure(LINK_LOST, {}))
+            : ok(reportOf(address)),
         );
       },
     } as unknown as SideLink;
@@ -74,77 +79,77 @@
 
   afterEach(() => directory.stop());
 
-  function use(count: number): EndpointId[] {
+  function useSides(count: number): EndpointId[] {
     const ids = Array.from(
       { length: count },
       (_, index) => identifier<EndpointId>(`e-${index}`),
     );
-    directory.use(
+    directory.setSides(
       new Map(ids.map((id) => [id, identifier<PeerAddress>(id)])),
     );
     return ids;
   }
 
-  // The fleet grows to a hundred sides for each entry. Asking all of them every
-  // second would take the node's whole allowance for control twelve times.
-  it("asks at a bounded rate however many sides there are", async () => {
-    use(112);
+  // With a hundred sides per entry, polling all of them every second would take
+  // twelve times the node's control traffic budget.
+  it("polls at a bounded rate for any number of sides", async () => {
+    useSides(112);
     await timer.advance(0);
-    asked = 0;
+    requestCount = 0;
     await timer.advance(60_000);
-    expect(asked).to.be.within(200, 260);
+    expect(requestCount).to.be.within(200, 260);
     expect(suspicions).to.deep.equal([]);
   });
 
-  // A side hangs with an attempt of this entry in it. The caller hears nothing
-  // until the entry gives the side up.
-  it("suspects a silent side with work after the short time", async () => {
-    const [endpoint] = use(112);
+  // A side hangs with a running attempt of this entry. The caller gets nothing
+  // until the entry ends the attempt as lost.
+  it("suspects a silent side with work after the short timeout", async () => {
+    const [endpoint] = useSides(112);
     await timer.advance(2_000);
-    directory.attemptBegins(endpoint);
-    silent.add(endpoint);
+    directory.trackAttempt(endpoint);
+    silentSides.add(endpoint);
     await timer.advance(5_000);
     expect(suspicions).to.deep.equal([`${endpoint} true`]);
   });
 
-  // A side's VM is gone. The first lost message is enough to ask, and the
-  // unanswered question is enough to send nothing more there.
-  it("suspects a side at once when message and question are lost", async () => {
-    const [endpoint] = use(3);
+  // A side's VM is lost. The first lost message triggers a report request, and
+  // its failure is enough to stop sending work there.
+  it("suspects a side at once when a message and the report request are lost", async () => {
+    const [endpoint] = useSides(3);
     await timer.advance(2_000);
-    silent.add(endpoint);
-    directory.messageLost(endpoint);
+    silentSides.add(endpoint);
+    directory.onMessageLost(endpoint);
     await timer.advance(0);
     expect(suspicions).to.deep.equal([`${endpoint} true`]);
-    silent.delete(endpoint);
+    silentSides.delete(endpoint);
     await timer.advance(2_000);
     expect(suspicions.at(-1)).to.equal(`${endpoint} false`);
   });
 
-  // A side restarts. Left suspected, it would get no work for good.
-  it("trusts a side again once it reports", async () => {
-    const [endpoint] = use(3);
-    silent.add(endpoint);
+  // A side restarts. If it stayed suspected, it would never get work again.
+  it("clears the suspicion once the side reports", async () => {
+    const [endpoint] = useSides(3);
+    silentSides.add(endpoint);
     await timer.advance(20_000);
-    silent.delete(endpoint);
+    silentSides.delete(endpoint);
     await timer.advance(5_000);
     expect(suspicions).to.deep.equal([`${endpoint} true`, `${endpoint} false`]);
   });
 
-  // The entry's own VM is paused for half a minute. When it wakes up, the sides
-  // have been silent for it only; their streams are healthy.
-  it("blames no side for its own pause", async () => {
-    const [endpoint] = use(3);
-    directory.attemptBegins(endpoint);
+  // The entry's own VM is paused for half a minute. After it resumes, the sides
+  // only appear to have been silent; their streams are healthy.
+  it("suspects no side because of its own pause", async () => {
+    const [endpoint] = useSides(3);
+    directory.trackAttempt(endpoint);
     await timer.advance(2_000);
     timer.pausedMilliseconds = 30_000;
     await timer.advance(3_000);
     expect(suspicions).to.deep.equal([]);
   });
 
-  it("suspects an idle side that stays silent for some rounds", async () => {
-    const [endpoint] = use(8);
-    silent.add(endpoint);
+  it("suspects an idle side that is silent for several poll cycles", async () => {
+    const [endpoint] = useSides(8);
+    silentSides.add(endpoint);
     await timer.advance(30_000);
     expect(suspicions).to.deep.equal([`${endpoint} true`]);
   });
--- a/src/entry/watch_desk.ts
+++ b/src/entry/watch_desk.ts
@@ -1,70 +1,82 @@
 import type { Subscription, TimerService } from "../core/time/mod.ts";
 import type { WatchAnswer, WatchQuestion } from "../generated/messages.ts";
 
-export interface WatchDeskOptions {
+export interface PendingWatchesOptions {
   readonly timer: TimerService;
-  /** What is in force for an endpoint by this entry's reading of the log. */
+  /**
+   * Current answer for an endpoint, according to this entry's position in the
+   * log.
+   */
   readonly answerFor: (endpoint: string) => WatchAnswer;
 }
 
-interface OpenQuestion {
+interface PendingWatch {
   readonly question: WatchQuestion;
   readonly answer: (answer: WatchAnswer) => void;
-  readonly limit: Subscription;
+  readonly timeout: Subscription;
 }
 
-/** Answers the long polls of the sides that are attached to this entry. */
-export class WatchDesk {
-  readonly #options: WatchDeskOptions;
-  readonly #open = new Set<OpenQuestion>();
+/**
+ * Holds the long polls of the sides that are attached to this entry and answers
+ * them.
+ */
+export class PendingWatches {
+  readonly #options: PendingWatchesOptions;
+  readonly #pending = new Set<PendingWatch>();
 
-  constructor(options: WatchDeskOptions) {
+  constructor(options: PendingWatchesOptions) {
     this.#options = options;
   }
 
-  /** Number of sides that wait at this entry. */
-  get attached(): number {
-    return this.#open.size;
+  /** Number of pending long polls. */
+  get pendingCount(): number {
+    return this.#pending.size;
   }
 
   watch(question: WatchQuestion): Promise<WatchAnswer> {
     const answer = this.#options.answerFor(question.report.endpoint);
-    if (isNews(question, answer)) return Promise.resolve(answer);
+    if (hasUpdate(question, answer)) return Promise.resolve(answer);
     return new Promise((resolve) => {
-      const open: OpenQuestion = {
+      const pendingWatch: PendingWatch = {
         question,
         answer: resolve,
-        limit: this.#options.timer.after(
+        timeout: this.#options.timer.after(
           question.waitMilliseconds,
-          () => this.#close(open),
+          () => this.#answer(pendingWatch),
         ),
       };
-      this.#open.add(open);
+      this.#pending.add(pendingWatch);
     });
   }
 
-  /** Something in force has changed: tells the sides that it concerns. */
-  changed(): void {
-    for (const open of [...this.#open]) {
-      const answer = this.#options.answerFor(open.question.report.endpoint);
-      if (isNews(open.question, answer)) this.#close(open);
+  /** Answers the long polls whose answer has changed. */
+  answerChanged(): void {
+    for (const pendingWatch of [...this.#pending]) {
+      const answer = this.#options.answerFor(
+        pendingWatch.question.report.endpoint,
+      );
+      if (hasUpdate(pendingWatch.question, answer)) this.#answer(pendingWatch);
     }
   }
 
-  /** Answers all that wait, so that the sides turn to another entry. */
-  closeAll(): void {
-    for (const open of [...this.#open]) this.#close(open);
+  /**
+   * Answers all pending long polls, so that the sides switch to another entry.
+   */
+  answerAll(): void {
+    for (const pendingWatch of [...this.#pending]) this.#answer(pendingWatch);
   }
 
-  #close(open: OpenQuestion): void {
-    this.#open.delete(open);
-    open.limit.cancel();
-    open.answer(this.#options.answerFor(open.question.report.endpoint));
+  #answer(pendingWatch: PendingWatch): void {
+    this.#pending.delete(pendingWatch);
+    pendingWatch.timeout.cancel();
+    pendingWatch.answer(
+      this.#options.answerFor(pendingWatch.question.report.endpoint),
+    );
   }
 }
 
-/** Whether the answer tells the side anything that its report lacks. */
-function isNews(question: WatchQuestion, answer: WatchAnswer): boolean {
+/** True if the answer contains anything newer than the side's report. */
+function hasUpdate(question: WatchQuestion, answer: WatchAnswer): boolean {
   const { report } = question;
   if (answer.configurationVersion > report.configurationVersion) return true;
   return (answer.order?.offset ?? -1) > report.orderTaken;
