--- a/src/core/authority/claim_keeper.ts
+++ b/src/core/authority/claim_keeper.ts
@@ -25,7 +25,7 @@
    */
   readonly eligible?: () => boolean;
   /** Timer time of the holder's last direct message to this process. */
-  readonly lastContactWith?: (holder: string) => number | undefined;
+  readonly heardDirectly?: (holder: string) => number | undefined;
   readonly onGained?: (claim: Claim) => void;
   readonly onLost?: (claim: Claim | undefined) => void;
 }
@@ -198,7 +198,7 @@
   #lastDirectContact(): number {
     const holder = this.#options.view.claim?.holder;
     if (holder === undefined || holder === NO_HOLDER) return -Infinity;
-    return this.#options.lastContactWith?.(holder) ?? -Infinity;
+    return this.#options.heardDirectly?.(holder) ?? -Infinity;
   }
 
   /**
--- a/src/core/configuration/configuration_fold.ts
+++ b/src/core/configuration/configuration_fold.ts
@@ -89,7 +89,7 @@
  * would accept different publications, have different bases from then on, and
  * diverge permanently. Here the content has no influence on acceptance; a
  * reader that can't apply the accepted content keeps the last content that it
- * could apply and reports the reasons in `applyProblems`.
+ * could apply and reports the reasons in `unapplied`.
  */
 export class ConfigurationFold implements StreamFold {
   readonly #guards: ConfigurationGuards;
@@ -119,7 +119,7 @@
   }
 
   /** Whether a publication made on this version could be accepted now. */
-  isBasedOnVersionInForce(base: number): boolean {
+  fits(base: number): boolean {
     return base === this.version || !this.#guards.checksBase;
   }
 
@@ -142,7 +142,7 @@
   /**
    * Reasons that the version in force can't be applied; empty if it is applied.
    */
-  get applyProblems(): readonly ConfigurationProblem[] {
+  get unapplied(): readonly ConfigurationProblem[] {
     return this.#applyProblems;
   }
 
@@ -248,7 +248,7 @@
     const publication = this.#pending.get(record.publication);
     if (publication === undefined) return;
     this.#pending.delete(record.publication);
-    const isUpToDate = this.isBasedOnVersionInForce(publication.base);
+    const isUpToDate = this.fits(publication.base);
     const accepted = record.accepted && isUpToDate;
     const conflicting = isUpToDate ? undefined : this.#active;
     if (accepted) this.#activate(offset, publication);
--- a/src/core/configuration/configuration_judge.ts
+++ b/src/core/configuration/configuration_judge.ts
@@ -68,7 +68,7 @@
   #rejectionReasons(publication: PendingPublication): string[] {
     const { fold } = this.#options;
     const { version } = fold;
-    if (!fold.isBasedOnVersionInForce(publication.base)) {
+    if (!fold.fits(publication.base)) {
       return [
         `it replaces version ${publication.base}, in force is ${version}`,
       ];
--- a/src/core/configuration/configuration_test.ts
+++ b/src/core/configuration/configuration_test.ts
@@ -146,7 +146,7 @@
     expect(fold.version).to.equal(5);
     expect(fold.appliedVersion).to.equal(3);
     expect(fold.inventory?.pools[0].weights).to.equal("a");
-    expect(fold.applyProblems).to.not.have.length(0);
+    expect(fold.unapplied).to.not.have.length(0);
   });
 
   it("is the same after saving and loading", () => {
--- a/src/core/identity/mod.ts
+++ b/src/core/identity/mod.ts
@@ -1,6 +1,6 @@
 /**
  * Branded identifiers. A plain string is not assignable to any of them, so that
- * a sidecar's name can't be passed where an endpoint's is expected.
+ * a side's name can't be passed where an endpoint's is expected.
  */
 
 declare const brand: unique symbol;
@@ -18,7 +18,7 @@
  * it.
  */
 export type ReplicaStart = Branded<number, "ReplicaStart">;
-/** A process of the system, entry or sidecar, as named in its settings. */
+/** A process of the system, entry or side, as named in its settings. */
 export type ProcessId = Branded<string, "ProcessId">;
 /** One run of a process; a restarted process has a new one. */
 export type Incarnation = Branded<string, "Incarnation">;
--- a/src/core/journal/journal.ts
+++ b/src/core/journal/journal.ts
@@ -140,7 +140,7 @@
   /** True once every record that any replica is known to have has been read. */
   get caughtUp(): boolean {
     const head = this.#reader.highestHead;
-    if (this.#isQueryingPeersAtStart || this.hasMissingRecords) return false;
+    if (this.#isQueryingPeersAtStart || this.missingRecords) return false;
     return head >= 0 && this.position + 1 >= head;
   }
 
@@ -157,12 +157,12 @@
    * True while records are missing and no state that includes them has been
    * found.
    */
-  get hasMissingRecords(): boolean {
+  get missingRecords(): boolean {
     return this.#prefix.hasMissingRecords;
   }
 
   /** Timer time of the log's last answer. */
-  get lastAnswerAt(): number | undefined {
+  get lastAnswer(): number | undefined {
     return this.#reader.lastAnswerAt;
   }
 
@@ -239,12 +239,12 @@
   }
 
   #hasState(): boolean {
-    return this.position >= 0 && !this.hasMissingRecords;
+    return this.position >= 0 && !this.missingRecords;
   }
 
   /** Handles a read without new records. */
   async #handleIdle(): Promise<void> {
-    if (this.hasMissingRecords) await this.#peers.query();
+    if (this.missingRecords) await this.#peers.query();
     else if (this.caughtUp) this.#peers.resetBackoff();
     else await this.#peers.queryWhileBehind();
   }
--- a/src/core/journal/journal_test.ts
+++ b/src/core/journal/journal_test.ts
@@ -284,7 +284,7 @@
       log.expire(ORDERS, 2);
       await timer.advance(20_000);
       expect(one.fold.taken).to.deep.equal([]);
-      expect(one.journal.hasMissingRecords).to.equal(true);
+      expect(one.journal.missingRecords).to.equal(true);
       expect(one.journal.caughtUp).to.equal(false);
     });
 
@@ -303,7 +303,7 @@
       }]);
       log.expire(ORDERS, 2);
       await timer.advance(20_000);
-      expect(one.journal.hasMissingRecords).to.equal(true);
+      expect(one.journal.missingRecords).to.equal(true);
       expect(one.fold.taken).to.deep.equal([]);
     });
 
--- a/src/core/links/mod.ts
+++ b/src/core/links/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Network operations that the cores of entry and sidecar need, as functions
+ * Network operations that the cores of entry and side need, as functions
  * passed to them: over sockets in production, over a simulated network in
  * tests.
  */
@@ -31,14 +31,14 @@
  */
 export type LinkFailure = Failure<"link_not_sent" | "link_lost">;
 
-/** An attempt in progress at a sidecar. */
+/** An attempt in progress at a side. */
 export interface AttemptCall {
   /**
    * Settles when no further frame can arrive. It does not imply that the answer
    * is complete: only an end or response frame does.
    */
   readonly closed: Promise<Result<void, LinkFailure>>;
-  /** Cancels the attempt; the sidecar cancels it at its endpoint. */
+  /** Cancels the attempt; the side cancels it at its endpoint. */
   cancel(): void;
   /**
    * Applies backpressure at the source of the frames while the caller reads
@@ -48,7 +48,7 @@
   resume(): void;
 }
 
-/** Requests of an entry to sidecars. */
+/** Requests of an entry to sides. */
 export interface SideLink {
   run(
     side: PeerAddress,
@@ -71,7 +71,7 @@
   readonly state: Readonly<Record<string, unknown>>;
 }
 
-/** Requests of sidecars, entries and operators to entries. */
+/** Requests of sides, entries and operators to entries. */
 export interface EntryLink {
   watch(
     entry: PeerAddress,
@@ -133,7 +133,7 @@
 export type CacheReference = Readonly<Record<string, unknown>>;
 
 /**
- * Requests of a sidecar to its endpoint. An attempt may reference another
+ * Requests of a side to its endpoint. An attempt may reference another
  * engine's cache; an engine that can't import it recomputes the cache.
  */
 export interface EndpointLink {
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -69,7 +69,7 @@
  * The members of the region as one entry sees them: the platform's VM list,
  * which lags and has outages, corrected by the members' own reports.
  *
- * Suspicion is local: an entry that can't reach a sidecar stops using it and
+ * Suspicion is local: an entry that can't reach a side stops using it and
  * does not share this, since the entry itself may be the one that is cut off.
  */
 export class Membership {
@@ -116,7 +116,7 @@
   }
 
   /**
-   * Applies a sidecar's direct report; returns false if it is from an older
+   * Applies a side's direct report; returns false if it is from an older
    * incarnation.
    */
   sideReported(report: SideReport): boolean {
@@ -225,7 +225,7 @@
 
   /**
    * True for a late report of an earlier incarnation, which must not replace
-   * what the newer one reported; otherwise a leaving sidecar gets work again,
+   * what the newer one reported; otherwise a leaving side gets work again,
    * or a running one gets none. Incarnations sort by creation time; because a
    * clock may have been set back, that order counts only while the other
    * incarnation still reports.
--- a/src/core/membership/membership_test.ts
+++ b/src/core/membership/membership_test.ts
@@ -109,9 +109,9 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // A sidecar reports that it is leaving, and the lagging list still shows it
+  // A side reports that it is leaving, and the lagging list still shows it
   // as active. Work sent there would be refused repeatedly.
-  it("uses a sidecar's leaving report before the list shows it", async () => {
+  it("uses a side's leaving report before the list shows it", async () => {
     membership.sideReported(report("a", "run-1", "leaving"));
     await timer.advance(READ_MILLISECONDS * 3);
     expect(membership.isUsable("a")).to.equal(false);
@@ -134,7 +134,7 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // A sidecar restarts. A delayed report of its earlier incarnation says that
+  // A side restarts. A delayed report of its earlier incarnation says that
   // it is leaving, which would take the new incarnation out of service.
   it("ignores a report of an older incarnation", () => {
     membership.sideReported(report("a", "run-1"));
@@ -165,8 +165,8 @@
     expect(membership.sideReported(late)).to.equal(false);
   });
 
-  // A VM's clock was set back before its sidecar restarted, so the new
-  // incarnation sorts below the old one. Rejected permanently, the sidecar
+  // A VM's clock was set back before its side restarted, so the new
+  // incarnation sorts below the old one. Rejected permanently, the side
   // would never get work again.
   it("accepts a lower incarnation once the other stops reporting", async () => {
     membership.sideReported(report("a", "run-2"));
@@ -180,7 +180,7 @@
     expect(membership.isUsable("a")).to.equal(true);
   });
 
-  // The connection to one sidecar fails. The entry must not use it for a while
+  // The connection to one side fails. The entry must not use it for a while
   // and then retry on its own, since no other process reports the recovery.
   it("suspects a member for a limited time", async () => {
     membership.suspect("a");
@@ -258,7 +258,7 @@
     expect(heavy).to.be.within(290, 400);
   });
 
-  it("attaches a sidecar to two entries of its zone", () => {
+  it("attaches a side to two entries of its zone", () => {
     const picked = attachments(members, {
       side: "side-1",
       availabilityZone: "klang-port",
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -45,7 +45,7 @@
 }
 
 export interface AttachmentOptions {
-  /** Name of the sidecar that attaches. */
+  /** Name of the side that attaches. */
   readonly side: string;
   readonly availabilityZone: string;
   /** Number of entries to attach to; two by default. */
@@ -55,9 +55,9 @@
 const DEFAULT_ATTACHMENTS = 2;
 
 /**
- * Returns the entries that a sidecar watches: two of its own zone, others only
+ * Returns the entries that a side watches: two of its own zone, others only
  * if the zone has too few. With a single entry, a pause of that entry would
- * block its sidecars.
+ * block its sides.
  */
 export function attachments<Member extends RendezvousMember>(
   entries: readonly Member[],
--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -25,7 +25,7 @@
 } from "./results.ts";
 
 /**
- * Delay before a request bars another request's record that the sidecar has not
+ * Delay before a request bars another request's record that the side has not
  * seen. A retry can overtake the first request's dispatch, and barring at once
  * would make the first request start over. A dispatch takes a few milliseconds;
  * 250 ms covers a busy entry.
@@ -33,7 +33,7 @@
 export const BAR_GRACE_MILLISECONDS = 250;
 
 /**
- * The endpoint that a request would run on, and the incarnation of its sidecar.
+ * The endpoint that a request would run on, and the incarnation of its side.
  */
 export interface OnceChoice {
   readonly endpoint: EndpointId;
@@ -52,11 +52,11 @@
   /** `replaces` of the newest append; undefined before the first. */
   appended?: number;
   inDoubt: boolean;
-  /** True until the sidecar has barred the permit that was sent earlier. */
+  /** True until the side has barred the permit that was sent earlier. */
   mayHaveRun: boolean;
-  /** Record that its sidecar has barred, so that it never runs. */
+  /** Record that its side has barred, so that it never runs. */
   barredRecord?: LogOffset;
-  /** Record that its sidecar had not seen, and since when (timer time). */
+  /** Record that its side had not seen, and since when (timer time). */
   notSeen?: { readonly record: LogOffset; readonly since: number };
 }
 
@@ -185,7 +185,7 @@
 
 /**
  * Result after a failed append. Another request may own the key by now; its
- * record decides then, and an answer that its sidecar stores needs no log.
+ * record decides then, and an answer that its side stores needs no log.
  */
 export function whenLogDown(
   acquisition: Acquisition,
@@ -199,8 +199,8 @@
 }
 
 /**
- * Handles the answer of the owner's sidecar. Returns a result if it is final,
- * "now" to decide again at once, or "later" to query the sidecar again after a
+ * Handles the answer of the owner's side. Returns a result if it is final,
+ * "now" to decide again at once, or "later" to query the side again after a
  * delay.
  */
 export function takeAnswer(
@@ -229,7 +229,7 @@
       return unknownResult("The work was started, but its answer is not known");
     case "other_incarnation":
       return unknownResult(
-        "The sidecar that may have run the work has since restarted",
+        "The side that may have run the work has since restarted",
       );
   }
 }
@@ -247,7 +247,7 @@
   const owner = fold.owner(acquisition.key);
   if (acquisition.mayHaveRun) {
     return unknownResult(
-      "The sidecar did not report the outcome of the work before the deadline",
+      "The side did not report the outcome of the work before the deadline",
     );
   }
   if (owner === undefined || owner.record === acquisition.barredRecord) {
--- a/src/core/once/coordinator.ts
+++ b/src/core/once/coordinator.ts
@@ -48,7 +48,7 @@
   readonly deadline?: number;
   /**
    * Permit that this request has already sent and whose outcome is unknown. The
-   * sidecar is asked to bar it at once, and until it has, no result says that
+   * side is asked to bar it at once, and until it has, no result says that
    * nothing has call.
    */
   readonly lost?: OncePermit;
@@ -64,7 +64,7 @@
   readonly append: (
     body: OnceRecord,
   ) => Promise<Result<LogOffset, JournalFailure>>;
-  /** Queries the sidecar of the endpoint. */
+  /** Queries the side of the endpoint. */
   readonly ask: (
     endpoint: EndpointId,
     question: OnceQuestion,
@@ -85,8 +85,8 @@
 const QUERY_INTERVAL_MILLISECONDS = 100;
 
 /**
- * How long a sidecar may be unreachable before its caller gets an unknown
- * outcome. A paused or restarting sidecar is back within this time, as is a
+ * How long a side may be unreachable before its caller gets an unknown
+ * outcome. A paused or restarting side is back within this time, as is a
  * link that was briefly interrupted.
  */
 const UNREACHABLE_TIMEOUT_MILLISECONDS = 4_000;
@@ -96,14 +96,14 @@
   readonly acquisition: Acquisition;
   readonly choose: AcquireOptions["choose"];
   readonly deadline: number;
-  /** Timer time of the first lost query since the sidecar's last answer. */
+  /** Timer time of the first lost query since the side's last answer. */
   unreachableSince?: number;
 }
 
 /**
  * Acquires idempotency keys for the requests of one entry. The record is
  * appended to the log before the work is dispatched. The first record of a key
- * in log order runs; every other request queries the sidecar that the record
+ * in log order runs; every other request queries the side that the record
  * names.
  */
 export class OnceCoordinator {
@@ -220,7 +220,7 @@
   }
 
   /**
-   * Handles a failed query. The sidecar may be reachable again shortly; one
+   * Handles a failed query. The side may be reachable again shortly; one
    * that stays away does not answer before the deadline either, so holding the
    * caller longer than `UNREACHABLE_TIMEOUT_MILLISECONDS` would not change its
    * result.
--- a/src/core/once/coordinator_test.ts
+++ b/src/core/once/coordinator_test.ts
@@ -29,7 +29,7 @@
   return { name, title: name, message: name, hint: name };
 }
 
-/** One entry and one sidecar, with a log whose appends a test can fail. */
+/** One entry and one side, with a log whose appends a test can fail. */
 class Harness {
   readonly timer = new ManualTimerService(timeOfKey(KEY));
   readonly fold = new OnceFold();
@@ -154,7 +154,7 @@
 
     it("bars an owner that does not send before taking over", async () => {
       // The first entry is paused between its record and the dispatch. After it
-      // resumes, the sidecar must reject its dispatch as barred.
+      // resumes, the side must reject its dispatch as barred.
       const harness = new Harness();
       const first = permitOf(await harness.acquireAndAdvance());
       const second = permitOf(await harness.acquireAndAdvance());
@@ -162,9 +162,9 @@
       expect(harness.side.begin(second)).to.equal("run");
     });
 
-    // The VM of the sidecar that ran the call is gone. The caller must learn
+    // The VM of the side that ran the call is gone. The caller must learn
     // this while most of its time is left.
-    it("returns unknown within seconds when the sidecar is unreachable", async () => {
+    it("returns unknown within seconds when the side is unreachable", async () => {
       const harness = new Harness();
       await harness.acquireAndAdvance();
       harness.ask = () => err(failure(LOST, {}));
@@ -177,8 +177,8 @@
       expect(result?.kind).to.equal("unknown");
     });
 
-    it("returns unknown when the sidecar has restarted", async () => {
-      // The sidecar failed during the call. Whether it ran is unknown, so a
+    it("returns unknown when the side has restarted", async () => {
+      // The side failed during the call. Whether it ran is unknown, so a
       // second run could issue a duplicate case number.
       const harness = new Harness();
       permitOf(await harness.acquireAndAdvance());
@@ -204,7 +204,7 @@
       expect(harness.side.begin(lost)).to.equal("barred");
     });
 
-    it("returns unknown, never not run, when the sidecar is unreachable", async () => {
+    it("returns unknown, never not run, when the side is unreachable", async () => {
       const harness = new Harness();
       const lost = permitOf(await harness.acquireAndAdvance());
       harness.ask = () => err(failure(LOST, {}));
@@ -213,7 +213,7 @@
       );
     });
 
-    it("can return not run once the sidecar has barred it", async () => {
+    it("can return not run once the side has barred it", async () => {
       const harness = new Harness();
       const lost = permitOf(await harness.acquireAndAdvance());
       harness.append = () =>
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -228,7 +228,7 @@
 
 /**
  * Compare-and-set on the key's current record. Without it, a record whose
- * append was given up but completes late takes the key from the sidecar that
+ * append was given up but completes late takes the key from the side that
  * runs it: the operation then runs on two endpoints, such as a permit booked
  * twice. A takeover must carry the same fingerprint, or its answer would be
  * returned for a different body.
--- a/src/core/once/mod.ts
+++ b/src/core/once/mod.ts
@@ -1,6 +1,6 @@
 /**
  * At-most-once execution of non-idempotent requests, across entries and
- * sidecars.
+ * sides.
  */
 export { scopedKey, timeOfKey } from "./key.ts";
 export {
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -48,7 +48,7 @@
 }
 
 /**
- * The first answer, or an unknown outcome if the sidecar no longer stores its
+ * The first answer, or an unknown outcome if the side no longer stores its
  * body.
  */
 export function answeredResult(answer: OnceAnswer): AcquireResult {
--- a/src/core/once/side_table.ts
+++ b/src/core/once/side_table.ts
@@ -22,7 +22,7 @@
 
 /**
  * Memory limits of the table. One endpoint runs some tens of non-idempotent
- * calls per second, and the sidecar has 128 MB on its VM. 20,000 records of
+ * calls per second, and the side has 128 MB on its VM. 20,000 records of
  * about 200 bytes are 4 MB and last for minutes at that rate; 16 MB of answers
  * hold 4,000 of 4 kB. One answer above 1 MB would evict hundreds of others, so
  * it is returned once and not stored.
@@ -52,7 +52,7 @@
 }
 
 /**
- * State of each record of the `once` stream in one incarnation of a sidecar.
+ * State of each record of the `once` stream in one incarnation of a side.
  * Each record runs at most once, and only in the incarnation that it names.
  * Answering a query and barring the record on its request are one atomic step.
  *
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Called before the sidecar replies "not run" for a reason of its own, such
+   * Called before the side replies "not run" for a reason of its own, such
    * as draining. True: the record is now barred, so the reply is correct.
    * False: another copy of the message may have run it, so the reply would be
    * wrong.
@@ -192,7 +192,7 @@
   }
 
   /**
-   * A restarted sidecar has no state of its predecessor. Without this check, a
+   * A restarted side has no state of its predecessor. Without this check, a
    * delayed message runs the predecessor's record a second time, such as a case
    * number issued twice.
    */
--- a/src/core/once/side_table_test.ts
+++ b/src/core/once/side_table_test.ts
@@ -31,7 +31,7 @@
   });
 
   it("refuses records of an earlier incarnation", () => {
-    // The sidecar was restarted. It does not know whether its predecessor ran
+    // The side was restarted. It does not know whether its predecessor ran
     // the record, so it neither runs it nor reports that it has not run.
     const table = new SideOnceTable({ incarnation: "i2" });
     expect(table.begin(permit(1))).to.equal("wrong_incarnation");
@@ -41,7 +41,7 @@
   });
 
   it("bars refused records so that a second copy does not run", () => {
-    // The dispatch is duplicated in transit. The sidecar refuses the first copy
+    // The dispatch is duplicated in transit. The side refuses the first copy
     // as draining, the caller gets "not run", and the second copy arrives.
     const table = new SideOnceTable({ incarnation: "i1" });
     expect(table.refuse(permit(1))).to.equal(true);
--- a/src/core/orders/order_executor.ts
+++ b/src/core/orders/order_executor.ts
@@ -135,7 +135,7 @@
   }
 
   /** Newest order known here. */
-  get newestOrder(): StandingOrder | undefined {
+  get wanted(): StandingOrder | undefined {
     return this.#newestOrder;
   }
 
