--- a/src/adapters/callers/caller_door.ts
+++ b/src/adapters/callers/caller_api_server.ts
@@ -15,15 +15,19 @@
 import type { Work } from "../../generated/messages.ts";
 import {
   EventStreamSink,
-  ServiceAnswerSink,
-  WholeAnswerSink,
-} from "./answer_sinks.ts";
+  JsonCompletionSink,
+  ServiceResponseSink,
+} from "./response_sinks.ts";
 import { CALLER_LISTEN_FAILED } from "./errors.ts";
-import { invalid, sendProblem } from "./problem.ts";
-import { readCaller, readChat, readServiceWork } from "./request_reader.ts";
+import { invalidRequest, sendProblem } from "./problem.ts";
+import {
+  createServiceWork,
+  parseCallerHeaders,
+  parseChatCompletion,
+} from "./request_parser.ts";
 
 /** The caller's end of a request that the core works on. */
-export interface OpenRequest {
+export interface SubmittedRequest {
   /** The caller has hung up. */
   cancel(): void;
   /** The caller has taken what was sent; more may come. */
@@ -32,14 +36,14 @@
 
 /** What the door asks of the entry's core. */
 export interface CallerService {
-  submit(request: CallerRequest, sink: AnswerSink): OpenRequest;
+  submit(request: CallerRequest, sink: AnswerSink): SubmittedRequest;
   models(): readonly string[];
   /** Whether a plain service's call may be repeated; nothing: no such route. */
   routeIsIdempotent(method: string, path: string): boolean | undefined;
   readonly state: "starting" | "serving" | "draining";
 }
 
-export interface CallerDoorOptions {
+export interface CallerApiServerOptions {
   readonly host: string;
   readonly port: number;
   readonly mostBodyBytes: number;
@@ -48,30 +52,31 @@
   /** Makes the id of a new request. */
   readonly newRequestId: () => RequestId;
   /** Seconds since 1970, for the answers' `created`. */
-  readonly seconds: () => number;
+  readonly wallClockSeconds: () => number;
   readonly metrics: () => Promise<string>;
 }
 
 /** A caller has this long to send its head or its body, milliseconds. */
-const SLOW_REQUEST_MILLISECONDS = 30_000;
-const MOST_HEADER_BYTES = 16 * 1024;
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
+const MAX_HEADER_BYTES = 16 * 1024;
 const CHAT_PATH = "/v1/chat/completions";
-const BAD_REQUEST = "HTTP/1.1 400 Bad Request\r\nconnection: close\r\n\r\n";
+const BAD_REQUEST_RESPONSE =
+  "HTTP/1.1 400 Bad Request\r\nconnection: close\r\n\r\n";
 
 /** The HTTP door for callers, behind the platform's balancer. */
-export class CallerDoor {
-  readonly #options: CallerDoorOptions;
+export class CallerApiServer {
+  readonly #options: CallerApiServerOptions;
   readonly #server: http.Server;
 
-  constructor(options: CallerDoorOptions) {
+  constructor(options: CallerApiServerOptions) {
     this.#options = options;
     this.#server = http.createServer({
-      maxHeaderSize: MOST_HEADER_BYTES,
-      headersTimeout: SLOW_REQUEST_MILLISECONDS,
-      requestTimeout: SLOW_REQUEST_MILLISECONDS,
+      maxHeaderSize: MAX_HEADER_BYTES,
+      headersTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+      requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
     }, (request, response) => void this.#serve(request, response));
     this.#server.on("clientError", (error, socket) => {
-      this.#onBrokenRequest(error, socket as Socket);
+      this.#onClientError(error, socket as Socket);
     });
   }
 
@@ -108,14 +113,17 @@
    * contradict each other. Answering and closing leaves no second request
    * hidden behind the first for another party to read differently.
    */
-  #onBrokenRequest(error: Error, socket: Socket): void {
-    const facts = { error: error.message, from: socket.remoteAddress };
+  #onClientError(error: Error, socket: Socket): void {
+    const fields = { error: error.message, from: socket.remoteAddress };
     const { logger } = this.#options;
-    if (hasHungUp(error)) logger.debug(facts, "A caller hung up");
+    if (isDisconnect(error)) logger.debug(fields, "A caller hung up");
     else {
-      logger.warn(facts, "A caller sent something that is not an HTTP request");
+      logger.warn(
+        fields,
+        "A caller sent something that is not an HTTP request",
+      );
     }
-    if (socket.writable) socket.end(BAD_REQUEST);
+    if (socket.writable) socket.end(BAD_REQUEST_RESPONSE);
     else socket.destroy();
   }
 
@@ -124,9 +132,9 @@
     response: http.ServerResponse,
   ): Promise<void> {
     const path = (request.url ?? "/").split("?")[0];
-    const own = OWN_PAGES[path];
-    if (request.method === "GET" && own !== undefined) {
-      await own(this.#options, response);
+    const builtIn = BUILT_IN_HANDLERS[path];
+    if (request.method === "GET" && builtIn !== undefined) {
+      await builtIn(this.#options, response);
       return;
     }
     const body = await readBody(request, this.#options.mostBodyBytes);
@@ -143,35 +151,35 @@
 
   #serveChat(
     request: http.IncomingMessage,
-    exchange: { response: http.ServerResponse; body: Buffer },
+    context: { response: http.ServerResponse; body: Buffer },
   ): void {
-    const chat = readChat(exchange.body);
+    const chat = parseChatCompletion(context.body);
     if (chat.isErr()) {
-      const { response } = exchange;
+      const { response } = context;
       this.#refuse(response, { refusal: chat.error, request });
       return;
     }
     const requestId = this.#options.newRequestId();
     const header = {
       id: requestId,
-      created: this.#options.seconds(),
+      created: this.#options.wallClockSeconds(),
       model: chat.value.work.model,
     };
     const sink = chat.value.stream
-      ? new EventStreamSink(exchange.response, header)
-      : new WholeAnswerSink(exchange.response, header);
+      ? new EventStreamSink(context.response, header)
+      : new JsonCompletionSink(context.response, header);
     this.#submit(request, {
       requestId,
       work: chat.value.work,
       workspace: chat.value.user,
       sink,
-      response: exchange.response,
+      response: context.response,
     });
   }
 
   #serveRoute(
     request: http.IncomingMessage,
-    exchange: { response: http.ServerResponse; body: Buffer },
+    context: { response: http.ServerResponse; body: Buffer },
   ): void {
     const { service } = this.#options;
     const method = request.method ?? "GET";
@@ -190,21 +198,21 @@
           reason: "unknown_route",
           detail: `No service takes ${method} ${path.split("?")[0]}`,
         };
-      this.#refuse(exchange.response, { refusal, request });
+      this.#refuse(context.response, { refusal, request });
       return;
     }
     this.#submit(request, {
       requestId: this.#options.newRequestId(),
-      work: readServiceWork(request, { body: exchange.body, idempotent }),
+      work: createServiceWork(request, { body: context.body, idempotent }),
       workspace: undefined,
-      sink: new ServiceAnswerSink(exchange.response),
-      response: exchange.response,
+      sink: new ServiceResponseSink(context.response),
+      response: context.response,
     });
   }
 
   #submit(
     request: http.IncomingMessage,
-    call: {
+    submission: {
       requestId: RequestId;
       work: Work;
       workspace: string | undefined;
@@ -212,53 +220,55 @@
       response: http.ServerResponse;
     },
   ): void {
-    const caller = readCaller(request, { workspace: call.workspace });
+    const caller = parseCallerHeaders(request, {
+      workspace: submission.workspace,
+    });
     if (caller.isErr()) {
-      this.#refuse(call.response, { refusal: caller.error, request });
+      this.#refuse(submission.response, { refusal: caller.error, request });
       return;
     }
-    call.response.setHeader("x-request-id", call.requestId);
-    const open = this.#options.service.submit({
+    submission.response.setHeader("x-request-id", submission.requestId);
+    const handle = this.#options.service.submit({
       ...caller.value,
-      requestId: identifier(call.requestId),
-      work: call.work,
-    }, call.sink);
-    call.response.on("drain", () => open.drained());
-    call.response.on("close", () => {
-      if (!call.response.writableFinished) open.cancel();
+      requestId: identifier(submission.requestId),
+      work: submission.work,
+    }, submission.sink);
+    submission.response.on("drain", () => handle.drained());
+    submission.response.on("close", () => {
+      if (!submission.response.writableFinished) handle.cancel();
     });
   }
 
   #refuse(
     response: http.ServerResponse,
-    refused: { refusal: Refusal; request: http.IncomingMessage },
+    context: { refusal: Refusal; request: http.IncomingMessage },
   ): void {
     this.#options.logger.info(
       {
-        reason: refused.refusal.reason,
-        detail: refused.refusal.detail,
-        from: refused.request.socket.remoteAddress,
+        reason: context.refusal.reason,
+        detail: context.refusal.detail,
+        from: context.request.socket.remoteAddress,
       },
       "The door refused a request",
     );
     // What is left of a refused body is not read, so the connection ends.
-    if (!refused.request.complete) response.setHeader("connection", "close");
-    sendProblem(response, refused.refusal);
+    if (!context.request.complete) response.setHeader("connection", "close");
+    sendProblem(response, context.refusal);
   }
 }
 
 /** A connection that was dropped is no fault that an operator can mend. */
-function hasHungUp(error: Error): boolean {
+function isDisconnect(error: Error): boolean {
   const { code } = error as NodeJS.ErrnoException;
   return code === "ECONNRESET" || code === "EPIPE";
 }
 
-type OwnPage = (
-  options: CallerDoorOptions,
+type BuiltInHandler = (
+  options: CallerApiServerOptions,
   response: http.ServerResponse,
 ) => void | Promise<void>;
 
-const OWN_PAGES: Readonly<Record<string, OwnPage>> = {
+const BUILT_IN_HANDLERS: Readonly<Record<string, BuiltInHandler>> = {
   "/health": ({ service }, response) => {
     const status = service.state === "draining" ? 503 : 200;
     sendJson(response, { status, body: { state: service.state } });
@@ -279,29 +289,37 @@
 
 function sendJson(
   response: http.ServerResponse,
-  answer: { status: number; body: unknown },
+  reply: { status: number; body: unknown },
 ): void {
-  response.writeHead(answer.status, { "content-type": "application/json" });
-  response.end(JSON.stringify(answer.body));
+  response.writeHead(reply.status, { "content-type": "application/json" });
+  response.end(JSON.stringify(reply.body));
 }
 
 function readBody(
   request: http.IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<Result<Buffer, Refusal>> {
   return new Promise((resolve) => {
-    const pieces: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
-    request.on("data", (piece: Buffer) => {
-      length += piece.length;
-      if (length <= mostBytes) pieces.push(piece);
+    request.on("data", (chunk: Buffer) => {
+      length += chunk.length;
+      if (length <= maxBytes) chunks.push(chunk);
       else {
         request.pause();
-        resolve(err(invalid(`The body is longer than ${mostBytes} bytes`)));
+        resolve(
+          err(invalidRequest(`The body is longer than ${maxBytes} bytes`)),
+        );
       }
     });
-    request.on("end", () => resolve(ok(Buffer.concat(pieces))));
-    request.on("error", () => resolve(err(invalid("The body was cut off"))));
-    request.on("close", () => resolve(err(invalid("The body was cut off"))));
+    request.on("end", () => resolve(ok(Buffer.concat(chunks))));
+    request.on(
+      "error",
+      () => resolve(err(invalidRequest("The body was cut off"))),
+    );
+    request.on(
+      "close",
+      () => resolve(err(invalidRequest("The body was cut off"))),
+    );
   });
 }
--- a/src/adapters/callers/mod.ts
+++ b/src/adapters/callers/mod.ts
@@ -1,7 +1,7 @@
 /** The HTTP door for callers. */
-export { CallerDoor } from "./caller_door.ts";
+export { CallerApiServer } from "./caller_api_server.ts";
 export type {
-  CallerDoorOptions,
+  CallerApiServerOptions,
   CallerService,
-  OpenRequest,
-} from "./caller_door.ts";
+  SubmittedRequest,
+} from "./caller_api_server.ts";
--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -17,12 +17,12 @@
   readonly retryAfterMilliseconds?: number;
 }
 
-interface ProblemKind {
+interface ProblemTemplate {
   readonly status: number;
   readonly title: string;
 }
 
-const REFUSAL_KINDS: Readonly<Record<RefusalReason, ProblemKind>> = {
+const REFUSAL_PROBLEMS: Readonly<Record<RefusalReason, ProblemTemplate>> = {
   invalid: { status: 400, title: "Request is not valid" },
   unknown_model: { status: 404, title: "Model is not served" },
   unknown_route: { status: 404, title: "Route is not served" },
@@ -42,20 +42,22 @@
   key_needed: { status: 400, title: "Idempotency key is not usable" },
   late: { status: 503, title: "Answer would be late" },
 };
-const UNKNOWN_KIND: ProblemKind = {
+const UNKNOWN_OUTCOME_PROBLEM: ProblemTemplate = {
   status: 502,
   title: "Outcome is not known",
 };
 const TYPE_PREFIX = "urn:filbertshore:problem:";
 
 /** The problem that tells a caller of an outcome without an answer. */
-export function problemOf(outcome: Refusal | UnknownOutcome): Problem {
-  const refused = outcome.kind === "not_run";
-  const kind = refused ? REFUSAL_KINDS[outcome.reason] : UNKNOWN_KIND;
+export function createProblem(outcome: Refusal | UnknownOutcome): Problem {
+  const isRefusal = outcome.kind === "not_run";
+  const template = isRefusal
+    ? REFUSAL_PROBLEMS[outcome.reason]
+    : UNKNOWN_OUTCOME_PROBLEM;
   return {
-    type: TYPE_PREFIX + (refused ? outcome.reason : "unknown_outcome"),
-    title: kind.title,
-    status: kind.status,
+    type: TYPE_PREFIX + (isRefusal ? outcome.reason : "unknown_outcome"),
+    title: template.title,
+    status: template.status,
     detail: outcome.detail,
     outcome: outcome.kind,
     retryAfterMilliseconds: outcome.retryAfterMilliseconds,
@@ -67,7 +69,7 @@
   response: ServerResponse,
   outcome: Exclude<Outcome, { kind: "answered" }>,
 ): void {
-  const problem = problemOf(outcome);
+  const problem = createProblem(outcome);
   const headers: Record<string, string> = {
     "content-type": "application/problem+json",
   };
@@ -80,6 +82,6 @@
 }
 
 /** A refusal for a request that the door itself turns down. */
-export function invalid(detail: string): Refusal {
+export function invalidRequest(detail: string): Refusal {
   return { kind: "not_run", reason: "invalid", detail };
 }
--- a/src/adapters/callers/answer_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -1,10 +1,10 @@
 import type { ServerResponse } from "node:http";
 import type { AnswerSink, Outcome } from "../../core/requests/mod.ts";
-import { TurnWriter } from "../turn_writer/mod.ts";
-import { problemOf, sendProblem } from "./problem.ts";
+import { CoalescingWriter } from "../coalescing_writer/mod.ts";
+import { createProblem, sendProblem } from "./problem.ts";
 
 /** What every answer to a chat completion names. */
-export interface CompletionHeader {
+export interface CompletionMetadata {
   readonly id: string;
   /** Seconds since 1970. */
   readonly created: number;
@@ -21,40 +21,40 @@
  */
 export class EventStreamSink implements AnswerSink {
   readonly #response: ServerResponse;
-  readonly #header: CompletionHeader;
-  readonly #prefix: string;
-  readonly #writer: TurnWriter;
+  readonly #metadata: CompletionMetadata;
+  readonly #chunkPrefix: string;
+  readonly #writer: CoalescingWriter;
 
-  constructor(response: ServerResponse, header: CompletionHeader) {
+  constructor(response: ServerResponse, metadata: CompletionMetadata) {
     this.#response = response;
-    this.#writer = new TurnWriter(response);
-    this.#header = header;
+    this.#writer = new CoalescingWriter(response);
+    this.#metadata = metadata;
     // All but the token's text is the same for every event of the stream.
     const chunk = JSON.stringify({
-      id: header.id,
+      id: metadata.id,
       object: "chat.completion.chunk",
-      created: header.created,
-      model: header.model,
+      created: metadata.created,
+      model: metadata.model,
     });
-    this.#prefix = `data: ${
+    this.#chunkPrefix = `data: ${
       chunk.slice(0, -1)
     },"choices":[{"index":0,"finish_reason":null,"delta":{"content":`;
   }
 
   token(text: string): boolean {
-    this.#sendHead();
-    this.#writer.write(`${this.#prefix}${JSON.stringify(text)}}}]}\n\n`);
+    this.#sendHeaders();
+    this.#writer.write(`${this.#chunkPrefix}${JSON.stringify(text)}}}]}\n\n`);
     return !this.#response.writableNeedDrain;
   }
 
-  response(answer: { body: string }): void {
-    this.token(answer.body);
+  response(serviceResponse: { body: string }): void {
+    this.token(serviceResponse.body);
   }
 
   finish(outcome: Outcome): void {
     if (outcome.kind === "answered") {
-      this.#sendHead();
-      this.#writer.end(`${this.#lastChunk(outcome.reason)}data: [DONE]\n\n`);
+      this.#sendHeaders();
+      this.#writer.end(`${this.#finalChunk(outcome.reason)}data: [DONE]\n\n`);
       return;
     }
     if (!this.#response.headersSent) {
@@ -62,22 +62,22 @@
       return;
     }
     this.#writer.end(
-      `event: error\ndata: ${JSON.stringify(problemOf(outcome))}\n\n`,
+      `event: error\ndata: ${JSON.stringify(createProblem(outcome))}\n\n`,
     );
   }
 
-  #lastChunk(reason: string): string {
+  #finalChunk(reason: string): string {
     const chunk = {
-      id: this.#header.id,
+      id: this.#metadata.id,
       object: "chat.completion.chunk",
-      created: this.#header.created,
-      model: this.#header.model,
+      created: this.#metadata.created,
+      model: this.#metadata.model,
       choices: [{ index: 0, finish_reason: reason, delta: {} }],
     };
     return `data: ${JSON.stringify(chunk)}\n\n`;
   }
 
-  #sendHead(): void {
+  #sendHeaders(): void {
     if (this.#response.headersSent) return;
     this.#response.writeHead(200, {
       "content-type": "text/event-stream; charset=utf-8",
@@ -87,14 +87,14 @@
 }
 
 /** Sends a generation as one JSON object when it is complete. */
-export class WholeAnswerSink implements AnswerSink {
+export class JsonCompletionSink implements AnswerSink {
   readonly #response: ServerResponse;
-  readonly #header: CompletionHeader;
+  readonly #metadata: CompletionMetadata;
   readonly #tokens: string[] = [];
 
-  constructor(response: ServerResponse, header: CompletionHeader) {
+  constructor(response: ServerResponse, metadata: CompletionMetadata) {
     this.#response = response;
-    this.#header = header;
+    this.#metadata = metadata;
   }
 
   token(text: string): boolean {
@@ -102,8 +102,8 @@
     return true;
   }
 
-  response(answer: { body: string }): void {
-    this.#tokens.push(answer.body);
+  response(serviceResponse: { body: string }): void {
+    this.#tokens.push(serviceResponse.body);
   }
 
   finish(outcome: Outcome): void {
@@ -114,10 +114,10 @@
     const content = this.#tokens.join("");
     this.#response.writeHead(200, { "content-type": "application/json" });
     this.#response.end(JSON.stringify({
-      id: this.#header.id,
+      id: this.#metadata.id,
       object: "chat.completion",
-      created: this.#header.created,
-      model: this.#header.model,
+      created: this.#metadata.created,
+      model: this.#metadata.model,
       choices: [{
         index: 0,
         finish_reason: outcome.reason,
@@ -129,9 +129,11 @@
 }
 
 /** Passes a plain service's answer on as it came. */
-export class ServiceAnswerSink implements AnswerSink {
+export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
-  #answer: { status: number; contentType: string; body: string } | undefined;
+  #serviceResponse:
+    | { status: number; contentType: string; body: string }
+    | undefined;
 
   constructor(response: ServerResponse) {
     this.#response = response;
@@ -142,9 +144,9 @@
   }
 
   response(
-    answer: { status: number; contentType: string; body: string },
+    serviceResponse: { status: number; contentType: string; body: string },
   ): void {
-    this.#answer = answer;
+    this.#serviceResponse = serviceResponse;
   }
 
   finish(outcome: Outcome): void {
@@ -153,7 +155,7 @@
       return;
     }
     const { status = 204, contentType = "text/plain", body = "" } =
-      this.#answer ?? {};
+      this.#serviceResponse ?? {};
     this.#response.writeHead(status, { "content-type": contentType });
     this.#response.end(body, "latin1");
   }
--- a/src/adapters/turn_writer/mod.ts
+++ b/src/adapters/coalescing_writer/mod.ts
@@ -9,15 +9,15 @@
  * 1,000 streams fell from 5 to 2 ms, its processor time rose by a fifth, and
  * the first token of an idle process came no sooner.
  */
-export class TurnWriter {
+export class CoalescingWriter {
   readonly #response: ServerResponse;
-  readonly #onFull: () => void;
+  readonly #onBackpressure: () => void;
   #pending = "";
 
   /** `onFull` is called when the reader has more to take than it does. */
-  constructor(response: ServerResponse, onFull: () => void = () => {}) {
+  constructor(response: ServerResponse, onBackpressure: () => void = () => {}) {
     this.#response = response;
-    this.#onFull = onFull;
+    this.#onBackpressure = onBackpressure;
   }
 
   write(text: string): void {
@@ -27,15 +27,15 @@
 
   /** Writes what waits and the last piece, and ends the response. */
   end(text: string): void {
-    const rest = this.#pending + text;
+    const remaining = this.#pending + text;
     this.#pending = "";
-    this.#response.end(rest);
+    this.#response.end(remaining);
   }
 
   #flush(): void {
     if (this.#pending === "" || this.#response.writableEnded) return;
     const text = this.#pending;
     this.#pending = "";
-    if (!this.#response.write(text)) this.#onFull();
+    if (!this.#response.write(text)) this.#onBackpressure();
   }
 }
--- a/src/adapters/endpoint/errors.ts
+++ b/src/adapters/endpoint/errors.ts
@@ -1,12 +1,12 @@
 import { defineError } from "../../core/errors/mod.ts";
 
-interface EndpointFacts {
+interface EndpointErrorValues {
   readonly url: string;
   readonly reason: string;
 }
 
 /** The endpoint has not started the work. */
-export const ENDPOINT_REFUSED = defineError<EndpointFacts>()({
+export const ENDPOINT_REFUSED = defineError<EndpointErrorValues>()({
   name: "endpoint_refused",
   title: "Endpoint did not take the work",
   message: ({ url, reason }) =>
@@ -15,7 +15,7 @@
 });
 
 /** The request was written and no head of an answer came. */
-export const ENDPOINT_UNREACHABLE = defineError<EndpointFacts>()({
+export const ENDPOINT_UNREACHABLE = defineError<EndpointErrorValues>()({
   name: "endpoint_unreachable",
   title: "Endpoint does not answer",
   message: ({ url, reason }) => `Endpoint at ${url} does not answer: ${reason}`,
@@ -23,7 +23,7 @@
 });
 
 /** The answer broke off. */
-export const ENDPOINT_CLOSED = defineError<EndpointFacts>()({
+export const ENDPOINT_CLOSED = defineError<EndpointErrorValues>()({
   name: "endpoint_closed",
   title: "Endpoint closed in the middle of an answer",
   message: ({ url, reason }) =>
@@ -32,7 +32,7 @@
 });
 
 /** The answer does not follow the protocol. */
-export const ENDPOINT_GARBAGE = defineError<EndpointFacts>()({
+export const ENDPOINT_GARBAGE = defineError<EndpointErrorValues>()({
   name: "endpoint_garbage",
   title: "Endpoint's answer makes no sense",
   message: ({ url, reason }) =>
@@ -41,7 +41,7 @@
 });
 
 /** The endpoint says that it failed. */
-export const ENDPOINT_ERROR = defineError<EndpointFacts>()({
+export const ENDPOINT_ERROR = defineError<EndpointErrorValues>()({
   name: "endpoint_error",
   title: "Endpoint reports an error",
   message: ({ url, reason }) =>
--- a/src/adapters/endpoint/generation.ts
+++ b/src/adapters/endpoint/generation.ts
@@ -10,13 +10,13 @@
  * Most characters of one event. A token is a few characters; an engine that
  * sends megabytes without an end of line would fill the side's memory.
  */
-const MOST_EVENT_CHARACTERS = 256 * 1024;
+const MAX_EVENT_CHARACTERS = 256 * 1024;
 const END_OF_STREAM = "[DONE]";
 
 export interface GenerationReaderOptions {
   readonly url: string;
   readonly onToken: (text: string) => void;
-  readonly mostBytes: number;
+  readonly maxBytes: number;
 }
 
 /** How a stream of tokens ended. */
@@ -35,10 +35,10 @@
   readonly #options: GenerationReaderOptions;
   readonly #parser: EventSourceParser;
   readonly #decoder = new StringDecoder("utf8");
-  #settle: (end: GenerationEnd) => void = () => {};
-  #settled = false;
-  #bytes = 0;
-  #reason: "stop" | "length" | undefined;
+  #settle: (settleOnce: GenerationEnd) => void = () => {};
+  #isSettled = false;
+  #bytesRead = 0;
+  #finishReason: "stop" | "length" | undefined;
 
   constructor(incoming: IncomingMessage, options: GenerationReaderOptions) {
     this.#incoming = incoming;
@@ -48,79 +48,81 @@
       onEvent: (event) => this.#onEvent(event.data),
       onError: (error) => {
         if (error.type === "max-buffer-size-exceeded") {
-          this.#garbage("an event without an end");
+          this.#failInvalid("an event without an end");
         }
       },
-      maxBufferSize: MOST_EVENT_CHARACTERS,
+      maxBufferSize: MAX_EVENT_CHARACTERS,
     });
-    incoming.on("data", (piece: Buffer) => this.#onPiece(piece));
-    const cutOff = () => this.#closed();
-    incoming.on("end", cutOff);
-    incoming.on("error", cutOff);
-    incoming.on("close", cutOff);
+    incoming.on("data", (data: Buffer) => this.#onData(data));
+    const onClosed = () => this.#onClosed();
+    incoming.on("end", onClosed);
+    incoming.on("error", onClosed);
+    incoming.on("close", onClosed);
   }
 
-  #onPiece(piece: Buffer): void {
-    if (this.#settled) return;
-    this.#bytes += piece.length;
-    if (this.#bytes > this.#options.mostBytes) {
-      this.#garbage(`more than ${this.#options.mostBytes} bytes`);
+  #onData(piece: Buffer): void {
+    if (this.#isSettled) return;
+    this.#bytesRead += piece.length;
+    if (this.#bytesRead > this.#options.maxBytes) {
+      this.#failInvalid(`more than ${this.#options.maxBytes} bytes`);
       return;
     }
     this.#parser.feed(this.#decoder.write(piece));
   }
 
   #onEvent(data: string): void {
-    if (this.#settled) return;
+    if (this.#isSettled) return;
     if (data === END_OF_STREAM) {
-      if (this.#reason === undefined) {
-        this.#garbage("the end mark came without a finish reason");
-      } else this.#end(ok(this.#reason));
+      if (this.#finishReason === undefined) {
+        this.#failInvalid("the end mark came without a finish reason");
+      } else this.#end(ok(this.#finishReason));
       return;
     }
     const chunk = parseChunk(data);
     if (chunk === undefined) {
-      this.#garbage("an event is no completion chunk");
+      this.#failInvalid("an event is no completion chunk");
       return;
     }
     if (chunk.error !== undefined) {
-      this.#end(err(failure(ENDPOINT_ERROR, this.#facts(chunk.error))));
+      this.#end(err(failure(ENDPOINT_ERROR, this.#errorValues(chunk.error))));
       return;
     }
     if (chunk.text !== undefined && chunk.text !== "") {
-      if (this.#reason !== undefined) {
-        this.#garbage("a token came behind the finish reason");
+      if (this.#finishReason !== undefined) {
+        this.#failInvalid("a token came behind the finish reason");
         return;
       }
       this.#options.onToken(chunk.text);
     }
-    if (chunk.reason !== undefined) this.#reason = chunk.reason;
+    if (chunk.finishReason !== undefined) {
+      this.#finishReason = chunk.finishReason;
+    }
   }
 
-  #closed(): void {
+  #onClosed(): void {
     const reason = "the stream ended without its end mark";
-    this.#end(err(failure(ENDPOINT_CLOSED, this.#facts(reason))));
+    this.#end(err(failure(ENDPOINT_CLOSED, this.#errorValues(reason))));
   }
 
-  #garbage(reason: string): void {
-    this.#end(err(failure(ENDPOINT_GARBAGE, this.#facts(reason))));
+  #failInvalid(reason: string): void {
+    this.#end(err(failure(ENDPOINT_GARBAGE, this.#errorValues(reason))));
     this.#incoming.destroy();
   }
 
-  #facts(reason: string): { url: string; reason: string } {
+  #errorValues(reason: string): { url: string; reason: string } {
     return { url: this.#options.url, reason };
   }
 
   #end(end: GenerationEnd): void {
-    if (this.#settled) return;
-    this.#settled = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     this.#settle(end);
   }
 }
 
-interface Chunk {
+interface CompletionChunk {
   readonly text?: string;
-  readonly reason?: "stop" | "length";
+  readonly finishReason?: "stop" | "length";
   readonly error?: string;
 }
 
@@ -128,7 +130,7 @@
  * Takes what is needed from one chunk. Written by hand as it runs once for
  * every token; a validator that collects problems costs several times more.
  */
-function parseChunk(data: string): Chunk | undefined {
+function parseChunk(data: string): CompletionChunk | undefined {
   let value;
   try {
     value = JSON.parse(data);
@@ -145,9 +147,12 @@
   if (text !== undefined && text !== null && typeof text !== "string") {
     return undefined;
   }
-  const reason = choice.finish_reason ?? undefined;
-  if (reason !== undefined && reason !== "stop" && reason !== "length") {
+  const finishReason = choice.finish_reason ?? undefined;
+  if (
+    finishReason !== undefined && finishReason !== "stop" &&
+    finishReason !== "length"
+  ) {
     return undefined;
   }
-  return { text: text ?? undefined, reason };
+  return { text: text ?? undefined, finishReason };
 }
--- a/src/adapters/endpoint/generation_test.ts
+++ b/src/adapters/endpoint/generation_test.ts
@@ -6,9 +6,9 @@
 
 const TOKENS = ["Köt ", "🚛 ", "by the ", "river", "\n\n", '"']
   .map((text) => ({ choices: [{ delta: { content: text } }] }));
-const LAST = { choices: [{ delta: {}, finish_reason: "stop" }] };
+const FINAL_CHUNK = { choices: [{ delta: {}, finish_reason: "stop" }] };
 const STREAM = Buffer.from(
-  [...TOKENS, LAST].map((chunk) => `data: ${JSON.stringify(chunk)}\n\n`)
+  [...TOKENS, FINAL_CHUNK].map((chunk) => `data: ${JSON.stringify(chunk)}\n\n`)
     .join("") + "data: [DONE]\n\n",
 );
 const TEXTS = TOKENS.map(({ choices }) => choices[0].delta.content);
@@ -24,7 +24,7 @@
       incoming as unknown as IncomingMessage,
       {
         url: "http://engine",
-        mostBytes: 10_000,
+        maxBytes: 10_000,
         onToken: (text) => tokens.push(text),
       },
     );
@@ -39,8 +39,8 @@
     await fc.assert(
       fc.asyncProperty(
         fc.array(fc.nat(STREAM.length), { maxLength: 12 }),
-        async (cuts) => {
-          const sorted = [...cuts, STREAM.length].sort((a, b) => a - b);
+        async (offsets) => {
+          const sorted = [...offsets, STREAM.length].sort((a, b) => a - b);
           const pieces = sorted.map((cut, index) =>
             STREAM.subarray(sorted[index - 1] ?? 0, cut)
           );
@@ -55,8 +55,8 @@
   // An engine is killed at any byte of its answer. Whatever it was, it is no
   // whole answer, and the tokens before it count.
   it("takes no part of a stream for a whole answer", async () => {
-    const mark = STREAM.indexOf("[DONE]") + "[DONE]\n".length;
-    for (let length = 0; length < mark; length++) {
+    const endMarkOffset = STREAM.indexOf("[DONE]") + "[DONE]\n".length;
+    for (let length = 0; length < endMarkOffset; length++) {
       const { tokens, end } = await read([STREAM.subarray(0, length)]);
       expect(end._unsafeUnwrapErr().name).to.equal("endpoint_closed");
       expect(TEXTS.slice(0, tokens.length)).to.deep.equal(tokens);
--- a/src/adapters/endpoint/mod.ts
+++ b/src/adapters/endpoint/mod.ts
@@ -30,10 +30,10 @@
 } from "./errors.ts";
 import { type GenerationEnd, GenerationReader } from "./generation.ts";
 
-const DEFAULT_MOST_RESPONSE_BYTES = 8 * 1024 * 1024;
+const DEFAULT_MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 /** Status and orders are answered at once by a healthy engine. */
 const DEFAULT_CONTROL_TIMEOUT_MILLISECONDS = 2_000;
-const MOST_CONTROL_BYTES = 256 * 1024;
+const MAX_CONTROL_RESPONSE_BYTES = 256 * 1024;
 
 export interface HttpEndpointLinkOptions {
   readonly timer: TimerService;
@@ -53,7 +53,7 @@
     this.#url = url;
     this.#client = new HttpClient(url, { timer: options.timer });
     this.#mostResponseBytes = options.mostResponseBytes ??
-      DEFAULT_MOST_RESPONSE_BYTES;
+      DEFAULT_MAX_RESPONSE_BYTES;
     this.#controlTimeoutMilliseconds = options.controlTimeoutMilliseconds ??
       DEFAULT_CONTROL_TIMEOUT_MILLISECONDS;
   }
@@ -64,7 +64,7 @@
   ): GenerationCall {
     const { cache } = attempt;
     if (cache === undefined) return this.#generate(attempt, onToken);
-    return startLater(
+    return deferGeneration(
       this.#importCache(cache),
       () => this.#generate(attempt, onToken),
     );
@@ -75,7 +75,7 @@
     tokens: readonly string[],
   ): Promise<Result<CacheReference, EndpointFailure>> {
     const work = attempt.work as GenerationWork;
-    const answer = await this.#control(
+    const response = await this.#sendControl(
       "POST",
       "/kv/export",
       JSON.stringify({
@@ -84,16 +84,20 @@
         resume_tokens: tokens,
       }),
     );
-    if (answer.isErr()) return err(answer.error);
-    const value = parseJson(answer.value.body);
-    if (answer.value.status === 200 && isRecord(value)) return ok(value);
-    const reason = `status ${answer.value.status} to a cache export`;
+    if (response.isErr()) return err(response.error);
+    const value = parseJson(response.value.body);
+    if (response.value.status === 200 && isRecord(value)) return ok(value);
+    const reason = `status ${response.value.status} to a cache export`;
     return err(failure(ENDPOINT_ERROR, { url: this.#url, reason }));
   }
 
   /** What can't be taken in is made anew by the engine itself. */
   async #importCache(cache: CacheHandover): Promise<void> {
-    await this.#control("POST", "/kv/import", JSON.stringify(cache.reference));
+    await this.#sendControl(
+      "POST",
+      "/kv/import",
+      JSON.stringify(cache.reference),
+    );
   }
 
   #generate(
@@ -102,8 +106,8 @@
   ): GenerationCall {
     const exchange = this.#client.open("/v1/chat/completions", {
       method: "POST",
-      headers: headersFor(attempt, "application/json"),
-      body: JSON.stringify(completionBody(attempt)),
+      headers: buildHeaders(attempt, "application/json"),
+      body: JSON.stringify(buildCompletionBody(attempt)),
     });
     let paused = false;
     let cancelled = false;
@@ -113,20 +117,20 @@
     });
     const finished = incoming.then((response): Promise<GenerationEnd> => {
       if (response.isErr()) {
-        return Promise.resolve(err(this.#failureOf(response.error)));
+        return Promise.resolve(err(this.#toEndpointFailure(response.error)));
       }
-      const refused = this.#refusal(
+      const rejection = this.#responseFailure(
         response.value.statusCode ?? 0,
         response.value.headers["content-type"],
       );
-      if (refused !== undefined) {
+      if (rejection !== undefined) {
         response.value.resume();
         exchange.abort("refused");
-        return Promise.resolve(err(refused));
+        return Promise.resolve(err(rejection));
       }
       const reader = new GenerationReader(response.value, {
         url: this.#url,
-        mostBytes: this.#mostResponseBytes,
+        maxBytes: this.#mostResponseBytes,
         onToken: (text) => {
           if (!cancelled) onToken(text);
         },
@@ -135,8 +139,8 @@
       if (paused) response.value.pause();
       return reader.finished;
     });
-    const setPaused = (wanted: boolean) => {
-      paused = wanted;
+    const setPaused = (value: boolean) => {
+      paused = value;
       void incoming.then((response) => {
         if (response.isErr()) return;
         if (paused) response.value.pause();
@@ -158,24 +162,24 @@
     attempt: AttemptRequest,
   ): Promise<Result<ServiceResponse, EndpointFailure>> {
     const work = attempt.work as ServiceWork;
-    const answer = await this.#client.call(work.path, {
+    const response = await this.#client.call(work.path, {
       method: work.method,
-      headers: headersFor(attempt, work.contentType),
+      headers: buildHeaders(attempt, work.contentType),
       body: work.body === "" ? undefined : work.body,
       ownConnection: !work.idempotent,
       encoding: "latin1",
       timeoutMilliseconds: attempt.deadlineMilliseconds,
       mostResponseBytes: this.#mostResponseBytes,
     });
-    return answer.mapErr((error) => this.#failureOf(error));
+    return response.mapErr((error) => this.#toEndpointFailure(error));
   }
 
   async observe(): Promise<Result<EngineObservation, EndpointFailure>> {
-    const answer = await this.#control("GET", "/status");
-    if (answer.isErr()) return err(answer.error);
-    const value = parseJson(answer.value.body);
-    if (answer.value.status !== 200 || !validateEngineStatus(value)) {
-      const reason = `status ${answer.value.status} without a usable report`;
+    const response = await this.#sendControl("GET", "/status");
+    if (response.isErr()) return err(response.error);
+    const value = parseJson(response.value.body);
+    if (response.value.status !== 200 || !validateEngineStatus(value)) {
+      const reason = `status ${response.value.status} without a usable report`;
       return err(failure(ENDPOINT_GARBAGE, { url: this.#url, reason }));
     }
     const status = value as EngineStatus;
@@ -194,13 +198,13 @@
     target: EngineTarget,
     fencing: number,
   ): Promise<Result<void, EndpointFailure | Failure<"order_fenced">>> {
-    const answer = await this.#control(
+    const response = await this.#sendControl(
       "POST",
       "/orders",
       JSON.stringify({ target, fencing }),
     );
-    if (answer.isErr()) return err(answer.error);
-    const { status } = answer.value;
+    if (response.isErr()) return err(response.error);
+    const { status } = response.value;
     if (status === 409) {
       return err(failure(ORDER_FENCED, { url: this.#url, fencing }));
     }
@@ -216,43 +220,43 @@
     this.#client.close();
   }
 
-  async #control(method: string, path: string, body?: string) {
-    const answer = await this.#client.call(path, {
+  async #sendControl(method: string, path: string, body?: string) {
+    const response = await this.#client.call(path, {
       method,
       headers: body === undefined
         ? undefined
         : { "content-type": "application/json" },
       body,
       timeoutMilliseconds: this.#controlTimeoutMilliseconds,
-      mostResponseBytes: MOST_CONTROL_BYTES,
+      mostResponseBytes: MAX_CONTROL_RESPONSE_BYTES,
     });
-    return answer.mapErr((error) => this.#failureOf(error));
+    return response.mapErr((error) => this.#toEndpointFailure(error));
   }
 
-  #failureOf(error: HttpFailure): EndpointFailure {
-    const facts = { url: this.#url, reason: error.message };
+  #toEndpointFailure(error: HttpFailure): EndpointFailure {
+    const errorValues = { url: this.#url, reason: error.message };
     switch (error.name) {
       case "http_not_sent":
-        return failure(ENDPOINT_REFUSED, facts);
+        return failure(ENDPOINT_REFUSED, errorValues);
       case "http_too_large":
-        return failure(ENDPOINT_GARBAGE, facts);
+        return failure(ENDPOINT_GARBAGE, errorValues);
       case "http_closed":
-        return failure(ENDPOINT_CLOSED, facts);
+        return failure(ENDPOINT_CLOSED, errorValues);
       default:
-        return failure(ENDPOINT_UNREACHABLE, facts);
+        return failure(ENDPOINT_UNREACHABLE, errorValues);
     }
   }
 
   /** Why the head of an answer means that no tokens will come. */
-  #refusal(
+  #responseFailure(
     status: number,
     contentType: string | undefined,
   ): EndpointFailure | undefined {
-    const facts = { url: this.#url, reason: `status ${status}` };
+    const errorValues = { url: this.#url, reason: `status ${status}` };
     if (status === 503 || (status >= 400 && status < 500)) {
-      return failure(ENDPOINT_REFUSED, facts);
+      return failure(ENDPOINT_REFUSED, errorValues);
     }
-    if (status !== 200) return failure(ENDPOINT_ERROR, facts);
+    if (status !== 200) return failure(ENDPOINT_ERROR, errorValues);
     if (!contentType?.startsWith("text/event-stream")) {
       const reason = `content type "${contentType ?? ""}"`;
       return failure(ENDPOINT_GARBAGE, { url: this.#url, reason });
@@ -262,7 +266,7 @@
 }
 
 /** The engine's extensions stand beside the fields that callers know. */
-function completionBody(attempt: AttemptRequest): Record<string, unknown> {
+function buildCompletionBody(attempt: AttemptRequest): Record<string, unknown> {
   const work = attempt.work as GenerationWork;
   return {
     model: work.model,
@@ -274,7 +278,7 @@
   };
 }
 
-function headersFor(
+function buildHeaders(
   attempt: AttemptRequest,
   contentType: string | undefined,
 ): Record<string, string> {
@@ -295,7 +299,7 @@
 }
 
 /** A generation that begins once something else is done. */
-function startLater(
+function deferGeneration(
   ready: Promise<void>,
   start: () => GenerationCall,
 ): GenerationCall {
--- a/src/adapters/endpoint/mod_test.ts
+++ b/src/adapters/endpoint/mod_test.ts
@@ -36,7 +36,10 @@
 
     it("gives every token once and the reason of the end", async () => {
       const tokens: string[] = [];
-      const call = link.generate(generation(), (text) => tokens.push(text));
+      const call = link.generate(
+        generationAttempt(),
+        (text) => tokens.push(text),
+      );
       const end = await call.finished;
       const expected = expectedAnswer("triage-llm", MESSAGES);
       expect(end._unsafeUnwrap()).to.equal(expected.reason);
@@ -46,17 +49,23 @@
     it("goes on behind the tokens that were delivered", async () => {
       const whole = expectedAnswer("triage-llm", MESSAGES).tokens;
       const tokens: string[] = [];
-      const attempt = { ...generation(), deliveredTokens: whole.slice(0, 5) };
-      const call = link.generate(attempt, (text) => tokens.push(text));
+      const resumedAttempt = {
+        ...generationAttempt(),
+        deliveredTokens: whole.slice(0, 5),
+      };
+      const call = link.generate(resumedAttempt, (text) => tokens.push(text));
       expect((await call.finished).isOk()).to.equal(true);
       expect(tokens).to.deep.equal(whole.slice(5));
     });
 
     it("cancels at the engine", async () => {
       let tokens = 0;
-      const call = link.generate(generation("answer-tokens=5000"), () => {
-        if (++tokens === 3) call.cancel();
-      });
+      const call = link.generate(
+        generationAttempt("answer-tokens=5000"),
+        () => {
+          if (++tokens === 3) call.cancel();
+        },
+      );
       expect((await call.finished).isErr()).to.equal(true);
       await sleep(30);
       expect(tokens).to.equal(3);
@@ -67,9 +76,12 @@
     // would pile up in its memory; paused, the engine itself is held back.
     it("holds the engine back while paused", async () => {
       let tokens = 0;
-      const call = link.generate(generation("answer-tokens=100000"), () => {
-        if (++tokens === 10) call.pause();
-      });
+      const call = link.generate(
+        generationAttempt("answer-tokens=100000"),
+        () => {
+          if (++tokens === 10) call.pause();
+        },
+      );
       await sleep(400);
       const paused = tokens;
       await sleep(100);
@@ -88,13 +100,13 @@
       ["refuses", { refuseStatus: 503 }, "endpoint_refused"],
       ["fails", { refuseStatus: 500 }, "endpoint_error"],
     ] as const;
-    for (const [what, faults, name] of brokenStreams) {
+    for (const [fault, faults, name] of brokenStreams) {
       // The engine misbehaves in the middle of an answer. Taken for an end,
       // the caller would get a short answer that looks whole.
-      it(`gives a typed failure where the engine ${what}`, async () => {
+      it(`gives a typed failure where the engine ${fault}`, async () => {
         Object.assign(engine.faults, faults);
         let tokens = 0;
-        const call = link.generate(generation(), () => tokens++);
+        const call = link.generate(generationAttempt(), () => tokens++);
         const end = await call.finished;
         expect(end._unsafeUnwrapErr().name).to.equal(name);
         expect(tokens).to.equal("refuseStatus" in faults ? 0 : 3);
@@ -103,7 +115,7 @@
 
     it("knows that a refused connection started nothing", async () => {
       await engine.close();
-      const end = await link.generate(generation(), () => {}).finished;
+      const end = await link.generate(generationAttempt(), () => {}).finished;
       expect(end._unsafeUnwrapErr().name).to.equal("endpoint_refused");
     });
 
@@ -120,18 +132,21 @@
           })
         ),
       );
-      const reference = await from.exportCache(generation(long), []);
+      const reference = await from.exportCache(generationAttempt(long), []);
       const cache = {
         source: "triage-1",
         tokens: 500,
         reference: reference._unsafeUnwrap(),
       };
-      const withCache = await firstTokenAfter(to, {
-        ...generation(long),
+      const withCache = await timeToFirstToken(to, {
+        ...generationAttempt(long),
         cache,
       });
-      const anew = await firstTokenAfter(from, generation(long));
-      expect(withCache).to.be.below(anew / 2);
+      const withoutCache = await timeToFirstToken(
+        from,
+        generationAttempt(long),
+      );
+      expect(withCache).to.be.below(withoutCache / 2);
       for (const each of [from, to]) each.close();
       await Promise.all([source.close(), target.close()]);
     });
@@ -174,7 +189,7 @@
     });
 
     it("passes the call on with its key", async () => {
-      const answer = (await link.call(serviceCall()))._unsafeUnwrap();
+      const answer = (await link.call(serviceAttempt()))._unsafeUnwrap();
       const body = JSON.parse(answer.body);
       expect(answer.status).to.equal(201);
       expect(answer.contentType).to.equal("application/json");
@@ -188,7 +203,7 @@
     // on the way, its bytes would come out as others.
     it("keeps every byte of bodies that it passes on", async () => {
       const bytes = Buffer.from("Piet Müller, Zoë – ✓", "utf8");
-      const call = serviceCall();
+      const call = serviceAttempt();
       Object.assign(call.work, { body: bytes.toString("latin1") });
       const answer = (await link.call(call))._unsafeUnwrap();
       const body = Buffer.from(answer.body, "latin1").toString("utf8");
@@ -201,12 +216,12 @@
       ["answers too much", { paddingBytes: 20_000 }, "endpoint_garbage"],
       ["hangs", { delayMilliseconds: 900 }, "endpoint_unreachable"],
     ] as const;
-    for (const [what, faults, name] of brokenAnswers) {
+    for (const [fault, faults, name] of brokenAnswers) {
       // The permit is booked and its answer does not come through. None of
       // these may pass for "not run", or it is booked twice.
-      it(`says that work may have run where it ${what}`, async () => {
+      it(`says that work may have run where it ${fault}`, async () => {
         Object.assign(service.faults, faults);
-        const answer = await link.call(serviceCall());
+        const answer = await link.call(serviceAttempt());
         expect(answer._unsafeUnwrapErr().name).to.equal(name);
         expect(service.runs.get("key-1")).to.equal(1);
       });
@@ -214,9 +229,9 @@
   });
 });
 
-function generation(content = MESSAGES[0].content): AttemptRequest {
+function generationAttempt(content = MESSAGES[0].content): AttemptRequest {
   return {
-    ...attempt(),
+    ...baseAttempt(),
     work: {
       kind: "generation",
       model: "triage-llm",
@@ -226,9 +241,9 @@
   };
 }
 
-function serviceCall(): AttemptRequest {
+function serviceAttempt(): AttemptRequest {
   return {
-    ...attempt(),
+    ...baseAttempt(),
     once: { key: "key-1", record: 3, sideIncarnation: "one" },
     work: {
       kind: "service",
@@ -241,7 +256,7 @@
   };
 }
 
-function attempt(): Omit<AttemptRequest, "work"> {
+function baseAttempt(): Omit<AttemptRequest, "work"> {
   return {
     attemptId: "attempt-1",
     requestId: "request-1",
@@ -257,7 +272,7 @@
 }
 
 /** Milliseconds to the first token; the rest is cancelled. */
-function firstTokenAfter(
+function timeToFirstToken(
   link: HttpEndpointLink,
   attempt: AttemptRequest,
 ): Promise<number> {
--- a/src/adapters/forwarding/caller_response.ts
+++ b/src/adapters/forwarding/caller_response.ts
@@ -3,19 +3,19 @@
 
 const UNAUTHORIZED = 401;
 /** The scheme by which callers name their keys. */
-const KEY_SCHEME = "Bearer";
+const AUTHENTICATION_SCHEME = "Bearer";
 
 /** The answer to one caller's request. */
 export class CallerResponse implements CallerSink {
   readonly #response: ServerResponse;
-  readonly #stopping: () => boolean;
-  #done = false;
+  readonly #isStopping: () => boolean;
+  #isFinished = false;
   #gone = false;
 
   /** `stopping`: whether the connection is to be closed behind the answer. */
-  constructor(response: ServerResponse, stopping: () => boolean) {
+  constructor(response: ServerResponse, isStopping: () => boolean) {
     this.#response = response;
-    this.#stopping = stopping;
+    this.#isStopping = isStopping;
     response.on("error", () => {});
     response.on("close", () => this.#gone = true);
   }
@@ -25,26 +25,29 @@
   }
 
   head(status: number, headers: readonly string[]): void {
-    if (this.#gone || this.#done) return;
+    if (this.#gone || this.#isFinished) return;
     this.#response.sendDate = false;
-    this.#response.writeHead(status, this.#withClose(headers) as never);
+    this.#response.writeHead(
+      status,
+      this.#withConnectionHeader(headers) as never,
+    );
     this.#response.flushHeaders();
   }
 
-  write(piece: Buffer): boolean {
-    if (this.#gone || this.#done) return true;
-    return this.#response.write(piece);
+  write(chunk: Buffer): boolean {
+    if (this.#gone || this.#isFinished) return true;
+    return this.#response.write(chunk);
   }
 
   finish(): void {
-    if (this.#done) return;
-    this.#done = true;
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     this.#response.end();
   }
 
   cut(): void {
-    if (this.#done) return;
-    this.#done = true;
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     // Without an end mark and without its length the answer looks cut off.
     this.#response.destroy();
   }
@@ -55,13 +58,13 @@
 
   onGone(listener: () => void): void {
     this.#response.on("close", () => {
-      if (!this.#done) listener();
+      if (!this.#isFinished) listener();
     });
   }
 
   refuse(refusal: Refusal): void {
-    if (this.#gone || this.#done) return;
-    this.#done = true;
+    if (this.#gone || this.#isFinished) return;
+    this.#isFinished = true;
     const body = JSON.stringify({ reason: refusal.reason });
     const headers = [
       "Content-Type",
@@ -70,18 +73,21 @@
       String(Buffer.byteLength(body)),
     ];
     if (refusal.status === UNAUTHORIZED) {
-      headers.push("WWW-Authenticate", KEY_SCHEME);
+      headers.push("WWW-Authenticate", AUTHENTICATION_SCHEME);
     }
-    const wait = refusal.retryAfterMilliseconds;
-    if (wait !== undefined) {
-      headers.push("Retry-After", (wait / 1_000).toFixed(3));
+    const retryAfterMilliseconds = refusal.retryAfterMilliseconds;
+    if (retryAfterMilliseconds !== undefined) {
+      headers.push("Retry-After", (retryAfterMilliseconds / 1_000).toFixed(3));
     }
-    this.#response.writeHead(refusal.status, this.#withClose(headers) as never);
+    this.#response.writeHead(
+      refusal.status,
+      this.#withConnectionHeader(headers) as never,
+    );
     this.#response.end(body);
   }
 
-  #withClose(headers: readonly string[]): string[] {
-    return this.#stopping()
+  #withConnectionHeader(headers: readonly string[]): string[] {
+    return this.#isStopping()
       ? [...headers, "Connection", "close"]
       : [...headers];
   }
--- a/src/adapters/forwarding/caller_server.ts
+++ b/src/adapters/forwarding/caller_server.ts
@@ -11,42 +11,42 @@
 import { CallerResponse } from "./caller_response.ts";
 
 /** Longest head that is read at all, bytes; the configuration's is smaller. */
-const MOST_HEADER_BYTES = 64 * 1024;
+const MAX_HEADER_BYTES = 64 * 1024;
 /**
  * Bodies that all open requests may hold together, bytes. A burst of the largest
  * bodies would exceed a small VM's memory.
  */
-const MOST_OPEN_BODY_BYTES = 48 * 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES = 48 * 1024 * 1024;
 /**
  * How long idle connections stay open after a stop was requested. The balancer
  * takes up to two health checks to notice, and requests must not cross the close.
  */
-const IDLE_AFTER_STOP_MILLISECONDS = 2_500;
+const IDLE_CLOSE_DELAY_MILLISECONDS = 2_500;
 
 /** When a caller that was refused by a stopping entry should come back. */
-const STOPPING_RETRY_MILLISECONDS = 50;
+const STOPPING_RETRY_AFTER_MILLISECONDS = 50;
 /**
  * How long a connection stays open behind an answer that began before the stop and
  * so did not announce it: the caller may send its next request on it.
  */
-const KEPT_AFTER_STOP_MILLISECONDS = 50;
+const KEEP_ALIVE_AFTER_STOP_MILLISECONDS = 50;
 
 /** How often the loop is seen to turn. */
-const LOOP_TICK_MILLISECONDS = 50;
+const LOOP_SAMPLE_INTERVAL_MILLISECONDS = 50;
 /**
  * Delay of the event loop from which on a request may have waited unread as long.
  * Whether its caller has left shows only in the next turn of the loop.
  */
-const LATE_LOOP_MILLISECONDS = 100;
+const LOOP_DELAY_THRESHOLD_MILLISECONDS = 100;
 
 /**
  * The answer to requests on a connection that was busy when the balancer had had
  * its time: a long answer that begins now would be cut when the process ends.
  */
-const STOPPING: Refusal = {
+const STOPPING_REFUSAL: Refusal = {
   status: 503,
   reason: "stopping",
-  retryAfterMilliseconds: STOPPING_RETRY_MILLISECONDS,
+  retryAfterMilliseconds: STOPPING_RETRY_AFTER_MILLISECONDS,
 };
 
 /** Limits on what callers may send; they follow the configuration. */
@@ -80,27 +80,27 @@
 export class CallerServer {
   readonly #options: CallerServerOptions;
   readonly #server: Server;
-  #openBodyBytes = 0;
-  #open = 0;
-  #stopping = false;
+  #bufferedBodyBytes = 0;
+  #openRequests = 0;
+  #isStopping = false;
   /** True once the balancer has had its time: nothing more is handed on. */
-  #closing = false;
-  #idleClosing: Subscription | undefined;
-  #onIdle: (() => void) | undefined;
+  #isClosing = false;
+  #idleCloseTimer: Subscription | undefined;
+  #onDrained: (() => void) | undefined;
   /** Connections that have brought a request before. */
-  readonly #used = new WeakSet<Socket>();
-  #lastTurn = 0;
-  #lastDelay = 0;
+  readonly #usedConnections = new WeakSet<Socket>();
+  #lastSampleAt = 0;
+  #lastSampledDelay = 0;
 
   constructor(options: CallerServerOptions) {
     this.#options = options;
     this.#server = createServer({
       keepAlive: true,
       noDelay: true,
-      maxHeaderSize: MOST_HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
       requestTimeout: 0,
       requireHostHeader: true,
-    }, (incoming, outgoing) => this.#take(incoming, outgoing));
+    }, (incoming, outgoing) => this.#receive(incoming, outgoing));
     this.#server.on("clientError", (cause, socket) => {
       options.onProtocolError(cause.message);
       if (!socket.writable) return socket.destroy();
@@ -109,13 +109,13 @@
   }
 
   get open(): number {
-    return this.#open;
+    return this.#openRequests;
   }
 
   listen(): Promise<void> {
     const { host, port } = this.#options;
     this.applyLimits();
-    this.#watchLoop();
+    this.#sampleLoopDelay();
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
       this.#server.listen({ host, port, backlog: 1_024 }, () => resolve());
@@ -124,7 +124,7 @@
 
   /** Takes over limits that the configuration has changed. */
   applyLimits(): void {
-    if (this.#stopping) return;
+    if (this.#isStopping) return;
     const { headerMilliseconds, idleMilliseconds } = this.#options.limits();
     this.#server.headersTimeout = headerMilliseconds;
     this.#server.keepAliveTimeout = idleMilliseconds;
@@ -135,75 +135,75 @@
    * when nothing is open any more.
    */
   stop(): Promise<void> {
-    this.#stopping = true;
-    this.#server.keepAliveTimeout = KEPT_AFTER_STOP_MILLISECONDS;
+    this.#isStopping = true;
+    this.#server.keepAliveTimeout = KEEP_ALIVE_AFTER_STOP_MILLISECONDS;
     return new Promise((resolve) => {
-      this.#idleClosing = this.#options.timer.after(
-        IDLE_AFTER_STOP_MILLISECONDS,
+      this.#idleCloseTimer = this.#options.timer.after(
+        IDLE_CLOSE_DELAY_MILLISECONDS,
         () => {
-          this.#closing = true;
+          this.#isClosing = true;
           this.#server.close();
           this.#server.closeIdleConnections();
-          this.#onIdle = resolve;
-          if (this.#open === 0) resolve();
+          this.#onDrained = resolve;
+          if (this.#openRequests === 0) resolve();
         },
       );
     });
   }
 
   close(): void {
-    this.#idleClosing?.cancel();
+    this.#idleCloseTimer?.cancel();
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
-  #take(incoming: IncomingMessage, outgoing: ServerResponse): void {
-    this.#open += 1;
-    const pieces: Buffer[] = [];
-    let size = 0;
+  #receive(incoming: IncomingMessage, outgoing: ServerResponse): void {
+    this.#openRequests += 1;
+    const chunks: Buffer[] = [];
+    let bodyBytes = 0;
     let refused = false;
-    const sink = new CallerResponse(outgoing, () => this.#stopping);
-    outgoing.on("close", () => this.#closed(size));
+    const sink = new CallerResponse(outgoing, () => this.#isStopping);
+    outgoing.on("close", () => this.#onResponseClosed(bodyBytes));
     if (headerBytes(incoming) > this.#options.limits().mostHeaderBytes) {
       refused = true;
       sink.refuse({ status: 431, reason: "header_too_large" });
     }
-    incoming.on("data", (piece: Buffer) => {
-      size += piece.length;
-      this.#openBodyBytes += piece.length;
+    incoming.on("data", (chunk: Buffer) => {
+      bodyBytes += chunk.length;
+      this.#bufferedBodyBytes += chunk.length;
       if (refused) return;
-      const refusal = this.#refusalOf(size);
-      if (refusal === undefined) return void pieces.push(piece);
+      const refusal = this.#bodyRefusal(bodyBytes);
+      if (refusal === undefined) return void chunks.push(chunk);
       refused = true;
-      pieces.length = 0;
+      chunks.length = 0;
       sink.refuse(refusal);
     });
     incoming.on("error", () => {});
     incoming.on("end", () => {
       if (refused || sink.gone) return;
-      if (this.#closing) return sink.refuse(STOPPING);
+      if (this.#isClosing) return sink.refuse(STOPPING_REFUSAL);
       const request = this.#options.decode({
         method: incoming.method ?? "GET",
         target: incoming.url ?? "/",
         headers: incoming.rawHeaders,
-        body: Buffer.concat(pieces),
+        body: Buffer.concat(chunks),
       });
-      this.#handOn(request, { incoming, sink });
+      this.#dispatch(request, { incoming, sink });
     });
   }
 
-  #watchLoop(): void {
+  #sampleLoopDelay(): void {
     const { timer } = this.#options;
-    this.#lastTurn = timer.now();
-    timer.every(LOOP_TICK_MILLISECONDS, () => {
-      this.#lastDelay = this.#sinceTurn;
-      this.#lastTurn = timer.now();
+    this.#lastSampleAt = timer.now();
+    timer.every(LOOP_SAMPLE_INTERVAL_MILLISECONDS, () => {
+      this.#lastSampledDelay = this.#currentDelay;
+      this.#lastSampleAt = timer.now();
     });
   }
 
-  get #sinceTurn(): number {
-    const sinceTurn = this.#options.timer.now() - this.#lastTurn;
-    return Math.max(0, sinceTurn - LOOP_TICK_MILLISECONDS);
+  get #currentDelay(): number {
+    const elapsed = this.#options.timer.now() - this.#lastSampleAt;
+    return Math.max(0, elapsed - LOOP_SAMPLE_INTERVAL_MILLISECONDS);
   }
 
   /**
@@ -211,7 +211,7 @@
    * what came meanwhile is read, so the delay of the last tick counts too.
    */
   get loopDelay(): number {
-    return Math.max(this.#sinceTurn, this.#lastDelay);
+    return Math.max(this.#currentDelay, this.#lastSampledDelay);
   }
 
   /**
@@ -225,15 +225,15 @@
    * a day were sent on for callers that had left. A further turn takes 0.1 ms
    * where nothing waits.
    */
-  #handOn(
+  #dispatch(
     request: ForwardedRequest,
     context: { readonly incoming: IncomingMessage; readonly sink: CallerSink },
   ): void {
     const { incoming, sink } = context;
-    const delay = this.loopDelay;
-    const isFirst = !this.#used.has(incoming.socket);
-    this.#used.add(incoming.socket);
-    const isLate = delay >= LATE_LOOP_MILLISECONDS;
+    const loopDelay = this.loopDelay;
+    const isFirst = !this.#usedConnections.has(incoming.socket);
+    this.#usedConnections.add(incoming.socket);
+    const isLate = loopDelay >= LOOP_DELAY_THRESHOLD_MILLISECONDS;
     if (!isLate && !isFirst) return this.#options.handle(request, sink);
     // The first callback still belongs to this turn of the loop.
     setImmediate(() =>
@@ -244,25 +244,25 @@
         this.#options.handle({
           ...request,
           ...(isLate && deadlineMilliseconds !== undefined && {
-            deadlineMilliseconds: Math.max(0, deadlineMilliseconds - delay),
+            deadlineMilliseconds: Math.max(0, deadlineMilliseconds - loopDelay),
           }),
         }, sink);
       })
     );
   }
 
-  #refusalOf(size: number): Refusal | undefined {
-    if (size > this.#options.limits().mostBodyBytes) {
+  #bodyRefusal(bodyBytes: number): Refusal | undefined {
+    if (bodyBytes > this.#options.limits().mostBodyBytes) {
       return { status: 413, reason: "body_too_large" };
     }
-    if (this.#openBodyBytes <= MOST_OPEN_BODY_BYTES) return undefined;
+    if (this.#bufferedBodyBytes <= MAX_BUFFERED_BODY_BYTES) return undefined;
     return { status: 503, reason: "memory", retryAfterMilliseconds: 500 };
   }
 
-  #closed(size: number): void {
-    this.#open -= 1;
-    this.#openBodyBytes -= size;
-    if (this.#open === 0) this.#onIdle?.();
+  #onResponseClosed(bodyBytes: number): void {
+    this.#openRequests -= 1;
+    this.#bufferedBodyBytes -= bodyBytes;
+    if (this.#openRequests === 0) this.#onDrained?.();
   }
 }
 
--- a/src/adapters/forwarding/caller_server_test.ts
+++ b/src/adapters/forwarding/caller_server_test.ts
@@ -23,10 +23,10 @@
 describe("CallerServer", () => {
   let server: CallerServer;
   let port: number;
-  let taken: { request: ForwardedRequest; sink: CallerSink }[];
+  let forwarded: { request: ForwardedRequest; sink: CallerSink }[];
 
   beforeEach(async () => {
-    taken = [];
+    forwarded = [];
     port = await freePort();
     server = new CallerServer({
       host: "127.0.0.1",
@@ -46,7 +46,7 @@
         lastEventId: undefined,
         prompt: undefined,
       }),
-      handle: (request, sink) => taken.push({ request, sink }),
+      handle: (request, sink) => forwarded.push({ request, sink }),
       onProtocolError: () => {},
     });
     await server.listen();
@@ -54,21 +54,21 @@
 
   afterEach(() => server.close());
 
-  async function untilTaken(count: number): Promise<void> {
-    while (taken.length < count) {
+  async function untilForwarded(count: number): Promise<void> {
+    while (forwarded.length < count) {
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
   }
 
-  function answerAll(): void {
-    const answering = setInterval(() => {
-      for (const { sink } of taken.splice(0)) {
+  function respondToAll(): void {
+    const interval = setInterval(() => {
+      for (const { sink } of forwarded.splice(0)) {
         sink.head(200, ["Content-Length", "2"]);
         sink.write(Buffer.from("ok"));
         sink.finish();
       }
     }, 5);
-    answering.unref();
+    interval.unref();
   }
 
   it("hands on a body that comes in chunks as one", async () => {
@@ -77,8 +77,8 @@
         "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
       { port },
     );
-    await untilTaken(1);
-    expect(taken[0].request.body.toString()).to.equal("abc");
+    await untilForwarded(1);
+    expect(forwarded[0].request.body.toString()).to.equal("abc");
   });
 
   it("refuses a body beyond the limit and hands on nothing", async () => {
@@ -88,7 +88,7 @@
       { port, waitMilliseconds: 200 },
     );
     expect(statusCodes(received)).to.deep.equal([413]);
-    expect(taken).to.have.length(0);
+    expect(forwarded).to.have.length(0);
   });
 
   it("refuses a head beyond the limit and hands on nothing", async () => {
@@ -97,7 +97,7 @@
       { port, waitMilliseconds: 200 },
     );
     expect(statusCodes(received)).to.deep.equal([431]);
-    expect(taken).to.have.length(0);
+    expect(forwarded).to.have.length(0);
   });
 
   // Two lengths that disagree: what one side takes for the body, the other
@@ -112,14 +112,14 @@
       { port, waitMilliseconds: 200 },
     );
     expect(statusCodes(received)).to.deep.equal([400]);
-    expect(taken).to.have.length(0);
+    expect(forwarded).to.have.length(0);
   });
 
   // An endpoint breaks off; the caller must not take the half for the whole.
   it("leaves a cut answer without its end mark", async () => {
     const received = sendRaw(rawRequest("GET /a", ["Host: h"]), { port });
-    await untilTaken(1);
-    const { sink } = taken[0];
+    await untilForwarded(1);
+    const { sink } = forwarded[0];
     sink.head(200, []);
     sink.write(Buffer.from("half"));
     await new Promise((resolve) => setTimeout(resolve, 30));
@@ -132,11 +132,13 @@
   it("tells when the caller has gone", async () => {
     const socket = connect(port, "127.0.0.1");
     socket.write(rawRequest("GET /a", ["Host: h"]));
-    await untilTaken(1);
-    const gone = new Promise<void>((resolve) => taken[0].sink.onGone(resolve));
+    await untilForwarded(1);
+    const gone = new Promise<void>((resolve) =>
+      forwarded[0].sink.onGone(resolve)
+    );
     socket.destroy();
     await gone;
-    expect(taken[0].sink.gone).to.equal(true);
+    expect(forwarded[0].sink.gone).to.equal(true);
   });
 
   describe("a loop that is late", () => {
@@ -145,13 +147,13 @@
       while (performance.now() < end);
     }
 
-    async function askAndBlock(leaves: boolean): Promise<void> {
+    async function sendAndBlockLoop(disconnects: boolean): Promise<void> {
       const socket = connect(port, "127.0.0.1");
       socket.on("error", () => {});
       await new Promise<void>((resolve) => socket.on("connect", resolve));
       await new Promise((resolve) => setTimeout(resolve, 60));
       socket.write(rawRequest("GET /a", ["Host: h"]));
-      if (leaves) socket.end();
+      if (disconnects) socket.end();
       blockLoop(400);
       await new Promise((resolve) => setTimeout(resolve, 50));
       socket.destroy();
@@ -160,14 +162,14 @@
     // The entry has been busy for longer than its caller waited. Sent on, the
     // request keeps an endpoint at work for somebody who has long gone.
     it("hands on nothing of a caller that has left meanwhile", async () => {
-      await askAndBlock(true);
-      expect(taken).to.have.length(0);
+      await sendAndBlockLoop(true);
+      expect(forwarded).to.have.length(0);
     });
 
     it("takes the wait off the time of a caller that stays", async () => {
-      await askAndBlock(false);
-      expect(taken).to.have.length(1);
-      expect(taken[0].request.deadlineMilliseconds).to.be.within(400, 800);
+      await sendAndBlockLoop(false);
+      expect(forwarded).to.have.length(1);
+      expect(forwarded[0].request.deadlineMilliseconds).to.be.within(400, 800);
     });
   });
 
@@ -183,7 +185,7 @@
     });
     await new Promise((resolve) => setTimeout(resolve, 100));
     for (const socket of waiting) socket.destroy();
-    expect(taken).to.deep.equal([]);
+    expect(forwarded).to.deep.equal([]);
   });
 
   it("gives the time to come back with a refusal", async () => {
@@ -191,8 +193,8 @@
       port,
       waitMilliseconds: 200,
     });
-    await untilTaken(1);
-    taken[0].sink.refuse({
+    await untilForwarded(1);
+    forwarded[0].sink.refuse({
       status: 503,
       reason: "full",
       retryAfterMilliseconds: 250,
@@ -214,8 +216,8 @@
         }).end();
       });
       let closed = false;
-      await untilTaken(1);
-      const { sink } = taken[0];
+      await untilForwarded(1);
+      const { sink } = forwarded[0];
       sink.head(200, ["Content-Length", "2"]);
       void server.stop();
       sink.write(Buffer.from("ok"));
@@ -238,8 +240,8 @@
           }).end();
         });
       const first = ask();
-      await untilTaken(1);
-      const { sink } = taken[0];
+      await untilForwarded(1);
+      const { sink } = forwarded[0];
       sink.head(200, ["Content-Length", "2"]);
       void server.stop();
       await new Promise((resolve) => setTimeout(resolve, 2_700));
@@ -248,12 +250,12 @@
       expect(await first).to.equal(200);
       expect(await ask()).to.equal(503);
       agent.destroy();
-      expect(taken).to.have.length(1);
+      expect(forwarded).to.have.length(1);
     });
 
     it("answers requests that still come, and announces the close", async () => {
       void server.stop();
-      answerAll();
+      respondToAll();
       const received = await sendRaw(rawRequest("GET /a", ["Host: h"]), {
         port,
       });
--- a/src/adapters/forwarding/endpoint_exchanges.ts
+++ b/src/adapters/forwarding/endpoint_exchanges.ts
@@ -14,14 +14,14 @@
   EXCHANGE_LOST,
   EXCHANGE_NOT_SENT,
 } from "./errors.ts";
-import { KeptConnections } from "./kept_connections.ts";
+import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /**
  * How long a connection may take to open. Load: an endpoint that went dark.
  * A packet that is lost at the opening is sent again after a second, which is
  * more than most callers have; a healthy network needs a few milliseconds.
  */
-const CONNECT_MILLISECONDS = 400;
+const CONNECT_TIMEOUT_MILLISECONDS = 400;
 
 export interface OutgoingRequest {
   readonly address: string;
@@ -48,7 +48,7 @@
 /** Requests to endpoints over kept connections. */
 export class EndpointExchanges {
   readonly #options: EndpointExchangesOptions;
-  readonly #agents = new Map<string, KeptConnections>();
+  readonly #agents = new Map<string, KeepAliveAgent>();
 
   constructor(options: EndpointExchangesOptions) {
     this.#options = options;
@@ -65,33 +65,36 @@
       path: outgoing.target,
       headers: [...outgoing.headers] as never,
       setHost: false,
-      agent: this.#agentOf(address),
-    });
-    const opening = this.#options.timer.after(CONNECT_MILLISECONDS, () => {
-      if (connected) return;
-      reason = `no connection in ${CONNECT_MILLISECONDS} ms`;
-      clientRequest.destroy();
+      agent: this.#agentFor(address),
     });
+    const connectTimeout = this.#options.timer.after(
+      CONNECT_TIMEOUT_MILLISECONDS,
+      () => {
+        if (connected) return;
+        reason = `no connection in ${CONNECT_TIMEOUT_MILLISECONDS} ms`;
+        clientRequest.destroy();
+      },
+    );
     clientRequest.on("socket", (socket) => {
-      const opened = () => {
+      const onConnected = () => {
         connected = true;
-        opening.cancel();
+        connectTimeout.cancel();
       };
-      if (socket.connecting) socket.once("connect", opened);
-      else opened();
+      if (socket.connecting) socket.once("connect", onConnected);
+      else onConnected();
     });
     const answer = new Promise<Result<EndpointAnswer, ExchangeFailure>>(
       (resolve) => {
         clientRequest.on("response", (incoming) => {
-          const taken = this.#take(incoming, outgoing);
-          if (taken.isErr()) clientRequest.destroy();
-          resolve(taken);
+          const accepted = this.#acceptResponse(incoming, outgoing);
+          if (accepted.isErr()) clientRequest.destroy();
+          resolve(accepted);
         });
         clientRequest.on("error", (cause) => {
-          opening.cancel();
+          connectTimeout.cancel();
           const definition = connected ? EXCHANGE_LOST : EXCHANGE_NOT_SENT;
-          const facts = { address, reason: reason ?? cause.message };
-          resolve(err(failure(definition, facts)));
+          const errorValues = { address, reason: reason ?? cause.message };
+          resolve(err(failure(definition, errorValues)));
         });
       },
     );
@@ -99,7 +102,7 @@
     return {
       answer,
       abort() {
-        opening.cancel();
+        connectTimeout.cancel();
         reason = "given up";
         clientRequest.destroy();
       },
@@ -112,7 +115,7 @@
    * registration, and another one may have the address already.
    */
   forget(address: string): void {
-    this.#agents.get(address)?.dropIdle();
+    this.#agents.get(address)?.closeIdle();
   }
 
   close(): void {
@@ -120,16 +123,16 @@
     this.#agents.clear();
   }
 
-  #agentOf(address: string): KeptConnections {
+  #agentFor(address: string): KeepAliveAgent {
     let agent = this.#agents.get(address);
     if (agent === undefined) {
-      agent = new KeptConnections(this.#options.mostConnections(address));
+      agent = new KeepAliveAgent(this.#options.mostConnections(address));
       this.#agents.set(address, agent);
     }
     return agent;
   }
 
-  #take(
+  #acceptResponse(
     incoming: IncomingMessage,
     outgoing: OutgoingRequest,
   ): Result<EndpointAnswer, ExchangeFailure> {
@@ -141,20 +144,20 @@
       head.requestId !== outgoing.requestId;
     if (isForeign) {
       const reason = `it names "${head.requestId}"`;
-      const facts = { address: outgoing.address, reason };
-      return err(failure(EXCHANGE_FOREIGN, facts));
+      const errorValues = { address: outgoing.address, reason };
+      return err(failure(EXCHANGE_FOREIGN, errorValues));
     }
-    return ok(answerOf(head, incoming));
+    return ok(createAnswer(head, incoming));
   }
 }
 
-function answerOf(
+function createAnswer(
   head: AnswerHead,
   incoming: IncomingMessage,
 ): EndpointAnswer {
   // A connection that is kept would gather listeners with each answer.
-  const wasReset = endsWithConnection(incoming)
-    ? watchForReset(incoming.socket)
+  const wasReset = isCloseDelimited(incoming)
+    ? detectReset(incoming.socket)
     : () => false;
   return {
     head,
@@ -184,16 +187,16 @@
  * address any more; one that the other side has closed still has. The address
  * must not have been read before: Node remembers it.
  */
-function watchForReset(socket: Socket): () => boolean {
-  let reset = false;
-  socket.once("error", () => reset = true);
+function detectReset(socket: Socket): () => boolean {
+  let wasReset = false;
+  socket.once("error", () => wasReset = true);
   socket.prependOnceListener("end", () => {
-    if (socket.remoteAddress === undefined) reset = true;
+    if (socket.remoteAddress === undefined) wasReset = true;
   });
-  return () => reset;
+  return () => wasReset;
 }
 
-function endsWithConnection(incoming: IncomingMessage): boolean {
+function isCloseDelimited(incoming: IncomingMessage): boolean {
   const { headers } = incoming;
   return headers["content-length"] === undefined &&
     headers["transfer-encoding"] === undefined;
--- a/src/adapters/forwarding/endpoint_exchanges_test.ts
+++ b/src/adapters/forwarding/endpoint_exchanges_test.ts
@@ -32,12 +32,12 @@
   let address: string;
   let exchanges: EndpointExchanges;
 
-  async function begin(script: Script): Promise<void> {
+  async function startReplica(script: Script): Promise<void> {
     replica = new ScriptedReplica(script);
     address = await replica.listen();
   }
 
-  async function ask(requestId = "r"): Promise<Outcome> {
+  async function send(requestId = "r"): Promise<Outcome> {
     const exchange = exchanges.send({
       address,
       method: "POST",
@@ -71,115 +71,115 @@
   });
 
   it("gives the whole body and keeps the connection", async () => {
-    await begin((socket) => socket.write(answerBytes("hello")));
-    expect(await ask()).to.deep.equal({ body: "hello", end: "whole" });
-    expect(await ask()).to.deep.equal({ body: "hello", end: "whole" });
+    await startReplica((socket) => socket.write(answerBytes("hello")));
+    expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
+    expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     expect(replica.connections).to.equal(1);
   });
 
   // Each idle spell left a listener on the connection: a process that serves
   // for days would slow down and fill its memory.
   it("leaves no listeners on a connection that is used again and again", async () => {
-    await begin((socket) => socket.write(answerBytes("hello")));
+    await startReplica((socket) => socket.write(answerBytes("hello")));
     const warnings: Error[] = [];
-    const note = (warning: Error) => warnings.push(warning);
-    process.on("warning", note);
-    for (let count = 0; count < 30; count++) await ask();
+    const recordWarning = (warning: Error) => warnings.push(warning);
+    process.on("warning", recordWarning);
+    for (let count = 0; count < 30; count++) await send();
     await new Promise((resolve) => setTimeout(resolve, 20));
-    process.off("warning", note);
+    process.off("warning", recordWarning);
     expect(warnings.map(({ name }) => name)).to.deep.equal([]);
     expect(replica.connections).to.equal(1);
   });
 
   describe("an answer without a length", () => {
     it("is whole when its connection ends", async () => {
-      await begin((socket) => {
+      await startReplica((socket) => {
         socket.end(answerBytes("hello", { headers: "" }));
       });
-      expect(await ask()).to.deep.equal({ body: "hello", end: "whole" });
+      expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     });
 
     // The replica crashes in the middle of such an answer and its machine
     // resets the connection. Taken for the end, half a receipt reaches the
     // member as a whole one.
     it("is cut when its connection is reset", async () => {
-      await begin((socket) => {
+      await startReplica((socket) => {
         socket.write(answerBytes("hel", { headers: "" }), () => {
           setTimeout(() => socket.resetAndDestroy(), 20);
         });
       });
-      expect((await ask()).end).to.equal("cut");
+      expect((await send()).end).to.equal("cut");
     });
 
     // The same crash, so soon that head, bytes and reset are read in one go.
     it("is cut when the reset comes with its bytes", async () => {
-      await begin((socket) => {
+      await startReplica((socket) => {
         socket.write(answerBytes("hel", { headers: "" }), () => {
           socket.resetAndDestroy();
         });
       });
-      const outcome = await ask();
+      const outcome = await send();
       expect(outcome.end ?? "cut").to.equal("cut");
     });
   });
 
   it("is cut when it ends before its length", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       socket.end(answerBytes("hel", { headers: "Content-Length: 5\r\n" }));
     });
-    expect((await ask()).end).to.equal("cut");
+    expect((await send()).end).to.equal("cut");
   });
 
   it("is cut when its last chunk is missing", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       const headers = "Transfer-Encoding: chunked\r\n";
       socket.end(answerBytes("3\r\nhel\r\n", { headers }));
     });
-    expect((await ask()).end).to.equal("cut");
+    expect((await send()).end).to.equal("cut");
   });
 
   // A faulty replica answers twice. The second answer lies on the kept
   // connection when the next member asks, who would get a stranger's receipt.
   it("uses no connection on which a second answer came", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       socket.write(answerBytes("one") + answerBytes("two"));
     });
-    await ask();
+    await send();
     replica.script = (socket) => socket.write(answerBytes("three"));
-    expect(await ask()).to.deep.equal({ body: "three", end: "whole" });
+    expect(await send()).to.deep.equal({ body: "three", end: "whole" });
     expect(replica.connections).to.equal(2);
   });
 
   it("uses no connection on which a late answer came", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       socket.write(answerBytes("one"));
       setTimeout(() => socket.write(answerBytes("late")), 30);
     });
-    await ask();
+    await send();
     await new Promise((resolve) => setTimeout(resolve, 80));
     replica.script = (socket) => socket.write(answerBytes("two"));
-    expect(await ask()).to.deep.equal({ body: "two", end: "whole" });
+    expect(await send()).to.deep.equal({ body: "two", end: "whole" });
   });
 
   // The second answer comes at the very moment at which the next request is
   // sent. Only the request's id tells that it belongs to another.
   it("takes no answer that names another request", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       socket.write(answerBytes("x", { requestId: "other" }));
     });
-    expect(await ask()).to.deep.equal({ failure: "exchange_foreign" });
+    expect(await send()).to.deep.equal({ failure: "exchange_foreign" });
   });
 
   it("takes no bytes that are no answer", async () => {
-    await begin((socket) => socket.write("what is this\r\n\r\n"));
-    expect(await ask()).to.deep.equal({ failure: "exchange_lost" });
+    await startReplica((socket) => socket.write("what is this\r\n\r\n"));
+    expect(await send()).to.deep.equal({ failure: "exchange_lost" });
   });
 
   it("tells a request that was never sent from one that was lost", async () => {
-    await begin((socket) => socket.destroy());
-    expect(await ask()).to.deep.equal({ failure: "exchange_lost" });
+    await startReplica((socket) => socket.destroy());
+    expect(await send()).to.deep.equal({ failure: "exchange_lost" });
     replica.close();
-    expect(await ask()).to.deep.equal({ failure: "exchange_not_sent" });
+    expect(await send()).to.deep.equal({ failure: "exchange_not_sent" });
   });
 
   // A replica refuses a long request before it has read it and keeps the
@@ -224,29 +224,29 @@
   // new endpoint has its address. Closing every connection to the address
   // would cut answers that nothing is wrong with.
   it("goes on with what is under way when an endpoint is forgotten", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       socket.write(answerBytes("", { headers: "Content-Length: 5\r\n" }));
       setTimeout(() => socket.write("hello"), 60);
     });
-    const asking = ask();
+    const pendingOutcome = send();
     await new Promise((resolve) => setTimeout(resolve, 30));
     exchanges.forget(address);
-    expect(await asking).to.deep.equal({ body: "hello", end: "whole" });
+    expect(await pendingOutcome).to.deep.equal({ body: "hello", end: "whole" });
     exchanges.forget(address);
-    await ask();
+    await send();
     expect(replica.connections).to.equal(2);
   });
 
   // A replica tells that it closes idle connections after a second. A request
   // that is sent on one as it is being closed may have run or not.
   it("leaves a connection that is near its idle timeout", async () => {
-    await begin((socket) => {
+    await startReplica((socket) => {
       const headers = "Content-Length: 1\r\nKeep-Alive: timeout=1\r\n";
       socket.write(answerBytes("x", { headers }));
     });
-    await ask();
+    await send();
     await new Promise((resolve) => setTimeout(resolve, 700));
-    await ask();
+    await send();
     expect(replica.connections).to.equal(2);
   });
 });
--- a/src/adapters/forwarding/errors.ts
+++ b/src/adapters/forwarding/errors.ts
@@ -1,12 +1,12 @@
 import { defineError } from "../../core/errors/mod.ts";
 
-interface ExchangeFacts {
+interface ExchangeErrorValues {
   readonly address: string;
   readonly reason: string;
 }
 
 /** No byte of the request has left. */
-export const EXCHANGE_NOT_SENT = defineError<ExchangeFacts>()({
+export const EXCHANGE_NOT_SENT = defineError<ExchangeErrorValues>()({
   name: "exchange_not_sent",
   title: "Request was not sent",
   message: ({ address, reason }) =>
@@ -15,7 +15,7 @@
 });
 
 /** The request left, and no answer came. */
-export const EXCHANGE_LOST = defineError<ExchangeFacts>()({
+export const EXCHANGE_LOST = defineError<ExchangeErrorValues>()({
   name: "exchange_lost",
   title: "Answer was lost",
   message: ({ address, reason }) =>
@@ -24,7 +24,7 @@
 });
 
 /** An answer came that belongs to another request. */
-export const EXCHANGE_FOREIGN = defineError<ExchangeFacts>()({
+export const EXCHANGE_FOREIGN = defineError<ExchangeErrorValues>()({
   name: "exchange_foreign",
   title: "Answer belongs to another request",
   message: ({ address, reason }) =>
--- a/src/adapters/forwarding/kept_connections.ts
+++ b/src/adapters/forwarding/keep_alive_agent.ts
@@ -6,17 +6,17 @@
  * again. What goes wrong at its end: the endpoint closes the connection while
  * a request is on its way, and nobody can tell whether the request ran.
  */
-const USABLE_IDLE_SHARE = 0.5;
+const IDLE_TIMEOUT_FRACTION = 0.5;
 /** Idle time where the endpoint tells none; shorter than common timeouts. */
 const DEFAULT_IDLE_MILLISECONDS = 2_000;
 const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/;
 
 /** What Node's agent calls as a connection falls idle and is taken again. */
-interface IdleHooks {
+interface AgentHooks {
   keepSocketAlive(socket: Socket): boolean;
   reuseSocket(socket: Socket, request: ClientRequest): void;
 }
-const HOOKS = Agent.prototype as unknown as IdleHooks;
+const AGENT_PROTOTYPE = Agent.prototype as unknown as AgentHooks;
 
 /** A socket that stands idle and must stay silent. */
 interface IdleSocket extends Socket {
@@ -31,38 +31,39 @@
  * twice): the connection is closed before a request could take them for its
  * own answer.
  */
-export class KeptConnections extends Agent {
+export class KeepAliveAgent extends Agent {
   readonly #idleListeners = new WeakMap<Socket, () => void>();
 
-  constructor(mostConnections: number) {
+  constructor(maxConnections: number) {
     super({
       keepAlive: true,
       noDelay: true,
       scheduling: "lifo",
-      maxSockets: mostConnections,
-      maxFreeSockets: mostConnections,
+      maxSockets: maxConnections,
+      maxFreeSockets: maxConnections,
     });
-    const hooks = this as unknown as IdleHooks;
-    hooks.keepSocketAlive = (socket) => this.#keep(socket);
-    hooks.reuseSocket = (socket, request) => this.#reuse(socket, request);
+    const hooks = this as unknown as AgentHooks;
+    hooks.keepSocketAlive = (socket) => this.#retainSocket(socket);
+    hooks.reuseSocket = (socket, request) =>
+      this.#reuseSocketFor(socket, request);
   }
 
   /** Closes the connections that nobody uses. */
-  dropIdle(): void {
+  closeIdle(): void {
     for (const sockets of Object.values(this.freeSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
     }
   }
 
-  #keep(socket: IdleSocket): boolean {
+  #retainSocket(socket: IdleSocket): boolean {
     const header = socket._httpMessage?.res?.headers["keep-alive"];
-    const told = KEEP_ALIVE_TIMEOUT.exec(String(header ?? ""));
-    const idle = told === null
+    const timeoutMatch = KEEP_ALIVE_TIMEOUT.exec(String(header ?? ""));
+    const idleMilliseconds = timeoutMatch === null
       ? DEFAULT_IDLE_MILLISECONDS
-      : Number(told[1]) * 1_000 * USABLE_IDLE_SHARE;
-    if (idle <= 0 || socket.destroyed) return false;
+      : Number(timeoutMatch[1]) * 1_000 * IDLE_TIMEOUT_FRACTION;
+    if (idleMilliseconds <= 0 || socket.destroyed) return false;
     const destroy = () => socket.destroy();
-    socket.setTimeout(idle, destroy);
+    socket.setTimeout(idleMilliseconds, destroy);
     socket.on("data", destroy);
     socket.on("end", destroy);
     this.#idleListeners.set(socket, destroy);
@@ -70,7 +71,7 @@
     return true;
   }
 
-  #reuse(socket: Socket, request: ClientRequest): void {
+  #reuseSocketFor(socket: Socket, request: ClientRequest): void {
     const destroy = this.#idleListeners.get(socket);
     if (destroy !== undefined) {
       socket.off("data", destroy);
@@ -78,6 +79,6 @@
       socket.off("timeout", destroy);
     }
     socket.setTimeout(0);
-    HOOKS.reuseSocket.call(this, socket, request);
+    AGENT_PROTOTYPE.reuseSocket.call(this, socket, request);
   }
 }
--- a/src/adapters/forwarding/peer_datagrams.ts
+++ b/src/adapters/forwarding/peer_datagrams.ts
@@ -2,7 +2,7 @@
 import { parseJson } from "../http_client/mod.ts";
 
 /** Largest datagram that is sent; a longer one would be cut into fragments. */
-const MOST_BYTES = 60_000;
+const MAX_DATAGRAM_BYTES = 60_000;
 
 /** A JSON-RPC notification: a call that gets no answer. */
 interface Notification {
@@ -30,7 +30,7 @@
     this.#options = options;
     this.#socket = createSocket("udp4");
     this.#socket.on("error", (cause) => options.onError(cause.message));
-    this.#socket.on("message", (message) => this.#take(message));
+    this.#socket.on("message", (message) => this.#receive(message));
   }
 
   listen(): void {
@@ -45,7 +45,7 @@
   ): void {
     const message: Notification = { jsonrpc: "2.0", ...notification };
     const bytes = Buffer.from(JSON.stringify(message));
-    if (bytes.length > MOST_BYTES) {
+    if (bytes.length > MAX_DATAGRAM_BYTES) {
       return this.#options.onError(`${bytes.length} bytes are too many`);
     }
     for (const address of addresses) {
@@ -61,7 +61,7 @@
     this.#socket.close();
   }
 
-  #take(bytes: Buffer): void {
+  #receive(bytes: Buffer): void {
     const message = parseJson(bytes.toString()) as Notification | undefined;
     if (typeof message?.method !== "string") return;
     this.#options.onNotification(message.method, message.params);
--- a/src/adapters/forwarding/request_digest_test.ts
+++ b/src/adapters/forwarding/request_digest_test.ts
@@ -9,7 +9,7 @@
 import { digestOf } from "./request_digest.ts";
 
 describe("digestOf", () => {
-  const known = makeRequest();
+  const original = makeRequest();
 
   it("is the same for a retry with a new id and deadline", () => {
     const retry = makeRequest({
@@ -18,10 +18,10 @@
       lastEventId: "7",
       headers: ["host", "one.example", "X-Request-Id", "request-2"],
     });
-    expect(digestOf(retry)).to.equal(digestOf(known));
+    expect(digestOf(retry)).to.equal(digestOf(original));
   });
 
-  const others: Readonly<Record<string, Partial<ForwardedRequest>>> = {
+  const changes: Readonly<Record<string, Partial<ForwardedRequest>>> = {
     method: { method: "PUT" },
     host: { host: "two.example" },
     target: { target: "/x?page=2" },
@@ -33,9 +33,9 @@
       identityHeaders: ["Authorization", "Basic name"],
     },
   };
-  for (const [name, values] of Object.entries(others)) {
+  for (const [name, values] of Object.entries(changes)) {
     it(`differs with the ${name}`, () => {
-      expect(digestOf(makeRequest(values))).not.to.equal(digestOf(known));
+      expect(digestOf(makeRequest(values))).not.to.equal(digestOf(original));
     });
   }
 
--- a/src/adapters/http_client/mod.ts
+++ b/src/adapters/http_client/mod.ts
@@ -87,7 +87,7 @@
     const outgoing = request(url, {
       method: options.method,
       agent: options.ownConnection ? false : this.#agent,
-      headers: headersFor(options),
+      headers: buildHeaders(options),
     });
     const response = new Promise<Result<IncomingMessage, HttpFailure>>(
       (resolve) => {
@@ -98,7 +98,7 @@
         outgoing.on("response", (incoming) => resolve(ok(incoming)));
         outgoing.on("error", (cause) => {
           const definition = connected ? HTTP_NO_ANSWER : HTTP_NOT_SENT;
-          const reason = abortReason ?? reasonOf(cause);
+          const reason = abortReason ?? errorReason(cause);
           resolve(err(failure(definition, { url: url.href, reason })));
         });
       },
@@ -119,20 +119,20 @@
     options: HttpCallOptions,
   ): Promise<Result<HttpAnswer, HttpFailure>> {
     const exchange = this.open(path, options);
-    const limit = this.#timer.after(
+    const timeout = this.#timer.after(
       options.timeoutMilliseconds,
       () => exchange.abort(`no answer in ${options.timeoutMilliseconds} ms`),
     );
     const response = await exchange.response;
-    const answer = response.isErr()
+    const result = response.isErr()
       ? err(response.error)
-      : await readAnswer(response.value, {
+      : await readResponse(response.value, {
         url: this.#url(path).href,
-        mostBytes: options.mostResponseBytes,
+        maxBytes: options.mostResponseBytes,
         encoding: options.encoding ?? "utf8",
       });
-    limit.cancel();
-    return answer;
+    timeout.cancel();
+    return result;
   }
 
   /** Closes kept connections. */
@@ -146,7 +146,7 @@
   }
 }
 
-function headersFor(options: HttpRequestOptions): Record<string, string> {
+function buildHeaders(options: HttpRequestOptions): Record<string, string> {
   const headers: Record<string, string> = { ...options.headers };
   if (options.body !== undefined) {
     headers["content-length"] = String(
@@ -156,43 +156,43 @@
   return headers;
 }
 
-function reasonOf(cause: Error): string {
+function errorReason(cause: Error): string {
   const code = (cause as NodeJS.ErrnoException).code;
   return code === undefined ? cause.message : `${code} ${cause.message}`.trim();
 }
 
-function readAnswer(
+function readResponse(
   incoming: IncomingMessage,
-  options: { url: string; mostBytes: number; encoding: BufferEncoding },
+  options: { url: string; maxBytes: number; encoding: BufferEncoding },
 ): Promise<Result<HttpAnswer, HttpFailure>> {
-  const { url, mostBytes, encoding } = options;
-  const pieces: Buffer[] = [];
-  let size = 0;
+  const { url, maxBytes, encoding } = options;
+  const chunks: Buffer[] = [];
+  let bytesRead = 0;
   return new Promise((resolve) => {
-    incoming.on("data", (piece: Buffer) => {
-      size += piece.length;
-      if (size > mostBytes) {
-        resolve(err(failure(HTTP_TOO_LARGE, { url, limit: mostBytes })));
+    incoming.on("data", (chunk: Buffer) => {
+      bytesRead += chunk.length;
+      if (bytesRead > maxBytes) {
+        resolve(err(failure(HTTP_TOO_LARGE, { url, limit: maxBytes })));
         incoming.destroy();
         return;
       }
-      pieces.push(piece);
+      chunks.push(chunk);
     });
     incoming.on("end", () => {
       resolve(ok({
         status: incoming.statusCode ?? 0,
         contentType: incoming.headers["content-type"] ??
           "application/octet-stream",
-        body: Buffer.concat(pieces).toString(encoding),
+        body: Buffer.concat(chunks).toString(encoding),
         headers: incoming.headers,
         entityTag: incoming.headers.etag,
       }));
     });
-    const cutOff = () => {
+    const onClosedEarly = () => {
       resolve(err(failure(HTTP_CLOSED, { url })));
     };
-    incoming.on("error", cutOff);
-    incoming.on("close", cutOff);
+    incoming.on("error", onClosedEarly);
+    incoming.on("close", onClosedEarly);
   });
 }
 
--- a/src/adapters/log_service/mod.ts
+++ b/src/adapters/log_service/mod.ts
@@ -26,7 +26,7 @@
  */
 const DEFAULT_TIMEOUT_MILLISECONDS = 3_000;
 /** A page of records; keeps one answer from taking a thin VM's memory. */
-const MOST_RESPONSE_BYTES = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 export interface HttpLogServiceOptions {
   readonly timer: TimerService;
@@ -48,22 +48,22 @@
     stream: StreamName,
     records: readonly unknown[],
   ): Promise<Result<LogOffset, LogFailure>> {
-    const answer = await this.#client.call(pathOf(stream), {
+    const response = await this.#client.call(recordsPath(stream), {
       method: "POST",
       headers: { "content-type": "application/json" },
       body: JSON.stringify({ records }),
       timeoutMilliseconds: this.#timeoutMilliseconds,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
+      mostResponseBytes: MAX_RESPONSE_BYTES,
     });
-    if (answer.isErr()) {
-      const definition = answer.error.name === "http_not_sent"
+    if (response.isErr()) {
+      const definition = response.error.name === "http_not_sent"
         ? LOG_UNAVAILABLE
         : LOG_UNKNOWN;
       return err(
-        failure(definition, { stream, reason: answer.error.message }),
+        failure(definition, { stream, reason: response.error.message }),
       );
     }
-    const { status, body } = answer.value;
+    const { status, body } = response.value;
     if (isClientError(status)) {
       return err(
         failure(LOG_UNAVAILABLE, { stream, reason: `status ${status}` }),
@@ -88,17 +88,21 @@
       limit: String(options.limit),
       wait: String(Math.round(options.waitMilliseconds)),
     });
-    const answer = await this.#client.call(`${pathOf(stream)}?${query}`, {
-      method: "GET",
-      timeoutMilliseconds: options.waitMilliseconds + this.#timeoutMilliseconds,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
-    });
-    if (answer.isErr()) {
+    const response = await this.#client.call(
+      `${recordsPath(stream)}?${query}`,
+      {
+        method: "GET",
+        timeoutMilliseconds: options.waitMilliseconds +
+          this.#timeoutMilliseconds,
+        mostResponseBytes: MAX_RESPONSE_BYTES,
+      },
+    );
+    if (response.isErr()) {
       return err(
-        failure(LOG_UNAVAILABLE, { stream, reason: answer.error.message }),
+        failure(LOG_UNAVAILABLE, { stream, reason: response.error.message }),
       );
     }
-    const { status, body } = answer.value;
+    const { status, body } = response.value;
     if (status === 410) {
       return err(failure(LOG_EXPIRED, { stream, from: options.from }));
     }
@@ -109,7 +113,7 @@
         : `status ${status}`;
       return err(failure(LOG_UNAVAILABLE, { stream, reason }));
     }
-    return checkedPage(value as LogReadAnswer, { stream, options });
+    return validatePage(value as LogReadAnswer, { stream, options });
   }
 
   /** Closes kept connections. */
@@ -124,26 +128,26 @@
  * an outage, which shows in the log as a service that answers and does not
  * move on.
  */
-function checkedPage(
-  answer: LogReadAnswer,
+function validatePage(
+  response: LogReadAnswer,
   context: { stream: StreamName; options: LogReadOptions },
 ): Result<LogPage, LogFailure> {
   const { stream, options } = context;
-  const first = Math.max(options.from, answer.oldest);
-  const contiguous = answer.records.every((item, index) =>
+  const first = Math.max(options.from, response.oldest);
+  const isContiguous = response.records.every((item, index) =>
     item.offset === first + index
   );
-  if (!contiguous) {
+  if (!isContiguous) {
     const reason = "the answer's records have a hole";
     return err(failure(LOG_UNAVAILABLE, { stream, reason }));
   }
   return ok({
-    records: answer.records.map((item) => ({
+    records: response.records.map((item) => ({
       offset: numbered<LogOffset>(item.offset),
       value: item.value,
     })),
-    oldest: numbered<LogOffset>(answer.oldest),
-    head: numbered<LogOffset>(answer.head),
+    oldest: numbered<LogOffset>(response.oldest),
+    head: numbered<LogOffset>(response.head),
   });
 }
 
@@ -155,6 +159,6 @@
   return status >= 400 && status < 500 && status !== 408;
 }
 
-function pathOf(stream: StreamName): string {
+function recordsPath(stream: StreamName): string {
   return `/streams/${encodeURIComponent(stream)}/records`;
 }
--- a/src/adapters/log_service/mod_test.ts
+++ b/src/adapters/log_service/mod_test.ts
@@ -39,9 +39,9 @@
   });
 
   it("waits for a record to come", async () => {
-    const waiting = read(log, 0, 2000);
+    const pendingRead = read(log, 0, 2000);
     await log.append(STREAM, ["late"]);
-    expect((await waiting)._unsafeUnwrap().records).to.have.length(1);
+    expect((await pendingRead)._unsafeUnwrap().records).to.have.length(1);
   });
 
   it("shows that records have expired", async () => {
--- a/src/adapters/peers/frame_lines.ts
+++ b/src/adapters/peers/frame_line_reader.ts
@@ -1,17 +1,17 @@
 import type { AttemptFrame } from "../../generated/messages.ts";
 
 /** Most characters that a line may have before the sender counts as broken. */
-const MOST_LINE_LENGTH = 16 * 1024 * 1024;
+const MAX_LINE_LENGTH = 16 * 1024 * 1024;
 
 /** Tells that a peer's stream is not made of frames. */
-export class BrokenFrameStream extends Error {
+export class InvalidFrameError extends Error {
   override readonly name = "BrokenFrameStream";
 }
 
 /** Cuts a peer's byte stream into frames: one JSON object per line. */
 export class FrameLineReader {
   readonly #onFrame: (frame: AttemptFrame) => void;
-  #rest = "";
+  #partialLine = "";
 
   constructor(onFrame: (frame: AttemptFrame) => void) {
     this.#onFrame = onFrame;
@@ -19,10 +19,10 @@
 
   /** Takes the next piece of text. Throws `BrokenFrameStream` on garbage. */
   push(text: string): void {
-    const lines = (this.#rest + text).split("\n");
-    this.#rest = lines.pop() ?? "";
-    if (this.#rest.length > MOST_LINE_LENGTH) {
-      throw new BrokenFrameStream("A frame is longer than any frame can be");
+    const lines = (this.#partialLine + text).split("\n");
+    this.#partialLine = lines.pop() ?? "";
+    if (this.#partialLine.length > MAX_LINE_LENGTH) {
+      throw new InvalidFrameError("A frame is longer than any frame can be");
     }
     for (const line of lines) this.#onFrame(parseFrame(line));
   }
@@ -33,9 +33,9 @@
   try {
     value = JSON.parse(line);
   } catch {
-    throw new BrokenFrameStream("A line is not JSON");
+    throw new InvalidFrameError("A line is not JSON");
   }
-  if (!isFrame(value)) throw new BrokenFrameStream("A line is not a frame");
+  if (!isFrame(value)) throw new InvalidFrameError("A line is not a frame");
   return value;
 }
 
--- a/src/adapters/peers/mod.ts
+++ b/src/adapters/peers/mod.ts
@@ -4,6 +4,6 @@
 export type {
   PeerMethods,
   PeerServerOptions,
-  ServedAttempt,
+  RunningAttempt,
 } from "./peer_server.ts";
 export { PEER_METHODS } from "./protocol.ts";
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -24,13 +24,13 @@
   WatchQuestion,
 } from "../../generated/messages.ts";
 import { LINK_LOST, LINK_NOT_SENT } from "./errors.ts";
-import { FrameLineReader } from "./frame_lines.ts";
-import { ATTEMPT_PATH, CALL_PATH, PEER_METHODS } from "./protocol.ts";
+import { FrameLineReader } from "./frame_line_reader.ts";
+import { ATTEMPT_PATH, PEER_METHODS, RPC_PATH } from "./protocol.ts";
 
 /** Answer to a call is overdue after this time, milliseconds. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000;
 /** Idle connections kept per peer; a few serve hundreds of calls a second. */
-const MOST_IDLE_CONNECTIONS = 32;
+const MAX_IDLE_CONNECTIONS = 32;
 
 /** Thrown inside the JSON-RPC client only; `link` is what the core sees. */
 class LinkError extends Error {
@@ -46,7 +46,7 @@
 export class HttpPeers implements SideLink, EntryLink {
   readonly #agent = new http.Agent({
     keepAlive: true,
-    maxFreeSockets: MOST_IDLE_CONNECTIONS,
+    maxFreeSockets: MAX_IDLE_CONNECTIONS,
     scheduling: "lifo",
   });
   readonly #clients = new Map<PeerAddress, JSONRPCClient<number>>();
@@ -72,7 +72,7 @@
     return this.#call(entry, {
       method: PEER_METHODS.watch,
       parameters: question,
-      extraMilliseconds: question.waitMilliseconds,
+      additionalTimeoutMilliseconds: question.waitMilliseconds,
     });
   }
 
@@ -111,9 +111,14 @@
 
   async #call<Answer>(
     address: PeerAddress,
-    call: { method: string; parameters: object; extraMilliseconds?: number },
+    call: {
+      method: string;
+      parameters: object;
+      additionalTimeoutMilliseconds?: number;
+    },
   ): Promise<Result<Answer, LinkFailure>> {
-    const timeout = CALL_TIMEOUT_MILLISECONDS + (call.extraMilliseconds ?? 0);
+    const timeout = CALL_TIMEOUT_MILLISECONDS +
+      (call.additionalTimeoutMilliseconds ?? 0);
     try {
       return ok(
         await this.#client(address).request(
@@ -129,12 +134,12 @@
   }
 
   #client(address: PeerAddress): JSONRPCClient<number> {
-    const known = this.#clients.get(address);
-    if (known !== undefined) return known;
+    const existing = this.#clients.get(address);
+    if (existing !== undefined) return existing;
     const client: JSONRPCClient<number> = new JSONRPCClient(
       async (request: JSONRPCRequest, timeoutMilliseconds: number) => {
         const text = await post(address, {
-          path: CALL_PATH,
+          path: RPC_PATH,
           body: JSON.stringify(request),
           agent: this.#agent,
           timeoutMilliseconds,
@@ -180,14 +185,14 @@
       () => request.destroy(new Error("no answer in time")),
     );
     request.on("error", (error) => {
-      reject(new LinkError(linkFailure(address, error)));
+      reject(new LinkError(toLinkFailure(address, error)));
     });
     request.on("response", (response) => {
       let text = "";
       response.setEncoding("utf8");
-      response.on("data", (piece: string) => text += piece);
+      response.on("data", (chunk: string) => text += chunk);
       response.on("error", (error) => {
-        reject(new LinkError(linkFailure(address, error)));
+        reject(new LinkError(toLinkFailure(address, error)));
       });
       response.on("end", () => resolve(text));
     });
@@ -199,7 +204,7 @@
  * A refused connection proves that nothing was sent. Any other error, a reset
  * included, may come after the peer has read the message.
  */
-function linkFailure(address: PeerAddress, error: Error): LinkFailure {
+function toLinkFailure(address: PeerAddress, error: Error): LinkFailure {
   const code = (error as NodeJS.ErrnoException).code;
   const values = { address, detail: error.message };
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH"
@@ -220,22 +225,22 @@
   const request = openPost(side, { path: ATTEMPT_PATH, body, agent });
   let response: http.IncomingMessage | undefined;
   const closed = new Promise<Result<void, LinkFailure>>((resolve) => {
-    const fail = (error: Error) => resolve(err(linkFailure(side, error)));
-    request.on("error", fail);
+    const onError = (error: Error) => resolve(err(toLinkFailure(side, error)));
+    request.on("error", onError);
     request.on("close", () => resolve(ok(undefined)));
-    request.on("response", (incoming) => {
-      response = incoming;
+    request.on("response", (incomingMessage) => {
+      response = incomingMessage;
       const reader = new FrameLineReader(onFrame);
-      incoming.setEncoding("utf8");
-      incoming.on("data", (text: string) => {
+      incomingMessage.setEncoding("utf8");
+      incomingMessage.on("data", (text: string) => {
         try {
           reader.push(text);
         } catch (error) {
           request.destroy(error as Error);
         }
       });
-      incoming.on("error", fail);
-      incoming.on("end", () => resolve(ok(undefined)));
+      incomingMessage.on("error", onError);
+      incomingMessage.on("end", () => resolve(ok(undefined)));
     });
   });
   request.end(body);
--- a/src/adapters/peers/peer_server.ts
+++ b/src/adapters/peers/peer_server.ts
@@ -13,12 +13,12 @@
   validateWatchQuestion,
 } from "../../generated/validators.js";
 import type { Validator } from "../../generated/validators.js";
-import { TurnWriter } from "../turn_writer/mod.ts";
+import { CoalescingWriter } from "../coalescing_writer/mod.ts";
 import { CANNOT_LISTEN } from "./errors.ts";
-import { ATTEMPT_PATH, CALL_PATH, PEER_METHODS } from "./protocol.ts";
+import { ATTEMPT_PATH, PEER_METHODS, RPC_PATH } from "./protocol.ts";
 
 /** What an entry holds of an attempt at a side. */
-export interface ServedAttempt {
+export interface RunningAttempt {
   cancel(): void;
   pause(): void;
   resume(): void;
@@ -36,14 +36,14 @@
   readonly runAttempt?: (
     attempt: AttemptRequest,
     emit: (frame: AttemptFrame) => void,
-  ) => ServedAttempt;
+  ) => RunningAttempt;
   readonly mostBodyBytes: number;
   /** Text of the metrics page. */
   readonly metrics?: () => Promise<string>;
 }
 
 /** The process can't answer at present, for example because it leaves. */
-class NoAnswer extends Error {
+class NoResultError extends Error {
   override readonly name = "NoAnswer";
 
   constructor(method: string) {
@@ -51,12 +51,12 @@
   }
 }
 
-const PARAMETER_CHECKS: Readonly<Record<string, Validator>> = {
+const PARAMETER_VALIDATORS: Readonly<Record<string, Validator>> = {
   [PEER_METHODS.ask]: validateOnceQuestion,
   [PEER_METHODS.watch]: validateWatchQuestion,
   [PEER_METHODS.status]: validateStatusQuestion,
 };
-const LAST_FRAME_KINDS: ReadonlySet<AttemptFrame["kind"]> = new Set([
+const FINAL_FRAME_KINDS: ReadonlySet<AttemptFrame["kind"]> = new Set([
   "end",
   "response",
   "not_run",
@@ -68,7 +68,7 @@
   readonly #options: PeerServerOptions;
   readonly #server: http.Server;
   // An error goes to the asking process, which logs it with its reason.
-  readonly #calls = new JSONRPCServer({ errorListener: () => {} });
+  readonly #rpcServer = new JSONRPCServer({ errorListener: () => {} });
 
   constructor(options: PeerServerOptions) {
     this.#options = options;
@@ -76,7 +76,7 @@
       this.#addMethod(name, method);
     }
     this.#server = http.createServer((request, response) => {
-      void this.#serve(request, response);
+      void this.#handleRequest(request, response);
     });
     // A long poll may be quiet for minutes; the asking side has its own limit.
     this.#server.requestTimeout = 0;
@@ -105,20 +105,20 @@
   }
 
   #addMethod(name: string, method: (parameters: never) => unknown): void {
-    const check = PARAMETER_CHECKS[name];
-    this.#calls.addMethod(name, async (given) => {
+    const validate = PARAMETER_VALIDATORS[name];
+    this.#rpcServer.addMethod(name, async (rawParameters) => {
       // JSON-RPC lets a call without parameters leave them out.
-      const parameters = given ?? {};
-      if (check !== undefined && !check(parameters)) {
+      const parameters = rawParameters ?? {};
+      if (validate !== undefined && !validate(parameters)) {
         throw new TypeError(`Parameters of ${name} do not fit the schema`);
       }
-      const answer = await method(parameters as never);
-      if (answer === undefined) throw new NoAnswer(name);
-      return answer;
+      const result = await method(parameters as never);
+      if (result === undefined) throw new NoResultError(name);
+      return result;
     });
   }
 
-  async #serve(
+  async #handleRequest(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
@@ -131,23 +131,28 @@
       response.writeHead(413).end();
       return;
     }
-    if (request.url === CALL_PATH) return this.#serveCall(body, response);
-    if (request.url === ATTEMPT_PATH) return this.#serveAttempt(body, response);
+    if (request.url === RPC_PATH) return this.#handleCall(body, response);
+    if (request.url === ATTEMPT_PATH) {
+      return this.#handleAttempt(body, response);
+    }
     response.writeHead(404).end();
   }
 
-  async #serveCall(body: string, response: http.ServerResponse): Promise<void> {
+  async #handleCall(
+    body: string,
+    response: http.ServerResponse,
+  ): Promise<void> {
     const call = parseCall(body);
     if (call === undefined) {
       response.writeHead(400).end();
       return;
     }
-    const answer = await this.#calls.receive(call);
+    const rpcResponse = await this.#rpcServer.receive(call);
     response.setHeader("content-type", "application/json");
-    response.end(JSON.stringify(answer));
+    response.end(JSON.stringify(rpcResponse));
   }
 
-  #serveAttempt(body: string, response: http.ServerResponse): void {
+  #handleAttempt(body: string, response: http.ServerResponse): void {
     const attempt = parseAttempt(body);
     const runAttempt = this.#options.runAttempt;
     if (attempt === undefined || runAttempt === undefined) {
@@ -156,34 +161,37 @@
     }
     response.writeHead(200, { "content-type": "application/x-ndjson" });
     const writer = new FrameWriter(response);
-    const served = runAttempt(attempt, (frame) => writer.write(frame));
-    writer.onFull = () => served.pause();
-    response.on("drain", () => served.resume());
+    const runningAttempt = runAttempt(attempt, (frame) => writer.write(frame));
+    writer.onBackpressure = () => runningAttempt.pause();
+    response.on("drain", () => runningAttempt.resume());
     response.on("close", () => {
-      if (!writer.ended) served.cancel();
+      if (!writer.ended) runningAttempt.cancel();
     });
   }
 }
 
 /** Writes frames to the entry up to the last one. */
 class FrameWriter {
-  onFull: (() => void) | undefined;
-  readonly #writer: TurnWriter;
-  #ended = false;
+  onBackpressure: (() => void) | undefined;
+  readonly #writer: CoalescingWriter;
+  #isEnded = false;
 
   constructor(response: http.ServerResponse) {
-    this.#writer = new TurnWriter(response, () => this.onFull?.());
+    this.#writer = new CoalescingWriter(
+      response,
+      () => this.onBackpressure?.(),
+    );
   }
 
   get ended(): boolean {
-    return this.#ended;
+    return this.#isEnded;
   }
 
   write(frame: AttemptFrame): void {
-    if (this.#ended) return;
+    if (this.#isEnded) return;
     const line = `${JSON.stringify(frame)}\n`;
-    this.#ended = LAST_FRAME_KINDS.has(frame.kind);
-    if (this.#ended) this.#writer.end(line);
+    this.#isEnded = FINAL_FRAME_KINDS.has(frame.kind);
+    if (this.#isEnded) this.#writer.end(line);
     else this.#writer.write(line);
   }
 }
@@ -195,9 +203,9 @@
 function parseCall(body: string): JSONRPCRequest | undefined {
   try {
     const value: unknown = JSON.parse(body);
-    const single = typeof value === "object" && value !== null &&
+    const isObject = typeof value === "object" && value !== null &&
       !Array.isArray(value);
-    return single ? value as JSONRPCRequest : undefined;
+    return isObject ? value as JSONRPCRequest : undefined;
   } catch {
     return undefined;
   }
@@ -215,17 +223,17 @@
 /** The whole body, or nothing where it is longer than allowed or cut off. */
 function readBody(
   request: http.IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<string | undefined> {
   return new Promise((resolve) => {
-    const pieces: Buffer[] = [];
-    let length = 0;
-    request.on("data", (piece: Buffer) => {
-      length += piece.length;
-      if (length > mostBytes) resolve(undefined);
-      else pieces.push(piece);
+    const chunks: Buffer[] = [];
+    let bytesRead = 0;
+    request.on("data", (chunk: Buffer) => {
+      bytesRead += chunk.length;
+      if (bytesRead > maxBytes) resolve(undefined);
+      else chunks.push(chunk);
     });
-    request.on("end", () => resolve(Buffer.concat(pieces).toString("utf8")));
+    request.on("end", () => resolve(Buffer.concat(chunks).toString("utf8")));
     request.on("error", () => resolve(undefined));
     request.on("close", () => resolve(undefined));
   });
--- a/src/adapters/peers/protocol.ts
+++ b/src/adapters/peers/protocol.ts
@@ -1,5 +1,5 @@
 /** Calls between the system's processes are JSON-RPC 2.0 over HTTP. */
-export const CALL_PATH = "/rpc";
+export const RPC_PATH = "/rpc";
 /**
  * An attempt is one HTTP request whose answer is a stream of frames, one JSON
  * object per line: a JSON-RPC envelope round every token would double its size.
--- a/src/adapters/settings/configuration_files.ts
+++ b/src/adapters/settings/configuration_files.ts
@@ -47,16 +47,16 @@
   };
   const problems = checkConfiguration(content);
   if (problems.length === 0) return ok(content);
-  return err(problems.map((problem) => inFile(problem, files)));
+  return err(problems.map((problem) => toFileProblem(problem, files)));
 }
 
 /** The judge's problems name a place in the content; operators know files. */
-function inFile(
+function toFileProblem(
   problem: ConfigurationProblem,
   files: ConfigurationFiles,
 ): FileProblem {
-  const [, part, ...steps] = problem.path.split("/");
-  const file = part === "rules" ? files.rules : files.inventory;
+  const [, section, ...segments] = problem.path.split("/");
+  const file = section === "rules" ? files.rules : files.inventory;
   const { found, expected } = problem;
-  return { file, path: formatPath(steps), found, expected };
+  return { file, path: formatPath(segments), found, expected };
 }
--- a/src/adapters/settings/mod.ts
+++ b/src/adapters/settings/mod.ts
@@ -35,9 +35,9 @@
 export { type FileProblem, formatProblem } from "./errors.ts";
 export type { SchemaDocument } from "./problems.ts";
 export {
-  type FileCheck,
   type FileFailure,
   fileFailure,
+  type FileSchema,
   readTomlFile,
 } from "./toml_file.ts";
 
@@ -45,7 +45,7 @@
 export type CheckedTraceOutput = Readonly<TraceOutput & { share: number }>;
 
 /** What entries and sides have in common. */
-interface CheckedCommon {
+interface CommonSettings {
   readonly log: Readonly<Required<LogOutput>>;
   readonly traces: CheckedTraceOutput;
   readonly coordination: Readonly<Required<CoordinationTimes>>;
@@ -54,8 +54,8 @@
 /** Settings of an entry with every optional field filled. */
 export interface CheckedEntrySettings
   extends
-    Readonly<Omit<EntrySettings, keyof CheckedCommon | "limits">>,
-    CheckedCommon {
+    Readonly<Omit<EntrySettings, keyof CommonSettings | "limits">>,
+    CommonSettings {
   readonly peerAddresses: string[];
   readonly limits: Readonly<Required<EntryLimits>>;
 }
@@ -63,8 +63,8 @@
 /** Settings of a side with every optional field filled. */
 export interface CheckedSideSettings
   extends
-    Readonly<Omit<SideSettings, keyof CheckedCommon | "limits">>,
-    CheckedCommon {
+    Readonly<Omit<SideSettings, keyof CommonSettings | "limits">>,
+    CommonSettings {
   readonly kind: "engine" | "service";
   readonly limits: Readonly<Required<SideLimits>>;
 }
@@ -81,27 +81,29 @@
 
 export type SettingsKind = keyof SettingsByKind;
 
-interface KindCheck<Kind extends SettingsKind> {
+interface SettingsSchema<Kind extends SettingsKind> {
   readonly validator: Validator;
   readonly definition: string;
-  readonly fill: (value: never) => SettingsByKind[Kind];
+  readonly applyDefaults: (value: never) => SettingsByKind[Kind];
 }
 
-const CHECKS: { readonly [Kind in SettingsKind]: KindCheck<Kind> } = {
+const SETTINGS_SCHEMAS: {
+  readonly [Kind in SettingsKind]: SettingsSchema<Kind>;
+} = {
   entry: {
     validator: validateEntrySettings,
     definition: "EntrySettings",
-    fill: fillEntry,
+    applyDefaults: applyEntryDefaults,
   },
   side: {
     validator: validateSideSettings,
     definition: "SideSettings",
-    fill: fillSide,
+    applyDefaults: applySideDefaults,
   },
   operator: {
     validator: validateOperatorSettings,
     definition: "OperatorSettings",
-    fill: (value: OperatorSettings) => value,
+    applyDefaults: (value: OperatorSettings) => value,
   },
 };
 
@@ -110,25 +112,27 @@
   file: string,
   kind: Kind,
 ): Result<SettingsByKind[Kind], FileFailure> {
-  const check: KindCheck<Kind> = CHECKS[kind];
+  const schema: SettingsSchema<Kind> = SETTINGS_SCHEMAS[kind];
   return readTomlFile(file, {
-    validator: check.validator,
+    validator: schema.validator,
     document: settingsSchema as SchemaDocument,
-    definition: check.definition,
+    definition: schema.definition,
   }).andThen((value) => {
-    const filled = check.fill(value as never);
+    const settings = schema.applyDefaults(value as never);
     const problems = [
-      ...addressProblems(file, filled),
-      ...("coordination" in filled
-        ? timeProblems(file, filled.coordination)
+      ...findAddressProblems(file, settings),
+      ...("coordination" in settings
+        ? findTimingProblems(file, settings.coordination)
         : []),
     ];
     if (problems.length > 0) return err(fileFailure(file, problems));
-    return ok(deepFreeze(filled));
+    return ok(deepFreeze(settings));
   });
 }
 
-function fillCommon(value: EntrySettings | SideSettings): CheckedCommon {
+function applyCommonDefaults(
+  value: EntrySettings | SideSettings,
+): CommonSettings {
   return {
     log: { ...DEFAULT_LOG_OUTPUT, ...value.log },
     traces: { share: DEFAULT_TRACE_SHARE, ...value.traces },
@@ -136,37 +140,37 @@
   };
 }
 
-function fillEntry(value: EntrySettings): CheckedEntrySettings {
+function applyEntryDefaults(value: EntrySettings): CheckedEntrySettings {
   return {
     ...value,
-    ...fillCommon(value),
+    ...applyCommonDefaults(value),
     peerAddresses: value.peerAddresses ?? [],
     limits: { ...DEFAULT_ENTRY_LIMITS, ...value.limits },
   };
 }
 
-function fillSide(value: SideSettings): CheckedSideSettings {
+function applySideDefaults(value: SideSettings): CheckedSideSettings {
   return {
     ...value,
-    ...fillCommon(value),
+    ...applyCommonDefaults(value),
     kind: value.kind ?? "engine",
     limits: { ...DEFAULT_SIDE_LIMITS, ...value.limits },
   };
 }
 
 /** `host:port`, with brackets around an IPv6 number. */
-const ADDRESS = /^(?:[A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):(\d{1,5})$/;
-const HIGHEST_PORT = 65_535;
+const ADDRESS_PATTERN = /^(?:[A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):(\d{1,5})$/;
+const MAX_PORT = 65_535;
 
-function addressProblems(
+function findAddressProblems(
   file: string,
   settings: { entries?: readonly string[]; peerAddresses?: readonly string[] },
 ): FileProblem[] {
   const problems: FileProblem[] = [];
   for (const key of ["entries", "peerAddresses"] as const) {
     (settings[key] ?? []).forEach((address, index) => {
-      const port = ADDRESS.exec(address)?.[1];
-      if (port !== undefined && Number(port) <= HIGHEST_PORT) return;
+      const port = ADDRESS_PATTERN.exec(address)?.[1];
+      if (port !== undefined && Number(port) <= MAX_PORT) return;
       problems.push({
         file,
         path: `${key}[${index}]`,
@@ -182,7 +186,7 @@
  * A process that is suspected before its next report can come is out of use
  * all the time; it shows as endpoints that come and go each second.
  */
-function timeProblems(
+function findTimingProblems(
   file: string,
   times: Readonly<Required<CoordinationTimes>>,
 ): FileProblem[] {
@@ -197,7 +201,7 @@
 
 function deepFreeze<Value>(value: Value): Value {
   if (typeof value === "object" && value !== null) {
-    for (const part of Object.values(value)) deepFreeze(part);
+    for (const property of Object.values(value)) deepFreeze(property);
     Object.freeze(value);
   }
   return value;
--- a/src/adapters/settings/mod_test.ts
+++ b/src/adapters/settings/mod_test.ts
@@ -5,7 +5,7 @@
 import * as fc from "fast-check";
 import { formatProblem, loadSettings } from "./mod.ts";
 
-const GOOD_SIDE = `
+const VALID_SIDE_SETTINGS = `
 name = "side-triage-llm-01"
 region = "klang-valley"
 availabilityZone = "klang-port"
@@ -24,14 +24,14 @@
 
   afterEach(() => rmSync(folder, { recursive: true }));
 
-  function fileWith(text: string): string {
+  function writeSettings(text: string): string {
     const file = join(folder, "side.toml");
     writeFileSync(file, text);
     return file;
   }
 
-  function problemsOf(text: string): string[] {
-    const file = fileWith(text);
+  function loadProblems(text: string): string[] {
+    const file = writeSettings(text);
     const result = loadSettings(file, "side");
     return result._unsafeUnwrapErr().problems.map((problem) =>
       formatProblem(problem).replace(file, "side.toml")
@@ -39,7 +39,9 @@
   }
 
   it("fills what the file leaves out and freezes the value", () => {
-    const file = fileWith(`${GOOD_SIDE}\n[limits]\nmostWaiting = 3\n`);
+    const file = writeSettings(
+      `${VALID_SIDE_SETTINGS}\n[limits]\nmostWaiting = 3\n`,
+    );
     const settings = loadSettings(file, "side")._unsafeUnwrap();
     expect(settings.kind).to.equal("engine");
     expect(settings.limits.mostWaiting).to.equal(3);
@@ -51,9 +53,12 @@
   // An operator mends one line, starts again and meets the next problem, with
   // the endpoint out of service all the while. All of them come at once.
   it("tells every problem at once", () => {
-    const text = GOOD_SIDE.replace("port = 7200", 'prot = 7200, port = "x"')
+    const text = VALID_SIDE_SETTINGS.replace(
+      "port = 7200",
+      'prot = 7200, port = "x"',
+    )
       .replace('region = "klang-valley"', "").replace("http:", "ftp:");
-    expect(problemsOf(text)).to.have.members([
+    expect(loadProblems(text)).to.have.members([
       "side.toml: region: found nothing, expected a value, as the key is required",
       "side.toml: peers.prot: found an unknown key, expected one of host, port",
       'side.toml: peers.port: found "x", expected a value of type integer',
@@ -62,7 +67,7 @@
   });
 
   it("tells where the file is no TOML", () => {
-    const problems = problemsOf("name = \n");
+    const problems = loadProblems("name = \n");
     expect(problems).to.have.length(1);
     expect(problems[0]).to.match(/line 1, column \d+/);
   });
@@ -75,19 +80,21 @@
   // A file is cut off while it is copied, or is no settings file at all. The
   // program has to say so and end with its code, not with a stack.
   it("takes any text and any values", () => {
-    const lines = GOOD_SIDE.trim().split("\n");
+    const lines = VALID_SIDE_SETTINGS.trim().split("\n");
     fc.assert(
       fc.property(
         fc.oneof(
           fc.string(),
-          fc.nat(GOOD_SIDE.length).map((end) => GOOD_SIDE.slice(0, end)),
+          fc.nat(VALID_SIDE_SETTINGS.length).map((end) =>
+            VALID_SIDE_SETTINGS.slice(0, end)
+          ),
           fc.tuple(fc.nat(lines.length - 1), fc.string()).map(([index, text]) =>
             lines.with(index, `${lines[index].split(" = ")[0]} = ${text}`)
               .join("\n")
           ),
         ),
         (text) => {
-          const result = loadSettings(fileWith(text), "side");
+          const result = loadSettings(writeSettings(text), "side");
           if (result.isOk()) return;
           expect(result.error.problems).to.have.length.above(0);
           for (const problem of result.error.problems) {
@@ -100,8 +107,8 @@
   });
 
   it("refuses addresses without a port", () => {
-    const text = GOOD_SIDE.replace("10.0.0.1:7100", "10.0.0.1");
-    expect(problemsOf(text)).to.deep.equal([
+    const text = VALID_SIDE_SETTINGS.replace("10.0.0.1:7100", "10.0.0.1");
+    expect(loadProblems(text)).to.deep.equal([
       'side.toml: entries[0]: found "10.0.0.1", expected an address as host:port',
     ]);
   });
@@ -109,8 +116,9 @@
   // Suspicion comes faster than reports: the endpoint would be in use for one
   // moment of each second, and callers would be refused in the others.
   it("refuses times that suspect a healthy process", () => {
-    const text = `${GOOD_SIDE}\n[coordination]\nsuspectMilliseconds = 900\n`;
-    expect(problemsOf(text)).to.deep.equal([
+    const text =
+      `${VALID_SIDE_SETTINGS}\n[coordination]\nsuspectMilliseconds = 900\n`;
+    expect(loadProblems(text)).to.deep.equal([
       "side.toml: coordination.suspectMilliseconds: found 900, " +
       "expected at least twice reportMilliseconds (1000)",
     ]);
--- a/src/adapters/settings/problems.ts
+++ b/src/adapters/settings/problems.ts
@@ -25,13 +25,13 @@
 
 /** Every problem, once, in the order in which the validator found it. */
 export function describeProblems(
-  findings: readonly ValidationProblem[],
+  errors: readonly ValidationProblem[],
   context: ProblemContext,
 ): FileProblem[] {
   const seen = new Set<string>();
   const problems: FileProblem[] = [];
-  for (const finding of findings) {
-    const problem = describeProblem(finding, context);
+  for (const error of errors) {
+    const problem = describeProblem(error, context);
     const text = `${problem.path}\n${problem.found}\n${problem.expected}`;
     if (seen.has(text)) continue;
     seen.add(text);
@@ -41,42 +41,46 @@
 }
 
 function describeProblem(
-  finding: ValidationProblem,
+  error: ValidationProblem,
   context: ProblemContext,
 ): FileProblem {
-  const steps = finding.instancePath.split("/").slice(1).map(unescapeStep);
-  const value = valueAt(context.value, steps);
+  const segments = error.instancePath.split("/").slice(1).map(
+    unescapePointerSegment,
+  );
+  const value = valueAt(context.value, segments);
   const { file } = context;
-  if (finding.keyword === "additionalProperties") {
-    const key = String(finding.params.additionalProperty);
-    const known = Object.keys(schemaAt(context, steps)?.properties ?? {});
+  if (error.keyword === "additionalProperties") {
+    const key = String(error.params.additionalProperty);
+    const knownKeys = Object.keys(
+      schemaAt(context, segments)?.properties ?? {},
+    );
     return {
       file,
-      path: formatPath([...steps, key]),
+      path: formatPath([...segments, key]),
       found: "an unknown key",
-      expected: `one of ${known.join(", ")}`,
+      expected: `one of ${knownKeys.join(", ")}`,
     };
   }
-  if (finding.keyword === "required") {
-    const key = String(finding.params.missingProperty);
+  if (error.keyword === "required") {
+    const key = String(error.params.missingProperty);
     return {
       file,
-      path: formatPath([...steps, key]),
+      path: formatPath([...segments, key]),
       found: "nothing",
       expected: "a value, as the key is required",
     };
   }
   return {
     file,
-    path: formatPath(steps),
+    path: formatPath(segments),
     found: formatValue(value),
-    expected: expectation(finding),
+    expected: describeExpectation(error),
   };
 }
 
-function expectation(finding: ValidationProblem): string {
-  const { params } = finding;
-  switch (finding.keyword) {
+function describeExpectation(error: ValidationProblem): string {
+  const { params } = error;
+  switch (error.keyword) {
     case "type":
       return `a value of type ${params.type}`;
     case "enum":
@@ -93,15 +97,15 @@
     case "maxItems":
       return `at most ${params.limit} entries`;
     default:
-      return finding.message ?? finding.keyword;
+      return error.message ?? error.keyword;
   }
 }
 
 /** `pools[2].endpoints[0].side`, as an operator would write it. */
-export function formatPath(steps: readonly string[]): string {
-  return steps.map((step, index) => {
-    if (/^\d+$/.test(step)) return `[${step}]`;
-    return index === 0 ? step : `.${step}`;
+export function formatPath(segments: readonly string[]): string {
+  return segments.map((segment, index) => {
+    if (/^\d+$/.test(segment)) return `[${segment}]`;
+    return index === 0 ? segment : `.${segment}`;
   }).join("");
 }
 
@@ -111,31 +115,31 @@
   return text.length > 80 ? `${text.slice(0, 80)}…` : text;
 }
 
-function valueAt(value: unknown, steps: readonly string[]): unknown {
+function valueAt(value: unknown, segments: readonly string[]): unknown {
   let current = value;
-  for (const step of steps) {
+  for (const segment of segments) {
     if (typeof current !== "object" || current === null) return undefined;
-    current = (current as Record<string, unknown>)[step];
+    current = (current as Record<string, unknown>)[segment];
   }
   return current;
 }
 
 function schemaAt(
   context: ProblemContext,
-  steps: readonly string[],
+  segments: readonly string[],
 ): SchemaNode | undefined {
   const { document, definition } = context;
   let node: SchemaNode | undefined = definition === undefined
     ? document
     : document.definitions?.[definition];
-  for (const step of steps) {
-    node = resolve(node, document);
-    node = /^\d+$/.test(step) ? node?.items : node?.properties?.[step];
+  for (const segment of segments) {
+    node = resolveReference(node, document);
+    node = /^\d+$/.test(segment) ? node?.items : node?.properties?.[segment];
   }
-  return resolve(node, document);
+  return resolveReference(node, document);
 }
 
-function resolve(
+function resolveReference(
   node: SchemaNode | undefined,
   document: SchemaDocument,
 ): SchemaNode | undefined {
@@ -143,6 +147,6 @@
   return name === undefined ? node : document.definitions?.[name];
 }
 
-function unescapeStep(step: string): string {
-  return step.replaceAll("~1", "/").replaceAll("~0", "~");
+function unescapePointerSegment(segment: string): string {
+  return segment.replaceAll("~1", "/").replaceAll("~0", "~");
 }
--- a/src/adapters/settings/toml_file.ts
+++ b/src/adapters/settings/toml_file.ts
@@ -12,7 +12,7 @@
   readonly problems: readonly FileProblem[];
 }
 
-export interface FileCheck {
+export interface FileSchema {
   readonly validator: Validator;
   readonly document: SchemaDocument;
   readonly definition?: string;
@@ -21,15 +21,15 @@
 /** Reads the file as TOML; a value that fits the schema or every problem. */
 export function readTomlFile(
   file: string,
-  check: FileCheck,
+  schema: FileSchema,
 ): Result<unknown, FileFailure> {
-  return readToml(file).andThen((value) => {
-    if (check.validator(value)) return ok(value);
-    const findings = check.validator.errors ?? [];
-    const { document, definition } = check;
+  return parseTomlFile(file).andThen((value) => {
+    if (schema.validator(value)) return ok(value);
+    const errors = schema.validator.errors ?? [];
+    const { document, definition } = schema;
     return err(fileFailure(
       file,
-      describeProblems(findings, { file, value, document, definition }),
+      describeProblems(errors, { file, value, document, definition }),
     ));
   });
 }
@@ -41,7 +41,7 @@
   return { ...failure(FILE_INVALID, { file, problems }), problems };
 }
 
-function readToml(file: string): Result<unknown, FileFailure> {
+function parseTomlFile(file: string): Result<unknown, FileFailure> {
   let text;
   try {
     text = readFileSync(file, "utf8");
--- a/src/adapters/telemetry/span_file.ts
+++ b/src/adapters/telemetry/file_span_exporter.ts
@@ -6,12 +6,12 @@
  * Most that one process writes. The VMs have no disks, so that a file lies in
  * memory and would crowd out the process itself.
  */
-const MOST_FILE_BYTES = 64 * 1024 * 1024;
+const MAX_FILE_BYTES = 64 * 1024 * 1024;
 
 /** Writes each span as one line of JSON, up to a bound. */
-export class SpanFile implements SpanExporter {
+export class FileSpanExporter implements SpanExporter {
   readonly #stream: WriteStream;
-  #written = 0;
+  #writtenLength = 0;
   #failed = false;
 
   constructor(file: string) {
@@ -20,13 +20,13 @@
   }
 
   export(spans: ReadableSpan[], done: (result: ExportResult) => void): void {
-    const text = spans.map((span) => `${JSON.stringify(lineOf(span))}\n`)
+    const text = spans.map((span) => `${JSON.stringify(toRecord(span))}\n`)
       .join("");
-    if (this.#failed || this.#written + text.length > MOST_FILE_BYTES) {
+    if (this.#failed || this.#writtenLength + text.length > MAX_FILE_BYTES) {
       done({ code: ExportResultCode.FAILED });
       return;
     }
-    this.#written += text.length;
+    this.#writtenLength += text.length;
     this.#stream.write(text, () => done({ code: ExportResultCode.SUCCESS }));
   }
 
@@ -36,7 +36,7 @@
   }
 }
 
-function lineOf(span: ReadableSpan): Record<string, unknown> {
+function toRecord(span: ReadableSpan): Record<string, unknown> {
   const { traceId, spanId } = span.spanContext();
   return {
     traceId,
@@ -44,13 +44,13 @@
     parentSpanId: span.parentSpanContext?.spanId,
     name: span.name,
     process: span.resource.attributes["service.instance.id"],
-    startMilliseconds: milliseconds(span.startTime),
-    durationMilliseconds: milliseconds(span.duration),
+    startMilliseconds: toMilliseconds(span.startTime),
+    durationMilliseconds: toMilliseconds(span.duration),
     facts: span.attributes,
     failure: span.status.message,
   };
 }
 
-function milliseconds([seconds, nanoseconds]: [number, number]): number {
+function toMilliseconds([seconds, nanoseconds]: [number, number]): number {
   return seconds * 1000 + nanoseconds / 1e6;
 }
--- a/src/adapters/telemetry/forwarding_record.ts
+++ b/src/adapters/telemetry/forwarding_record.ts
@@ -15,9 +15,9 @@
  * Limit: four lines for each of the hundred requests a second that an entry
  * serves when it is busy; the rest is counted and the count is logged.
  */
-const MOST_LINES_PER_SECOND = 400;
-const SECOND_MILLISECONDS = 1_000;
-const BUCKETS_SECONDS = [
+const MAX_LINES_PER_SECOND = 400;
+const MILLISECONDS_PER_SECOND = 1_000;
+const LATENCY_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.025,
@@ -33,7 +33,7 @@
   15,
 ];
 
-export interface ForwardingRecordOptions {
+export interface ForwardingObserverOptions {
   readonly registry: Registry;
   readonly logger: Logger;
   readonly timer: TimerService;
@@ -132,7 +132,7 @@
 
 /** Gives the function that the forwarding path tells its decisions to. */
 export function recordForwarding(
-  options: ForwardingRecordOptions,
+  options: ForwardingObserverOptions,
 ): ObserveForwarding {
   const { registry, logger, timer } = options;
   const decisions = new Counter({
@@ -141,64 +141,67 @@
     labelNames: ["decision", "reason"],
     registers: [registry],
   });
-  const firstByte = new Histogram({
+  const firstByteTime = new Histogram({
     name: "filbertshore_forwarding_first_byte_seconds",
     help: "Time from a request's arrival to its answer's first byte",
     labelNames: ["route"],
-    buckets: BUCKETS_SECONDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [registry],
   });
-  const whole = new Histogram({
+  const responseTime = new Histogram({
     name: "filbertshore_forwarding_answer_seconds",
     help: "Time from a request's arrival to the end of its answer",
     labelNames: ["route"],
-    buckets: BUCKETS_SECONDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [registry],
   });
-  const lines = new LineLimit(timer, logger);
-  return (decision, facts) => {
-    decisions.inc({ decision, reason: String(facts.reason ?? "") });
+  const limiter = new LogRateLimiter(timer, logger);
+  return (decision, fields) => {
+    decisions.inc({ decision, reason: String(fields.reason ?? "") });
     if (decision === "answered") {
-      const { route } = facts;
-      firstByte.observe({ route }, seconds(facts.firstByteMilliseconds));
-      whole.observe({ route }, seconds(facts.milliseconds));
+      const { route } = fields;
+      firstByteTime.observe({ route }, toSeconds(fields.firstByteMilliseconds));
+      responseTime.observe({ route }, toSeconds(fields.milliseconds));
     }
-    if (lines.take()) logger.info({ decision, ...facts }, "Request");
+    if (limiter.tryAcquire()) logger.info({ decision, ...fields }, "Request");
   };
 }
 
-function seconds(milliseconds: unknown): number {
-  return Number(milliseconds) / SECOND_MILLISECONDS;
+function toSeconds(milliseconds: unknown): number {
+  return Number(milliseconds) / MILLISECONDS_PER_SECOND;
 }
 
 /** Counts the lines of each second and tells how many were left out. */
-class LineLimit {
+class LogRateLimiter {
   readonly #timer: TimerService;
   readonly #logger: Logger;
-  #second = 0;
-  #lines = 0;
-  #leftOut = 0;
+  #currentSecond = 0;
+  #writtenLines = 0;
+  #droppedLines = 0;
 
   constructor(timer: TimerService, logger: Logger) {
     this.#timer = timer;
     this.#logger = logger;
   }
 
-  take(): boolean {
-    const second = Math.floor(this.#timer.now() / SECOND_MILLISECONDS);
-    if (second !== this.#second) this.#begin(second);
-    this.#lines += 1;
-    if (this.#lines <= MOST_LINES_PER_SECOND) return true;
-    this.#leftOut += 1;
+  tryAcquire(): boolean {
+    const second = Math.floor(this.#timer.now() / MILLISECONDS_PER_SECOND);
+    if (second !== this.#currentSecond) this.#startSecond(second);
+    this.#writtenLines += 1;
+    if (this.#writtenLines <= MAX_LINES_PER_SECOND) return true;
+    this.#droppedLines += 1;
     return false;
   }
 
-  #begin(second: number): void {
-    if (this.#leftOut > 0) {
-      this.#logger.warn({ lines: this.#leftOut }, "Log lines were left out");
+  #startSecond(second: number): void {
+    if (this.#droppedLines > 0) {
+      this.#logger.warn(
+        { lines: this.#droppedLines },
+        "Log lines were left out",
+      );
     }
-    this.#second = second;
-    this.#lines = 0;
-    this.#leftOut = 0;
+    this.#currentSecond = second;
+    this.#writtenLines = 0;
+    this.#droppedLines = 0;
   }
 }
--- a/src/adapters/telemetry/forwarding_record_test.ts
+++ b/src/adapters/telemetry/forwarding_record_test.ts
@@ -10,9 +10,9 @@
     let counted = 3;
     showRepeats(registry, () => [{ pool: "engines", counted, allowed: 20.5 }]);
     counted = 4;
-    const shown = await registry.metrics();
-    expect(shown).to.include('filbertshore_repeats{pool="engines"} 4');
-    expect(shown).to.include(
+    const output = await registry.metrics();
+    expect(output).to.include('filbertshore_repeats{pool="engines"} 4');
+    expect(output).to.include(
       'filbertshore_repeats_allowed{pool="engines"} 20.5',
     );
   });
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -6,9 +6,9 @@
  * Log text that may wait for a slow reader. Beyond it lines are dropped: a
  * log collector that hangs must not fill the memory of a thin VM.
  */
-const MOST_WAITING_BYTES = 4 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /** Standard output. */
-const DEFAULT_FILE_DESCRIPTOR = 1;
+const STDOUT_FILE_DESCRIPTOR = 1;
 
 /** A logger that makes further ones for parts of the process. */
 export interface LabelledLogger extends Logger {
@@ -27,9 +27,9 @@
 /** Makes the log of a process; without worker threads, as one binary has none. */
 export function createLogger(options: LoggerOptions): LabelledLogger {
   const destination = options.destination ?? pino.destination({
-    dest: DEFAULT_FILE_DESCRIPTOR,
+    dest: STDOUT_FILE_DESCRIPTOR,
     sync: false,
-    maxLength: MOST_WAITING_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   const root = pino({
     level: options.level,
@@ -37,15 +37,15 @@
     timestamp: pino.stdTimeFunctions.isoTime,
     formatters: { level: (label) => ({ level: label }) },
   }, destination);
-  return labelledLogger(root);
+  return createPinoAdapter(root);
 }
 
-function labelledLogger(log: pino.Logger): LabelledLogger {
+function createPinoAdapter(log: pino.Logger): LabelledLogger {
   return {
-    debug: (facts, message) => log.debug(facts, message),
-    info: (facts, message) => log.info(facts, message),
-    warn: (facts, message) => log.warn(facts, message),
-    error: (facts, message) => log.error(facts, message),
-    labelled: (part) => labelledLogger(log.child({ part })),
+    debug: (fields, message) => log.debug(fields, message),
+    info: (fields, message) => log.info(fields, message),
+    warn: (fields, message) => log.warn(fields, message),
+    error: (fields, message) => log.error(fields, message),
+    labelled: (part) => createPinoAdapter(log.child({ part })),
   };
 }
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -7,10 +7,10 @@
   Registry,
 } from "prom-client";
 import type { HistoryEvent } from "../../core/observation/mod.ts";
-import { type RequestEnd, RequestTimes } from "./request_times.ts";
+import { type RequestCompletion, RequestTimings } from "./request_timings.ts";
 
 /** From a millisecond to the longest summary. */
-const LONG_BUCKETS_SECONDS = [
+const REQUEST_BUCKETS_SECONDS = [
   0.001,
   0.0025,
   0.005,
@@ -29,7 +29,7 @@
   60,
 ];
 /** Around the 26 ms between tokens that callers are promised. */
-const TOKEN_BUCKETS_SECONDS = [
+const TOKEN_INTERVAL_BUCKETS_SECONDS = [
   0.002,
   0.005,
   0.01,
@@ -51,7 +51,7 @@
 /** All metrics of one process, in a registry of their own. */
 export class Metrics {
   readonly registry = new Registry();
-  readonly #times: RequestTimes;
+  readonly #timings: RequestTimings;
   readonly #requests = this.#counter("requests_total", [
     "class",
     "outcome",
@@ -83,19 +83,19 @@
   ], "Tokens delivered to callers");
   readonly #queueTime = this.#histogram("queue_seconds", {
     help: "Time from a request's arrival to its place at an endpoint",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
   readonly #firstToken = this.#histogram("first_token_seconds", {
     help: "Time from a request's arrival to its first token",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
-  readonly #betweenTokens = this.#histogram("token_interval_seconds", {
+  readonly #tokenInterval = this.#histogram("token_interval_seconds", {
     help: "Time between two tokens of an answer",
-    buckets: TOKEN_BUCKETS_SECONDS,
+    buckets: TOKEN_INTERVAL_BUCKETS_SECONDS,
   });
   readonly #answerTime = this.#histogram("answer_seconds", {
     help: "Time from a request's arrival to its complete answer",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
   readonly #configurationVersion = this.#gauge(
     "configuration_version",
@@ -111,22 +111,22 @@
   );
 
   constructor(options: MetricsOptions = {}) {
-    this.#times = new RequestTimes({
+    this.#timings = new RequestTimings({
       queued: (className, seconds) =>
         this.#queueTime.observe({ class: className }, seconds),
       firstToken: (className, seconds) =>
         this.#firstToken.observe({ class: className }, seconds),
-      betweenTokens: (className, seconds) =>
-        this.#betweenTokens.observe({ class: className }, seconds),
-      ended: (end) => this.#onEnd(end),
+      tokenInterval: (className, seconds) =>
+        this.#tokenInterval.observe({ class: className }, seconds),
+      completed: (completion) => this.#recordCompletion(completion),
     });
-    const open = this.#times;
+    const timings = this.#timings;
     new Gauge({
       name: "filbertshore_open_requests",
       help: "Requests that have not ended",
       registers: [this.registry],
       collect() {
-        this.set(open.size);
+        this.set(timings.size);
       },
     });
     if (options.processMetrics) {
@@ -136,14 +136,14 @@
 
   /** Pass it to a core as its observation function. */
   readonly observe = (event: HistoryEvent): void => {
-    this.#times.observe(event);
+    this.#timings.observe(event);
     const { facts } = event;
     switch (event.kind) {
       case "retry":
         this.#retries.inc({ reason: String(facts.reason ?? "unnamed") });
         break;
       case "order_sent":
-        this.#roleChanges.inc({ role: roleOf(String(facts.target)) });
+        this.#roleChanges.inc({ role: targetRole(String(facts.target)) });
         break;
       case "order_void":
         this.#voidOrders.inc({ reason: String(facts.reason ?? "unnamed") });
@@ -179,16 +179,18 @@
     return { contentType: this.registry.contentType, body };
   }
 
-  #onEnd(end: RequestEnd): void {
-    const { className } = end;
-    this.#requests.inc({ class: className, outcome: end.outcome });
-    if (end.tokens > 0) this.#tokens.inc({ class: className }, end.tokens);
-    if (end.outcome === "not_run") {
-      this.#refusals.inc({ class: className, reason: end.reason });
+  #recordCompletion(completion: RequestCompletion): void {
+    const { className } = completion;
+    this.#requests.inc({ class: className, outcome: completion.outcome });
+    if (completion.tokens > 0) {
+      this.#tokens.inc({ class: className }, completion.tokens);
     }
-    if (end.outcome !== "answered") return;
-    this.#answerTime.observe({ class: className }, end.seconds);
-    if (end.onTime) this.#goodput.inc({ class: className });
+    if (completion.outcome === "not_run") {
+      this.#refusals.inc({ class: className, reason: completion.reason });
+    }
+    if (completion.outcome !== "answered") return;
+    this.#answerTime.observe({ class: className }, completion.seconds);
+    if (completion.onTime) this.#goodput.inc({ class: className });
   }
 
   #counter<Label extends string>(
@@ -226,6 +228,6 @@
 }
 
 /** Role of an order's target, which stands as JSON among the facts. */
-function roleOf(target: string): string {
+function targetRole(target: string): string {
   return /"role":"([a-z]+)"/.exec(target)?.[1] ?? "unnamed";
 }
--- a/src/adapters/telemetry/mod_test.ts
+++ b/src/adapters/telemetry/mod_test.ts
@@ -32,7 +32,7 @@
 });
 
 describe("Metrics", () => {
-  function tell(
+  function observe(
     metrics: Metrics,
     at: number,
     kind: HistoryEventKind,
@@ -45,11 +45,11 @@
     const metrics = new Metrics();
     const ends = [["in-time", 900], ["late", 1100]] as const;
     for (const [requestId, end] of ends) {
-      tell(metrics, 0, "request_received", { requestId, className: "wish" });
-      tell(metrics, 5, "request_placed", { requestId, className: "urgent" });
-      tell(metrics, 40, "token_delivered", { requestId });
-      tell(metrics, 60, "token_delivered", { requestId });
-      tell(metrics, end, "request_finished", {
+      observe(metrics, 0, "request_received", { requestId, className: "wish" });
+      observe(metrics, 5, "request_placed", { requestId, className: "urgent" });
+      observe(metrics, 40, "token_delivered", { requestId });
+      observe(metrics, 60, "token_delivered", { requestId });
+      observe(metrics, end, "request_finished", {
         requestId,
         outcome: "answered",
         onTime: end <= 1000,
@@ -74,15 +74,15 @@
   it("tells refusals, retries, role changes and the version", async () => {
     const metrics = new Metrics();
     const requestId = "refused";
-    tell(metrics, 0, "request_received", { requestId, className: "bulk" });
-    tell(metrics, 1, "request_finished", {
+    observe(metrics, 0, "request_received", { requestId, className: "bulk" });
+    observe(metrics, 1, "request_finished", {
       requestId,
       outcome: "not_run",
       reason: "saturated",
     });
-    tell(metrics, 2, "retry", { requestId, reason: "endpoint_closed" });
-    tell(metrics, 3, "order_sent", { target: '{"role":"decode"}' });
-    tell(metrics, 4, "configuration_in_force", { version: 17 });
+    observe(metrics, 2, "retry", { requestId, reason: "endpoint_closed" });
+    observe(metrics, 3, "order_sent", { target: '{"role":"decode"}' });
+    observe(metrics, 4, "configuration_in_force", { version: 17 });
     const { body } = await metrics.render();
     for (
       const line of [
@@ -101,8 +101,8 @@
     for (let count = 0; count < 200; count++) {
       const requestId = String(count);
       const className = `class-${count}`;
-      tell(metrics, 0, "request_received", { requestId, className });
-      tell(metrics, 1, "request_finished", {
+      observe(metrics, 0, "request_received", { requestId, className });
+      observe(metrics, 1, "request_finished", {
         requestId,
         outcome: "not_run",
         reason: "saturated",
@@ -123,7 +123,7 @@
   it("forgets the oldest request where ends are never told", () => {
     const metrics = new Metrics();
     for (let count = 0; count < 20_100; count++) {
-      tell(metrics, count, "request_received", { requestId: String(count) });
+      observe(metrics, count, "request_received", { requestId: String(count) });
     }
     return metrics.render().then(({ body }) =>
       expect(body).to.include("filbertshore_open_requests 20000")
@@ -132,14 +132,15 @@
 });
 
 describe("createTracing", () => {
-  const CALLER = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+  const CALLER_TRACEPARENT =
+    "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
   it("writes spans of one trace to a file of lines", async () => {
     const folder = mkdtempSync(join(tmpdir(), "filbertshore-traces-"));
     const file = join(folder, "spans.jsonl");
     const tracing = createTracing({ process: "entry-1", file, share: 1 });
     const receive = tracing.tracer.start("entry.receive", {
-      traceparent: CALLER,
+      traceparent: CALLER_TRACEPARENT,
     });
     const dispatch = tracing.tracer.start("entry.dispatch", {
       traceparent: receive.traceparent,
@@ -156,7 +157,7 @@
       "entry.dispatch",
       "entry.receive",
     ]);
-    expect(lines[0].traceId).to.equal(CALLER.split("-")[1]);
+    expect(lines[0].traceId).to.equal(CALLER_TRACEPARENT.split("-")[1]);
     expect(lines[0].parentSpanId).to.equal(lines[1].spanId);
     expect(lines[1].parentSpanId).to.equal("b7ad6b7169203331");
     expect(lines[0].facts.endpoint).to.equal("triage-llm-01");
@@ -165,7 +166,7 @@
   it("sends spans to a collector", async () => {
     let received = "";
     const collector = createServer((request, response) => {
-      request.setEncoding("utf8").on("data", (piece) => received += piece);
+      request.setEncoding("utf8").on("data", (chunk) => received += chunk);
       request.on("end", () => response.end("{}"));
     });
     await new Promise<void>((resolve) => {
@@ -186,7 +187,9 @@
 
   it("makes nothing where no output is set", () => {
     const { tracer } = createTracing({ process: "entry-1", share: 1 });
-    const span = tracer.start("entry.receive", { traceparent: CALLER });
+    const span = tracer.start("entry.receive", {
+      traceparent: CALLER_TRACEPARENT,
+    });
     expect(span.traceparent).to.equal(undefined);
     expect(tracer.start("entry.queue", {})).to.equal(span);
   });
--- a/src/adapters/telemetry/request_times.ts
+++ b/src/adapters/telemetry/request_timings.ts
@@ -1,7 +1,7 @@
 import type { HistoryEvent } from "../../core/observation/mod.ts";
 
 /** How a request ended, for the metrics. */
-export interface RequestEnd {
+export interface RequestCompletion {
   readonly className: string;
   readonly outcome: "answered" | "not_run" | "unknown";
   readonly reason: string;
@@ -12,14 +12,14 @@
 }
 
 /** Where times go as they become known; seconds. */
-export interface RequestTimesListener {
+export interface RequestTimingsListener {
   queued(className: string, seconds: number): void;
   firstToken(className: string, seconds: number): void;
-  betweenTokens(className: string, seconds: number): void;
-  ended(end: RequestEnd): void;
+  tokenInterval(className: string, seconds: number): void;
+  completed(completion: RequestCompletion): void;
 }
 
-interface OpenRequest {
+interface TrackedRequest {
   className: string;
   readonly receivedAt: number;
   placed: boolean;
@@ -32,28 +32,28 @@
  * otherwise leak an entry; beyond the bound the oldest is forgotten, and only
  * its times are missing.
  */
-const MOST_FOLLOWED = 20_000;
-const NO_CLASS = "unnamed";
+const MAX_TRACKED_REQUESTS = 20_000;
+const UNNAMED_CLASS = "unnamed";
 /**
  * Names of classes that metrics tell apart; the rules allow 16. A caller may
  * ask for a class of any name, and each new one would add a dozen series that
  * stay for good: one caller could fill the entry's memory.
  */
-const MOST_CLASSES = 32;
+const MAX_CLASS_LABELS = 32;
 const OTHER_CLASS = "other";
 
 /** Works out the times of each request from the events of an entry. */
-export class RequestTimes {
-  readonly #listener: RequestTimesListener;
-  readonly #open = new Map<string, OpenRequest>();
-  readonly #classes = new Set<string>();
+export class RequestTimings {
+  readonly #listener: RequestTimingsListener;
+  readonly #requests = new Map<string, TrackedRequest>();
+  readonly #classLabels = new Set<string>();
 
-  constructor(listener: RequestTimesListener) {
+  constructor(listener: RequestTimingsListener) {
     this.#listener = listener;
   }
 
   get size(): number {
-    return this.#open.size;
+    return this.#requests.size;
   }
 
   observe(event: HistoryEvent): void {
@@ -70,23 +70,23 @@
   }
 
   #onReceived({ at, facts }: HistoryEvent): void {
-    this.#open.set(String(facts.requestId), {
-      className: this.#classOf(facts) ?? NO_CLASS,
+    this.#requests.set(String(facts.requestId), {
+      className: this.#classLabel(facts) ?? UNNAMED_CLASS,
       receivedAt: at,
       placed: false,
       lastTokenAt: undefined,
       tokens: 0,
     });
-    if (this.#open.size <= MOST_FOLLOWED) return;
-    const [oldest] = this.#open.keys();
-    this.#open.delete(oldest);
+    if (this.#requests.size <= MAX_TRACKED_REQUESTS) return;
+    const [oldest] = this.#requests.keys();
+    this.#requests.delete(oldest);
   }
 
   #onPlaced({ at, facts }: HistoryEvent): void {
-    const request = this.#open.get(String(facts.requestId));
+    const request = this.#requests.get(String(facts.requestId));
     if (request === undefined || request.placed) return;
     request.placed = true;
-    request.className = this.#classOf(facts) ?? request.className;
+    request.className = this.#classLabel(facts) ?? request.className;
     this.#listener.queued(
       request.className,
       (at - request.receivedAt) / 1000,
@@ -94,13 +94,13 @@
   }
 
   #onToken({ at, facts }: HistoryEvent): void {
-    const request = this.#open.get(String(facts.requestId));
+    const request = this.#requests.get(String(facts.requestId));
     if (request === undefined) return;
     const { className, lastTokenAt } = request;
     if (lastTokenAt === undefined) {
       this.#listener.firstToken(className, (at - request.receivedAt) / 1000);
     } else {
-      this.#listener.betweenTokens(className, (at - lastTokenAt) / 1000);
+      this.#listener.tokenInterval(className, (at - lastTokenAt) / 1000);
     }
     request.lastTokenAt = at;
     request.tokens += 1;
@@ -108,14 +108,14 @@
 
   #onFinished({ at, facts }: HistoryEvent): void {
     const requestId = String(facts.requestId);
-    const request = this.#open.get(requestId);
+    const request = this.#requests.get(requestId);
     if (request === undefined) return;
-    this.#open.delete(requestId);
+    this.#requests.delete(requestId);
     const seconds = (at - request.receivedAt) / 1000;
-    const className = this.#classOf(facts) ?? request.className;
-    this.#listener.ended({
+    const className = this.#classLabel(facts) ?? request.className;
+    this.#listener.completed({
       className,
-      outcome: facts.outcome as RequestEnd["outcome"],
+      outcome: facts.outcome as RequestCompletion["outcome"],
       reason: String(facts.reason ?? "unnamed"),
       tokens: request.tokens,
       seconds,
@@ -124,12 +124,12 @@
   }
 
   /** The class that an event names; the rules decide it after the arrival. */
-  #classOf(facts: HistoryEvent["facts"]): string | undefined {
+  #classLabel(facts: HistoryEvent["facts"]): string | undefined {
     if (facts.className === undefined) return undefined;
     const className = String(facts.className);
-    if (this.#classes.has(className)) return className;
-    if (this.#classes.size >= MOST_CLASSES) return OTHER_CLASS;
-    this.#classes.add(className);
+    if (this.#classLabels.has(className)) return className;
+    if (this.#classLabels.size >= MAX_CLASS_LABELS) return OTHER_CLASS;
+    this.#classLabels.add(className);
     return className;
   }
 }
--- a/src/adapters/telemetry/tracing.ts
+++ b/src/adapters/telemetry/tracing.ts
@@ -26,10 +26,10 @@
   type SpanOptions,
   type Tracer,
 } from "../../core/observation/mod.ts";
-import { SpanFile } from "./span_file.ts";
+import { FileSpanExporter } from "./file_span_exporter.ts";
 
 /** Spans that may wait for the collector; beyond it they are dropped. */
-const MOST_WAITING_SPANS = 4_096;
+const MAX_QUEUED_SPANS = 4_096;
 
 export interface TracingOptions {
   /** Name of the process on each span. */
@@ -49,7 +49,7 @@
 
 /** Makes the tracing of a process; with no output set it is a null object. */
 export function createTracing(options: TracingOptions): Tracing {
-  const exporter = exporterFor(options);
+  const exporter = createExporter(options);
   if (exporter === undefined) {
     return { tracer: NO_TRACER, shutdown: () => Promise.resolve() };
   }
@@ -62,7 +62,7 @@
       root: new TraceIdRatioBasedSampler(options.share),
     }),
     spanProcessors: [
-      new BatchSpanProcessor(exporter, { maxQueueSize: MOST_WAITING_SPANS }),
+      new BatchSpanProcessor(exporter, { maxQueueSize: MAX_QUEUED_SPANS }),
     ],
   });
   return {
@@ -71,11 +71,13 @@
   };
 }
 
-function exporterFor(options: TracingOptions): SpanExporter | undefined {
+function createExporter(options: TracingOptions): SpanExporter | undefined {
   if (options.otlpUrl !== undefined) {
     return new OTLPTraceExporter({ url: options.otlpUrl });
   }
-  return options.file === undefined ? undefined : new SpanFile(options.file);
+  return options.file === undefined
+    ? undefined
+    : new FileSpanExporter(options.file);
 }
 
 class OpenTelemetryTracer implements Tracer {
--- a/src/adapters/time/mod_test.ts
+++ b/src/adapters/time/mod_test.ts
@@ -13,8 +13,8 @@
         await new Promise<void>((resolve) => timer.after(delay, resolve));
         return timer.now() - started - delay;
       });
-      for (const late of await Promise.all(waits)) {
-        expect(late).to.be.at.least(0);
+      for (const delay of await Promise.all(waits)) {
+        expect(delay).to.be.at.least(0);
       }
     });
 
@@ -29,9 +29,9 @@
     // millisecond, and with it a key that still protects a booking.
     it("waits through delays longer than Node's timers take", async () => {
       let fired = false;
-      const alarm = timer.after(2 ** 31 + 1000, () => fired = true);
+      const subscription = timer.after(2 ** 31 + 1000, () => fired = true);
       await new Promise<void>((resolve) => timer.after(15, resolve));
-      alarm.cancel();
+      subscription.cancel();
       expect(fired).to.equal(false);
     });
   });
@@ -39,9 +39,9 @@
   describe("every", () => {
     it("calls until cancelled", async () => {
       let calls = 0;
-      const ticks = timer.every(3, () => calls++);
+      const subscription = timer.every(3, () => calls++);
       await new Promise<void>((resolve) => timer.after(30, resolve));
-      ticks.cancel();
+      subscription.cancel();
       const seen = calls;
       await new Promise<void>((resolve) => timer.after(15, resolve));
       expect(seen).to.be.at.least(2);
--- a/src/adapters/vm_list/mod.ts
+++ b/src/adapters/vm_list/mod.ts
@@ -12,7 +12,7 @@
 /** The list changes slowly; a slow answer is worth the next try. */
 const TIMEOUT_MILLISECONDS = 3_000;
 /** 12,000 VMs at 200 bytes each, three times over. */
-const MOST_RESPONSE_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
  * Reads the whole list with `GET /vms`. Where the platform names its answers
@@ -21,7 +21,7 @@
  */
 export class HttpVmList implements VmList {
   readonly #client: HttpClient;
-  #last: { entityTag: string; vms: readonly ListedVm[] } | undefined;
+  #cached: { entityTag: string; vms: readonly ListedVm[] } | undefined;
 
   constructor(url: string, options: { timer: TimerService }) {
     this.#client = new HttpClient(url, options);
@@ -30,17 +30,19 @@
   async read(): Promise<
     Result<readonly ListedVm[], Failure<"vm_list_unavailable">>
   > {
-    const answer = await this.#client.call("/vms", {
+    const response = await this.#client.call("/vms", {
       method: "GET",
-      ...(this.#last && {
-        headers: { "if-none-match": this.#last.entityTag },
+      ...(this.#cached && {
+        headers: { "if-none-match": this.#cached.entityTag },
       }),
       timeoutMilliseconds: TIMEOUT_MILLISECONDS,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
+      mostResponseBytes: MAX_RESPONSE_BYTES,
     });
-    if (answer.isErr()) return unavailable(answer.error.message);
-    const { status, body, entityTag } = answer.value;
-    if (status === 304 && this.#last !== undefined) return ok(this.#last.vms);
+    if (response.isErr()) return unavailable(response.error.message);
+    const { status, body, entityTag } = response.value;
+    if (status === 304 && this.#cached !== undefined) {
+      return ok(this.#cached.vms);
+    }
     if (status !== 200) return unavailable(`status ${status}`);
     const value = parseJson(body);
     if (!validateVmListAnswer(value)) {
@@ -53,7 +55,7 @@
       availabilityZone: vm.availability_zone,
       leaving: vm.leaving,
     }));
-    this.#last = entityTag === undefined ? undefined : { entityTag, vms };
+    this.#cached = entityTag === undefined ? undefined : { entityTag, vms };
     return ok(vms);
   }
 
--- a/src/adapters/weight_store/errors.ts
+++ b/src/adapters/weight_store/errors.ts
@@ -1,12 +1,12 @@
 import { defineError } from "../../core/errors/mod.ts";
 
-interface WeightStoreFacts {
+interface WeightStoreErrorValues {
   readonly model: string;
   readonly reason: string;
 }
 
 /** The store does not answer or says that its rate is used up. */
-export const WEIGHT_STORE_UNAVAILABLE = defineError<WeightStoreFacts>()({
+export const WEIGHT_STORE_UNAVAILABLE = defineError<WeightStoreErrorValues>()({
   name: "weight_store_unavailable",
   title: "Weight store cannot be asked",
   message: ({ model, reason }) =>
--- a/src/adapters/weight_store/mod.ts
+++ b/src/adapters/weight_store/mod.ts
@@ -9,13 +9,13 @@
 import { MODEL_UNKNOWN, WEIGHT_STORE_UNAVAILABLE } from "./errors.ts";
 
 const TIMEOUT_MILLISECONDS = 5_000;
-const MOST_RESPONSE_BYTES = 1024 * 1024;
+const MAX_RESPONSE_BYTES = 1024 * 1024;
 /**
  * Wait after the store said that its rate is used up. Engines load weights
  * from the same store; asking on without a pause would take their turns.
  */
-const PAUSE_MILLISECONDS = 1_000;
-const MOST_TRIES = 3;
+const RETRY_DELAY_MILLISECONDS = 1_000;
+const MAX_ATTEMPTS = 3;
 const TOO_MANY_REQUESTS = 429;
 
 export type WeightStoreFailure = Failure<
@@ -37,7 +37,7 @@
   versions(
     model: string,
   ): Promise<Result<readonly string[], WeightStoreFailure>> {
-    return this.#queue.add(() => this.#ask(model));
+    return this.#queue.add(() => this.#fetchVersions(model));
   }
 
   /** Closes kept connections. */
@@ -45,38 +45,40 @@
     this.#client.close();
   }
 
-  async #ask(
+  async #fetchVersions(
     model: string,
   ): Promise<Result<readonly string[], WeightStoreFailure>> {
-    for (let tries = 1;; tries++) {
-      const answer = await this.#client.call(
+    for (let attempt = 1;; attempt++) {
+      const response = await this.#client.call(
         `/models/${encodeURIComponent(model)}/versions`,
         {
           method: "GET",
           timeoutMilliseconds: TIMEOUT_MILLISECONDS,
-          mostResponseBytes: MOST_RESPONSE_BYTES,
+          mostResponseBytes: MAX_RESPONSE_BYTES,
         },
       );
-      if (answer.isErr()) return unavailable(model, answer.error.message);
-      if (answer.value.status !== TOO_MANY_REQUESTS || tries === MOST_TRIES) {
-        return readVersions(model, answer.value);
+      if (response.isErr()) return unavailable(model, response.error.message);
+      if (
+        response.value.status !== TOO_MANY_REQUESTS || attempt === MAX_ATTEMPTS
+      ) {
+        return parseVersions(model, response.value);
       }
       await new Promise<void>((resolve) => {
-        this.#timer.after(PAUSE_MILLISECONDS, resolve);
+        this.#timer.after(RETRY_DELAY_MILLISECONDS, resolve);
       });
     }
   }
 }
 
-function readVersions(
+function parseVersions(
   model: string,
-  answer: HttpAnswer,
+  response: HttpAnswer,
 ): Result<readonly string[], WeightStoreFailure> {
-  if (answer.status === 404) return err(failure(MODEL_UNKNOWN, { model }));
-  if (answer.status !== 200) {
-    return unavailable(model, `status ${answer.status}`);
+  if (response.status === 404) return err(failure(MODEL_UNKNOWN, { model }));
+  if (response.status !== 200) {
+    return unavailable(model, `status ${response.status}`);
   }
-  const value = parseJson(answer.body);
+  const value = parseJson(response.body);
   if (!validateWeightsAnswer(value)) {
     return unavailable(model, "the answer is malformed");
   }
--- a/src/cli/check/run_check.ts
+++ b/src/cli/check/run_check.ts
@@ -15,13 +15,13 @@
 /** Checks the files and prints every problem; gives the exit code. */
 export async function runCheck(files: CheckArguments): Promise<number> {
   const problems = [
-    ...settingsProblems(files.entry ?? [], "entry"),
-    ...settingsProblems(files.side ?? [], "side"),
-    ...settingsProblems(
+    ...findSettingsProblems(files.entry ?? [], "entry"),
+    ...findSettingsProblems(files.side ?? [], "side"),
+    ...findSettingsProblems(
       files.operator === undefined ? [] : [files.operator],
       "operator",
     ),
-    ...await configurationProblems(files),
+    ...await findConfigurationProblems(files),
   ];
   for (const problem of problems) {
     process.stdout.write(`${formatProblem(problem)}\n`);
@@ -35,7 +35,7 @@
   return count === 0 ? EXIT_CODE_SUCCESS : EXIT_CODE_BAD_SETTINGS;
 }
 
-function settingsProblems(
+function findSettingsProblems(
   files: readonly string[],
   kind: SettingsKind,
 ): FileProblem[] {
@@ -45,7 +45,7 @@
   });
 }
 
-async function configurationProblems(
+async function findConfigurationProblems(
   files: CheckArguments,
 ): Promise<readonly FileProblem[]> {
   const { inventory, rules, operator } = files;
@@ -56,7 +56,7 @@
   const settings = loadSettings(operator, "operator");
   const url = settings.isOk() ? settings.value.platform.weightStore : undefined;
   if (url === undefined) return [];
-  return await weightProblems(inventory, {
+  return await findWeightProblems(inventory, {
     inventory: content.value.inventory,
     url,
   });
@@ -66,7 +66,7 @@
  * Engines that are ordered to load weights that do not exist go out of service
  * one after the other; the store knows beforehand.
  */
-async function weightProblems(
+async function findWeightProblems(
   file: string,
   options: { inventory: Inventory; url: string },
 ): Promise<FileProblem[]> {
--- a/src/cli/entry/run_entry.ts
+++ b/src/cli/entry/run_entry.ts
@@ -1,4 +1,4 @@
-import { CallerDoor } from "../../adapters/callers/mod.ts";
+import { CallerApiServer } from "../../adapters/callers/mod.ts";
 import { HttpLogService } from "../../adapters/log_service/mod.ts";
 import { PEER_METHODS, PeerServer } from "../../adapters/peers/mod.ts";
 import { hashText, systemRandom } from "../../adapters/random/mod.ts";
@@ -6,7 +6,7 @@
   type CheckedEntrySettings,
   loadSettings,
 } from "../../adapters/settings/mod.ts";
-import { watchLoopDelay } from "../../adapters/time/mod.ts";
+import { monitorLoopDelay } from "../../adapters/time/mod.ts";
 import { HttpVmList } from "../../adapters/vm_list/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
 import type {
@@ -16,137 +16,141 @@
 import { EntryCore } from "../../entry/mod.ts";
 import {
   EXIT_CODE_BAD_SETTINGS,
-  EXIT_CODE_CANNOT_LISTEN,
+  EXIT_CODE_LISTEN_FAILED,
 } from "../exit_codes.ts";
-import { onTerminate, reportBadSettings } from "../process_life.ts";
-import { ProcessParts } from "../process_parts.ts";
+import {
+  reportInvalidSettings,
+  waitForTermination,
+} from "../process_lifecycle.ts";
+import { ProcessContext } from "../process_context.ts";
 
 /** A side's question carries its report, an operator's nothing. */
-const MOST_PEER_BODY_BYTES = 1024 * 1024;
+const MAX_PEER_BODY_BYTES = 1024 * 1024;
 
 /** Runs an entry until it is told to stop; gives the exit code. */
 export async function runEntry(settingsFile: string): Promise<number> {
   const settings = loadSettings(settingsFile, "entry");
   if (settings.isErr()) {
-    reportBadSettings(settings.error);
+    reportInvalidSettings(settings.error);
     return EXIT_CODE_BAD_SETTINGS;
   }
-  return await new EntryProgram(settings.value).run();
+  return await new EntryProcess(settings.value).incarnation();
 }
 
 /** The entry's core with its sockets, log and metrics. */
-class EntryProgram {
+class EntryProcess {
   readonly #settings: CheckedEntrySettings;
-  readonly #parts: ProcessParts;
+  readonly #context: ProcessContext;
   readonly #core: EntryCore;
   readonly #log: HttpLogService;
-  readonly #callerDoor: CallerDoor;
+  readonly #callerServer: CallerApiServer;
   readonly #peerServer: PeerServer;
-  #requests = 0;
+  #requestCount = 0;
 
   constructor(settings: CheckedEntrySettings) {
     this.#settings = settings;
-    this.#parts = new ProcessParts(settings);
+    this.#context = new ProcessContext(settings);
     this.#log = new HttpLogService(settings.platform.logService, {
-      timer: this.#parts.timer,
+      timer: this.#context.timer,
     });
-    this.#core = this.#makeCore();
-    this.#callerDoor = this.#makeCallerDoor();
-    this.#peerServer = this.#makePeerServer();
+    this.#core = this.#createCore();
+    this.#callerServer = this.#createCallerServer();
+    this.#peerServer = this.#createPeerServer();
   }
 
-  async run(): Promise<number> {
+  async incarnation(): Promise<number> {
     const peerPort = await this.#peerServer.listen();
-    const callerPort = await this.#callerDoor.listen();
-    if (peerPort.isErr()) return this.#cannotListen(peerPort.error);
-    if (callerPort.isErr()) return this.#cannotListen(callerPort.error);
+    const callerPort = await this.#callerServer.listen();
+    if (peerPort.isErr()) return this.#reportListenFailure(peerPort.error);
+    if (callerPort.isErr()) return this.#reportListenFailure(callerPort.error);
     this.#core.start();
-    watchLoopDelay({
-      timer: this.#parts.timer,
+    monitorLoopDelay({
+      timer: this.#context.timer,
       onDelay: (milliseconds) => this.#core.scheduler.loopDelay(milliseconds),
     });
-    this.#parts.logger.info(
+    this.#context.logger.info(
       { callers: callerPort.value, peers: peerPort.value },
       "The entry listens",
     );
-    await onTerminate();
+    await waitForTermination();
     await this.#shutDown();
     return 0;
   }
 
   async #shutDown(): Promise<void> {
-    this.#parts.logger.info(
+    this.#context.logger.info(
       { open: this.#core.openRequests },
       "The entry shuts down",
     );
     const stopped = this.#core.stop();
-    this.#callerDoor.stopListening();
+    this.#callerServer.stopListening();
     await stopped;
-    this.#callerDoor.close();
+    this.#callerServer.close();
     this.#peerServer.close();
     // A long poll under way would keep the process for its whole length.
     this.#log.close();
-    await this.#parts.close();
-    this.#parts.logger.info({}, "The entry has stopped");
+    await this.#context.close();
+    this.#context.logger.info({}, "The entry has stopped");
   }
 
-  #cannotListen(error: { message: string; hint: string }): number {
-    this.#parts.logger.error({ hint: error.hint }, error.message);
-    this.#callerDoor.close();
+  #reportListenFailure(error: { message: string; hint: string }): number {
+    this.#context.logger.error({ hint: error.hint }, error.message);
+    this.#callerServer.close();
     this.#peerServer.close();
-    return EXIT_CODE_CANNOT_LISTEN;
+    return EXIT_CODE_LISTEN_FAILED;
   }
 
-  #makeCore(): EntryCore {
+  #createCore(): EntryCore {
     const { name, region, availabilityZone, platform, limits, coordination } =
       this.#settings;
     return new EntryCore({
       name: identifier(name),
-      incarnation: this.#parts.incarnation,
+      incarnation: this.#context.incarnation,
       region: identifier(region),
       availabilityZone: identifier(availabilityZone),
-      timer: this.#parts.timer,
+      timer: this.#context.timer,
       random: systemRandom,
       log: this.#log,
       ...(platform.vmList !== undefined && {
-        vmList: new HttpVmList(platform.vmList, { timer: this.#parts.timer }),
+        vmList: new HttpVmList(platform.vmList, { timer: this.#context.timer }),
       }),
-      sides: this.#parts.peers,
-      entries: this.#parts.peers,
+      sides: this.#context.peers,
+      entries: this.#context.peers,
       peerAddresses: this.#settings.peerAddresses.map((each) =>
         identifier(each)
       ),
       hash: hashText,
       limits,
       times: coordination,
-      observe: this.#parts.metrics.observe,
-      tracer: this.#parts.tracing.tracer,
-      logger: this.#parts.logger.labelled("entry"),
+      observe: this.#context.metrics.observe,
+      tracer: this.#context.tracing.tracer,
+      logger: this.#context.logger.labelled("entry"),
     });
   }
 
-  #makeCallerDoor(): CallerDoor {
+  #createCallerServer(): CallerApiServer {
     const { callers, limits, name } = this.#settings;
-    const run = this.#parts.incarnation;
-    return new CallerDoor({
+    const run = this.#context.incarnation;
+    return new CallerApiServer({
       host: callers.host,
       port: callers.port,
       mostBodyBytes: limits.mostBodyBytes,
       service: this.#core,
-      logger: this.#parts.logger.labelled("callers"),
-      newRequestId: () => identifier(`${name}-${run}-${this.#requests++}`),
-      seconds: () => Math.floor(this.#parts.timer.wallClock() / 1000),
-      metrics: () => this.#parts.renderMetrics(),
+      logger: this.#context.logger.labelled("callers"),
+      newRequestId: () => identifier(`${name}-${run}-${this.#requestCount++}`),
+      wallClockSeconds: () =>
+        Math.floor(this.#context.timer.wallClock() / 1000),
+      metrics: () => this.#context.renderMetrics(),
     });
   }
 
-  #makePeerServer(): PeerServer {
+  #createPeerServer(): PeerServer {
     const { peers } = this.#settings;
     return new PeerServer({
       host: peers.host,
       port: peers.port,
-      mostBodyBytes: MOST_PEER_BODY_BYTES,
-      metrics: () => this.#parts.renderMetrics(),
+      mostBodyBytes: MAX_PEER_BODY_BYTES,
+      metrics: () => this.#context.renderMetrics(),
       methods: {
         [PEER_METHODS.watch]: (question: WatchQuestion) =>
           this.#core.watch(question),
--- a/src/cli/process_parts.ts
+++ b/src/cli/process_context.ts
@@ -20,7 +20,7 @@
 >;
 
 /** What every process of the system has: time, log, metrics, traces, links. */
-export class ProcessParts {
+export class ProcessContext {
   readonly incarnation: Incarnation = newIncarnation();
   readonly timer = new SystemTimerService();
   readonly metrics = new Metrics({ processMetrics: true });
--- a/src/cli/process_life.ts
+++ b/src/cli/process_lifecycle.ts
@@ -2,7 +2,7 @@
 import { type FileFailure, formatProblem } from "../adapters/settings/mod.ts";
 
 /** Settles when the platform or an operator asks the process to stop. */
-export function onTerminate(): Promise<void> {
+export function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once("SIGTERM", () => resolve());
     process.once("SIGINT", () => resolve());
@@ -10,7 +10,7 @@
 }
 
 /** Prints every problem of a settings file. */
-export function reportBadSettings(error: FileFailure): void {
+export function reportInvalidSettings(error: FileFailure): void {
   const lines = [
     error.message,
     ...error.problems.map((problem) => formatProblem(problem)),
--- a/src/cli/publish/run_publish.ts
+++ b/src/cli/publish/run_publish.ts
@@ -1,5 +1,5 @@
 import process from "node:process";
-import { v7 as newTimeOrderedId } from "uuid";
+import { v7 as uuidv7 } from "uuid";
 import { HttpLogService } from "../../adapters/log_service/mod.ts";
 import { HttpPeers } from "../../adapters/peers/mod.ts";
 import { newIncarnation, systemRandom } from "../../adapters/random/mod.ts";
@@ -20,23 +20,23 @@
 import {
   EXIT_CODE_BAD_SETTINGS,
   EXIT_CODE_FAILURE,
-  EXIT_CODE_IN_DOUBT,
-  EXIT_CODE_NOT_EVERYWHERE,
+  EXIT_CODE_OUTCOME_UNKNOWN,
+  EXIT_CODE_ROLLOUT_INCOMPLETE,
   EXIT_CODE_SUCCESS,
 } from "../exit_codes.ts";
-import { reportBadSettings } from "../process_life.ts";
-import { askFleet, countInForce } from "../status/fleet_status.ts";
+import { reportInvalidSettings } from "../process_lifecycle.ts";
+import { countInForce, queryFleet } from "../status/fleet_status.ts";
 import type { PublishArguments } from "./command.ts";
 
-const LOOK_EVERY_MILLISECONDS = 200;
+const POLL_INTERVAL_MILLISECONDS = 200;
 /** More than a fleet ever has between two checkpoints: an operator writes none. */
-const NO_CHECKPOINTS = Number.MAX_SAFE_INTEGER;
+const UNLIMITED_CHECKPOINT_RECORDS = Number.MAX_SAFE_INTEGER;
 
 /** Publishes, waits until in force, and says so; gives the exit code. */
 export async function runPublish(options: PublishArguments): Promise<number> {
   const settings = loadSettings(options.settings, "operator");
   if (settings.isErr()) {
-    reportBadSettings(settings.error);
+    reportInvalidSettings(settings.error);
     return EXIT_CODE_BAD_SETTINGS;
   }
   const content = loadConfiguration(options);
@@ -46,20 +46,20 @@
     }
     return EXIT_CODE_BAD_SETTINGS;
   }
-  const publication = new Publication(settings.value, {
+  const publication = new PublicationRun(settings.value, {
     region: content.value.inventory.region,
     arguments: options,
   });
   return await publication.run(content.value);
 }
 
-interface PublicationTask {
+interface PublicationRunOptions {
   readonly region: string;
   readonly arguments: PublishArguments;
 }
 
 /** One run of the command: its journal, its links and what it prints. */
-class Publication {
+class PublicationRun {
   readonly #arguments: PublishArguments;
   readonly #settings: CheckedOperatorSettings;
   readonly #timer = new SystemTimerService();
@@ -69,14 +69,17 @@
   readonly #journal: Journal;
   readonly #id: string;
 
-  constructor(settings: CheckedOperatorSettings, task: PublicationTask) {
-    this.#arguments = task.arguments;
+  constructor(
+    settings: CheckedOperatorSettings,
+    options: PublicationRunOptions,
+  ) {
+    this.#arguments = options.arguments;
     this.#settings = settings;
-    this.#id = task.arguments["publication-id"] ?? newTimeOrderedId();
+    this.#id = options.arguments["publication-id"] ?? uuidv7();
     this.#log = new HttpLogService(settings.platform.logService, {
       timer: this.#timer,
     });
-    this.#journal = this.#openJournal(task.region);
+    this.#journal = this.#createJournal(options.region);
   }
 
   async run(
@@ -93,26 +96,26 @@
   async #publish(
     content: Parameters<Publisher["publish"]>[0],
   ): Promise<number> {
-    const verdictMilliseconds = this.#arguments["wait-seconds"] * 1000;
-    if (!await this.#readLog(verdictMilliseconds)) {
-      this.#print({ outcome: "not_made" }, "Cannot read the log service");
+    const timeoutMilliseconds = this.#arguments["wait-seconds"] * 1000;
+    if (!await this.#waitUntilCaughtUp(timeoutMilliseconds)) {
+      this.#printResult({ outcome: "not_made" }, "Cannot read the log service");
       return EXIT_CODE_FAILURE;
     }
-    const base = this.#base();
-    if (base === undefined) return this.#baseMissing();
-    this.#say(`Publishing ${this.#id} on version ${base}`);
+    const base = this.#resolveBase();
+    if (base === undefined) return this.#reportMissingBase();
+    this.#printProgress(`Publishing ${this.#id} on version ${base}`);
     const publisher = new Publisher({
       journal: this.#journal,
       fold: this.#fold,
       timer: this.#timer,
-      verdictMilliseconds,
+      verdictMilliseconds: timeoutMilliseconds,
     });
     const published = await publisher.publish(content, {
       publicationId: this.#id,
       base,
       publisher: this.#arguments.publisher ?? process.env.USER,
     });
-    if (published.isErr()) return this.#onFailure(published.error);
+    if (published.isErr()) return this.#reportFailure(published.error);
     return await this.#waitUntilInForce(published.value.version);
   }
 
@@ -121,7 +124,7 @@
    * would always fit: an operator whose file is an hour old would undo what
    * another has published meanwhile, and nobody would be told.
    */
-  #base(): number | undefined {
+  #resolveBase(): number | undefined {
     const { base } = this.#arguments;
     const { version } = this.#fold;
     if (base === "latest") return version;
@@ -130,68 +133,71 @@
     return version === 0 || isRepeat ? version : undefined;
   }
 
-  #baseMissing(): number {
+  #reportMissingBase(): number {
     const { version } = this.#fold;
-    this.#print(
+    this.#printResult(
       { outcome: "not_made", version },
       `Version ${version} is in force. Give --base ${version} if the files were made on it, or --base latest to replace whatever is in force`,
     );
     return EXIT_CODE_BAD_SETTINGS;
   }
 
-  #onFailure(error: PublicationFailure): number {
-    const inDoubt = error.name === "publication_unknown";
-    const text = inDoubt
+  #reportFailure(error: PublicationFailure): number {
+    const isUnknown = error.name === "publication_unknown";
+    const text = isUnknown
       ? `${error.message}\n${error.hint}: --publication-id ${this.#id}`
       : `${error.message}\n${error.hint}`;
     const version = this.#fold.version;
-    this.#print({ outcome: error.name, reason: error.message, version }, text);
-    return inDoubt ? EXIT_CODE_IN_DOUBT : EXIT_CODE_FAILURE;
+    this.#printResult(
+      { outcome: error.name, reason: error.message, version },
+      text,
+    );
+    return isUnknown ? EXIT_CODE_OUTCOME_UNKNOWN : EXIT_CODE_FAILURE;
   }
 
   /** Asks the entries until every process has told of the version. */
   async #waitUntilInForce(version: number): Promise<number> {
-    const until = this.#timer.now() + this.#arguments["wait-seconds"] * 1000;
+    const deadline = this.#timer.now() + this.#arguments["wait-seconds"] * 1000;
     const addresses = this.#settings.entries.map((each) =>
       identifier<Parameters<HttpPeers["status"]>[0]>(each)
     );
-    this.#say(`Accepted as version ${version}`);
-    let shown = "";
+    this.#printProgress(`Accepted as version ${version}`);
+    let lastProgress = "";
     for (;;) {
-      const fleet = await askFleet(this.#peers, addresses);
+      const fleet = await queryFleet(this.#peers, addresses);
       const { have, all, missing } = countInForce(fleet, version);
-      const facts = { outcome: "accepted", version, have, all, missing };
+      const result = { outcome: "accepted", version, have, all, missing };
       const line = `In force in ${have} of ${all} processes`;
       if (have === all && all > 0) {
-        this.#print(facts, line);
+        this.#printResult(result, line);
         return EXIT_CODE_SUCCESS;
       }
-      if (this.#timer.now() >= until) {
-        this.#print(facts, `${line}; not in ${missing.join(", ")}`);
-        return EXIT_CODE_NOT_EVERYWHERE;
+      if (this.#timer.now() >= deadline) {
+        this.#printResult(result, `${line}; not in ${missing.join(", ")}`);
+        return EXIT_CODE_ROLLOUT_INCOMPLETE;
       }
-      if (line !== shown) this.#say(line);
-      shown = line;
-      await this.#pause();
+      if (line !== lastProgress) this.#printProgress(line);
+      lastProgress = line;
+      await this.#sleep();
     }
   }
 
-  async #readLog(milliseconds: number): Promise<boolean> {
-    const until = this.#timer.now() + milliseconds;
+  async #waitUntilCaughtUp(milliseconds: number): Promise<boolean> {
+    const deadline = this.#timer.now() + milliseconds;
     while (!this.#journal.caughtUp) {
-      if (this.#timer.now() >= until) return false;
-      await this.#pause();
+      if (this.#timer.now() >= deadline) return false;
+      await this.#sleep();
     }
     return true;
   }
 
-  #pause(): Promise<void> {
+  #sleep(): Promise<void> {
     return new Promise((resolve) => {
-      this.#timer.after(LOOK_EVERY_MILLISECONDS, resolve);
+      this.#timer.after(POLL_INTERVAL_MILLISECONDS, resolve);
     });
   }
 
-  #openJournal(region: string): Journal {
+  #createJournal(region: string): Journal {
     return new Journal({
       log: this.#log,
       stream: identifier(`configuration.${region}`),
@@ -201,17 +207,17 @@
       writer: identifier(`operator-${this.#id}`),
       incarnation: newIncarnation(),
       appendDelayMilliseconds: 0,
-      checkpointRecords: NO_CHECKPOINTS,
+      checkpointRecords: UNLIMITED_CHECKPOINT_RECORDS,
       writesCheckpoints: false,
     });
   }
 
   /** Progress, for a person; none where JSON is asked for. */
-  #say(line: string): void {
+  #printProgress(line: string): void {
     if (!this.#arguments.json) process.stdout.write(`${line}\n`);
   }
 
-  #print(facts: Record<string, unknown>, text: string): void {
+  #printResult(facts: Record<string, unknown>, text: string): void {
     const line = this.#arguments.json
       ? JSON.stringify({ publicationId: this.#id, ...facts })
       : text;
--- a/src/cli/side/run_side.ts
+++ b/src/cli/side/run_side.ts
@@ -10,91 +10,94 @@
 import { SideCore } from "../../side/mod.ts";
 import {
   EXIT_CODE_BAD_SETTINGS,
-  EXIT_CODE_CANNOT_LISTEN,
+  EXIT_CODE_LISTEN_FAILED,
 } from "../exit_codes.ts";
-import { onTerminate, reportBadSettings } from "../process_life.ts";
-import { ProcessParts } from "../process_parts.ts";
+import {
+  reportInvalidSettings,
+  waitForTermination,
+} from "../process_lifecycle.ts";
+import { ProcessContext } from "../process_context.ts";
 
 /** A body that an entry lets in, with the tokens of a cut-off answer. */
-const MOST_ATTEMPT_BYTES = 8 * 1024 * 1024;
+const MAX_ATTEMPT_BYTES = 8 * 1024 * 1024;
 
 /** Runs a side until it is told to stop; gives the exit code. */
 export async function runSide(settingsFile: string): Promise<number> {
   const settings = loadSettings(settingsFile, "side");
   if (settings.isErr()) {
-    reportBadSettings(settings.error);
+    reportInvalidSettings(settings.error);
     return EXIT_CODE_BAD_SETTINGS;
   }
-  return await new SideProgram(settings.value).run();
+  return await new SideProcess(settings.value).run();
 }
 
 /** The side's core with its sockets, log and metrics. */
-class SideProgram {
+class SideProcess {
   readonly #settings: CheckedSideSettings;
-  readonly #parts: ProcessParts;
+  readonly #context: ProcessContext;
   readonly #core: SideCore;
   readonly #server: PeerServer;
 
   constructor(settings: CheckedSideSettings) {
     this.#settings = settings;
-    this.#parts = new ProcessParts(settings);
-    this.#core = this.#makeCore();
-    this.#server = this.#makeServer();
+    this.#context = new ProcessContext(settings);
+    this.#core = this.#createCore();
+    this.#server = this.#createServer();
   }
 
   async run(): Promise<number> {
     const port = await this.#server.listen();
     if (port.isErr()) {
-      this.#parts.logger.error({ hint: port.error.hint }, port.error.message);
-      return EXIT_CODE_CANNOT_LISTEN;
+      this.#context.logger.error({ hint: port.error.hint }, port.error.message);
+      return EXIT_CODE_LISTEN_FAILED;
     }
     this.#core.start();
-    this.#parts.logger.info({ peers: port.value }, "The side listens");
-    await onTerminate();
-    this.#parts.logger.info(
+    this.#context.logger.info({ peers: port.value }, "The side listens");
+    await waitForTermination();
+    this.#context.logger.info(
       { running: this.#core.running },
       "The side shuts down",
     );
     await this.#core.stop();
     this.#server.close();
-    await this.#parts.close();
-    this.#parts.logger.info({}, "The side has stopped");
+    await this.#context.close();
+    this.#context.logger.info({}, "The side has stopped");
     return 0;
   }
 
-  #makeCore(): SideCore {
+  #createCore(): SideCore {
     const settings = this.#settings;
     const { limits, coordination } = settings;
     return new SideCore({
       name: identifier(settings.name),
-      incarnation: this.#parts.incarnation,
+      incarnation: this.#context.incarnation,
       endpointId: settings.endpoint,
       availabilityZone: identifier(settings.availabilityZone),
       kind: settings.kind,
-      timer: this.#parts.timer,
+      timer: this.#context.timer,
       random: systemRandom,
       endpoint: new HttpEndpointLink(settings.target, {
-        timer: this.#parts.timer,
+        timer: this.#context.timer,
         mostResponseBytes: limits.mostResponseBytes,
       }),
-      entries: this.#parts.peers,
+      entries: this.#context.peers,
       entryAddresses: settings.entries.map((each) => identifier(each)),
       limits,
       times: coordination,
-      observe: this.#parts.metrics.observe,
-      tracer: this.#parts.tracing.tracer,
-      logger: this.#parts.logger.labelled("side"),
+      observe: this.#context.metrics.observe,
+      tracer: this.#context.tracing.tracer,
+      logger: this.#context.logger.labelled("side"),
     });
   }
 
-  #makeServer(): PeerServer {
+  #createServer(): PeerServer {
     const { host, port } = this.#settings.peers;
     return new PeerServer({
       host,
       port,
-      mostBodyBytes: MOST_ATTEMPT_BYTES,
+      mostBodyBytes: MAX_ATTEMPT_BYTES,
       runAttempt: (attempt, emit) => this.#core.run(attempt, emit),
-      metrics: () => this.#parts.renderMetrics(),
+      metrics: () => this.#context.renderMetrics(),
       methods: {
         [PEER_METHODS.report]: () => this.#core.report(),
         [PEER_METHODS.ask]: (question: OnceQuestion) =>
--- a/src/cli/status/fleet_status.ts
+++ b/src/cli/status/fleet_status.ts
@@ -3,7 +3,7 @@
 import type { EntryStatus, SideReport } from "../../generated/messages.ts";
 
 /** One entry's answer, or why there is none. */
-export interface EntryAnswer {
+export interface EntryResult {
   readonly address: PeerAddress;
   readonly status?: EntryStatus;
   readonly failure?: string;
@@ -11,7 +11,7 @@
 
 /** The fleet as the entries see it. */
 export interface FleetStatus {
-  readonly entries: readonly EntryAnswer[];
+  readonly entries: readonly EntryResult[];
   /** Newest report of each side, by endpoint. */
   readonly sides: readonly SideReport[];
   /** Highest version that any process has in force. */
@@ -19,12 +19,12 @@
 }
 
 /** Asks every entry at once; one that is down delays nobody. */
-export async function askFleet(
-  link: Pick<EntryLink, "status">,
+export async function queryFleet(
+  client: Pick<EntryLink, "status">,
   addresses: readonly PeerAddress[],
 ): Promise<FleetStatus> {
   const entries = await Promise.all(
-    addresses.map((address) => askEntry(link, address)),
+    addresses.map((address) => queryEntry(client, address)),
   );
   const sides = newestReports(entries);
   const versions = [
@@ -43,7 +43,7 @@
 }
 
 /** Names that a line on a terminal can hold. */
-const MOST_MISSING_NAMES = 10;
+const MAX_LISTED_MISSING = 10;
 
 /** How many processes have at least this version in force, and who has not. */
 export function countInForce(
@@ -64,26 +64,26 @@
   return {
     have: versions.length - missing.length,
     all: versions.length,
-    missing: missing.slice(0, MOST_MISSING_NAMES).map(([name]) => name),
+    missing: missing.slice(0, MAX_LISTED_MISSING).map(([name]) => name),
   };
 }
 
-async function askEntry(
-  link: Pick<EntryLink, "status">,
+async function queryEntry(
+  client: Pick<EntryLink, "status">,
   address: PeerAddress,
-): Promise<EntryAnswer> {
-  const answer = await link.status(address);
-  return answer.isOk()
-    ? { address, status: answer.value }
-    : { address, failure: answer.error.message };
+): Promise<EntryResult> {
+  const status = await client.status(address);
+  return status.isOk()
+    ? { address, status: status.value }
+    : { address, failure: status.error.message };
 }
 
 /** Entries hear a side at different times; its positions only rise. */
-function newestReports(entries: readonly EntryAnswer[]): SideReport[] {
+function newestReports(entries: readonly EntryResult[]): SideReport[] {
   const byEndpoint = new Map<string, SideReport>();
   for (const report of entries.flatMap((entry) => entry.status?.sides ?? [])) {
-    const known = byEndpoint.get(report.endpoint);
-    if (known === undefined || isNewer(report, known)) {
+    const latest = byEndpoint.get(report.endpoint);
+    if (latest === undefined || isNewer(report, latest)) {
       byEndpoint.set(report.endpoint, report);
     }
   }
--- a/src/cli/status/run_status.ts
+++ b/src/cli/status/run_status.ts
@@ -7,9 +7,9 @@
   EXIT_CODE_FAILURE,
   EXIT_CODE_SUCCESS,
 } from "../exit_codes.ts";
-import { reportBadSettings } from "../process_life.ts";
+import { reportInvalidSettings } from "../process_lifecycle.ts";
 import type { StatusArguments } from "./command.ts";
-import { askFleet } from "./fleet_status.ts";
+import { queryFleet } from "./fleet_status.ts";
 import { renderStatus } from "./status_tables.ts";
 
 /** Asks the entries and prints what they know; gives the exit code. */
@@ -18,11 +18,11 @@
 ): Promise<number> {
   const settings = loadSettings(options.settings, "operator");
   if (settings.isErr()) {
-    reportBadSettings(settings.error);
+    reportInvalidSettings(settings.error);
     return EXIT_CODE_BAD_SETTINGS;
   }
   const peers = new HttpPeers();
-  const fleet = await askFleet(
+  const fleet = await queryFleet(
     peers,
     settings.value.entries.map((each) => identifier(each)),
   );
