--- a/src/adapters/callers/response_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -131,7 +131,7 @@
 /** Passes a plain service's answer on as it came. */
 export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
-  #serviceResponse:
+  #buffered:
     | { status: number; contentType: string; body: string }
     | undefined;
 
@@ -146,7 +146,7 @@
   response(
     serviceResponse: { status: number; contentType: string; body: string },
   ): void {
-    this.#serviceResponse = serviceResponse;
+    this.#buffered = serviceResponse;
   }
 
   finish(outcome: Outcome): void {
@@ -155,7 +155,7 @@
       return;
     }
     const { status = 204, contentType = "text/plain", body = "" } =
-      this.#serviceResponse ?? {};
+      this.#buffered ?? {};
     this.#response.writeHead(status, { "content-type": contentType });
     this.#response.end(body, "latin1");
   }
--- a/src/adapters/endpoint/generation.ts
+++ b/src/adapters/endpoint/generation.ts
@@ -94,9 +94,7 @@
       }
       this.#options.onToken(chunk.text);
     }
-    if (chunk.finishReason !== undefined) {
-      this.#finishReason = chunk.finishReason;
-    }
+    if (chunk.reason !== undefined) this.#finishReason = chunk.reason;
   }
 
   #onClosed(): void {
@@ -122,7 +120,7 @@
 
 interface CompletionChunk {
   readonly text?: string;
-  readonly finishReason?: "stop" | "length";
+  readonly reason?: "stop" | "length";
   readonly error?: string;
 }
 
@@ -147,12 +145,9 @@
   if (text !== undefined && text !== null && typeof text !== "string") {
     return undefined;
   }
-  const finishReason = choice.finish_reason ?? undefined;
-  if (
-    finishReason !== undefined && finishReason !== "stop" &&
-    finishReason !== "length"
-  ) {
+  const reason = choice.finish_reason ?? undefined;
+  if (reason !== undefined && reason !== "stop" && reason !== "length") {
     return undefined;
   }
-  return { text: text ?? undefined, finishReason };
+  return { text: text ?? undefined, reason };
 }
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -72,7 +72,7 @@
     return this.#call(entry, {
       method: PEER_METHODS.watch,
       parameters: question,
-      additionalTimeoutMilliseconds: question.waitMilliseconds,
+      extraMilliseconds: question.waitMilliseconds,
     });
   }
 
@@ -111,14 +111,10 @@
 
   async #call<Answer>(
     address: PeerAddress,
-    call: {
-      method: string;
-      parameters: object;
-      additionalTimeoutMilliseconds?: number;
-    },
+    call: { method: string; parameters: object; extraMilliseconds?: number },
   ): Promise<Result<Answer, LinkFailure>> {
     const timeout = CALL_TIMEOUT_MILLISECONDS +
-      (call.additionalTimeoutMilliseconds ?? 0);
+      (call.extraMilliseconds ?? 0);
     try {
       return ok(
         await this.#client(address).request(
--- a/src/adapters/peers/peer_server.ts
+++ b/src/adapters/peers/peer_server.ts
@@ -132,9 +132,7 @@
       return;
     }
     if (request.url === RPC_PATH) return this.#handleCall(body, response);
-    if (request.url === ATTEMPT_PATH) {
-      return this.#handleAttempt(body, response);
-    }
+    if (request.url === ATTEMPT_PATH) return this.#runAttempt(body, response);
     response.writeHead(404).end();
   }
 
@@ -152,7 +150,7 @@
     response.end(JSON.stringify(rpcResponse));
   }
 
-  #handleAttempt(body: string, response: http.ServerResponse): void {
+  #runAttempt(body: string, response: http.ServerResponse): void {
     const attempt = parseAttempt(body);
     const runAttempt = this.#options.runAttempt;
     if (attempt === undefined || runAttempt === undefined) {
--- a/src/adapters/settings/mod.ts
+++ b/src/adapters/settings/mod.ts
@@ -81,15 +81,13 @@
 
 export type SettingsKind = keyof SettingsByKind;
 
-interface SettingsSchema<Kind extends SettingsKind> {
+interface KindSchema<Kind extends SettingsKind> {
   readonly validator: Validator;
   readonly definition: string;
   readonly applyDefaults: (value: never) => SettingsByKind[Kind];
 }
 
-const SETTINGS_SCHEMAS: {
-  readonly [Kind in SettingsKind]: SettingsSchema<Kind>;
-} = {
+const SCHEMAS: { readonly [Kind in SettingsKind]: KindSchema<Kind> } = {
   entry: {
     validator: validateEntrySettings,
     definition: "EntrySettings",
@@ -112,7 +110,7 @@
   file: string,
   kind: Kind,
 ): Result<SettingsByKind[Kind], FileFailure> {
-  const schema: SettingsSchema<Kind> = SETTINGS_SCHEMAS[kind];
+  const schema: KindSchema<Kind> = SCHEMAS[kind];
   return readTomlFile(file, {
     validator: schema.validator,
     document: settingsSchema as SchemaDocument,
--- a/src/adapters/vm_list/mod.ts
+++ b/src/adapters/vm_list/mod.ts
@@ -21,7 +21,7 @@
  */
 export class HttpVmList implements VmList {
   readonly #client: HttpClient;
-  #cached: { entityTag: string; vms: readonly ListedVm[] } | undefined;
+  #cache: { entityTag: string; vms: readonly ListedVm[] } | undefined;
 
   constructor(url: string, options: { timer: TimerService }) {
     this.#client = new HttpClient(url, options);
@@ -32,17 +32,15 @@
   > {
     const response = await this.#client.call("/vms", {
       method: "GET",
-      ...(this.#cached && {
-        headers: { "if-none-match": this.#cached.entityTag },
+      ...(this.#cache && {
+        headers: { "if-none-match": this.#cache.entityTag },
       }),
       timeoutMilliseconds: TIMEOUT_MILLISECONDS,
       mostResponseBytes: MAX_RESPONSE_BYTES,
     });
     if (response.isErr()) return unavailable(response.error.message);
     const { status, body, entityTag } = response.value;
-    if (status === 304 && this.#cached !== undefined) {
-      return ok(this.#cached.vms);
-    }
+    if (status === 304 && this.#cache !== undefined) return ok(this.#cache.vms);
     if (status !== 200) return unavailable(`status ${status}`);
     const value = parseJson(body);
     if (!validateVmListAnswer(value)) {
@@ -55,7 +53,7 @@
       availabilityZone: vm.availability_zone,
       leaving: vm.leaving,
     }));
-    this.#cached = entityTag === undefined ? undefined : { entityTag, vms };
+    this.#cache = entityTag === undefined ? undefined : { entityTag, vms };
     return ok(vms);
   }
 
