--- a/src/cli/entry/run_entry.ts
+++ b/src/cli/entry/run_entry.ts
@@ -34,7 +34,7 @@
     reportInvalidSettings(settings.error);
     return EXIT_CODE_BAD_SETTINGS;
   }
-  return await new EntryProcess(settings.value).incarnation();
+  return await new EntryProcess(settings.value).run();
 }
 
 /** The entry's core with its sockets, log and metrics. */
@@ -58,7 +58,7 @@
     this.#peerServer = this.#createPeerServer();
   }
 
-  async incarnation(): Promise<number> {
+  async run(): Promise<number> {
     const peerPort = await this.#peerServer.listen();
     const callerPort = await this.#callerServer.listen();
     if (peerPort.isErr()) return this.#reportListenFailure(peerPort.error);
@@ -130,14 +130,15 @@
 
   #createCallerServer(): CallerApiServer {
     const { callers, limits, name } = this.#settings;
-    const run = this.#context.incarnation;
+    const incarnation = this.#context.incarnation;
     return new CallerApiServer({
       host: callers.host,
       port: callers.port,
       mostBodyBytes: limits.mostBodyBytes,
       service: this.#core,
       logger: this.#context.logger.labelled("callers"),
-      newRequestId: () => identifier(`${name}-${run}-${this.#requestCount++}`),
+      newRequestId: () =>
+        identifier(`${name}-${incarnation}-${this.#requestCount++}`),
       wallClockSeconds: () =>
         Math.floor(this.#context.timer.wallClock() / 1000),
       metrics: () => this.#context.renderMetrics(),
