--- a/src/adapters/callers/caller_api_server.ts
+++ b/src/adapters/callers/caller_api_server.ts
@@ -26,19 +26,21 @@
   parseChatCompletion,
 } from "./request_parser.ts";
 
-/** The caller's end of a request that the core works on. */
+/** Handle of a request submitted to the core. */
 export interface SubmittedRequest {
-  /** The caller has hung up. */
+  /** Called when the caller closes the connection early. */
   cancel(): void;
-  /** The caller has taken what was sent; more may come. */
+  /** Called when the response's write buffer has drained. */
   drained(): void;
 }
 
-/** What the door asks of the entry's core. */
+/** The functions of the entry's core that the API server uses. */
 export interface CallerService {
   submit(request: CallerRequest, sink: AnswerSink): SubmittedRequest;
   models(): readonly string[];
-  /** Whether a plain service's call may be repeated; nothing: no such route. */
+  /**
+   * Whether a plain service's route is idempotent; undefined: no such route.
+   */
   routeIsIdempotent(method: string, path: string): boolean | undefined;
   readonly state: "starting" | "serving" | "draining";
 }
@@ -49,21 +51,21 @@
   readonly mostBodyBytes: number;
   readonly service: CallerService;
   readonly logger: Logger;
-  /** Makes the id of a new request. */
+  /** Creates the id of a new request. */
   readonly newRequestId: () => RequestId;
-  /** Seconds since 1970, for the answers' `created`. */
+  /** Seconds since the Unix epoch, for the `created` field of responses. */
   readonly wallClockSeconds: () => number;
   readonly metrics: () => Promise<string>;
 }
 
-/** A caller has this long to send its head or its body, milliseconds. */
+/** Timeout for receiving the request headers and the complete request. */
 const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
 const MAX_HEADER_BYTES = 16 * 1024;
 const CHAT_PATH = "/v1/chat/completions";
 const BAD_REQUEST_RESPONSE =
   "HTTP/1.1 400 Bad Request\r\nconnection: close\r\n\r\n";
 
-/** The HTTP door for callers, behind the platform's balancer. */
+/** HTTP API server for callers, behind the platform's load balancer. */
 export class CallerApiServer {
   readonly #options: CallerApiServerOptions;
   readonly #server: http.Server;
@@ -80,7 +82,7 @@
     });
   }
 
-  /** Starts to listen; gives the port. */
+  /** Starts listening; returns the port. */
   listen(): Promise<Result<number, Failure<"caller_listen_failed">>> {
     const { host, port } = this.#options;
     return new Promise((resolve) => {
@@ -96,31 +98,34 @@
     });
   }
 
-  /** Takes no new connections; open requests go on. */
+  /**
+   * Accepts no new connections and closes idle ones; open requests continue.
+   */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
-  /** Drops every connection. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
   /**
-   * Node's parser has turned the bytes down, for example two lengths that
-   * contradict each other. Answering and closing leaves no second request
-   * hidden behind the first for another party to read differently.
+   * Handles bytes that Node's parser rejects, for example conflicting length
+   * headers. The connection is closed after the 400 response, which prevents
+   * request smuggling.
    */
   #onClientError(error: Error, socket: Socket): void {
     const fields = { error: error.message, from: socket.remoteAddress };
     const { logger } = this.#options;
-    if (isDisconnect(error)) logger.debug(fields, "A caller hung up");
-    else {
+    if (isDisconnect(error)) {
+      logger.debug(fields, "Caller closed the connection");
+    } else {
       logger.warn(
         fields,
-        "A caller sent something that is not an HTTP request",
+        "Caller sent an invalid HTTP request",
       );
     }
     if (socket.writable) socket.end(BAD_REQUEST_RESPONSE);
@@ -249,15 +254,17 @@
         detail: context.refusal.detail,
         from: context.request.socket.remoteAddress,
       },
-      "The door refused a request",
+      "Request refused",
     );
-    // What is left of a refused body is not read, so the connection ends.
+    // The rest of a refused body is not read, so the connection must be closed.
     if (!context.request.complete) response.setHeader("connection", "close");
     sendProblem(response, context.refusal);
   }
 }
 
-/** A connection that was dropped is no fault that an operator can mend. */
+/**
+ * Whether the caller closed the connection; no fault for operators to act on.
+ */
 function isDisconnect(error: Error): boolean {
   const { code } = error as NodeJS.ErrnoException;
   return code === "ECONNRESET" || code === "EPIPE";
--- a/src/adapters/callers/mod.ts
+++ b/src/adapters/callers/mod.ts
@@ -1,4 +1,4 @@
-/** The HTTP door for callers. */
+/** The HTTP API for callers. */
 export { CallerApiServer } from "./caller_api_server.ts";
 export type {
   CallerApiServerOptions,
--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -6,13 +6,15 @@
   UnknownOutcome,
 } from "../../core/requests/mod.ts";
 
-/** A problem detail (RFC 9457) as callers get it. */
+/** A problem detail (RFC 9457) as sent to callers. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
   readonly status: number;
   readonly detail: string;
-  /** Whether the request may have run; callers decide by this alone. */
+  /**
+   * Whether the request may have run; callers decide on retries by this field.
+   */
   readonly outcome: "not_run" | "unknown";
   readonly retryAfterMilliseconds?: number;
 }
@@ -48,7 +50,7 @@
 };
 const TYPE_PREFIX = "urn:filbertshore:problem:";
 
-/** The problem that tells a caller of an outcome without an answer. */
+/** Creates the problem detail for a refused request or an unknown outcome. */
 export function createProblem(outcome: Refusal | UnknownOutcome): Problem {
   const isRefusal = outcome.kind === "not_run";
   const template = isRefusal
@@ -64,7 +66,7 @@
   };
 }
 
-/** Sends an outcome without an answer as the whole response. */
+/** Sends a refusal or an unknown outcome as the complete response. */
 export function sendProblem(
   response: ServerResponse,
   outcome: Exclude<Outcome, { kind: "answered" }>,
@@ -81,7 +83,7 @@
   response.end(JSON.stringify(problem));
 }
 
-/** A refusal for a request that the door itself turns down. */
+/** Creates the refusal of a malformed request. */
 export function invalidRequest(detail: string): Refusal {
   return { kind: "not_run", reason: "invalid", detail };
 }
--- a/src/adapters/callers/request_parser.ts
+++ b/src/adapters/callers/request_parser.ts
@@ -8,7 +8,7 @@
 import { validateChatCompletionRequest } from "../../generated/validators.js";
 import { invalidRequest } from "./problem.ts";
 
-/** Tokens that an answer may have where the caller names no maximum. */
+/** Output token limit if the caller sets none. */
 const DEFAULT_MAX_OUTPUT_TOKENS = 1024;
 const DEFAULT_WORKSPACE = "default";
 const WORKSPACE_HEADER = "x-workspace";
@@ -17,13 +17,14 @@
 const MAX_DEADLINE_MILLISECONDS = 24 * 3600 * 1000;
 const MAX_IDEMPOTENCY_KEY_LENGTH = 200;
 
-/** A chat completion as the caller sent it. */
+/** A parsed chat completion request. */
 export interface ChatCompletion {
   readonly work: GenerationWork;
   readonly stream: boolean;
   readonly user: string | undefined;
 }
 
+/** Parses and validates the JSON body of a chat completion request. */
 export function parseChatCompletion(
   body: Buffer,
 ): Result<ChatCompletion, Refusal> {
@@ -53,6 +54,7 @@
   });
 }
 
+/** Creates the work of a plain service call from an HTTP request. */
 export function createServiceWork(
   request: IncomingMessage,
   options: { body: Buffer; idempotent: boolean },
@@ -69,7 +71,10 @@
   return work;
 }
 
-/** Who asks, and within which limits, by the request's headers. */
+/**
+ * Parses the request headers that set workspace, work class, deadline,
+ * idempotency key and trace context.
+ */
 export function parseCallerHeaders(
   request: IncomingMessage,
   options: { workspace: string | undefined },
--- a/src/adapters/callers/response_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -3,21 +3,21 @@
 import { CoalescingWriter } from "../coalescing_writer/mod.ts";
 import { createProblem, sendProblem } from "./problem.ts";
 
-/** What every answer to a chat completion names. */
+/** Fields that every response to a chat completion repeats. */
 export interface CompletionMetadata {
   readonly id: string;
-  /** Seconds since 1970. */
+  /** Seconds since the Unix epoch. */
   readonly created: number;
   readonly model: string;
 }
 
 /**
- * Sends a generation as server-sent events. The response's head goes out
- * with the first token, so that a refusal still has its own status.
+ * Sends a generation as server-sent events. The response headers are sent with
+ * the first token, so that a refusal before it can have its own status.
  *
- * An answer that can't be finished ends with an `error` event and without
- * `[DONE]`: a caller that saw only an end of the stream would take a cut-off
- * answer for a whole one.
+ * A generation that fails after its first token ends with an `error` event and
+ * without `[DONE]`. Otherwise a caller could not distinguish a truncated
+ * generation from a complete one.
  */
 export class EventStreamSink implements AnswerSink {
   readonly #response: ServerResponse;
@@ -29,7 +29,7 @@
     this.#response = response;
     this.#writer = new CoalescingWriter(response);
     this.#metadata = metadata;
-    // All but the token's text is the same for every event of the stream.
+    // Only the token's text differs between the events of a stream.
     const chunk = JSON.stringify({
       id: metadata.id,
       object: "chat.completion.chunk",
@@ -86,7 +86,7 @@
   }
 }
 
-/** Sends a generation as one JSON object when it is complete. */
+/** Buffers a generation and sends it as one JSON object when it is complete. */
 export class JsonCompletionSink implements AnswerSink {
   readonly #response: ServerResponse;
   readonly #metadata: CompletionMetadata;
@@ -128,7 +128,7 @@
   }
 }
 
-/** Passes a plain service's answer on as it came. */
+/** Forwards the response of a plain service unchanged. */
 export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
   #reply: { status: number; contentType: string; body: string } | undefined;
