--- a/src/adapters/peers/frame_line_reader.ts
+++ b/src/adapters/peers/frame_line_reader.ts
@@ -1,14 +1,14 @@
 import type { AttemptFrame } from "../../generated/messages.ts";
 
-/** Most characters that a line may have before the sender counts as broken. */
+/** Maximum length of a line, in characters. */
 const MAX_LINE_LENGTH = 16 * 1024 * 1024;
 
-/** Tells that a peer's stream is not made of frames. */
+/** Thrown when a peer's stream contains something other than frames. */
 export class InvalidFrameError extends Error {
-  override readonly name = "BrokenFrameStream";
+  override readonly name = "InvalidFrameError";
 }
 
-/** Cuts a peer's byte stream into frames: one JSON object per line. */
+/** Splits a peer's stream into frames: one JSON object per line. */
 export class FrameLineReader {
   readonly #onFrame: (frame: AttemptFrame) => void;
   #partialLine = "";
@@ -17,12 +17,14 @@
     this.#onFrame = onFrame;
   }
 
-  /** Takes the next piece of text. Throws `BrokenFrameStream` on garbage. */
+  /**
+   * Parses the next chunk of text. Throws `InvalidFrameError` on invalid input.
+   */
   push(text: string): void {
     const lines = (this.#partialLine + text).split("\n");
     this.#partialLine = lines.pop() ?? "";
     if (this.#partialLine.length > MAX_LINE_LENGTH) {
-      throw new InvalidFrameError("A frame is longer than any frame can be");
+      throw new InvalidFrameError("A frame exceeds the maximum line length");
     }
     for (const line of lines) this.#onFrame(parseFrame(line));
   }
@@ -40,8 +42,9 @@
 }
 
 /**
- * Only the fields that route a frame are checked for every token; the peer is
- * of the same system, and the assembler drops what does not belong.
+ * Checks only the fields that route a frame, because it runs for every token.
+ * Peers are processes of the same system, and the assembler drops frames that
+ * do not belong to its attempt.
  */
 function isFrame(value: unknown): value is AttemptFrame {
   return typeof value === "object" && value !== null && "kind" in value &&
--- a/src/adapters/peers/mod.ts
+++ b/src/adapters/peers/mod.ts
@@ -1,4 +1,4 @@
-/** Links between the system's own processes over HTTP. */
+/** Communication between the system's own processes over HTTP. */
 export { HttpPeers } from "./peer_client.ts";
 export { PeerServer } from "./peer_server.ts";
 export type {
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -27,12 +27,16 @@
 import { FrameLineReader } from "./frame_line_reader.ts";
 import { ATTEMPT_PATH, PEER_METHODS, RPC_PATH } from "./protocol.ts";
 
-/** Answer to a call is overdue after this time, milliseconds. */
+/** Response timeout of a call, without its long-poll wait. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000;
-/** Idle connections kept per peer; a few serve hundreds of calls a second. */
+/**
+ * Maximum idle connections per peer; a few handle hundreds of calls a second.
+ */
 const MAX_IDLE_CONNECTIONS = 32;
 
-/** Thrown inside the JSON-RPC client only; `link` is what the core sees. */
+/**
+ * Carries a link failure through the JSON-RPC client; not thrown to callers.
+ */
 class LinkError extends Error {
   readonly link: LinkFailure;
 
@@ -42,7 +46,7 @@
   }
 }
 
-/** Links to sides and entries over HTTP with connections kept open. */
+/** Calls sides and entries over keep-alive HTTP connections. */
 export class HttpPeers implements SideLink, EntryLink {
   readonly #agent = new http.Agent({
     keepAlive: true,
@@ -104,7 +108,7 @@
     return startAttempt(attempt, { side, onFrame, agent: this.#agent });
   }
 
-  /** Closes the idle connections. */
+  /** Closes all connections to peers. */
   close(): void {
     this.#agent.destroy();
   }
@@ -178,7 +182,7 @@
     const request = openPost(address, options);
     request.setTimeout(
       options.timeoutMilliseconds,
-      () => request.destroy(new Error("no answer in time")),
+      () => request.destroy(new Error("no response within the timeout")),
     );
     request.on("error", (error) => {
       reject(new LinkError(toLinkFailure(address, error)));
@@ -197,8 +201,8 @@
 }
 
 /**
- * A refused connection proves that nothing was sent. Any other error, a reset
- * included, may come after the peer has read the message.
+ * A refused connection proves that nothing was sent. Any other error, such as a
+ * reset, may occur after the peer has read the message.
  */
 function toLinkFailure(address: PeerAddress, error: Error): LinkFailure {
   const code = (error as NodeJS.ErrnoException).code;
--- a/src/adapters/peers/peer_server.ts
+++ b/src/adapters/peers/peer_server.ts
@@ -17,7 +17,7 @@
 import { CANNOT_LISTEN } from "./errors.ts";
 import { ATTEMPT_PATH, PEER_METHODS, RPC_PATH } from "./protocol.ts";
 
-/** What an entry holds of an attempt at a side. */
+/** Handle of an attempt that runs at this side. */
 export interface RunningAttempt {
   cancel(): void;
   pause(): void;
@@ -32,19 +32,19 @@
   readonly host: string;
   readonly port: number;
   readonly methods: PeerMethods;
-  /** Sides only: takes an attempt whose frames go to `emit`. */
+  /** Sides only: runs an attempt and passes its frames to `emit`. */
   readonly runAttempt?: (
     attempt: AttemptRequest,
     emit: (frame: AttemptFrame) => void,
   ) => RunningAttempt;
   readonly mostBodyBytes: number;
-  /** Text of the metrics page. */
+  /** Renders the metrics in the Prometheus text format. */
   readonly metrics?: () => Promise<string>;
 }
 
-/** The process can't answer at present, for example because it leaves. */
+/** The method has no result at present, for example while the process stops. */
 class NoResultError extends Error {
-  override readonly name = "NoAnswer";
+  override readonly name = "NoResultError";
 
   constructor(method: string) {
     super(`This process has no answer to ${method} at present`);
@@ -63,11 +63,11 @@
   "failed",
 ]);
 
-/** Listens to the system's other processes. */
+/** HTTP server for the system's other processes. */
 export class PeerServer {
   readonly #options: PeerServerOptions;
   readonly #server: http.Server;
-  // An error goes to the asking process, which logs it with its reason.
+  // The error is sent to the calling process, which logs it with its reason.
   readonly #rpcServer = new JSONRPCServer({ errorListener: () => {} });
 
   constructor(options: PeerServerOptions) {
@@ -78,11 +78,11 @@
     this.#server = http.createServer((request, response) => {
       void this.#handleRequest(request, response);
     });
-    // A long poll may be quiet for minutes; the asking side has its own limit.
+    // A long poll may take minutes; the client has its own timeout.
     this.#server.requestTimeout = 0;
   }
 
-  /** Starts to listen; gives the port. */
+  /** Starts listening; returns the port. */
   listen(): Promise<Result<number, Failure<"cannot_listen">>> {
     const { host, port } = this.#options;
     return new Promise((resolve) => {
@@ -98,7 +98,7 @@
     });
   }
 
-  /** Takes no new connections and drops those that are open. */
+  /** Closes the server and all its connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
@@ -107,7 +107,7 @@
   #addMethod(name: string, method: (parameters: never) => unknown): void {
     const validate = PARAMETER_VALIDATORS[name];
     this.#rpcServer.addMethod(name, async (rawParameters) => {
-      // JSON-RPC lets a call without parameters leave them out.
+      // JSON-RPC allows a call without `params`.
       const parameters = rawParameters ?? {};
       if (validate !== undefined && !validate(parameters)) {
         throw new TypeError(`Parameters of ${name} do not fit the schema`);
@@ -168,7 +168,7 @@
   }
 }
 
-/** Writes frames to the entry up to the last one. */
+/** Writes the frames of an attempt; ignores frames after the final one. */
 class FrameWriter {
   onBackpressure: (() => void) | undefined;
   readonly #writer: CoalescingWriter;
@@ -195,8 +195,9 @@
 }
 
 /**
- * One call, never a batch: the library answers a batch with a promise that
- * nobody holds, so that `[null]` from any process ended this one.
+ * Accepts a single call, never a batch. For a batch the library creates a
+ * promise whose rejection is not handled, so `[null]` from any process would
+ * terminate this one.
  */
 function parseCall(body: string): JSONRPCRequest | undefined {
   try {
@@ -218,7 +219,7 @@
   }
 }
 
-/** The whole body, or nothing where it is longer than allowed or cut off. */
+/** Reads the body; undefined if it exceeds `maxBytes` or is incomplete. */
 function readBody(
   request: http.IncomingMessage,
   maxBytes: number,
