--- a/src/adapters/telemetry/file_span_exporter.ts
+++ b/src/adapters/telemetry/file_span_exporter.ts
@@ -3,12 +3,12 @@
 import type { ReadableSpan, SpanExporter } from "@opentelemetry/sdk-trace-base";
 
 /**
- * Most that one process writes. The VMs have no disks, so that a file lies in
- * memory and would crowd out the process itself.
+ * Maximum size of the trace file of one process. The VMs have no disks, so the
+ * file takes memory from the process itself.
  */
 const MAX_FILE_BYTES = 64 * 1024 * 1024;
 
-/** Writes each span as one line of JSON, up to a bound. */
+/** Writes each span as one line of JSON, up to `MAX_FILE_BYTES`. */
 export class FileSpanExporter implements SpanExporter {
   readonly #stream: WriteStream;
   #writtenLength = 0;
--- a/src/adapters/telemetry/forwarding_record.ts
+++ b/src/adapters/telemetry/forwarding_record.ts
@@ -1,4 +1,4 @@
-/** Log lines and metrics of forwarded requests. */
+/** Logs and metrics of the forwarding path. */
 import { Counter, Gauge, Histogram, type Registry } from "prom-client";
 import type { RepeatUse } from "../../core/forwarding/mod.ts";
 import type { Logger } from "../../core/observation/mod.ts";
@@ -10,10 +10,10 @@
 } from "../../entry/forwarding/mod.ts";
 
 /**
- * Decisions that are logged in one second. Load: a burst of several thousand
- * requests. Harm prevented: the log takes the processor that answers need.
- * Limit: four lines for each of the hundred requests a second that an entry
- * serves when it is busy; the rest is counted and the count is logged.
+ * Decisions logged per second: four lines for each of the 100 requests a second
+ * of a busy entry. In a burst of several thousand requests, logging would take
+ * the CPU time that responses need. The lines beyond the limit are counted, and
+ * their count is logged.
  */
 const MAX_LINES_PER_SECOND = 400;
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -39,7 +39,7 @@
   readonly timer: TimerService;
 }
 
-/** Gives the function that counts registrations that became unreadable. */
+/** Returns a function that counts registrations that became unreadable. */
 export function countUnreadable(registry: Registry): () => void {
   const counter = new Counter({
     name: "filbertshore_unreadable_registrations_total",
@@ -49,7 +49,7 @@
   return () => counter.inc();
 }
 
-/** Counts questions for an endpoint's load by what became of them. */
+/** Returns a function that counts load queries by outcome. */
 export function countLoadQuestions(
   registry: Registry,
 ): (outcome: LoadQuestionOutcome) => void {
@@ -62,7 +62,7 @@
   return (outcome) => questions.inc({ outcome });
 }
 
-/** Counts reports of usage by what became of them. */
+/** Returns a function that counts usage reports by outcome. */
 export function countUsageReports(
   registry: Registry,
 ): (outcome: ReportOutcome | "given_up") => void {
@@ -75,7 +75,9 @@
   return (outcome) => reports.inc({ outcome });
 }
 
-/** Shows the fencing token of usage reports where this entry sends them. */
+/**
+ * Exports the fencing token of usage reports; -1 if another entry sends them.
+ */
 export function showUsageFencing(
   registry: Registry,
   fencing: () => number | undefined,
@@ -90,7 +92,7 @@
   });
 }
 
-/** Shows how far the repeats of each pool have used up this entry's part. */
+/** Exports the retries of each pool and this entry's limit on them. */
 export function showRepeats(
   registry: Registry,
   uses: () => readonly RepeatUse[],
@@ -115,7 +117,9 @@
   });
 }
 
-/** Shows how many requests are refused because they crash endpoints. */
+/**
+ * Exports the number of requests that are blocked because they crash endpoints.
+ */
 export function showBlockedRequests(
   registry: Registry,
   blocked: () => number,
@@ -130,7 +134,7 @@
   });
 }
 
-/** Gives the function that the forwarding path tells its decisions to. */
+/** Returns a function that logs and counts decisions of the forwarding path. */
 export function recordForwarding(
   options: ForwardingObserverOptions,
 ): ObserveForwarding {
@@ -171,7 +175,7 @@
   return Number(milliseconds) / MILLISECONDS_PER_SECOND;
 }
 
-/** Counts the lines of each second and tells how many were left out. */
+/** Limits the log lines per second and logs how many were dropped. */
 class LogRateLimiter {
   readonly #timer: TimerService;
   readonly #logger: Logger;
--- a/src/adapters/telemetry/forwarding_record_test.ts
+++ b/src/adapters/telemetry/forwarding_record_test.ts
@@ -3,9 +3,9 @@
 import { showRepeats } from "./mod.ts";
 
 describe("showRepeats", () => {
-  // The engines get more repeats than the fleet allows, and on-call engineers
-  // look which entry sends them and whether it knows.
-  it("tells how far each pool's part is used up at that moment", async () => {
+  // When engines receive more retries than the fleet allows, on-call engineers
+  // need to see which entry sends them and how close it is to its limit.
+  it("exports the current retries of each pool and their limit", async () => {
     const registry = new Registry();
     let counted = 3;
     showRepeats(registry, () => [{ pool: "engines", counted, allowed: 20.5 }]);
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -1,30 +1,33 @@
-/** JSON logs by pino, written by the process itself. */
+/** JSON logging with pino. */
 import { type DestinationStream, pino } from "pino";
 import type { Logger } from "../../core/observation/mod.ts";
 
 /**
- * Log text that may wait for a slow reader. Beyond it lines are dropped: a
- * log collector that hangs must not fill the memory of a thin VM.
+ * Maximum log text buffered for a slow reader. Further lines are dropped, so
+ * that a stalled log collector cannot exhaust the memory of a small VM.
  */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /** Standard output. */
 const STDOUT_FILE_DESCRIPTOR = 1;
 
-/** A logger that makes further ones for parts of the process. */
+/** A logger that can create child loggers for the components of the process. */
 export interface LabelledLogger extends Logger {
-  /** The same log with the part's name on each line. */
+  /** Returns a child logger that adds the component's name to each line. */
   labelled(part: string): LabelledLogger;
 }
 
 export interface LoggerOptions {
   readonly level: "debug" | "info" | "warn" | "error";
-  /** Name of the process on each line. */
+  /** Process name added to each line. */
   readonly process: string;
-  /** Absent: standard output. */
+  /** Defaults to standard output. */
   readonly destination?: DestinationStream;
 }
 
-/** Makes the log of a process; without worker threads, as one binary has none. */
+/**
+ * Creates the logger of a process. It uses no worker threads because they are
+ * not available in the single-binary build.
+ */
 export function createLogger(options: LoggerOptions): LabelledLogger {
   const destination = options.destination ?? pino.destination({
     dest: STDOUT_FILE_DESCRIPTOR,
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics by prom-client, fed from what the cores tell of. */
+/** Prometheus metrics, updated from the events of the cores. */
 import {
   collectDefaultMetrics,
   Counter,
@@ -9,7 +9,7 @@
 import type { HistoryEvent } from "../../core/observation/mod.ts";
 import { type RequestCompletion, RequestTimings } from "./request_timings.ts";
 
-/** From a millisecond to the longest summary. */
+/** From a millisecond to the duration of the longest summaries. */
 const REQUEST_BUCKETS_SECONDS = [
   0.001,
   0.0025,
@@ -28,7 +28,7 @@
   30,
   60,
 ];
-/** Around the 26 ms between tokens that callers are promised. */
+/** Finest around 26 ms, the token interval that callers are promised. */
 const TOKEN_INTERVAL_BUCKETS_SECONDS = [
   0.002,
   0.005,
@@ -44,11 +44,11 @@
 ];
 
 export interface MetricsOptions {
-  /** Also tell of the process's own memory, loop and handles. */
+  /** Also export memory, event loop and handles of the process. */
   readonly processMetrics?: boolean;
 }
 
-/** All metrics of one process, in a registry of their own. */
+/** All metrics of one process, in a separate registry. */
 export class Metrics {
   readonly registry = new Registry();
   readonly #timings: RequestTimings;
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Pass it to a core as its observation function. */
+  /** Event observer to pass to a core. */
   readonly observe = (event: HistoryEvent): void => {
     this.#timings.observe(event);
     const { facts } = event;
@@ -173,7 +173,7 @@
     }
   };
 
-  /** The text that `/metrics` answers. */
+  /** Renders the response of `/metrics`. */
   async render(): Promise<{ contentType: string; body: string }> {
     const body = await this.registry.metrics();
     return { contentType: this.registry.contentType, body };
@@ -225,7 +225,9 @@
   }
 }
 
-/** Role of an order's target, which stands as JSON among the facts. */
+/**
+ * Extracts the role from an order's target, which the event has as JSON text.
+ */
 function targetRole(target: string): string {
   return /"role":"([a-z]+)"/.exec(target)?.[1] ?? "unnamed";
 }
--- a/src/adapters/telemetry/mod.ts
+++ b/src/adapters/telemetry/mod.ts
@@ -1,4 +1,4 @@
-/** Logs, metrics and traces of a process. */
+/** Logging, metrics and tracing of a process. */
 export {
   createLogger,
   type LabelledLogger,
--- a/src/adapters/telemetry/mod_test.ts
+++ b/src/adapters/telemetry/mod_test.ts
@@ -11,7 +11,7 @@
 import { createLogger, createTracing, Metrics } from "./mod.ts";
 
 describe("createLogger", () => {
-  it("writes lines of JSON with process and part", () => {
+  it("writes JSON lines with process and component", () => {
     const lines: string[] = [];
     const log = createLogger({
       level: "info",
@@ -41,7 +41,7 @@
     metrics.observe({ at, process: "entry-1", kind, facts });
   }
 
-  it("counts an answer as goodput only where it came on time", async () => {
+  it("counts a response as goodput only if it was on time", async () => {
     const metrics = new Metrics();
     const ends = [["in-time", 900], ["late", 1100]] as const;
     for (const [requestId, end] of ends) {
@@ -71,7 +71,7 @@
     expect(body).to.include("filbertshore_open_requests 0");
   });
 
-  it("tells refusals, retries, role changes and the version", async () => {
+  it("exports refusals, retries, role changes and the version", async () => {
     const metrics = new Metrics();
     const requestId = "refused";
     observe(metrics, 0, "request_received", { requestId, className: "bulk" });
@@ -94,9 +94,9 @@
     ) expect(body).to.include(line);
   });
 
-  // A caller puts a new class into its header with each request. Every name
-  // would stay as a series for good and fill the entry's memory.
-  it("does not let callers make series without end", async () => {
+  // A caller sends a new class name with each request. Each name would add
+  // permanent series and exhaust the entry's memory.
+  it("limits the number of series that callers can create", async () => {
     const metrics = new Metrics();
     for (let count = 0; count < 200; count++) {
       const requestId = String(count);
@@ -118,9 +118,9 @@
     );
   });
 
-  // A core that is embedded wrongly never tells of ends. Without a bound the
-  // entry's memory would grow with each request until it is killed.
-  it("forgets the oldest request where ends are never told", () => {
+  // An incorrectly embedded core may never report completions. Without a limit
+  // memory would grow with each request until the process is killed.
+  it("evicts the oldest request when completions are never reported", () => {
     const metrics = new Metrics();
     for (let count = 0; count < 20_100; count++) {
       observe(metrics, count, "request_received", { requestId: String(count) });
@@ -135,7 +135,7 @@
   const CALLER_TRACEPARENT =
     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
-  it("writes spans of one trace to a file of lines", async () => {
+  it("writes the spans of a trace to a file, one per line", async () => {
     const folder = mkdtempSync(join(tmpdir(), "filbertshore-traces-"));
     const file = join(folder, "spans.jsonl");
     const tracing = createTracing({ process: "entry-1", file, share: 1 });
@@ -163,7 +163,7 @@
     expect(lines[0].facts.endpoint).to.equal("triage-llm-01");
   });
 
-  it("sends spans to a collector", async () => {
+  it("exports spans to a collector", async () => {
     let received = "";
     const collector = createServer((request, response) => {
       request.setEncoding("utf8").on("data", (chunk) => received += chunk);
@@ -185,7 +185,7 @@
     expect(received).to.include("side.attempt");
   });
 
-  it("makes nothing where no output is set", () => {
+  it("creates no spans when no output is set", () => {
     const { tracer } = createTracing({ process: "entry-1", share: 1 });
     const span = tracer.start("entry.receive", {
       traceparent: CALLER_TRACEPARENT,
@@ -194,7 +194,7 @@
     expect(tracer.start("entry.queue", {})).to.equal(span);
   });
 
-  it("starts a new trace where a caller's header makes no sense", () => {
+  it("starts a new trace when the traceparent header is invalid", () => {
     const tracing = createTracing({
       process: "entry-1",
       otlpUrl: "http://127.0.0.1:9/v1/traces",
--- a/src/adapters/telemetry/request_timings.ts
+++ b/src/adapters/telemetry/request_timings.ts
@@ -1,17 +1,17 @@
 import type { HistoryEvent } from "../../core/observation/mod.ts";
 
-/** How a request ended, for the metrics. */
+/** Outcome and timing of a completed request, for the metrics. */
 export interface RequestCompletion {
   readonly className: string;
   readonly outcome: "answered" | "not_run" | "unknown";
   readonly reason: string;
   readonly tokens: number;
   readonly seconds: number;
-  /** True where the answer came within its deadline. */
+  /** True if the response was complete within its deadline. */
   readonly onTime: boolean;
 }
 
-/** Where times go as they become known; seconds. */
+/** Receives timings as they become known, in seconds. */
 export interface RequestTimingsListener {
   queued(className: string, seconds: number): void;
   firstToken(className: string, seconds: number): void;
@@ -28,21 +28,21 @@
 }
 
 /**
- * Requests that are followed at once. An end that is never told of would
- * otherwise leak an entry; beyond the bound the oldest is forgotten, and only
- * its times are missing.
+ * Maximum number of requests tracked at a time. Without a limit, a request
+ * whose completion is never reported would leak an entry. Beyond the limit the
+ * oldest request is evicted and only its timings are lost.
  */
 const MAX_TRACKED_REQUESTS = 20_000;
 const UNNAMED_CLASS = "unnamed";
 /**
- * Names of classes that metrics tell apart; the rules allow 16. A caller may
- * ask for a class of any name, and each new one would add a dozen series that
- * stay for good: one caller could fill the entry's memory.
+ * Maximum number of work classes used as label values; the rules allow 16. A
+ * caller may request a class of any name, and each new label value adds a dozen
+ * permanent series, so one caller could exhaust the entry's memory.
  */
 const MAX_CLASS_LABELS = 32;
 const OTHER_CLASS = "other";
 
-/** Works out the times of each request from the events of an entry. */
+/** Derives the timings of each request from the events of an entry. */
 export class RequestTimings {
   readonly #listener: RequestTimingsListener;
   readonly #requests = new Map<string, TrackedRequest>();
@@ -123,7 +123,7 @@
     });
   }
 
-  /** The class that an event names; the rules decide it after the arrival. */
+  /** Label of the event's class; the rules assign a class after the arrival. */
   #classLabel(facts: HistoryEvent["facts"]): string | undefined {
     if (facts.className === undefined) return undefined;
     const className = String(facts.className);
--- a/src/adapters/telemetry/tracing.ts
+++ b/src/adapters/telemetry/tracing.ts
@@ -1,4 +1,4 @@
-/** Traces by OpenTelemetry: over HTTP to a collector or to a file of lines. */
+/** OpenTelemetry tracing, exported to an OTLP collector or to a file. */
 import {
   type Context,
   ROOT_CONTEXT,
@@ -28,26 +28,26 @@
 } from "../../core/observation/mod.ts";
 import { FileSpanExporter } from "./file_span_exporter.ts";
 
-/** Spans that may wait for the collector; beyond it they are dropped. */
+/** Maximum number of spans queued for export; further spans are dropped. */
 const MAX_QUEUED_SPANS = 4_096;
 
 export interface TracingOptions {
-  /** Name of the process on each span. */
+  /** Process name added to each span. */
   readonly process: string;
-  /** Address of a collector; goes before the file. */
+  /** URL of an OTLP collector; takes precedence over `file`. */
   readonly otlpUrl?: string;
   readonly file?: string;
-  /** Share of traces that start here and are kept, 0 to 1. */
+  /** Sampling ratio of traces that start in this process, 0 to 1. */
   readonly share: number;
 }
 
 export interface Tracing {
   readonly tracer: Tracer;
-  /** Writes what waits and ends. */
+  /** Exports the queued spans and stops. */
   shutdown(): Promise<void>;
 }
 
-/** Makes the tracing of a process; with no output set it is a null object. */
+/** Creates the tracing of a process; does nothing if no output is set. */
 export function createTracing(options: TracingOptions): Tracing {
   const exporter = createExporter(options);
   if (exporter === undefined) {
@@ -121,7 +121,9 @@
   }
 }
 
-/** A caller's header that makes no sense starts a new trace. */
+/**
+ * Context of the caller's span; an invalid `traceparent` starts a new trace.
+ */
 function parentContext(traceparent: string | undefined): Context {
   if (traceparent === undefined) return ROOT_CONTEXT;
   const parent = parseTraceParent(traceparent);
