--- a/src/adapters/settings/configuration_files.ts
+++ b/src/adapters/settings/configuration_files.ts
@@ -1,4 +1,4 @@
-/** Reads the operators' inventory and rules. */
+/** Reads the inventory and rules of operators. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import {
   checkConfiguration,
@@ -22,7 +22,7 @@
   readonly rules: string;
 }
 
-/** Inventory and rules that can be published, or every problem of both. */
+/** Reads inventory and rules; fails with all problems of both files. */
 export function loadConfiguration(
   files: ConfigurationFiles,
 ): Result<ConfigurationContent, readonly FileProblem[]> {
@@ -50,7 +50,7 @@
   return err(problems.map((problem) => toFileProblem(problem, files)));
 }
 
-/** The judge's problems name a place in the content; operators know files. */
+/** Converts a path within the configuration to a file and a path in it. */
 function toFileProblem(
   problem: ConfigurationProblem,
   files: ConfigurationFiles,
--- a/src/adapters/settings/defaults.ts
+++ b/src/adapters/settings/defaults.ts
@@ -1,6 +1,6 @@
 /**
- * Values of the settings that a file leaves out. Each names the load that it
- * is made for and the harm that it prevents.
+ * Default settings, each with the load that it is sized for and the failure
+ * that it prevents.
  */
 import type {
   CoordinationTimes,
@@ -9,95 +9,106 @@
   SideLimits,
 } from "../../generated/settings.ts";
 
+/** Default log output. */
 export const DEFAULT_LOG_OUTPUT: Required<LogOutput> = {
-  // Per-request lines stand at debug: at the peak they would cost more than
-  // the requests.
+  // Per-request lines are logged at debug, because at peak load they would cost
+  // more than the requests themselves.
   level: "info",
 };
 
 /**
- * Share of requests that are traced where an output is set: enough to see a
- * shift of the mix within a minute at ten requests a second, and too little to
- * load the collector at the peak.
+ * Sampling ratio of traces if an output is set: high enough to see a change of
+ * the request mix within a minute at ten requests a second, and low enough not
+ * to overload the collector at peak load.
  */
 export const DEFAULT_TRACE_SHARE = 0.1;
 
+/** Default limits of an entry. */
 export const DEFAULT_ENTRY_LIMITS: Required<EntryLimits> = {
-  // A long camera-inspection log is some hundred kilobytes. A larger body
-  // holds a thin VM's memory for one caller.
+  // A long camera inspection log has several hundred kilobytes. A larger body
+  // would occupy too much memory of a small VM for one caller.
   mostBodyBytes: 1024 * 1024,
-  // About ten seconds of a busy region's arrivals at one entry; who would wait
-  // longer is late anyway and is better refused at once.
+  // About ten seconds of arrivals at one entry of a busy region. Requests that
+  // would wait longer miss their deadline and are better refused immediately.
   mostQueued: 2_000,
-  // A tenth of the queue: one customer's burst leaves room for the others.
+  // A tenth of the queue, so that a burst of one customer leaves capacity for
+  // others.
   mostQueuedPerWorkspace: 200,
-  // At 30 KB for an open stream this bounds an entry at 120 MB.
+  // Limits the memory of open streams to 120 MB, at 30 KB each.
   mostOpenRequests: 4_000,
-  // A second of tokens at the fastest engines; a caller that reads more slowly
-  // is held back at the endpoint and not buffered.
+  // One second of tokens of the fastest engines. Beyond it, backpressure for a
+  // slow caller applies at the endpoint instead of buffering.
   mostBufferedTokensPerCaller: 256,
-  // The longest summary ends within it; what is left is told to callers.
+  // Longer than the longest summary. Requests that remain open are reported to
+  // their callers.
   shutdownSeconds: 30,
-  // Reports, connections and state of an entry stay the same for any fleet, at
-  // a quarter of a megabyte for each used side. 24 is what the decisions were
-  // measured with.
+  // Keeps reports, connections and state of an entry independent of the fleet
+  // size, at a quarter of a megabyte per side in use. Placement decisions were
+  // measured with 24 endpoints.
   mostEndpointsPerPool: 24,
-  // What four endpoints have failed is not saved by a fifth.
+  // A request that failed at four endpoints is unlikely to succeed at a fifth.
   mostAttempts: 4,
 };
 
+/** Default limits of a side. */
 export const DEFAULT_SIDE_LIMITS: Required<SideLimits> = {
-  // Above the slots of today's engines; the limit that adapts to the observed
-  // time between tokens lies below it.
+  // Above the slots of current engines; the adaptive limit, which follows the
+  // observed token interval, stays below it.
   mostRunning: 64,
-  // The queue belongs to the entries, which know classes and deadlines. A few
-  // places here bridge the way from entry to side.
+  // Requests queue at the entries, which know their classes and deadlines. A
+  // short queue at the side covers the latency between entry and side.
   mostWaiting: 16,
-  // Answers of once-only work for repeated calls: ten minutes at sixteen a
-  // second, far above what one member-portal gives.
+  // Responses kept for retries of requests with an idempotency key: ten minutes
+  // at 16 a second, far above the rate of one member-portal service.
   mostKeptAnswers: 10_000,
-  // A quarter of the side's 128 MB.
+  // A quarter of the side's memory of 128 MB.
   mostKeptAnswerBytes: 32 * 1024 * 1024,
-  // Hundred thousand tokens as events; more is an endpoint gone wild.
+  // 100,000 tokens as events; a larger response indicates a faulty endpoint.
   mostResponseBytes: 16 * 1024 * 1024,
-  // As for entries.
+  // Same as for entries.
   shutdownSeconds: 30,
 };
 
+/** Default intervals and timeouts of the coordination. */
 export const DEFAULT_COORDINATION_TIMES: Required<CoordinationTimes> = {
-  // A report of 400 bytes to two entries each second stays under a fifth of
-  // the 5 KB a second that a node may spend on control.
+  // A report of 400 bytes to two entries each second takes less than a fifth of
+  // the 5 KB a second that a node may use for control traffic.
   reportMilliseconds: 1_000,
-  // Three reports lost in a row; one late report takes no endpoint out of use.
+  // Three consecutive missing reports; a single late report must not make an
+  // endpoint unavailable.
   suspectMilliseconds: 3_500,
-  // One append is under way at a time and what comes meanwhile shares the next,
-  // which gathers enough: a wait besides costs its own length at 100 records a
-  // second and gains nothing (bench/append.ts, docs/COORDINATION.md).
+  // Only one append is in flight, and records that arrive meanwhile share the
+  // next one, which batches enough. At 100 records a second an additional delay
+  // adds its full length without a benefit (bench/append.ts,
+  // docs/COORDINATION.md).
   appendDelayMilliseconds: 0,
-  // A judge that is killed delays a publication by this and half as much
-  // again, of the nine seconds that it may take. Silence counts only while the
-  // log is read without delay, so a slow log makes no claim flap.
+  // If the process that decides on publications is killed, a publication is
+  // delayed by 1.5 times this value, of the nine seconds that it may take. The
+  // silence of a claim holder counts only while the log is read without delay,
+  // so that a slow log does not make claims flap.
   claimSilenceMilliseconds: 3_000,
-  // The mix turns within minutes; load reports are a second or two old, and a
-  // planner that is faster than its reports reacts to its own change.
+  // The request mix changes within minutes. Load reports are one to two seconds
+  // old; a planner with a shorter interval would react to its own changes.
   planMilliseconds: 2_000,
-  // A process that starts reads at most this many records behind a checkpoint.
+  // A starting process reads at most this many records after a checkpoint.
   checkpointRecords: 500,
-  // Twice the longest change of role that the asset registers name. A side
-  // that restarts waits it out before it orders an engine that does not check.
+  // Twice the longest role change in the asset registers. After a restart, a
+  // side waits this long before it sends orders to an engine without fencing
+  // checks.
   longestOrderMilliseconds: 20_000,
-  // A caller's retries come within minutes. Records of live keys are kept in
-  // memory for this long: at ten a second, six thousand of them.
+  // Callers retry within minutes. Records of idempotency keys stay in memory
+  // this long: 6,000 of them at ten a second.
   keyWindowMilliseconds: 600_000,
-  // A VM that leaves without a word to its side gets no new work after this
-  // and the list's own lag. An unchanged list is answered without a body.
+  // A VM that leaves without notice to its side receives no new work after this
+  // interval plus the lag of the list. Polling an unchanged list returns no
+  // body.
   vmListMilliseconds: 2_000,
-  // An idle side costs its two entries eight messages a minute.
+  // An idle side causes eight messages a minute at its two entries.
   watchMilliseconds: 15_000,
-  // Most answers end within it; the rest is resumed elsewhere, uncut.
+  // Most generations end within it; the others are resumed at another endpoint.
   drainMilliseconds: 10_000,
-  // A long log's prefill ends within it; a longer silence is a fault.
+  // Longer than the prefill of a long inspection log.
   firstTokenSilenceMilliseconds: 15_000,
-  // Two hundred times the promised time between tokens.
+  // About 200 times the promised token interval.
   tokenSilenceMilliseconds: 5_000,
 };
--- a/src/adapters/settings/errors.ts
+++ b/src/adapters/settings/errors.ts
@@ -1,28 +1,28 @@
 import { defineError } from "../../core/errors/mod.ts";
 
-/** One thing that is wrong in a file. */
+/** A problem found in a file. */
 export interface FileProblem {
   readonly file: string;
-  /** Where in the file, such as `callers.port`; empty for the whole file. */
+  /** Path in the file, such as `callers.port`; empty for the whole file. */
   readonly path: string;
   readonly found: string;
   readonly expected: string;
 }
 
-/** A file can't be used; all that is wrong with it stands in `problems`. */
+/** A file is invalid; `problems` lists everything found in it. */
 export const FILE_INVALID = defineError<
   { file: string; problems: readonly FileProblem[] }
 >()({
   name: "file_invalid",
-  title: "File cannot be used",
+  title: "File is invalid",
   message: ({ file, problems }) =>
     `Cannot use "${file}": ${problems.length} ${
       problems.length === 1 ? "problem" : "problems"
     }`,
-  hint: "Mend what is listed and check the file with `filbertshore check`",
+  hint: "Fix the listed problems and check the file with `filbertshore check`",
 });
 
-/** One line for an operator. */
+/** Formats a problem as one line for operators. */
 export function formatProblem(problem: FileProblem): string {
   const place = problem.path === ""
     ? problem.file
--- a/src/adapters/settings/mod.ts
+++ b/src/adapters/settings/mod.ts
@@ -1,4 +1,4 @@
-/** Settings of processes: read, checked, filled with defaults, frozen. */
+/** Settings of processes: parsed, validated, with defaults, and frozen. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import settingsSchema from "../../schema/settings.json" with { type: "json" };
 import type {
@@ -41,17 +41,17 @@
   readTomlFile,
 } from "./toml_file.ts";
 
-/** Where traces go; neither `otlpUrl` nor `file`: none are made. */
+/** Trace output; without `otlpUrl` and `file` no traces are created. */
 export type CheckedTraceOutput = Readonly<TraceOutput & { share: number }>;
 
-/** What entries and sides have in common. */
+/** Settings that entries and sides share. */
 interface CommonSettings {
   readonly log: Readonly<Required<LogOutput>>;
   readonly traces: CheckedTraceOutput;
   readonly coordination: Readonly<Required<CoordinationTimes>>;
 }
 
-/** Settings of an entry with every optional field filled. */
+/** Settings of an entry with all defaults applied. */
 export interface CheckedEntrySettings
   extends
     Readonly<Omit<EntrySettings, keyof CommonSettings | "limits">>,
@@ -60,7 +60,7 @@
   readonly limits: Readonly<Required<EntryLimits>>;
 }
 
-/** Settings of a side with every optional field filled. */
+/** Settings of a side with all defaults applied. */
 export interface CheckedSideSettings
   extends
     Readonly<Omit<SideSettings, keyof CommonSettings | "limits">>,
@@ -69,16 +69,17 @@
   readonly limits: Readonly<Required<SideLimits>>;
 }
 
-/** Settings of operators' commands. */
+/** Settings of the operator commands. */
 export type CheckedOperatorSettings = Readonly<OperatorSettings>;
 
-/** Which settings a kind of process has. */
+/** The settings type of each kind of process. */
 export interface SettingsByKind {
   readonly entry: CheckedEntrySettings;
   readonly side: CheckedSideSettings;
   readonly operator: CheckedOperatorSettings;
 }
 
+/** Kind of process that settings belong to. */
 export type SettingsKind = keyof SettingsByKind;
 
 interface KindSchema<Kind extends SettingsKind> {
@@ -105,7 +106,7 @@
   },
 };
 
-/** Reads a settings file; a frozen value that is taken as true, or every problem. */
+/** Reads and validates a settings file; fails with all problems found. */
 export function loadSettings<Kind extends SettingsKind>(
   file: string,
   kind: Kind,
@@ -156,7 +157,7 @@
   };
 }
 
-/** `host:port`, with brackets around an IPv6 number. */
+/** `host:port`, with brackets around an IPv6 address. */
 const ADDRESS_PATTERN = /^(?:[A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):(\d{1,5})$/;
 const MAX_PORT = 65_535;
 
@@ -181,8 +182,9 @@
 }
 
 /**
- * A process that is suspected before its next report can come is out of use
- * all the time; it shows as endpoints that come and go each second.
+ * Checks that a process is not suspected before its next report is due.
+ * Otherwise its endpoints would become unavailable and available again every
+ * second.
  */
 function findTimingProblems(
   file: string,
--- a/src/adapters/settings/mod_test.ts
+++ b/src/adapters/settings/mod_test.ts
@@ -38,7 +38,7 @@
     );
   }
 
-  it("fills what the file leaves out and freezes the value", () => {
+  it("applies defaults and freezes the settings", () => {
     const file = writeSettings(
       `${VALID_SIDE_SETTINGS}\n[limits]\nmostWaiting = 3\n`,
     );
@@ -50,9 +50,9 @@
     expect(Object.isFrozen(settings.limits)).to.equal(true);
   });
 
-  // An operator mends one line, starts again and meets the next problem, with
-  // the endpoint out of service all the while. All of them come at once.
-  it("tells every problem at once", () => {
+  // If problems were reported one by one, an operator would need a restart for
+  // each of them while the endpoint is out of service.
+  it("reports all problems at once", () => {
     const text = VALID_SIDE_SETTINGS.replace(
       "port = 7200",
       'prot = 7200, port = "x"',
@@ -66,20 +66,20 @@
     ]);
   });
 
-  it("tells where the file is no TOML", () => {
+  it("reports the position of a TOML syntax error", () => {
     const problems = loadProblems("name = \n");
     expect(problems).to.have.length(1);
     expect(problems[0]).to.match(/line 1, column \d+/);
   });
 
-  it("tells that the file is missing", () => {
+  it("reports a missing file", () => {
     const result = loadSettings(join(folder, "none.toml"), "entry");
     expect(result._unsafeUnwrapErr().problems[0].found).to.equal("ENOENT");
   });
 
-  // A file is cut off while it is copied, or is no settings file at all. The
-  // program has to say so and end with its code, not with a stack.
-  it("takes any text and any values", () => {
+  // For a truncated file, or one that is no settings file, the program must
+  // report problems and exit with its code instead of a stack trace.
+  it("accepts or rejects arbitrary text without throwing", () => {
     const lines = VALID_SIDE_SETTINGS.trim().split("\n");
     fc.assert(
       fc.property(
@@ -106,16 +106,16 @@
     );
   });
 
-  it("refuses addresses without a port", () => {
+  it("rejects addresses without a port", () => {
     const text = VALID_SIDE_SETTINGS.replace("10.0.0.1:7100", "10.0.0.1");
     expect(loadProblems(text)).to.deep.equal([
       'side.toml: entries[0]: found "10.0.0.1", expected an address as host:port',
     ]);
   });
 
-  // Suspicion comes faster than reports: the endpoint would be in use for one
-  // moment of each second, and callers would be refused in the others.
-  it("refuses times that suspect a healthy process", () => {
+  // If the suspicion timeout is shorter than the report interval, an endpoint
+  // is unavailable for most of each second and callers are refused.
+  it("rejects times that make a healthy process suspected", () => {
     const text =
       `${VALID_SIDE_SETTINGS}\n[coordination]\nsuspectMilliseconds = 900\n`;
     expect(loadProblems(text)).to.deep.equal([
--- a/src/adapters/settings/problems.ts
+++ b/src/adapters/settings/problems.ts
@@ -1,8 +1,8 @@
-/** Turns a validator's findings into problems that an operator can mend. */
+/** Converts validation errors into problems that operators can fix. */
 import type { ValidationProblem } from "../../generated/validators.js";
 import type { FileProblem } from "./errors.ts";
 
-/** The part of a JSON Schema that is looked at here. */
+/** The JSON Schema keywords used here. */
 export interface SchemaNode {
   readonly $ref?: string;
   readonly properties?: Readonly<Record<string, SchemaNode>>;
@@ -10,20 +10,21 @@
   readonly description?: string;
 }
 
-/** A schema file with its definitions. */
+/** A JSON Schema document with its definitions. */
 export interface SchemaDocument extends SchemaNode {
   readonly definitions?: Readonly<Record<string, SchemaNode>>;
 }
 
+/** The validated value and its schema. */
 export interface ProblemContext {
   readonly file: string;
   readonly value: unknown;
   readonly document: SchemaDocument;
-  /** Definition that the value has to fit; absent for the document itself. */
+  /** Definition that applies to the value; absent: the document itself. */
   readonly definition?: string;
 }
 
-/** Every problem, once, in the order in which the validator found it. */
+/** Returns the problems without duplicates, in the validator's order. */
 export function describeProblems(
   errors: readonly ValidationProblem[],
   context: ProblemContext,
@@ -101,7 +102,7 @@
   }
 }
 
-/** `pools[2].endpoints[0].side`, as an operator would write it. */
+/** Formats a path such as `pools[2].endpoints[0].side`. */
 export function formatPath(segments: readonly string[]): string {
   return segments.map((segment, index) => {
     if (/^\d+$/.test(segment)) return `[${segment}]`;
--- a/src/adapters/settings/toml_file.ts
+++ b/src/adapters/settings/toml_file.ts
@@ -1,4 +1,4 @@
-/** Reads TOML files and checks them against their schema. */
+/** Reads TOML files and validates them against their schema. */
 import { readFileSync } from "node:fs";
 import { parse, TomlError } from "smol-toml";
 import { err, ok, type Result } from "../../core/errors/result.ts";
@@ -7,18 +7,19 @@
 import { FILE_INVALID, type FileProblem } from "./errors.ts";
 import { describeProblems, type SchemaDocument } from "./problems.ts";
 
-/** A file can't be used; `problems` says all that is wrong with it. */
+/** A file is invalid; `problems` lists everything found in it. */
 export interface FileFailure extends Failure<"file_invalid"> {
   readonly problems: readonly FileProblem[];
 }
 
+/** The schema of a file and its compiled validator. */
 export interface FileSchema {
   readonly validator: Validator;
   readonly document: SchemaDocument;
   readonly definition?: string;
 }
 
-/** Reads the file as TOML; a value that fits the schema or every problem. */
+/** Reads and validates a TOML file; fails with all problems found. */
 export function readTomlFile(
   file: string,
   schema: FileSchema,
@@ -34,6 +35,7 @@
   });
 }
 
+/** Creates the failure for a file with these problems. */
 export function fileFailure(
   file: string,
   problems: readonly FileProblem[],
