--- a/src/adapters/forwarding/caller_response.ts
+++ b/src/adapters/forwarding/caller_response.ts
@@ -2,17 +2,17 @@
 import type { CallerSink, Refusal } from "../../entry/forwarding/links.ts";
 
 const UNAUTHORIZED = 401;
-/** The scheme by which callers name their keys. */
+/** HTTP authentication scheme of callers' API keys. */
 const AUTHENTICATION_SCHEME = "Bearer";
 
-/** The answer to one caller's request. */
+/** The HTTP response to one caller's request. */
 export class CallerResponse implements CallerSink {
   readonly #response: ServerResponse;
   readonly #isStopping: () => boolean;
   #isFinished = false;
   #gone = false;
 
-  /** `stopping`: whether the connection is to be closed behind the answer. */
+  /** `isStopping`: whether to close the connection after the response. */
   constructor(response: ServerResponse, isStopping: () => boolean) {
     this.#response = response;
     this.#isStopping = isStopping;
@@ -48,7 +48,8 @@
   cut(): void {
     if (this.#isFinished) return;
     this.#isFinished = true;
-    // Without an end mark and without its length the answer looks cut off.
+    // Without its last chunk or full length, the caller sees a truncated
+    // response.
     this.#response.destroy();
   }
 
--- a/src/adapters/forwarding/caller_server.ts
+++ b/src/adapters/forwarding/caller_server.ts
@@ -10,38 +10,42 @@
 import type { CallerSink, Refusal } from "../../entry/forwarding/links.ts";
 import { CallerResponse } from "./caller_response.ts";
 
-/** Longest head that is read at all, bytes; the configuration's is smaller. */
+/** Upper bound of the header size; the configured limit is smaller. */
 const MAX_HEADER_BYTES = 64 * 1024;
 /**
- * Bodies that all open requests may hold together, bytes. A burst of the largest
- * bodies would exceed a small VM's memory.
+ * Limit for the bodies of all open requests together. A burst of the largest
+ * bodies would exceed the memory of a small VM.
  */
 const MAX_BUFFERED_BODY_BYTES = 48 * 1024 * 1024;
 /**
- * How long idle connections stay open after a stop was requested. The balancer
- * takes up to two health checks to notice, and requests must not cross the close.
+ * How long idle connections stay open after a stop is requested. The load
+ * balancer needs up to two health checks to notice the stop, and a connection
+ * must not be closed while a request is being sent on it.
  */
 const IDLE_CLOSE_DELAY_MILLISECONDS = 2_500;
 
-/** When a caller that was refused by a stopping entry should come back. */
+/** `Retry-After` of requests that a stopping entry refuses. */
 const STOPPING_RETRY_AFTER_MILLISECONDS = 50;
 /**
- * How long a connection stays open behind an answer that began before the stop and
- * so did not announce it: the caller may send its next request on it.
+ * How long a connection stays open after a response that started before the
+ * stop. Its headers did not announce the close, so the caller may send its next
+ * request on the connection.
  */
 const KEEP_ALIVE_AFTER_STOP_MILLISECONDS = 50;
 
-/** How often the loop is seen to turn. */
+/** Interval at which the event-loop delay is sampled. */
 const LOOP_SAMPLE_INTERVAL_MILLISECONDS = 50;
 /**
- * Delay of the event loop from which on a request may have waited unread as long.
- * Whether its caller has left shows only in the next turn of the loop.
+ * Event-loop delay above which a request may have waited unread. Whether its
+ * caller has disconnected is known only in the next iteration of the event
+ * loop.
  */
 const LOOP_DELAY_THRESHOLD_MILLISECONDS = 100;
 
 /**
- * The answer to requests on a connection that was busy when the balancer had had
- * its time: a long answer that begins now would be cut when the process ends.
+ * Refuses requests on a connection that was still in use when the load
+ * balancer's grace period ended. A long response that starts now would be
+ * truncated when the process exits.
  */
 const STOPPING_REFUSAL: Refusal = {
   status: 503,
@@ -49,7 +53,7 @@
   retryAfterMilliseconds: STOPPING_RETRY_AFTER_MILLISECONDS,
 };
 
-/** Limits on what callers may send; they follow the configuration. */
+/** Limits for requests of callers, taken from the current configuration. */
 export interface CallerServerLimits {
   readonly mostHeaderBytes: number;
   readonly mostBodyBytes: number;
@@ -57,7 +61,7 @@
   readonly idleMilliseconds: number;
 }
 
-/** What the server needs of a request's head. */
+/** Converts an HTTP request to a request of the forwarding path. */
 export type DecodeRequest = (incoming: {
   readonly method: string;
   readonly target: string;
@@ -65,6 +69,7 @@
   readonly body: Buffer;
 }) => ForwardedRequest;
 
+/** Options of a `CallerServer`. */
 export interface CallerServerOptions {
   readonly host: string;
   readonly port: number;
@@ -72,22 +77,26 @@
   readonly limits: () => CallerServerLimits;
   readonly decode: DecodeRequest;
   readonly handle: (request: ForwardedRequest, sink: CallerSink) => void;
-  /** Bytes came that are no request; the connection is closed. */
+  /**
+   * Called for bytes that are not a valid request; the connection is closed.
+   */
   readonly onProtocolError: (reason: string) => void;
 }
 
-/** Takes callers' requests whole and hands them on. */
+/**
+ * HTTP server that buffers callers' requests and passes them on when complete.
+ */
 export class CallerServer {
   readonly #options: CallerServerOptions;
   readonly #server: Server;
   #bufferedBodyBytes = 0;
   #openRequests = 0;
   #isStopping = false;
-  /** True once the balancer has had its time: nothing more is handed on. */
+  /** True after the load balancer's grace period: new requests are refused. */
   #isClosing = false;
   #idleCloseTimer: Subscription | undefined;
   #onDrained: (() => void) | undefined;
-  /** Connections that have brought a request before. */
+  /** Connections that have carried a request before. */
   readonly #usedConnections = new WeakSet<Socket>();
   #lastSampleAt = 0;
   #lastSampledDelay = 0;
@@ -108,6 +117,7 @@
     });
   }
 
+  /** Number of open requests. */
   get open(): number {
     return this.#openRequests;
   }
@@ -122,7 +132,7 @@
     });
   }
 
-  /** Takes over limits that the configuration has changed. */
+  /** Applies the timeouts of a new configuration to the server. */
   applyLimits(): void {
     if (this.#isStopping) return;
     const { headerMilliseconds, idleMilliseconds } = this.#options.limits();
@@ -131,8 +141,8 @@
   }
 
   /**
-   * Answers what is open and closes each connection behind its answer. Settles
-   * when nothing is open any more.
+   * Completes open requests and closes each connection after its response.
+   * Settles when no request is open.
    */
   stop(): Promise<void> {
     this.#isStopping = true;
@@ -207,23 +217,24 @@
   }
 
   /**
-   * How late the loop is; a request may have waited as long. Timers run before
-   * what came meanwhile is read, so the delay of the last tick counts too.
+   * Event-loop delay; a request may have waited this long. Timers run before
+   * pending input is read, so the delay of the last sample counts too.
    */
   get loopDelay(): number {
     return Math.max(this.#currentDelay, this.#lastSampledDelay);
   }
 
   /**
-   * Hands a request on, but from a late loop and on a new connection only after
-   * a further turn: by then a caller that has left meanwhile is seen to have
-   * gone. What it waited unread in a late loop is taken off its time.
+   * Passes a request to the handler. If the event loop is late or the
+   * connection is new, it waits for one more event-loop iteration, in which a
+   * caller that has disconnected is detected. Time that the request spent
+   * unread is subtracted from its deadline.
    *
-   * Load on new connections: an entry that has just been started, to which all
-   * callers of its zone connect. Node takes up one connection a turn, however
-   * short the turns are; connections waited for 3.6 s, and 9 to 38 requests of
-   * a day were sent on for callers that had left. A further turn takes 0.1 ms
-   * where nothing waits.
+   * New connections matter when an entry has just started and all callers of
+   * its zone connect to it. Node accepts one connection per event-loop
+   * iteration, so connections waited for up to 3.6 s, and 9 to 38 requests a
+   * day were forwarded for callers that had disconnected. The extra iteration
+   * takes 0.1 ms when the event loop is idle.
    */
   #dispatch(
     request: ForwardedRequest,
@@ -235,7 +246,7 @@
     this.#usedConnections.add(incoming.socket);
     const isLate = loopDelay >= LOOP_DELAY_THRESHOLD_MILLISECONDS;
     if (!isLate && !isFirst) return this.#options.handle(request, sink);
-    // The first callback still belongs to this turn of the loop.
+    // The first callback still runs in the current event-loop iteration.
     setImmediate(() =>
       setImmediate(() => {
         const { socket } = incoming;
@@ -266,11 +277,11 @@
   }
 }
 
-/** Size of the request's line and headers as they came, about. */
+/** Approximate size of the request line and headers as received. */
 function headerBytes(incoming: IncomingMessage): number {
   const { method, rawHeaders, url } = incoming;
   return rawHeaders.reduce(
-    // Each name or value has two bytes behind it.
+    // Each name or value is followed by two bytes.
     (sum, text) => sum + text.length + 2,
     (method ?? "").length + (url ?? "").length,
   );
--- a/src/adapters/forwarding/caller_server_test.ts
+++ b/src/adapters/forwarding/caller_server_test.ts
@@ -71,7 +71,7 @@
     interval.unref();
   }
 
-  it("hands on a body that comes in chunks as one", async () => {
+  it("forwards a chunked body as one buffer", async () => {
     void sendRaw(
       rawRequest("POST /a", ["Host: h", "Transfer-Encoding: chunked"]) +
         "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
@@ -81,7 +81,7 @@
     expect(forwarded[0].request.body.toString()).to.equal("abc");
   });
 
-  it("refuses a body beyond the limit and hands on nothing", async () => {
+  it("refuses a body over the limit and forwards nothing", async () => {
     const body = "x".repeat(1_001);
     const received = await sendRaw(
       rawRequest("POST /a", ["Host: h", "Content-Length: 1001"], body),
@@ -91,7 +91,7 @@
     expect(forwarded).to.have.length(0);
   });
 
-  it("refuses a head beyond the limit and hands on nothing", async () => {
+  it("refuses headers over the limit and forwards nothing", async () => {
     const received = await sendRaw(
       rawRequest("GET /a", ["Host: h", `X-Long: ${"x".repeat(2_000)}`]),
       { port, waitMilliseconds: 200 },
@@ -100,9 +100,9 @@
     expect(forwarded).to.have.length(0);
   });
 
-  // Two lengths that disagree: what one side takes for the body, the other
-  // takes for a second request that no caller has sent.
-  it("refuses a request with two lengths", async () => {
+  // Request smuggling: with conflicting lengths, bytes that one party reads as
+  // the body are read as a second request by another.
+  it("refuses a request with conflicting lengths", async () => {
     const received = await sendRaw(
       rawRequest("POST /a", [
         "Host: h",
@@ -115,8 +115,9 @@
     expect(forwarded).to.have.length(0);
   });
 
-  // An endpoint breaks off; the caller must not take the half for the whole.
-  it("leaves a cut answer without its end mark", async () => {
+  // After an endpoint closes early, the caller must not take the truncated
+  // response for a complete one.
+  it("sends no final chunk for a truncated response", async () => {
     const received = sendRaw(rawRequest("GET /a", ["Host: h"]), { port });
     await untilForwarded(1);
     const { sink } = forwarded[0];
@@ -129,7 +130,7 @@
     expect(bytes.endsWith("0\r\n\r\n")).to.equal(false);
   });
 
-  it("tells when the caller has gone", async () => {
+  it("reports that the caller has disconnected", async () => {
     const socket = connect(port, "127.0.0.1");
     socket.write(rawRequest("GET /a", ["Host: h"]));
     await untilForwarded(1);
@@ -141,7 +142,7 @@
     expect(forwarded[0].sink.gone).to.equal(true);
   });
 
-  describe("a loop that is late", () => {
+  describe("a late event loop", () => {
     function blockLoop(milliseconds: number): void {
       const end = performance.now() + milliseconds;
       while (performance.now() < end);
@@ -159,24 +160,25 @@
       socket.destroy();
     }
 
-    // The entry has been busy for longer than its caller waited. Sent on, the
-    // request keeps an endpoint at work for somebody who has long gone.
-    it("hands on nothing of a caller that has left meanwhile", async () => {
+    // The event loop was blocked for longer than the caller waited. Forwarding
+    // the request would occupy an endpoint for a caller that has disconnected.
+    it("forwards nothing for a caller that has disconnected meanwhile", async () => {
       await sendAndBlockLoop(true);
       expect(forwarded).to.have.length(0);
     });
 
-    it("takes the wait off the time of a caller that stays", async () => {
+    it("subtracts the delay from the deadline of a waiting caller", async () => {
       await sendAndBlockLoop(false);
       expect(forwarded).to.have.length(1);
       expect(forwarded[0].request.deadlineMilliseconds).to.be.within(400, 800);
     });
   });
 
-  // All callers of a zone connect to an entry that has just been started, which
-  // takes up one connection a turn. Some leave before theirs is taken up, with
-  // its request unread; sent on, it keeps an endpoint at work for nobody.
-  it("hands on nothing from a connection that its caller has closed unread", async () => {
+  // All callers of a zone connect to an entry that has just started, which
+  // accepts one connection per event-loop iteration. Some disconnect before
+  // their request is read. Forwarding it would occupy an endpoint for no
+  // caller.
+  it("forwards nothing from a connection closed before it was read", async () => {
     const waiting = [1, 2, 3, 4].map(() => {
       const socket = connect(port, "127.0.0.1");
       socket.on("error", () => {});
@@ -188,7 +190,7 @@
     expect(forwarded).to.deep.equal([]);
   });
 
-  it("gives the time to come back with a refusal", async () => {
+  it("sends Retry-After with a refusal", async () => {
     const received = sendRaw(rawRequest("GET /a", ["Host: h"]), {
       port,
       waitMilliseconds: 200,
@@ -203,10 +205,10 @@
   });
 
   describe("a planned stop", () => {
-    // A long answer began before the stop, so its head did not say that the
-    // connection closes. The caller would send its next request on it seconds
-    // later, and the process would end in the middle of that one.
-    it("closes a kept connection behind an answer that was under way", async () => {
+    // The headers of a response that started before the stop do not announce
+    // that the connection closes. The caller would send its next request on it
+    // seconds later, and the process would exit during that request.
+    it("closes a keep-alive connection after a response in progress", async () => {
       const agent = new Agent({ keepAlive: true });
       const answer = new Promise<void>((resolve) => {
         request({ port, host: "127.0.0.1", agent }, (incoming) => {
@@ -228,9 +230,10 @@
       expect(closed).to.equal(true);
     });
 
-    // A long answer ends three seconds after the stop, and its caller sends the
-    // next request at once. Taken on, it would be cut when the process ends.
-    it("hands on nothing once the balancer has had its time", async () => {
+    // A long response ends three seconds after the stop, and its caller
+    // immediately sends the next request. Its response would be truncated by
+    // the exit.
+    it("forwards nothing after the load balancer's grace period", async () => {
       const agent = new Agent({ keepAlive: true });
       const ask = () =>
         new Promise<number>((resolve) => {
@@ -253,7 +256,7 @@
       expect(forwarded).to.have.length(1);
     });
 
-    it("answers requests that still come, and announces the close", async () => {
+    it("handles requests that still arrive and announces the close", async () => {
       void server.stop();
       respondToAll();
       const received = await sendRaw(rawRequest("GET /a", ["Host: h"]), {
--- a/src/adapters/forwarding/endpoint_exchanges.ts
+++ b/src/adapters/forwarding/endpoint_exchanges.ts
@@ -17,35 +17,37 @@
 import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /**
- * How long a connection may take to open. Load: an endpoint that went dark.
- * A packet that is lost at the opening is sent again after a second, which is
- * more than most callers have; a healthy network needs a few milliseconds.
+ * Connect timeout, for an endpoint that does not respond. TCP retransmits a
+ * lost SYN after a second, which exceeds most callers' deadlines; a healthy
+ * network connects within a few milliseconds.
  */
 const CONNECT_TIMEOUT_MILLISECONDS = 400;
 
+/** An HTTP request to an endpoint. */
 export interface OutgoingRequest {
   readonly address: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** An answer that names another request is not this one's. */
+  /** Request id; a response with another one is rejected. */
   readonly requestId: string;
 }
 
+/** Options of `EndpointExchanges`. */
 export interface EndpointExchangesOptions {
   readonly timer: TimerService;
-  /** Most connections to the endpoint at the address. */
+  /** Maximum number of connections to the endpoint at the address. */
   readonly mostConnections: (address: string) => number;
-  /** Decodes an answer's status and headers. */
+  /** Decodes the status and headers of a response. */
   readonly decodeHead: (
     status: number,
     headers: readonly string[],
   ) => AnswerHead;
 }
 
-/** Requests to endpoints over kept connections. */
+/** HTTP client for endpoints with keep-alive connections. */
 export class EndpointExchanges {
   readonly #options: EndpointExchangesOptions;
   readonly #agents = new Map<string, KeepAliveAgent>();
@@ -71,7 +73,7 @@
       CONNECT_TIMEOUT_MILLISECONDS,
       () => {
         if (connected) return;
-        reason = `no connection in ${CONNECT_TIMEOUT_MILLISECONDS} ms`;
+        reason = `no connection within ${CONNECT_TIMEOUT_MILLISECONDS} ms`;
         clientRequest.destroy();
       },
     );
@@ -103,16 +105,17 @@
       answer,
       abort() {
         connectTimeout.cancel();
-        reason = "given up";
+        reason = "aborted";
         clientRequest.destroy();
       },
     };
   }
 
   /**
-   * Drops the idle connections to an address that an endpoint has left. Those
-   * in use go on: an endpoint serves what it has begun beyond its own
-   * registration, and another one may have the address already.
+   * Closes the idle connections to an address whose endpoint is no longer
+   * registered. Connections in use stay open: an endpoint completes its running
+   * requests after its registration ends, and another endpoint may already use
+   * the address.
    */
   forget(address: string): void {
     this.#agents.get(address)?.closeIdle();
@@ -143,7 +146,7 @@
     const isForeign = head.requestId !== undefined &&
       head.requestId !== outgoing.requestId;
     if (isForeign) {
-      const reason = `it names "${head.requestId}"`;
+      const reason = `the response has request id "${head.requestId}"`;
       const errorValues = { address: outgoing.address, reason };
       return err(failure(EXCHANGE_FOREIGN, errorValues));
     }
@@ -155,7 +158,7 @@
   head: AnswerHead,
   incoming: IncomingMessage,
 ): EndpointAnswer {
-  // A connection that is kept would gather listeners with each answer.
+  // On a keep-alive connection each response would add listeners to the socket.
   const wasReset = isCloseDelimited(incoming)
     ? detectReset(incoming.socket)
     : () => false;
@@ -181,11 +184,11 @@
 }
 
 /**
- * An answer without a length ends with its connection. Where a reset comes
- * right behind the last bytes, Node reports an ordinary end, so that half an
- * answer would pass for a whole one. A connection that was reset has no remote
- * address any more; one that the other side has closed still has. The address
- * must not have been read before: Node remembers it.
+ * Detects a reset of the connection of a response without a length, which ends
+ * with its connection. If a reset directly follows the last bytes, Node reports
+ * a regular end, and a truncated response would appear to be complete. A socket
+ * that was reset has no remote address any more; one that the peer closed still
+ * has it. The address must not be read earlier because Node caches it.
  */
 function detectReset(socket: Socket): () => boolean {
   let wasReset = false;
--- a/src/adapters/forwarding/endpoint_exchanges_test.ts
+++ b/src/adapters/forwarding/endpoint_exchanges_test.ts
@@ -70,16 +70,16 @@
     replica?.close();
   });
 
-  it("gives the whole body and keeps the connection", async () => {
+  it("returns the complete body and reuses the connection", async () => {
     await startReplica((socket) => socket.write(answerBytes("hello")));
     expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     expect(replica.connections).to.equal(1);
   });
 
-  // Each idle spell left a listener on the connection: a process that serves
-  // for days would slow down and fill its memory.
-  it("leaves no listeners on a connection that is used again and again", async () => {
+  // A listener left on the socket by each idle period would slow down a process
+  // that runs for days and exhaust its memory.
+  it("leaves no listeners on a connection that is reused many times", async () => {
     await startReplica((socket) => socket.write(answerBytes("hello")));
     const warnings: Error[] = [];
     const recordWarning = (warning: Error) => warnings.push(warning);
@@ -91,18 +91,18 @@
     expect(replica.connections).to.equal(1);
   });
 
-  describe("an answer without a length", () => {
-    it("is whole when its connection ends", async () => {
+  describe("a response without a length", () => {
+    it("is complete when its connection ends", async () => {
       await startReplica((socket) => {
         socket.end(answerBytes("hello", { headers: "" }));
       });
       expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     });
 
-    // The replica crashes in the middle of such an answer and its machine
-    // resets the connection. Taken for the end, half a receipt reaches the
-    // member as a whole one.
-    it("is cut when its connection is reset", async () => {
+    // The replica crashes during such a response and its machine resets the
+    // connection. If the reset counted as the end, a truncated response would
+    // be delivered as a complete one.
+    it("is truncated when its connection is reset", async () => {
       await startReplica((socket) => {
         socket.write(answerBytes("hel", { headers: "" }), () => {
           setTimeout(() => socket.resetAndDestroy(), 20);
@@ -111,8 +111,8 @@
       expect((await send()).end).to.equal("cut");
     });
 
-    // The same crash, so soon that head, bytes and reset are read in one go.
-    it("is cut when the reset comes with its bytes", async () => {
+    // The same crash, so early that headers, body and reset are read at once.
+    it("is truncated when the reset arrives with its bytes", async () => {
       await startReplica((socket) => {
         socket.write(answerBytes("hel", { headers: "" }), () => {
           socket.resetAndDestroy();
@@ -123,14 +123,14 @@
     });
   });
 
-  it("is cut when it ends before its length", async () => {
+  it("reports truncation when the body is shorter than its length", async () => {
     await startReplica((socket) => {
       socket.end(answerBytes("hel", { headers: "Content-Length: 5\r\n" }));
     });
     expect((await send()).end).to.equal("cut");
   });
 
-  it("is cut when its last chunk is missing", async () => {
+  it("reports truncation when the last chunk is missing", async () => {
     await startReplica((socket) => {
       const headers = "Transfer-Encoding: chunked\r\n";
       socket.end(answerBytes("3\r\nhel\r\n", { headers }));
@@ -138,9 +138,9 @@
     expect((await send()).end).to.equal("cut");
   });
 
-  // A faulty replica answers twice. The second answer lies on the kept
-  // connection when the next member asks, who would get a stranger's receipt.
-  it("uses no connection on which a second answer came", async () => {
+  // A faulty replica responds twice. The second response waits on the
+  // keep-alive connection and would be delivered to another member's request.
+  it("does not reuse a connection that received a second response", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("one") + answerBytes("two"));
     });
@@ -150,7 +150,7 @@
     expect(replica.connections).to.equal(2);
   });
 
-  it("uses no connection on which a late answer came", async () => {
+  it("does not reuse a connection that received a late response", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("one"));
       setTimeout(() => socket.write(answerBytes("late")), 30);
@@ -161,31 +161,31 @@
     expect(await send()).to.deep.equal({ body: "two", end: "whole" });
   });
 
-  // The second answer comes at the very moment at which the next request is
-  // sent. Only the request's id tells that it belongs to another.
-  it("takes no answer that names another request", async () => {
+  // If the second response arrives just as the next request is sent, only the
+  // request id shows that it belongs to another request.
+  it("rejects a response with another request id", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("x", { requestId: "other" }));
     });
     expect(await send()).to.deep.equal({ failure: "exchange_foreign" });
   });
 
-  it("takes no bytes that are no answer", async () => {
+  it("rejects bytes that are not an HTTP response", async () => {
     await startReplica((socket) => socket.write("what is this\r\n\r\n"));
     expect(await send()).to.deep.equal({ failure: "exchange_lost" });
   });
 
-  it("tells a request that was never sent from one that was lost", async () => {
+  it("distinguishes a request that was never sent from a lost one", async () => {
     await startReplica((socket) => socket.destroy());
     expect(await send()).to.deep.equal({ failure: "exchange_lost" });
     replica.close();
     expect(await send()).to.deep.equal({ failure: "exchange_not_sent" });
   });
 
-  // A replica refuses a long request before it has read it and keeps the
-  // connection. If the rest of the body were left out, the next request would
-  // be taken for that rest.
-  it("sends the rest of a body that was answered early", async () => {
+  // A replica refuses a long request before reading it and keeps the
+  // connection. If the rest of the body were not sent, the replica would read
+  // the next request as that rest.
+  it("sends the rest of a body after an early response", async () => {
     const body = Buffer.alloc(3_000_000, "x");
     let received = 0;
     const server = createServer((socket) => {
@@ -220,10 +220,10 @@
     expect(received).to.be.greaterThan(body.length);
   });
 
-  // An endpoint's registration is gone while it still streams an answer, or a
-  // new endpoint has its address. Closing every connection to the address
-  // would cut answers that nothing is wrong with.
-  it("goes on with what is under way when an endpoint is forgotten", async () => {
+  // An endpoint may lose its registration while it streams a response, or a new
+  // endpoint may have its address. Closing all connections to the address would
+  // truncate valid responses.
+  it("keeps connections in use when an endpoint is forgotten", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("", { headers: "Content-Length: 5\r\n" }));
       setTimeout(() => socket.write("hello"), 60);
@@ -237,9 +237,9 @@
     expect(replica.connections).to.equal(2);
   });
 
-  // A replica tells that it closes idle connections after a second. A request
-  // that is sent on one as it is being closed may have run or not.
-  it("leaves a connection that is near its idle timeout", async () => {
+  // A replica announces that it closes idle connections after a second. Whether
+  // a request sent during the close has run is unknown.
+  it("does not reuse a connection that is near its idle timeout", async () => {
     await startReplica((socket) => {
       const headers = "Content-Length: 1\r\nKeep-Alive: timeout=1\r\n";
       socket.write(answerBytes("x", { headers }));
--- a/src/adapters/forwarding/errors.ts
+++ b/src/adapters/forwarding/errors.ts
@@ -5,29 +5,29 @@
   readonly reason: string;
 }
 
-/** No byte of the request has left. */
+/** No byte of the request was sent. */
 export const EXCHANGE_NOT_SENT = defineError<ExchangeErrorValues>()({
   name: "exchange_not_sent",
   title: "Request was not sent",
   message: ({ address, reason }) =>
     `Cannot reach endpoint "${address}": ${reason}`,
-  hint: "Another endpoint gets the request; look whether this one still runs",
+  hint: "The request goes to another endpoint; check that this one is running",
 });
 
-/** The request left, and no answer came. */
+/** The request was sent, and no response arrived. */
 export const EXCHANGE_LOST = defineError<ExchangeErrorValues>()({
   name: "exchange_lost",
-  title: "Answer was lost",
+  title: "Response was lost",
   message: ({ address, reason }) =>
-    `No answer from endpoint "${address}": ${reason}`,
-  hint: "The request may have run; only repeatable work is sent again",
+    `No response from endpoint "${address}": ${reason}`,
+  hint: "The request may have run; only idempotent work is retried",
 });
 
-/** An answer came that belongs to another request. */
+/** The response belongs to another request. */
 export const EXCHANGE_FOREIGN = defineError<ExchangeErrorValues>()({
   name: "exchange_foreign",
-  title: "Answer belongs to another request",
+  title: "Response belongs to another request",
   message: ({ address, reason }) =>
-    `Endpoint "${address}" answered another request: ${reason}`,
+    `Endpoint "${address}" sent the response to another request: ${reason}`,
   hint: "The connection is closed; the request may have run",
 });
--- a/src/adapters/forwarding/keep_alive_agent.ts
+++ b/src/adapters/forwarding/keep_alive_agent.ts
@@ -2,23 +2,23 @@
 import type { Socket } from "node:net";
 
 /**
- * Share of an endpoint's own idle time during which a kept connection is used
- * again. What goes wrong at its end: the endpoint closes the connection while
- * a request is on its way, and nobody can tell whether the request ran.
+ * Fraction of the endpoint's idle timeout during which a connection is reused.
+ * Close to the timeout the endpoint may close the connection while a request is
+ * being sent, and whether the request ran would be unknown.
  */
 const IDLE_TIMEOUT_FRACTION = 0.5;
-/** Idle time where the endpoint tells none; shorter than common timeouts. */
+/** Used if the endpoint announces no timeout; shorter than common timeouts. */
 const DEFAULT_IDLE_MILLISECONDS = 2_000;
 const KEEP_ALIVE_TIMEOUT = /timeout=(\d+)/;
 
-/** What Node's agent calls as a connection falls idle and is taken again. */
+/** Methods that Node's agent calls when a socket becomes idle or is reused. */
 interface AgentHooks {
   keepSocketAlive(socket: Socket): boolean;
   reuseSocket(socket: Socket, request: ClientRequest): void;
 }
 const AGENT_PROTOTYPE = Agent.prototype as unknown as AgentHooks;
 
-/** A socket that stands idle and must stay silent. */
+/** An idle socket with Node's internal reference to its last request. */
 interface IdleSocket extends Socket {
   _httpMessage?: ClientRequest & {
     res?: { headers: Record<string, string | string[] | undefined> };
@@ -26,10 +26,10 @@
 }
 
 /**
- * Connections to endpoints that are used again, the freshest first. Bytes that
- * come on an idle connection belong to no request (an endpoint that answers
- * twice): the connection is closed before a request could take them for its
- * own answer.
+ * Keep-alive connections to endpoints, reused in LIFO order. A connection that
+ * receives bytes while idle, for example because an endpoint responds twice, is
+ * closed, so that the bytes cannot be taken for the response to the next
+ * request.
  */
 export class KeepAliveAgent extends Agent {
   readonly #idleListeners = new WeakMap<Socket, () => void>();
@@ -48,7 +48,7 @@
       this.#reuseSocketFor(socket, request);
   }
 
-  /** Closes the connections that nobody uses. */
+  /** Closes the idle connections. */
   closeIdle(): void {
     for (const sockets of Object.values(this.freeSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
--- a/src/adapters/forwarding/mod.ts
+++ b/src/adapters/forwarding/mod.ts
@@ -1,4 +1,4 @@
-/** Sockets of the forwarding path: callers on one side, endpoints on the other. */
+/** Network I/O of the forwarding path: callers, endpoints and other entries. */
 export {
   CallerServer,
   type CallerServerLimits,
--- a/src/adapters/forwarding/peer_datagrams.ts
+++ b/src/adapters/forwarding/peer_datagrams.ts
@@ -1,16 +1,17 @@
 import { createSocket, type Socket } from "node:dgram";
 import { parseJson } from "../http_client/mod.ts";
 
-/** Largest datagram that is sent; a longer one would be cut into fragments. */
+/** Maximum size of a datagram; a larger one would be fragmented. */
 const MAX_DATAGRAM_BYTES = 60_000;
 
-/** A JSON-RPC notification: a call that gets no answer. */
+/** A JSON-RPC notification: a call without a response. */
 interface Notification {
   readonly jsonrpc: "2.0";
   readonly method: string;
   readonly params: unknown;
 }
 
+/** Options of `PeerDatagrams`. */
 export interface PeerDatagramsOptions {
   readonly host: string;
   readonly port: number;
@@ -19,8 +20,9 @@
 }
 
 /**
- * Notifications between entries, one a datagram. They may be lost or come out
- * of order: what they carry is a state that the next one carries anew.
+ * Sends and receives notifications between entries, one per UDP datagram. They
+ * may be lost or reordered: each carries a complete state that the next one
+ * replaces.
  */
 export class PeerDatagrams {
   readonly #options: PeerDatagramsOptions;
@@ -46,13 +48,15 @@
     const message: Notification = { jsonrpc: "2.0", ...notification };
     const bytes = Buffer.from(JSON.stringify(message));
     if (bytes.length > MAX_DATAGRAM_BYTES) {
-      return this.#options.onError(`${bytes.length} bytes are too many`);
+      return this.#options.onError(
+        `notification of ${bytes.length} bytes exceeds the datagram limit`,
+      );
     }
     for (const address of addresses) {
       const colon = address.lastIndexOf(":");
       const port = Number(address.slice(colon + 1));
       this.#socket.send(bytes, port, address.slice(0, colon), () => {
-        // A datagram that can't be sent is as good as lost on the way.
+        // A datagram that cannot be sent is treated as lost.
       });
     }
   }
--- a/src/adapters/forwarding/request_digest.ts
+++ b/src/adapters/forwarding/request_digest.ts
@@ -2,12 +2,13 @@
 import type { ForwardedRequest } from "../../core/forwarding/mod.ts";
 import { identifier, type RequestDigest } from "../../core/identity/mod.ts";
 
-/** Length of a digest, bytes. */
+/** Length of a digest in bytes. */
 const DIGEST_BYTES = 12;
 /**
- * The digest of everything that decides what an endpoint runs: method, host,
- * target, credentials and body. Ids and deadlines differ with each retry, and
- * an endpoint never sees the caller's address.
+ * Returns the digest of everything that determines what an endpoint executes:
+ * method, host, target, credentials and body. Request ids and deadlines are
+ * left out because they differ between retries, and the caller's address
+ * because it is not sent to endpoints.
  */
 export function digestOf(request: ForwardedRequest): RequestDigest {
   const { body, host, method, target } = request;
@@ -19,7 +20,7 @@
   return identifier<RequestDigest>(digest.toString("base64url"));
 }
 
-/** By what the caller is told from others: its key, or what it says itself. */
+/** Identifies the caller by its API key or else by its identity headers. */
 function credentialsOf(
   { credentials, identityHeaders }: ForwardedRequest,
 ): string {
--- a/src/adapters/forwarding/request_digest_test.ts
+++ b/src/adapters/forwarding/request_digest_test.ts
@@ -39,7 +39,7 @@
     });
   }
 
-  it("does not mix up where one field ends and the next begins", () => {
+  it("distinguishes equal text split differently between fields", () => {
     const one = makeRequest({ host: "ab", target: "c" });
     const other = makeRequest({ host: "a", target: "bc" });
     expect(digestOf(one)).not.to.equal(digestOf(other));
