--- a/src/adapters/endpoint/generation.ts
+++ b/src/adapters/endpoint/generation.ts
@@ -7,12 +7,13 @@
 import { ENDPOINT_CLOSED, ENDPOINT_ERROR, ENDPOINT_GARBAGE } from "./errors.ts";
 
 /**
- * Most characters of one event. A token is a few characters; an engine that
- * sends megabytes without an end of line would fill the side's memory.
+ * Maximum characters of one event. A token has a few characters; an engine that
+ * sends megabytes without a line break must not exhaust the side's memory.
  */
 const MAX_EVENT_CHARACTERS = 256 * 1024;
 const END_OF_STREAM = "[DONE]";
 
+/** Options of a `GenerationReader`; `maxBytes` limits the whole stream. */
 export interface GenerationReaderOptions {
   readonly url: string;
   readonly onToken: (text: string) => void;
@@ -23,19 +24,19 @@
 export type GenerationEnd = Result<"stop" | "length", EndpointFailure>;
 
 /**
- * Reads one stream of server-sent events. A stream counts as whole only with
- * a finish reason and the end mark behind it: an engine that is killed
- * closes its connection like one that is done, and without this rule the
- * caller would get a short answer that looks whole.
+ * Reads one stream of server-sent events. A stream is complete only if a finish
+ * reason and then the `[DONE]` marker arrive. The connection of a killed engine
+ * closes like that of an engine that is done, so without this rule a truncated
+ * generation would be delivered as a complete one.
  */
 export class GenerationReader {
-  /** Settles when the stream has ended, well or badly. */
+  /** Settles when the stream has completed or failed. */
   readonly finished: Promise<GenerationEnd>;
   readonly #incoming: IncomingMessage;
   readonly #options: GenerationReaderOptions;
   readonly #parser: EventSourceParser;
   readonly #decoder = new StringDecoder("utf8");
-  #settle: (settleOnce: GenerationEnd) => void = () => {};
+  #settle: (end: GenerationEnd) => void = () => {};
   #isSettled = false;
   #bytesRead = 0;
   #finishReason: "stop" | "length" | undefined;
@@ -48,7 +49,7 @@
       onEvent: (event) => this.#onEvent(event.data),
       onError: (error) => {
         if (error.type === "max-buffer-size-exceeded") {
-          this.#failInvalid("an event without an end");
+          this.#failInvalid("an event exceeds the maximum size");
         }
       },
       maxBufferSize: MAX_EVENT_CHARACTERS,
@@ -60,27 +61,27 @@
     incoming.on("close", onClosed);
   }
 
-  #onData(piece: Buffer): void {
+  #onData(data: Buffer): void {
     if (this.#isSettled) return;
-    this.#bytesRead += piece.length;
+    this.#bytesRead += data.length;
     if (this.#bytesRead > this.#options.maxBytes) {
       this.#failInvalid(`more than ${this.#options.maxBytes} bytes`);
       return;
     }
-    this.#parser.feed(this.#decoder.write(piece));
+    this.#parser.feed(this.#decoder.write(data));
   }
 
   #onEvent(data: string): void {
     if (this.#isSettled) return;
     if (data === END_OF_STREAM) {
       if (this.#finishReason === undefined) {
-        this.#failInvalid("the end mark came without a finish reason");
+        this.#failInvalid("the end marker arrived without a finish reason");
       } else this.#end(ok(this.#finishReason));
       return;
     }
     const chunk = parseChunk(data);
     if (chunk === undefined) {
-      this.#failInvalid("an event is no completion chunk");
+      this.#failInvalid("an event is not a completion chunk");
       return;
     }
     if (chunk.error !== undefined) {
@@ -89,7 +90,7 @@
     }
     if (chunk.text !== undefined && chunk.text !== "") {
       if (this.#finishReason !== undefined) {
-        this.#failInvalid("a token came behind the finish reason");
+        this.#failInvalid("a token arrived after the finish reason");
         return;
       }
       this.#options.onToken(chunk.text);
@@ -98,7 +99,7 @@
   }
 
   #onClosed(): void {
-    const reason = "the stream ended without its end mark";
+    const reason = "the stream ended without its end marker";
     this.#end(err(failure(ENDPOINT_CLOSED, this.#errorValues(reason))));
   }
 
@@ -125,7 +126,7 @@
 }
 
 /**
- * Takes what is needed from one chunk. Written by hand as it runs once for
+ * Parses the required fields of one chunk. Handwritten because it runs for
  * every token; a validator that collects problems costs several times more.
  */
 function parseChunk(data: string): CompletionChunk | undefined {
--- a/src/adapters/endpoint/generation_test.ts
+++ b/src/adapters/endpoint/generation_test.ts
@@ -14,7 +14,7 @@
 const TEXTS = TOKENS.map(({ choices }) => choices[0].delta.content);
 
 describe("GenerationReader", () => {
-  /** Reads pieces as they come from a socket, then an end or a cut. */
+  /** Feeds the pieces to a reader as if from a socket, then ends the stream. */
   async function read(
     pieces: readonly Uint8Array[],
   ): Promise<{ tokens: string[]; end: GenerationEnd }> {
@@ -33,9 +33,9 @@
     return { tokens, end: await reader.finished };
   }
 
-  // A token's bytes come in two packets, also in the middle of a letter. Read
-  // one by one they would come out as question marks.
-  it("gives the same tokens wherever the packets are cut", async () => {
+  // A packet boundary may fall within a multi-byte character. Packets that are
+  // decoded separately would produce replacement characters.
+  it("returns the same tokens for any packet boundaries", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(fc.nat(STREAM.length), { maxLength: 12 }),
@@ -52,9 +52,9 @@
     );
   });
 
-  // An engine is killed at any byte of its answer. Whatever it was, it is no
-  // whole answer, and the tokens before it count.
-  it("takes no part of a stream for a whole answer", async () => {
+  // An engine may be killed at any byte of its response. The response must not
+  // count as complete, and the tokens before that byte are valid.
+  it("treats no prefix of a stream as complete", async () => {
     const endMarkOffset = STREAM.indexOf("[DONE]") + "[DONE]\n".length;
     for (let length = 0; length < endMarkOffset; length++) {
       const { tokens, end } = await read([STREAM.subarray(0, length)]);
@@ -63,7 +63,7 @@
     }
   });
 
-  it("gives a typed failure for any other bytes", async () => {
+  it("returns a typed failure for arbitrary bytes", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.oneof(
--- a/src/adapters/endpoint/mod.ts
+++ b/src/adapters/endpoint/mod.ts
@@ -1,4 +1,4 @@
-/** The endpoint that a side stands beside, over HTTP. */
+/** HTTP client of the endpoint that a side serves. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
 import type {
@@ -31,13 +31,14 @@
 import { type GenerationEnd, GenerationReader } from "./generation.ts";
 
 const DEFAULT_MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
-/** Status and orders are answered at once by a healthy engine. */
+/** A healthy engine responds to status queries and orders immediately. */
 const DEFAULT_CONTROL_TIMEOUT_MILLISECONDS = 2_000;
 const MAX_CONTROL_RESPONSE_BYTES = 256 * 1024;
 
+/** Options of an `HttpEndpointLink`. */
 export interface HttpEndpointLinkOptions {
   readonly timer: TimerService;
-  /** Largest answer, whole or streamed, in bytes. */
+  /** Maximum size of a response, buffered or streamed, in bytes. */
   readonly mostResponseBytes?: number;
   readonly controlTimeoutMilliseconds?: number;
 }
@@ -91,7 +92,7 @@
     return err(failure(ENDPOINT_ERROR, { url: this.#url, reason }));
   }
 
-  /** What can't be taken in is made anew by the engine itself. */
+  /** The result is ignored: an engine recomputes what it cannot import. */
   async #importCache(cache: CacheHandover): Promise<void> {
     await this.#sendControl(
       "POST",
@@ -135,7 +136,7 @@
           if (!cancelled) onToken(text);
         },
       });
-      // Adding a listener for data sets a stream flowing.
+      // Adding a data listener switches the stream to flowing mode.
       if (paused) response.value.pause();
       return reader.finished;
     });
@@ -215,7 +216,7 @@
     );
   }
 
-  /** Closes kept connections. */
+  /** Closes the keep-alive connections, including those in use. */
   close(): void {
     this.#client.close();
   }
@@ -247,7 +248,7 @@
     }
   }
 
-  /** Why the head of an answer means that no tokens will come. */
+  /** The failure that the response headers indicate, if any. */
   #responseFailure(
     status: number,
     contentType: string | undefined,
@@ -265,7 +266,7 @@
   }
 }
 
-/** The engine's extensions stand beside the fields that callers know. */
+/** Adds the engine's extensions to the fields of the chat completion API. */
 function buildCompletionBody(attempt: AttemptRequest): Record<string, unknown> {
   const work = attempt.work as GenerationWork;
   return {
@@ -298,7 +299,7 @@
   return typeof value === "object" && value !== null;
 }
 
-/** A generation that begins once something else is done. */
+/** Creates a generation that starts once `ready` settles. */
 function deferGeneration(
   ready: Promise<void>,
   start: () => GenerationCall,
--- a/src/adapters/endpoint/mod_test.ts
+++ b/src/adapters/endpoint/mod_test.ts
@@ -34,7 +34,7 @@
       await engine.close();
     });
 
-    it("gives every token once and the reason of the end", async () => {
+    it("returns every token once and the finish reason", async () => {
       const tokens: string[] = [];
       const call = link.generate(
         generationAttempt(),
@@ -46,7 +46,7 @@
       expect(tokens).to.deep.equal(expected.tokens);
     });
 
-    it("goes on behind the tokens that were delivered", async () => {
+    it("resumes after the delivered tokens", async () => {
       const whole = expectedAnswer("triage-llm", MESSAGES).tokens;
       const tokens: string[] = [];
       const resumedAttempt = {
@@ -58,7 +58,7 @@
       expect(tokens).to.deep.equal(whole.slice(5));
     });
 
-    it("cancels at the engine", async () => {
+    it("cancels the generation at the engine", async () => {
       let tokens = 0;
       const call = link.generate(
         generationAttempt("answer-tokens=5000"),
@@ -72,9 +72,9 @@
       expect(engine.counts.cancelled).to.equal(1);
     });
 
-    // A caller reads slowly. If the side went on reading, the whole answer
-    // would pile up in its memory; paused, the engine itself is held back.
-    it("holds the engine back while paused", async () => {
+    // Without backpressure to the engine, the complete response for a slow
+    // caller would be buffered in the side's memory.
+    it("applies backpressure to the engine while paused", async () => {
       let tokens = 0;
       const call = link.generate(
         generationAttempt("answer-tokens=100000"),
@@ -95,15 +95,19 @@
     const brokenStreams = [
       ["closes in mid-token", { closeAfterTokens: 3 }, "endpoint_closed"],
       ["sends garbage", { garbageAfterTokens: 3 }, "endpoint_garbage"],
-      ["ends without its end mark", { shortAfterTokens: 3 }, "endpoint_closed"],
+      [
+        "ends without its end marker",
+        { shortAfterTokens: 3 },
+        "endpoint_closed",
+      ],
       ["sends without end", { floodAfterTokens: 3 }, "endpoint_garbage"],
       ["refuses", { refuseStatus: 503 }, "endpoint_refused"],
       ["fails", { refuseStatus: 500 }, "endpoint_error"],
     ] as const;
     for (const [fault, faults, name] of brokenStreams) {
-      // The engine misbehaves in the middle of an answer. Taken for an end,
-      // the caller would get a short answer that looks whole.
-      it(`gives a typed failure where the engine ${fault}`, async () => {
+      // A faulty engine must not make a truncated response look complete to the
+      // caller.
+      it(`returns a typed failure when the engine ${fault}`, async () => {
         Object.assign(engine.faults, faults);
         let tokens = 0;
         const call = link.generate(generationAttempt(), () => tokens++);
@@ -113,15 +117,15 @@
       });
     }
 
-    it("knows that a refused connection started nothing", async () => {
+    it("reports a refused connection as not started", async () => {
       await engine.close();
       const end = await link.generate(generationAttempt(), () => {}).finished;
       expect(end._unsafeUnwrapErr().name).to.equal("endpoint_refused");
     });
 
-    // An engine that is drained hands its cache to another one. The caller's
-    // next token must not wait for the whole prompt to be read again.
-    it("takes another engine's cache along", async () => {
+    // An engine that is drained hands its KV cache over to another one. The
+    // next token must not wait for another prefill of the whole prompt.
+    it("imports the cache of another engine", async () => {
       const long = "The log of the camera says that all is well. ".repeat(40);
       const source = new ModelEngineStandIn({ prefillTokensPerSecond: 2_000 });
       const target = new ModelEngineStandIn({ prefillTokensPerSecond: 2_000 });
@@ -151,7 +155,7 @@
       await Promise.all([source.close(), target.close()]);
     });
 
-    it("gives orders and sees the change", async () => {
+    it("sends orders and observes the change", async () => {
       const target = { role: "decode" as const };
       expect((await link.order(target, 7)).isOk()).to.equal(true);
       const during = (await link.observe())._unsafeUnwrap();
@@ -161,9 +165,9 @@
       expect(after.role).to.equal("decode");
     });
 
-    // A planner that was paused wakes and orders with its old number. Where
-    // the engine checks, the order has to come back as fenced.
-    it("tells that an order was fenced", async () => {
+    // A planner that resumes after a pause sends an order with an old fencing
+    // number. The engine's rejection must be reported as fenced.
+    it("reports that an order was fenced", async () => {
       await link.order({ role: "decode" }, 7);
       const late = await link.order({ role: "prefill" }, 6);
       expect(late._unsafeUnwrapErr().name).to.equal("order_fenced");
@@ -188,7 +192,7 @@
       await service.close();
     });
 
-    it("passes the call on with its key", async () => {
+    it("forwards the call with its idempotency key", async () => {
       const answer = (await link.call(serviceAttempt()))._unsafeUnwrap();
       const body = JSON.parse(answer.body);
       expect(answer.status).to.equal(201);
@@ -199,9 +203,9 @@
       expect(service.runs.get("key-1")).to.equal(1);
     });
 
-    // A crew's check-in carries a name with accents or a photo. Read as text
-    // on the way, its bytes would come out as others.
-    it("keeps every byte of bodies that it passes on", async () => {
+    // Bodies may contain non-ASCII text or binary data. Decoding them as UTF-8
+    // on the way would change their bytes.
+    it("preserves every byte of forwarded bodies", async () => {
       const bytes = Buffer.from("Piet Müller, Zoë – ✓", "utf8");
       const call = serviceAttempt();
       Object.assign(call.work, { body: bytes.toString("latin1") });
@@ -211,15 +215,19 @@
     });
 
     const brokenAnswers = [
-      ["loses its answer", { lostAnswers: 1 }, "endpoint_unreachable"],
-      ["breaks off", { cutAnswers: 1 }, "endpoint_closed"],
-      ["answers too much", { paddingBytes: 20_000 }, "endpoint_garbage"],
+      ["loses its response", { lostAnswers: 1 }, "endpoint_unreachable"],
+      ["closes during its response", { cutAnswers: 1 }, "endpoint_closed"],
+      [
+        "sends too large a response",
+        { paddingBytes: 20_000 },
+        "endpoint_garbage",
+      ],
       ["hangs", { delayMilliseconds: 900 }, "endpoint_unreachable"],
     ] as const;
     for (const [fault, faults, name] of brokenAnswers) {
-      // The permit is booked and its answer does not come through. None of
-      // these may pass for "not run", or it is booked twice.
-      it(`says that work may have run where it ${fault}`, async () => {
+      // The booking has run although its response was lost. Reporting it as not
+      // run would cause a second booking.
+      it(`reports that work may have run when the service ${fault}`, async () => {
         Object.assign(service.faults, faults);
         const answer = await link.call(serviceAttempt());
         expect(answer._unsafeUnwrapErr().name).to.equal(name);
@@ -271,7 +279,7 @@
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** Milliseconds to the first token; the rest is cancelled. */
+/** Returns the milliseconds to the first token and cancels the generation. */
 function timeToFirstToken(
   link: HttpEndpointLink,
   attempt: AttemptRequest,
