--- a/src/adapters/coalescing_writer/mod.ts
+++ b/src/adapters/coalescing_writer/mod.ts
@@ -1,20 +1,20 @@
-/** Writing a stream of small pieces without a system call for each. */
+/** Coalesces small writes to an HTTP response. */
 import type { ServerResponse } from "node:http";
 
 /**
- * Writes the pieces of one turn of the loop together at its end. Load: a busy
- * process that gets many tokens in one read. Harm prevented: a system call for
- * each of them; writing is the largest single cost by the profiles already.
- * Writing the first piece of a turn at once was tried: the age of a token at
- * 1,000 streams fell from 5 to 2 ms, its processor time rose by a fifth, and
- * the first token of an idle process came no sooner.
+ * Combines all writes of one event-loop iteration into one. A busy process
+ * receives many tokens in one read, and writing each of them separately costs a
+ * system call; writes are the largest single cost in CPU profiles. Writing the
+ * first text of an iteration immediately lowers the age of a token at 1,000
+ * streams from 5 to 2 ms, but takes a fifth more CPU time per token and does
+ * not speed up the first token of an idle process.
  */
 export class CoalescingWriter {
   readonly #response: ServerResponse;
   readonly #onBackpressure: () => void;
   #pending = "";
 
-  /** `onFull` is called when the reader has more to take than it does. */
+  /** `onBackpressure` is called when the response's write buffer is full. */
   constructor(response: ServerResponse, onBackpressure: () => void = () => {}) {
     this.#response = response;
     this.#onBackpressure = onBackpressure;
@@ -25,7 +25,7 @@
     this.#pending += text;
   }
 
-  /** Writes what waits and the last piece, and ends the response. */
+  /** Writes the buffered text and `text`, and ends the response. */
   end(text: string): void {
     const remaining = this.#pending + text;
     this.#pending = "";
--- a/src/adapters/http_client/mod.ts
+++ b/src/adapters/http_client/mod.ts
@@ -1,4 +1,4 @@
-/** Calls to the platform and to endpoints over Node's http. */
+/** HTTP client for the platform's services and for endpoints. */
 import { Agent, type IncomingMessage, request } from "node:http";
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
@@ -10,36 +10,39 @@
   HTTP_TOO_LARGE,
 } from "./errors.ts";
 
-/** `http_not_sent`: no byte left. The others: the call may have its effect. */
+/**
+ * `http_not_sent`: no byte was sent. With the other failures the call may have
+ * taken effect.
+ */
 export type HttpFailure = Failure<
   "http_not_sent" | "http_no_answer" | "http_closed" | "http_too_large"
 >;
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** Names this state of what was asked for, where the service gives it. */
+  /** The `ETag` header, if the service sends one. */
   readonly entityTag?: string;
 }
 
-/** What is sent. */
+/** The request to send. */
 export interface HttpRequestOptions {
   readonly method: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   /**
-   * How text stands for bytes, both ways; UTF-8 where absent. Bodies that are
-   * passed on and never read travel as latin1, which keeps every byte.
+   * Encoding of the request and response bodies; UTF-8 by default. Bodies that
+   * are forwarded without being parsed use latin1, which preserves every byte.
    */
   readonly encoding?: "utf8" | "latin1";
   /**
-   * True: a connection of its own. On a kept connection that the service
-   * closes at the same moment, a request that was never read looks like one
-   * whose answer was lost; work that may run once only would then end as
-   * "unknown" for no reason.
+   * True: uses a new connection. If the service closes a keep-alive connection
+   * while a request is being sent on it, an unread request looks like one with
+   * a lost response; non-idempotent work would then end as "unknown" although
+   * it did not run.
    */
   readonly ownConnection?: boolean;
 }
@@ -49,9 +52,9 @@
   readonly mostResponseBytes: number;
 }
 
-/** A request that is under way. */
+/** A request in progress. */
 export interface HttpExchange {
-  /** Settles when the head of the answer is there. */
+  /** Settles when the response headers arrive or the request fails. */
   readonly response: Promise<Result<IncomingMessage, HttpFailure>>;
   /** Closes the connection. */
   abort(reason: string): void;
@@ -59,11 +62,11 @@
 
 export interface HttpClientOptions {
   readonly timer: TimerService;
-  /** Most connections at once; further calls wait for one. */
+  /** Maximum number of connections; further calls wait for a free one. */
   readonly mostConnections?: number;
 }
 
-/** A service at one base URL, with kept connections. */
+/** Client of the service at one base URL, with keep-alive connections. */
 export class HttpClient {
   readonly #baseUrl: URL;
   readonly #timer: TimerService;
@@ -79,7 +82,7 @@
     });
   }
 
-  /** Sends a request; the answer's body is the caller's to read. */
+  /** Sends a request; the calling code reads the response body. */
   open(path: string, options: HttpRequestOptions): HttpExchange {
     const url = this.#url(path);
     let connected = false;
@@ -113,7 +116,7 @@
     };
   }
 
-  /** Sends a request and reads the whole answer, within time and size. */
+  /** Sends a request and reads the response, limited in time and size. */
   async call(
     path: string,
     options: HttpCallOptions,
@@ -121,7 +124,8 @@
     const exchange = this.open(path, options);
     const timeout = this.#timer.after(
       options.timeoutMilliseconds,
-      () => exchange.abort(`no answer in ${options.timeoutMilliseconds} ms`),
+      () =>
+        exchange.abort(`no response within ${options.timeoutMilliseconds} ms`),
     );
     const response = await exchange.response;
     const result = response.isErr()
@@ -135,7 +139,7 @@
     return result;
   }
 
-  /** Closes kept connections. */
+  /** Closes the keep-alive connections, including those in use. */
   close(): void {
     this.#agent.destroy();
   }
@@ -196,7 +200,7 @@
   });
 }
 
-/** The value of a JSON text; undefined where it is none. */
+/** Parses JSON; returns undefined if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/adapters/log_service/mod.ts
+++ b/src/adapters/log_service/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's log service over HTTP. */
+/** HTTP client of the platform's log service. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { failure } from "../../core/errors/mod.ts";
 import { type LogOffset, numbered } from "../../core/identity/mod.ts";
@@ -19,13 +19,13 @@
 import { LOG_EXPIRED, LOG_UNAVAILABLE, LOG_UNKNOWN } from "./errors.ts";
 
 /**
- * How long an answer may take beyond the wait that a read asked for. The
- * service takes hundreds of appends a second, so that seconds of silence
- * mean that it is down; a longer wait would hold a caller's request whose
- * record is being appended.
+ * Response timeout, in addition to the long-poll wait of a read. The service
+ * handles hundreds of appends a second, so no response for seconds means that
+ * it is down; a longer timeout would delay a caller's request whose record is
+ * being appended.
  */
 const DEFAULT_TIMEOUT_MILLISECONDS = 3_000;
-/** A page of records; keeps one answer from taking a thin VM's memory. */
+/** Limit for one page of records, so that it fits the memory of a small VM. */
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 export interface HttpLogServiceOptions {
@@ -33,7 +33,7 @@
   readonly timeoutMilliseconds?: number;
 }
 
-/** Appends and reads over HTTP, with kept connections. */
+/** Appends and reads records over keep-alive HTTP connections. */
 export class HttpLogService implements LogService {
   readonly #client: HttpClient;
   readonly #timeoutMilliseconds: number;
@@ -116,17 +116,17 @@
     return validatePage(value as LogReadAnswer, { stream, options });
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections; aborts a long poll in progress. */
   close(): void {
     this.#client.close();
   }
 }
 
 /**
- * A page with a hole would let a reader pass over a record, and from there on
- * its verdicts would differ from everyone else's. Such a page is refused like
- * an outage, which shows in the log as a service that answers and does not
- * move on.
+ * Checks that a page has no gap. A reader that skipped a record would reach
+ * other decisions than all other readers from then on. A page with a gap is
+ * treated as an outage; it shows as a log service that responds while the
+ * reader makes no progress.
  */
 function validatePage(
   response: LogReadAnswer,
@@ -138,7 +138,7 @@
     item.offset === first + index
   );
   if (!isContiguous) {
-    const reason = "the answer's records have a hole";
+    const reason = "the page has a gap between its records";
     return err(failure(LOG_UNAVAILABLE, { stream, reason }));
   }
   return ok({
@@ -152,8 +152,8 @@
 }
 
 /**
- * The service itself refused the call. A timeout (408) is no refusal, and a
- * server error may come after the effect.
+ * Whether the service rejected the call, so that nothing was appended. After a
+ * timeout (408) or a server error the append may have taken effect.
  */
 function isClientError(status: number): boolean {
   return status >= 400 && status < 500 && status !== 408;
--- a/src/adapters/log_service/mod_test.ts
+++ b/src/adapters/log_service/mod_test.ts
@@ -38,13 +38,13 @@
     });
   });
 
-  it("waits for a record to come", async () => {
+  it("holds a long poll until a record is appended", async () => {
     const pendingRead = read(log, 0, 2000);
     await log.append(STREAM, ["late"]);
     expect((await pendingRead)._unsafeUnwrap().records).to.have.length(1);
   });
 
-  it("shows that records have expired", async () => {
+  it("reports the oldest offset once records have expired", async () => {
     service.append(STREAM, [0, 1, 2, 3, 4, 5, 6]);
     const page = (await read(log, 0))._unsafeUnwrap();
     expect(page.oldest).to.equal(2);
@@ -52,32 +52,32 @@
   });
 
   describe("failures", () => {
-    // Nobody listens at the log's address. Nothing can have been appended, so
-    // that a caller may be told at once that its request did not run.
-    it("knows that a refused connection had no effect", async () => {
+    // A refused connection proves that nothing was appended, so a caller's
+    // request can be refused immediately as not run.
+    it("reports a refused connection as not appended", async () => {
       await service.close();
       const appended = await log.append(STREAM, ["x"]);
       expect(appended._unsafeUnwrapErr().name).to.equal("log_unavailable");
     });
 
-    // The record is appended and the connection breaks before the answer. A
-    // writer that took this for "not appended" would append it once more.
-    it("does not know what became of an append without an answer", async () => {
+    // The record is appended and the connection fails before the response. A
+    // writer that treated this as "not appended" would append it twice.
+    it("reports an append without a response as unknown", async () => {
       service.faults.lostAnswers = 1;
       const appended = await log.append(STREAM, ["x"]);
       expect(appended._unsafeUnwrapErr().name).to.equal("log_unknown");
       expect(service.records(STREAM)).to.deep.equal(["x"]);
     });
 
-    // The service hangs. Without a time limit the entry would wait for ever
-    // and callers with it.
-    it("gives up on a service that hangs", async () => {
+    // Without a timeout the entry and its callers would wait forever for a log
+    // service that does not respond.
+    it("times out when the service does not respond", async () => {
       service.faults.delayMilliseconds = 2000;
       const appended = await log.append(STREAM, ["x"]);
       expect(appended._unsafeUnwrapErr().name).to.equal("log_unknown");
     });
 
-    it("tells apart a service that refuses a call", async () => {
+    it("reports a call that the service rejects as not appended", async () => {
       const appended = await log.append(STREAM, []);
       expect(appended._unsafeUnwrapErr().name).to.equal("log_unavailable");
     });
--- a/src/adapters/random/mod.ts
+++ b/src/adapters/random/mod.ts
@@ -1,4 +1,4 @@
-/** Randomness and hashes of the machine; tests use seeded ones. */
+/** System randomness and hashing; tests use seeded versions. */
 import { createHash, randomInt } from "node:crypto";
 import { v7 as uuidv7 } from "uuid";
 import type { Incarnation } from "../../core/identity/mod.ts";
@@ -7,21 +7,23 @@
 const RANDOM_RANGE = 2 ** 47;
 const HASH_CHARACTERS = 22;
 
-/** A number in [0, 1) from the machine's own source. */
+/** Returns a number in [0, 1) from the system's cryptographic generator. */
 export function systemRandom(): number {
   return randomInt(RANDOM_RANGE) / RANDOM_RANGE;
 }
 
 /**
- * A name for this run of a process that no other run has. Names of later runs
- * sort behind those of earlier ones, as far as the machine's clock goes on: so
- * a late report of an earlier run is told from one of the present run.
+ * Creates a unique id for one run of a process. Ids of later runs sort after
+ * those of earlier runs as long as the system clock does not go back, so a late
+ * report of an earlier run can be distinguished from one of the current run.
  */
 export function newIncarnation(): Incarnation {
   return identifier(uuidv7());
 }
 
-/** 132 bits of SHA-256 as text: two requests never share a fingerprint. */
+/**
+ * Returns 132 bits of the SHA-256 hash as base64url; collisions are negligible.
+ */
 export function hashText(text: string): string {
   return createHash("sha256").update(text).digest("base64url")
     .slice(0, HASH_CHARACTERS);
--- a/src/adapters/random/mod_test.ts
+++ b/src/adapters/random/mod_test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
 import { hashText, newIncarnation, systemRandom } from "./mod.ts";
 
-describe("The machine's randomness", () => {
+describe("system randomness", () => {
   describe("newIncarnation", () => {
-    // A side restarts, and a late report of its earlier run arrives. If names
-    // did not sort by time, the earlier run could pass for the present one.
-    it("sorts runs by the time of their start", async () => {
+    // After a restart of a side, a late report of its earlier run may arrive.
+    // If ids did not sort by time, that run could be taken for the current one.
+    it("creates ids that sort by start time", async () => {
       const first = newIncarnation();
       await new Promise((resolve) => setTimeout(resolve, 3));
       const second = newIncarnation();
@@ -14,7 +14,7 @@
   });
 
   describe("systemRandom", () => {
-    it("draws from 0 up to 1", () => {
+    it("returns numbers in [0, 1)", () => {
       for (let draw = 0; draw < 100; draw++) {
         expect(systemRandom()).to.be.within(0, 1).and.not.equal(1);
       }
@@ -22,7 +22,7 @@
   });
 
   describe("hashText", () => {
-    it("is the same for the same text only", () => {
+    it("returns equal hashes for equal texts only", () => {
       expect(hashText("a")).to.equal(hashText("a"));
       expect(hashText("a")).not.to.equal(hashText("b"));
     });
--- a/src/adapters/time/mod.ts
+++ b/src/adapters/time/mod.ts
@@ -1,17 +1,17 @@
-/** Real time for the programs; tests use the manual service of the core. */
+/** System time; tests use the manual timer service of the core. */
 import { monitorEventLoopDelay } from "node:perf_hooks";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 
 /**
- * Longest delay that Node's timers take. A longer one fires after one
- * millisecond instead: a time limit of a month would lapse at once.
+ * Maximum delay of Node's timers. A timer with a longer delay fires after one
+ * millisecond, so a timeout of a month would expire immediately.
  */
 const MAX_DELAY_MILLISECONDS = 2 ** 31 - 1;
 
 /**
- * The machine's clock and Node's timers. A single alarm keeps the process
- * alive until it fires; a repeated one does not, since housekeeping is no
- * reason for a process to stay.
+ * Timer service on the system clock and Node's timers. A one-shot timer keeps
+ * the process alive until it fires; a periodic timer does not, because periodic
+ * maintenance must not prevent the process from exiting.
  */
 export class SystemTimerService implements TimerService {
   now(): number {
@@ -25,8 +25,8 @@
   after(delayMilliseconds: number, listener: () => void): Subscription {
     const due = this.now() + Math.max(0, delayMilliseconds);
     let handle: NodeJS.Timeout;
-    // Node drops fractions and its loop counts whole milliseconds, so that a
-    // timer fires up to two milliseconds early; it is set again for the rest.
+    // Node truncates delays to whole milliseconds, as does its event loop, so a
+    // timer can fire up to two milliseconds early; it is then rescheduled.
     const schedule = () => {
       const remaining = due - this.now();
       if (remaining <= 0) return listener();
@@ -57,20 +57,22 @@
 
 export interface LoopDelayOptions {
   readonly timer: TimerService;
-  /** Takes how late the loop's turns were of late, milliseconds. */
+  /** Receives the recent event-loop delay, in milliseconds. */
   readonly onDelay: (milliseconds: number) => void;
 }
 
-/** How often the delay is told: an overload builds up within a second. */
+/**
+ * An overload builds up within a second, so the delay is reported more often.
+ */
 const LOOP_DELAY_REPORT_INTERVAL_MILLISECONDS = 250;
 const LOOP_DELAY_RESOLUTION_MILLISECONDS = 10;
 const NANOSECONDS_PER_MILLISECOND = 1e6;
-/** The share of turns that may be later than what is told. */
+/** Percentile of the delay that is reported. */
 const LOOP_DELAY_PERCENTILE = 90;
 
 /**
- * Tells how late this process's own loop runs, so that the entry refuses the
- * least urgent work before its tokens come late for everybody.
+ * Reports the event-loop delay of this process, so that the entry can shed the
+ * least urgent work before tokens become late for all callers.
  */
 export function monitorLoopDelay(options: LoopDelayOptions): Subscription {
   const histogram = monitorEventLoopDelay({
--- a/src/adapters/time/mod_test.ts
+++ b/src/adapters/time/mod_test.ts
@@ -5,8 +5,8 @@
   const timer = new SystemTimerService();
 
   describe("after", () => {
-    // A time limit that lapses early refuses a request that was still on time.
-    it("calls once, never before the delay", async () => {
+    // A timeout that expires early refuses a request that was still on time.
+    it("fires once, never before the delay", async () => {
       const waits = Array.from({ length: 40 }, async (_, index) => {
         const delay = 5 + index * 0.37;
         const started = timer.now();
@@ -18,16 +18,17 @@
       }
     });
 
-    it("does not fire what was cancelled", async () => {
+    it("does not fire after it is cancelled", async () => {
       let fired = false;
       timer.after(1, () => fired = true).cancel();
       await new Promise<void>((resolve) => timer.after(15, resolve));
       expect(fired).to.equal(false);
     });
 
-    // Node's timers take 31 bits. A time limit of a month would lapse after a
-    // millisecond, and with it a key that still protects a booking.
-    it("waits through delays longer than Node's timers take", async () => {
+    // Node's timers have 31-bit delays. A timeout of a month would expire after
+    // a millisecond, and so would an idempotency key that still protects a
+    // booking.
+    it("supports delays longer than Node's maximum", async () => {
       let fired = false;
       const subscription = timer.after(2 ** 31 + 1000, () => fired = true);
       await new Promise<void>((resolve) => timer.after(15, resolve));
@@ -37,7 +38,7 @@
   });
 
   describe("every", () => {
-    it("calls until cancelled", async () => {
+    it("fires until cancelled", async () => {
       let calls = 0;
       const subscription = timer.every(3, () => calls++);
       await new Promise<void>((resolve) => timer.after(30, resolve));
--- a/src/adapters/vm_list/errors.ts
+++ b/src/adapters/vm_list/errors.ts
@@ -1,9 +1,9 @@
 import { defineError } from "../../core/errors/mod.ts";
 
-/** The list can't be read; what was read before stays in use. */
+/** The list cannot be read; the previous one stays in use. */
 export const VM_LIST_UNAVAILABLE = defineError<{ reason: string }>()({
   name: "vm_list_unavailable",
-  title: "List of VMs cannot be read",
-  message: ({ reason }) => `Cannot read the list of VMs: ${reason}`,
-  hint: "The system goes on with the addresses that it knows",
+  title: "VM list cannot be read",
+  message: ({ reason }) => `Cannot read the VM list: ${reason}`,
+  hint: "The system continues with the addresses of the previous list",
 });
--- a/src/adapters/vm_list/mod.ts
+++ b/src/adapters/vm_list/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's list of VMs over HTTP. */
+/** HTTP client of the platform's VM list. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
@@ -9,15 +9,17 @@
 import { HttpClient, parseJson } from "../http_client/mod.ts";
 import { VM_LIST_UNAVAILABLE } from "./errors.ts";
 
-/** The list changes slowly; a slow answer is worth the next try. */
+/**
+ * The list changes slowly, so a slow request can be retried at the next poll.
+ */
 const TIMEOUT_MILLISECONDS = 3_000;
-/** 12,000 VMs at 200 bytes each, three times over. */
+/** Three times the size of 12,000 VMs at 200 bytes each. */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Reads the whole list with `GET /vms`. Where the platform names its answers
- * with entity tags, a list that has not changed costs a few hundred bytes:
- * leaving VMs are noticed within seconds without moving the list each time.
+ * Reads the complete list with `GET /vms`. If the platform sends entity tags,
+ * polling an unchanged list costs a few hundred bytes, so it can be polled
+ * every few seconds to detect leaving VMs.
  */
 export class HttpVmList implements VmList {
   readonly #client: HttpClient;
@@ -44,7 +46,7 @@
     if (status !== 200) return unavailable(`status ${status}`);
     const value = parseJson(body);
     if (!validateVmListAnswer(value)) {
-      return unavailable("the answer is malformed");
+      return unavailable("malformed response");
     }
     const vms = (value as VmListAnswer).vms.map((vm) => ({
       id: vm.id,
@@ -57,7 +59,7 @@
     return ok(vms);
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections to the service. */
   close(): void {
     this.#client.close();
   }
--- a/src/adapters/vm_list/mod_test.ts
+++ b/src/adapters/vm_list/mod_test.ts
@@ -35,23 +35,23 @@
     }]);
   });
 
-  it("gives the same list where the platform says that nothing changed", async () => {
+  it("returns the cached list when the platform reports no change", async () => {
     const first = (await list.read())._unsafeUnwrap();
     expect((await list.read())._unsafeUnwrap()).to.equal(first);
   });
 
-  // A VM begins to leave between two reads. A reader that kept to its copy
-  // would go on sending it work.
-  it("reads the list anew once it has changed", async () => {
+  // A VM starts to leave between two reads. A client that kept using its cached
+  // list would continue to send it work.
+  it("reads the list again once it has changed", async () => {
     const [vm] = (await list.read())._unsafeUnwrap();
     standIn.set([]);
     expect(vm.leaving).to.equal(true);
     expect((await list.read())._unsafeUnwrap()).to.deep.equal([]);
   });
 
-  // The list is down. Taken for an empty list, every side would look gone and
-  // all work would be refused.
-  it("does not take an outage for an empty list", async () => {
+  // If an outage were treated as an empty list, every side would appear to be
+  // gone and all work would be refused.
+  it("does not treat an outage as an empty list", async () => {
     standIn.down = true;
     expect((await list.read())._unsafeUnwrapErr().name).to.equal(
       "vm_list_unavailable",
--- a/src/adapters/weight_store/errors.ts
+++ b/src/adapters/weight_store/errors.ts
@@ -5,13 +5,13 @@
   readonly reason: string;
 }
 
-/** The store does not answer or says that its rate is used up. */
+/** The store does not respond or reports that its rate limit is exhausted. */
 export const WEIGHT_STORE_UNAVAILABLE = defineError<WeightStoreErrorValues>()({
   name: "weight_store_unavailable",
-  title: "Weight store cannot be asked",
+  title: "Weight store is unavailable",
   message: ({ model, reason }) =>
-    `Cannot ask the weight store about "${model}": ${reason}`,
-  hint: "Try again later; engines keep the weights that they have",
+    `Cannot query the weight store for "${model}": ${reason}`,
+  hint: "Try again later; engines keep their current weights",
 });
 
 /** The store has no such model. */
--- a/src/adapters/weight_store/mod.ts
+++ b/src/adapters/weight_store/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's weight store over HTTP, within its rate. */
+/** HTTP client of the platform's weight store that respects its rate limit. */
 import PQueue from "p-queue";
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
@@ -11,8 +11,9 @@
 const TIMEOUT_MILLISECONDS = 5_000;
 const MAX_RESPONSE_BYTES = 1024 * 1024;
 /**
- * Wait after the store said that its rate is used up. Engines load weights
- * from the same store; asking on without a pause would take their turns.
+ * Delay before a retry when the store's rate limit is exhausted. Engines load
+ * weights from the same store; retrying without a delay would use up their
+ * share of the rate.
  */
 const RETRY_DELAY_MILLISECONDS = 1_000;
 const MAX_ATTEMPTS = 3;
@@ -22,7 +23,7 @@
   "weight_store_unavailable" | "model_unknown"
 >;
 
-/** Asks the store about one model at a time. */
+/** Queries the weight store, one model at a time. */
 export class HttpWeightStore {
   readonly #client: HttpClient;
   readonly #timer: TimerService;
@@ -33,14 +34,14 @@
     this.#timer = options.timer;
   }
 
-  /** Versions of the model's weights that the store holds, newest last. */
+  /** Returns the versions of the model's weights in the store, newest last. */
   versions(
     model: string,
   ): Promise<Result<readonly string[], WeightStoreFailure>> {
     return this.#queue.add(() => this.#fetchVersions(model));
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections to the store. */
   close(): void {
     this.#client.close();
   }
@@ -80,7 +81,7 @@
   }
   const value = parseJson(response.body);
   if (!validateWeightsAnswer(value)) {
-    return unavailable(model, "the answer is malformed");
+    return unavailable(model, "malformed response");
   }
   return ok((value as WeightsAnswer).versions);
 }
--- a/src/adapters/weight_store/mod_test.ts
+++ b/src/adapters/weight_store/mod_test.ts
@@ -21,16 +21,16 @@
     await standIn.close();
   });
 
-  it("tells the versions of a model", async () => {
+  it("returns the versions of a model", async () => {
     const versions = await store.versions("triage-llm");
     expect(versions._unsafeUnwrap()).to.deep.equal(["v1", "v2"]);
     const none = await store.versions("none");
     expect(none._unsafeUnwrapErr().name).to.equal("model_unknown");
   });
 
-  // A check of a large inventory asks more often than the store's rate. It
-  // has to wait its turn; giving up would call good weights missing.
-  it("waits where the store's rate is used up", async () => {
+  // Checking a large inventory exceeds the store's rate limit. Without retries
+  // the check would report existing weights as missing.
+  it("retries when the store's rate limit is exhausted", async () => {
     const answers = await Promise.all(
       [1, 2, 3].map(() => store.versions("triage-llm")),
     );
