--- a/src/cli/check/command.ts
+++ b/src/cli/check/command.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import type { CommandModule } from "yargs";
 
-/** Files to check, by their kind. */
+/** Files to check, by kind. */
 export interface CheckArguments {
   readonly inventory?: string;
   readonly rules?: string;
@@ -10,43 +10,43 @@
   readonly operator?: string;
 }
 
-/** `filbertshore check`: looks at files before they are used. */
+/** `filbertshore check`: validates files before they are used. */
 export const checkCommand: CommandModule<unknown, CheckArguments> = {
   command: "check",
-  describe: "Check files; tells every problem at once",
+  describe: "Validate files and report all problems",
   builder: (arguments_) =>
     arguments_
       .option("inventory", {
         type: "string",
         implies: "rules",
-        describe: "Inventory to be published (TOML)",
+        describe: "Inventory file to publish (TOML)",
       })
       .option("rules", {
         type: "string",
         implies: "inventory",
-        describe: "Rules to be published (TOML)",
+        describe: "Rules file to publish (TOML)",
       })
       .option("entry", {
         type: "string",
         array: true,
-        describe: "Settings of entries",
+        describe: "Settings files of entries (TOML)",
       })
       .option("side", {
         type: "string",
         array: true,
-        describe: "Settings of sides",
+        describe: "Settings files of sides (TOML)",
       })
       .option("operator", {
         type: "string",
         describe:
-          "Settings of operators' commands; where they name a weight store, it is asked for the inventory's weights",
+          "Settings file of the operator commands (TOML); if it sets a weight store, the inventory's weights are checked against it",
       })
       .check((given) => {
         const kinds = ["inventory", "rules", "entry", "side", "operator"];
         if (kinds.some((kind) => given[kind] !== undefined)) return true;
-        throw new Error("Name at least one file to check");
+        throw new Error("Specify at least one file to check");
       })
-      .epilogue("Exit codes: 0 no problem, 2 problems, all of them listed"),
+      .epilogue("Exit codes: 0 no problems, 2 problems found"),
   handler: async (arguments_) => {
     const { runCheck } = await import("./run_check.ts");
     process.exitCode = await runCheck(arguments_);
--- a/src/cli/check/run_check.ts
+++ b/src/cli/check/run_check.ts
@@ -12,7 +12,7 @@
 import { EXIT_CODE_BAD_SETTINGS, EXIT_CODE_SUCCESS } from "../exit_codes.ts";
 import type { CheckArguments } from "./command.ts";
 
-/** Checks the files and prints every problem; gives the exit code. */
+/** Checks the files and prints all problems; returns the exit code. */
 export async function runCheck(files: CheckArguments): Promise<number> {
   const problems = [
     ...findSettingsProblems(files.entry ?? [], "entry"),
@@ -63,8 +63,8 @@
 }
 
 /**
- * Engines that are ordered to load weights that do not exist go out of service
- * one after the other; the store knows beforehand.
+ * Finds weights that the weight store does not have. Engines that are ordered
+ * to load missing weights would go out of service one after the other.
  */
 async function findWeightProblems(
   file: string,
--- a/src/cli/entry/command.ts
+++ b/src/cli/entry/command.ts
@@ -4,14 +4,15 @@
 /** `filbertshore entry`: the process of an entry VM. */
 export const entryCommand: CommandModule<unknown, { settings: string }> = {
   command: "entry",
-  describe: "Run an entry: takes callers' requests and places them",
+  describe:
+    "Run an entry, which accepts requests of callers and schedules them on endpoints",
   builder: (arguments_) =>
     arguments_.option("settings", {
       type: "string",
       demandOption: true,
       describe: "Settings file of the entry (TOML)",
     }).epilogue(
-      "Exit codes: 0 stopped as asked, 2 bad settings, 3 an address is taken",
+      "Exit codes: 0 stopped by a signal, 2 invalid settings, 3 an address cannot be bound",
     ),
   handler: async (arguments_) => {
     const { runEntry } = await import("./run_entry.ts");
--- a/src/cli/entry/run_entry.ts
+++ b/src/cli/entry/run_entry.ts
@@ -24,10 +24,10 @@
 } from "../process_lifecycle.ts";
 import { ProcessContext } from "../process_context.ts";
 
-/** A side's question carries its report, an operator's nothing. */
+/** Sufficient for watch requests, which contain the report of a side. */
 const MAX_PEER_BODY_BYTES = 1024 * 1024;
 
-/** Runs an entry until it is told to stop; gives the exit code. */
+/** Runs an entry until SIGTERM or SIGINT; returns the exit code. */
 export async function runEntry(settingsFile: string): Promise<number> {
   const settings = loadSettings(settingsFile, "entry");
   if (settings.isErr()) {
@@ -37,7 +37,7 @@
   return await new EntryProcess(settings.value).run();
 }
 
-/** The entry's core with its sockets, log and metrics. */
+/** The core of an entry with its servers, log client and metrics. */
 class EntryProcess {
   readonly #settings: CheckedEntrySettings;
   readonly #context: ProcessContext;
@@ -70,7 +70,7 @@
     });
     this.#context.logger.info(
       { callers: callerPort.value, peers: peerPort.value },
-      "The entry listens",
+      "Entry is listening",
     );
     await waitForTermination();
     await this.#shutDown();
@@ -80,17 +80,17 @@
   async #shutDown(): Promise<void> {
     this.#context.logger.info(
       { open: this.#core.openRequests },
-      "The entry shuts down",
+      "Entry is shutting down",
     );
     const stopped = this.#core.stop();
     this.#callerServer.stopListening();
     await stopped;
     this.#callerServer.close();
     this.#peerServer.close();
-    // A long poll under way would keep the process for its whole length.
+    // Aborts a long poll, which would otherwise keep the process alive.
     this.#log.close();
     await this.#context.close();
-    this.#context.logger.info({}, "The entry has stopped");
+    this.#context.logger.info({}, "Entry has stopped");
   }
 
   #reportListenFailure(error: { message: string; hint: string }): number {
--- a/src/cli/exit_codes.ts
+++ b/src/cli/exit_codes.ts
@@ -1,12 +1,12 @@
-/** The program did what it was asked. */
+/** The command succeeded. */
 export const EXIT_CODE_SUCCESS = 0;
-/** It tried and failed; the log or the output says why. */
+/** The command failed; the log or the output gives the reason. */
 export const EXIT_CODE_FAILURE = 1;
-/** Arguments, settings or other files can't be used. */
+/** Arguments, settings or other files are invalid. */
 export const EXIT_CODE_BAD_SETTINGS = 2;
-/** An address of the settings can't be listened on. */
+/** An address in the settings cannot be bound. */
 export const EXIT_CODE_LISTEN_FAILED = 3;
-/** Whether a publication took effect is not known; it may still do so. */
+/** Whether the publication took effect is unknown; it may still do so. */
 export const EXIT_CODE_OUTCOME_UNKNOWN = 4;
-/** A publication is in force, and some processes have not told of it. */
+/** The publication is in force, but not confirmed by all processes. */
 export const EXIT_CODE_ROLLOUT_INCOMPLETE = 5;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -10,18 +10,19 @@
 
 const VERSION = "0.1.0";
 
-/** Runs the command that the arguments name. */
+/** Parses the arguments and runs the selected command. */
 async function main(): Promise<void> {
   const parser = yargs(hideBin(process.argv)).scriptName("filbertshore")
-    .usage("$0 <command>: serves a help line on language models")
+    .usage("$0 <command>: distributes requests to language model endpoints")
     .version(VERSION)
     .command(entryCommand).command(sideCommand)
     .command(publishCommand).command(statusCommand).command(checkCommand)
-    .demandCommand(1, "Name a command").strict().help()
+    .demandCommand(1, "Specify a command").strict().help()
     .wrap(Math.min(100, process.stdout.columns ?? 100))
-    .epilogue("Exit code 2 stands for arguments or files that can't be used")
+    .epilogue("Exit code 2: invalid arguments or files")
     .fail((message: string | null, error) => {
-      // Without a message the error is the program's own, not the operator's.
+      // An error without a message is a fault of the program, not invalid
+      // input.
       if (message === null) throw error;
       process.stderr.write(`${message}\nSee filbertshore --help\n`);
       process.exit(EXIT_CODE_BAD_SETTINGS);
--- a/src/cli/process_context.ts
+++ b/src/cli/process_context.ts
@@ -19,7 +19,7 @@
   "name" | "log" | "traces"
 >;
 
-/** What every process of the system has: time, log, metrics, traces, links. */
+/** Timer, logger, metrics, tracing and peer client of a process. */
 export class ProcessContext {
   readonly incarnation: Incarnation = newIncarnation();
   readonly timer = new SystemTimerService();
@@ -34,12 +34,12 @@
     this.tracing = createTracing({ process, ...settings.traces });
   }
 
-  /** The text of the metrics page. */
+  /** Renders the metrics in the Prometheus text format. */
   async renderMetrics(): Promise<string> {
     return (await this.metrics.render()).body;
   }
 
-  /** Closes links and sends the last spans. */
+  /** Closes connections to peers and exports the remaining spans. */
   async close(): Promise<void> {
     this.peers.close();
     await this.tracing.shutdown();
--- a/src/cli/process_lifecycle.ts
+++ b/src/cli/process_lifecycle.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import { type FileFailure, formatProblem } from "../adapters/settings/mod.ts";
 
-/** Settles when the platform or an operator asks the process to stop. */
+/** Settles on SIGTERM or SIGINT. */
 export function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once("SIGTERM", () => resolve());
@@ -9,7 +9,7 @@
   });
 }
 
-/** Prints every problem of a settings file. */
+/** Prints all problems of a settings file to standard error. */
 export function reportInvalidSettings(error: FileFailure): void {
   const lines = [
     error.message,
--- a/src/cli/publish/command.ts
+++ b/src/cli/publish/command.ts
@@ -1,6 +1,7 @@
 import process from "node:process";
 import type { CommandModule } from "yargs";
 
+/** Arguments of `filbertshore publish`. */
 export interface PublishArguments {
   readonly settings: string;
   readonly inventory: string;
@@ -12,7 +13,9 @@
   readonly json: boolean;
 }
 
-/** `filbertshore publish`: makes a change and waits until it is in force. */
+/**
+ * `filbertshore publish`: publishes a configuration and waits for its rollout.
+ */
 export const publishCommand: CommandModule<unknown, PublishArguments> = {
   command: "publish",
   describe: "Publish inventory and rules and wait until they are in force",
@@ -21,48 +24,49 @@
       .option("settings", {
         type: "string",
         demandOption: true,
-        describe: "Settings of operators' commands (TOML)",
+        describe: "Settings file of the operator commands (TOML)",
       })
       .option("inventory", {
         type: "string",
         demandOption: true,
-        describe: "Inventory (TOML)",
+        describe: "Inventory file (TOML)",
       })
       .option("rules", {
         type: "string",
         demandOption: true,
-        describe: "Rules (TOML)",
+        describe: "Rules file (TOML)",
       })
       .option("base", {
         type: "string",
         describe:
-          "Version that the files were made on, or `latest` to replace whatever is in force; needed once there is one",
+          "Version that the files are based on, or `latest` to replace the current version; required once a version exists",
       })
       .option("publication-id", {
         type: "string",
         describe:
-          "Identity of the change; give it again to learn what became of a publication in doubt",
+          "Id of the publication; pass the same id again to get the outcome of a publication whose outcome is unknown",
       })
       .option("publisher", {
         type: "string",
-        describe: "Who publishes, as others shall see it",
+        describe: "Name of the publisher, shown to other operators",
       })
       .option("wait-seconds", {
         type: "number",
         default: 30,
-        describe: "How long to wait for the verdict, and for all processes",
+        describe:
+          "Timeout for the outcome, and again for the rollout to all processes",
       })
       .option("json", {
         type: "boolean",
         default: false,
-        describe: "One JSON object at the end in place of text",
+        describe: "Print one JSON object at the end instead of text",
       })
       .check(({ base }) => {
         if (base === undefined || /^(\d+|latest)$/.test(base)) return true;
-        throw new Error("--base takes a version or `latest`");
+        throw new Error("--base must be a version number or `latest`");
       })
       .epilogue(
-        "Exit codes: 0 in force everywhere, 1 not made or rejected, 2 files can't be used, 4 in doubt, 5 in force and not yet seen everywhere",
+        "Exit codes: 0 in force in all processes, 1 failed or rejected, 2 invalid files, 4 outcome unknown, 5 in force but not yet confirmed by all processes",
       ),
   handler: async (arguments_) => {
     const { runPublish } = await import("./run_publish.ts");
--- a/src/cli/publish/run_publish.ts
+++ b/src/cli/publish/run_publish.ts
@@ -29,10 +29,12 @@
 import type { PublishArguments } from "./command.ts";
 
 const POLL_INTERVAL_MILLISECONDS = 200;
-/** More than a fleet ever has between two checkpoints: an operator writes none. */
+/** The command writes no checkpoints, so the interval is unlimited. */
 const UNLIMITED_CHECKPOINT_RECORDS = Number.MAX_SAFE_INTEGER;
 
-/** Publishes, waits until in force, and says so; gives the exit code. */
+/**
+ * Publishes a configuration and waits for its rollout; returns the exit code.
+ */
 export async function runPublish(options: PublishArguments): Promise<number> {
   const settings = loadSettings(options.settings, "operator");
   if (settings.isErr()) {
@@ -58,7 +60,7 @@
   readonly arguments: PublishArguments;
 }
 
-/** One run of the command: its journal, its links and what it prints. */
+/** One run of the command, with its journal, peer client and output. */
 class PublicationRun {
   readonly #arguments: PublishArguments;
   readonly #settings: CheckedOperatorSettings;
@@ -98,7 +100,10 @@
   ): Promise<number> {
     const timeoutMilliseconds = this.#arguments["wait-seconds"] * 1000;
     if (!await this.#waitUntilCaughtUp(timeoutMilliseconds)) {
-      this.#printResult({ outcome: "not_made" }, "Cannot read the log service");
+      this.#printResult(
+        { outcome: "not_made" },
+        "Cannot read the stream from the log service",
+      );
       return EXIT_CODE_FAILURE;
     }
     const base = this.#resolveBase();
@@ -120,9 +125,9 @@
   }
 
   /**
-   * The version that the files were made on. Taken from the log instead, it
-   * would always fit: an operator whose file is an hour old would undo what
-   * another has published meanwhile, and nobody would be told.
+   * The version that the files are based on; undefined if it must be given. If
+   * it defaulted to the version in force, an operator with an outdated file
+   * would silently revert what another one has published meanwhile.
    */
   #resolveBase(): number | undefined {
     const { base } = this.#arguments;
@@ -137,7 +142,7 @@
     const { version } = this.#fold;
     this.#printResult(
       { outcome: "not_made", version },
-      `Version ${version} is in force. Give --base ${version} if the files were made on it, or --base latest to replace whatever is in force`,
+      `Version ${version} is in force. Pass --base ${version} if the files are based on it, or --base latest to replace the current version`,
     );
     return EXIT_CODE_BAD_SETTINGS;
   }
@@ -155,7 +160,7 @@
     return isUnknown ? EXIT_CODE_OUTCOME_UNKNOWN : EXIT_CODE_FAILURE;
   }
 
-  /** Asks the entries until every process has told of the version. */
+  /** Polls the entries until all processes have confirmed the version. */
   async #waitUntilInForce(version: number): Promise<number> {
     const deadline = this.#timer.now() + this.#arguments["wait-seconds"] * 1000;
     const addresses = this.#settings.entries.map((each) =>
@@ -212,7 +217,7 @@
     });
   }
 
-  /** Progress, for a person; none where JSON is asked for. */
+  /** Prints progress, unless JSON output is selected. */
   #printProgress(line: string): void {
     if (!this.#arguments.json) process.stdout.write(`${line}\n`);
   }
--- a/src/cli/side/command.ts
+++ b/src/cli/side/command.ts
@@ -1,17 +1,18 @@
 import process from "node:process";
 import type { CommandModule } from "yargs";
 
-/** `filbertshore side`: the process beside an endpoint. */
+/** `filbertshore side`: the sidecar process of an endpoint. */
 export const sideCommand: CommandModule<unknown, { settings: string }> = {
   command: "side",
-  describe: "Run a side: the only door to one endpoint",
+  describe:
+    "Run a side, the sidecar process through which all requests to one endpoint pass",
   builder: (arguments_) =>
     arguments_.option("settings", {
       type: "string",
       demandOption: true,
       describe: "Settings file of the side (TOML)",
     }).epilogue(
-      "Exit codes: 0 stopped as asked, 2 bad settings, 3 an address is taken",
+      "Exit codes: 0 stopped by a signal, 2 invalid settings, 3 an address cannot be bound",
     ),
   handler: async (arguments_) => {
     const { runSide } = await import("./run_side.ts");
--- a/src/cli/side/run_side.ts
+++ b/src/cli/side/run_side.ts
@@ -18,10 +18,12 @@
 } from "../process_lifecycle.ts";
 import { ProcessContext } from "../process_context.ts";
 
-/** A body that an entry lets in, with the tokens of a cut-off answer. */
+/**
+ * Sufficient for a request body of a caller plus the tokens delivered so far.
+ */
 const MAX_ATTEMPT_BYTES = 8 * 1024 * 1024;
 
-/** Runs a side until it is told to stop; gives the exit code. */
+/** Runs a side until SIGTERM or SIGINT; returns the exit code. */
 export async function runSide(settingsFile: string): Promise<number> {
   const settings = loadSettings(settingsFile, "side");
   if (settings.isErr()) {
@@ -31,7 +33,7 @@
   return await new SideProcess(settings.value).run();
 }
 
-/** The side's core with its sockets, log and metrics. */
+/** The core of a side with its server, endpoint client and metrics. */
 class SideProcess {
   readonly #settings: CheckedSideSettings;
   readonly #context: ProcessContext;
@@ -52,16 +54,16 @@
       return EXIT_CODE_LISTEN_FAILED;
     }
     this.#core.start();
-    this.#context.logger.info({ peers: port.value }, "The side listens");
+    this.#context.logger.info({ peers: port.value }, "Side is listening");
     await waitForTermination();
     this.#context.logger.info(
       { running: this.#core.running },
-      "The side shuts down",
+      "Side is shutting down",
     );
     await this.#core.stop();
     this.#server.close();
     await this.#context.close();
-    this.#context.logger.info({}, "The side has stopped");
+    this.#context.logger.info({}, "Side has stopped");
     return 0;
   }
 
--- a/src/cli/status/command.ts
+++ b/src/cli/status/command.ts
@@ -1,29 +1,30 @@
 import process from "node:process";
 import type { CommandModule } from "yargs";
 
+/** Arguments of `filbertshore status`. */
 export interface StatusArguments {
   readonly settings: string;
   readonly json: boolean;
 }
 
-/** `filbertshore status`: what is in force where. */
+/** `filbertshore status`: shows the state of entries and endpoints. */
 export const statusCommand: CommandModule<unknown, StatusArguments> = {
   command: "status",
-  describe: "Show what is in force where, the planner, and the endpoints",
+  describe: "Show configuration versions, planner and endpoints",
   builder: (arguments_) =>
     arguments_
       .option("settings", {
         type: "string",
         demandOption: true,
-        describe: "Settings of operators' commands (TOML)",
+        describe: "Settings file of the operator commands (TOML)",
       })
       .option("json", {
         type: "boolean",
         default: false,
-        describe: "One JSON object in place of tables",
+        describe: "Print one JSON object instead of tables",
       })
       .epilogue(
-        "Exit codes: 0 every entry answered, 1 some or all did not, 2 bad settings",
+        "Exit codes: 0 all entries responded, 1 some or all did not, 2 invalid settings",
       ),
   handler: async (arguments_) => {
     const { runStatus } = await import("./run_status.ts");
--- a/src/cli/status/fleet_status.ts
+++ b/src/cli/status/fleet_status.ts
@@ -1,8 +1,8 @@
-/** What the entries know together. */
+/** Status of the fleet, merged from the status of all entries. */
 import type { EntryLink, PeerAddress } from "../../core/links/mod.ts";
 import type { EntryStatus, SideReport } from "../../generated/messages.ts";
 
-/** One entry's answer, or why there is none. */
+/** The status of one entry, or the reason why it is missing. */
 export interface EntryResult {
   readonly address: PeerAddress;
   readonly status?: EntryStatus;
@@ -12,13 +12,13 @@
 /** The fleet as the entries see it. */
 export interface FleetStatus {
   readonly entries: readonly EntryResult[];
-  /** Newest report of each side, by endpoint. */
+  /** Latest report of each side, sorted by endpoint. */
   readonly sides: readonly SideReport[];
-  /** Highest version that any process has in force. */
+  /** Highest configuration version in force in any process. */
   readonly version: number;
 }
 
-/** Asks every entry at once; one that is down delays nobody. */
+/** Queries all entries concurrently. */
 export async function queryFleet(
   client: Pick<EntryLink, "status">,
   addresses: readonly PeerAddress[],
@@ -34,18 +34,18 @@
   return { entries, sides, version: Math.max(0, ...versions) };
 }
 
-/** Which processes have a version in force. */
+/** Number of processes that have a version in force. */
 export interface InForceCount {
   readonly have: number;
   readonly all: number;
-  /** Some of those that have not told of it. */
+  /** Names of the first processes that have not confirmed it. */
   readonly missing: readonly string[];
 }
 
-/** Names that a line on a terminal can hold. */
+/** Limits the names to what fits into a terminal line. */
 const MAX_LISTED_MISSING = 10;
 
-/** How many processes have at least this version in force, and who has not. */
+/** Counts the processes that have at least this version in force. */
 export function countInForce(
   fleet: FleetStatus,
   version: number,
@@ -78,7 +78,10 @@
     : { address, failure: status.error.message };
 }
 
-/** Entries hear a side at different times; its positions only rise. */
+/**
+ * Selects the latest report of each side. Entries receive reports at different
+ * times; the versions and offsets in them only increase.
+ */
 function newestReports(entries: readonly EntryResult[]): SideReport[] {
   const byEndpoint = new Map<string, SideReport>();
   for (const report of entries.flatMap((entry) => entry.status?.sides ?? [])) {
--- a/src/cli/status/run_status.ts
+++ b/src/cli/status/run_status.ts
@@ -12,7 +12,7 @@
 import { queryFleet } from "./fleet_status.ts";
 import { renderStatus } from "./status_tables.ts";
 
-/** Asks the entries and prints what they know; gives the exit code. */
+/** Queries the entries and prints their status; returns the exit code. */
 export async function runStatus(
   options: StatusArguments,
 ): Promise<number> {
--- a/src/cli/status/status_tables.ts
+++ b/src/cli/status/status_tables.ts
@@ -1,14 +1,14 @@
-/** Tables for operators' terminals. */
+/** Formats the fleet status as text tables. */
 import type { FleetStatus } from "./fleet_status.ts";
 
-/** The status as text: entries, planner's claim, endpoints. */
+/** Renders the entries with the planner's claim, and the endpoints. */
 export function renderStatus(fleet: FleetStatus): string {
   return [
     `Configuration version ${fleet.version}`,
     renderTable(
       ["ENTRY", "ZONE", "STATE", "VERSION", "LOG", "OPEN", "PLANNER"],
       fleet.entries.map(({ address, status, failure }) =>
-        status === undefined ? [address, "", failure ?? "no answer"] : [
+        status === undefined ? [address, "", failure ?? "no response"] : [
           status.entry,
           status.availabilityZone,
           status.state,
@@ -48,7 +48,7 @@
   ].join("\n\n");
 }
 
-/** Columns as wide as their widest cell, two blanks between them. */
+/** Renders a table with aligned columns, separated by two spaces. */
 export function renderTable(
   header: readonly string[],
   rows: readonly (readonly string[])[],
