--- a/src/mod.ts
+++ b/src/mod.ts
@@ -1,15 +1,16 @@
 /**
- * The face for those who embed the system or its coordination parts.
+ * Public API for embedding the system or its coordination components.
  *
- * Nothing here opens a socket, reads a clock or draws a random number: time
+ * Nothing here opens a socket, reads a clock or generates random numbers: time
  * comes from a `TimerService`, randomness from a `Random`, and the network, the
- * log and the endpoints are functions that the embedder passes in. Hundreds of
- * entries and sides run in one process; they share no state with one another,
- * and with `ManualTimerService` and `seededRandom` a run repeats byte for byte.
+ * log and the endpoints are functions passed in by the embedding program.
+ * Hundreds of entries and sides can run in one process; they share no state,
+ * and with `ManualTimerService` and `seededRandom` a run is reproducible byte
+ * for byte.
  *
- * What can fail gives a `Result` of `neverthrow`, whose failure names itself in
- * `name`. A thrown error is a bug. Times are milliseconds unless the name says
- * otherwise. `examples/embedding/` is a worked example.
+ * Operations that can fail return a `Result` of `neverthrow`, whose failure is
+ * identified by its `name`. A thrown error is a bug. Times are in milliseconds
+ * unless the name says otherwise. See `examples/embedding/` for an example.
  *
  * @module
  */
@@ -32,7 +33,7 @@
   SideTimes,
 } from "./side/mod.ts";
 
-// What the roles need from outside, as functions.
+// The external functions that the roles depend on.
 export type {
   AttemptCall,
   EndpointFailure,
@@ -73,7 +74,7 @@
   UnknownOutcome,
 } from "./core/requests/mod.ts";
 
-// Coordination on the log.
+// Coordination through the log.
 export { Journal } from "./core/journal/mod.ts";
 export type {
   JournalCounts,
@@ -108,7 +109,7 @@
 export type { OrderExecutorOptions } from "./core/orders/mod.ts";
 export { OnceCoordinator, OnceFold, SideOnceTable } from "./core/once/mod.ts";
 
-// Decisions under load.
+// Scheduling and admission.
 export { createScheduler } from "./core/scheduling/mod.ts";
 export type {
   Placement,
@@ -118,7 +119,7 @@
   WaitingRequest,
 } from "./core/scheduling/mod.ts";
 
-// What the parts tell of.
+// Events and logging.
 export type {
   HistoryEvent,
   HistoryEventKind,
@@ -149,7 +150,7 @@
   WorkspaceId,
 } from "./core/identity/mod.ts";
 
-// Messages, records and what operators publish.
+// Messages, log records and the configuration that operators publish.
 export type {
   AttemptFrame,
   AttemptRequest,
