--- a/src/adapters/callers/caller_api_server.ts
+++ b/src/adapters/callers/caller_api_server.ts
@@ -120,9 +120,8 @@
   #onClientError(error: Error, socket: Socket): void {
     const fields = { error: error.message, from: socket.remoteAddress };
     const { logger } = this.#options;
-    if (isDisconnect(error)) {
-      logger.debug(fields, "Caller closed the connection");
-    } else {
+    if (isDisconnect(error)) logger.debug(fields, "Caller disconnected");
+    else {
       logger.warn(
         fields,
         "Caller sent an invalid HTTP request",
