--- a/src/adapters/callers/caller_api_server.ts
+++ b/src/adapters/callers/caller_api_server.ts
@@ -45,6 +45,7 @@
   readonly state: "starting" | "serving" | "draining";
 }
 
+/** Options of a `CallerApiServer`. */
 export interface CallerApiServerOptions {
   readonly host: string;
   readonly port: number;
--- a/src/adapters/endpoint/mod.ts
+++ b/src/adapters/endpoint/mod.ts
@@ -167,7 +167,7 @@
       method: work.method,
       headers: buildHeaders(attempt, work.contentType),
       body: work.body === "" ? undefined : work.body,
-      ownConnection: !work.idempotent,
+      useNewConnection: !work.idempotent,
       encoding: "latin1",
       timeoutMilliseconds: attempt.deadlineMilliseconds,
       mostResponseBytes: this.#mostResponseBytes,
--- a/src/adapters/http_client/mod.ts
+++ b/src/adapters/http_client/mod.ts
@@ -44,9 +44,10 @@
    * a lost response; non-idempotent work would then end as "unknown" although
    * it did not run.
    */
-  readonly ownConnection?: boolean;
+  readonly useNewConnection?: boolean;
 }
 
+/** A request with limits on time and response size. */
 export interface HttpCallOptions extends HttpRequestOptions {
   readonly timeoutMilliseconds: number;
   readonly mostResponseBytes: number;
@@ -60,6 +61,7 @@
   abort(reason: string): void;
 }
 
+/** Options of an `HttpClient`. */
 export interface HttpClientOptions {
   readonly timer: TimerService;
   /** Maximum number of connections; further calls wait for a free one. */
@@ -89,7 +91,7 @@
     let abortReason: string | undefined;
     const outgoing = request(url, {
       method: options.method,
-      agent: options.ownConnection ? false : this.#agent,
+      agent: options.useNewConnection ? false : this.#agent,
       headers: buildHeaders(options),
     });
     const response = new Promise<Result<IncomingMessage, HttpFailure>>(
--- a/src/adapters/log_service/mod.ts
+++ b/src/adapters/log_service/mod.ts
@@ -28,6 +28,7 @@
 /** Limit for one page of records, so that it fits the memory of a small VM. */
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
+/** Options of an `HttpLogService`. */
 export interface HttpLogServiceOptions {
   readonly timer: TimerService;
   readonly timeoutMilliseconds?: number;
--- a/src/adapters/peers/peer_server.ts
+++ b/src/adapters/peers/peer_server.ts
@@ -24,10 +24,12 @@
   resume(): void;
 }
 
+/** JSON-RPC methods by name. */
 export type PeerMethods = Readonly<
   Record<string, (parameters: never) => unknown>
 >;
 
+/** Options of a `PeerServer`. */
 export interface PeerServerOptions {
   readonly host: string;
   readonly port: number;
--- a/src/adapters/settings/configuration_files.ts
+++ b/src/adapters/settings/configuration_files.ts
@@ -17,6 +17,7 @@
 import { formatPath, type SchemaDocument } from "./problems.ts";
 import { readTomlFile } from "./toml_file.ts";
 
+/** Paths of the files that make up a configuration. */
 export interface ConfigurationFiles {
   readonly inventory: string;
   readonly rules: string;
--- a/src/adapters/telemetry/forwarding_record.ts
+++ b/src/adapters/telemetry/forwarding_record.ts
@@ -33,6 +33,7 @@
   15,
 ];
 
+/** Options of `recordForwarding`. */
 export interface ForwardingObserverOptions {
   readonly registry: Registry;
   readonly logger: Logger;
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -16,6 +16,7 @@
   labelled(part: string): LabelledLogger;
 }
 
+/** Options of `createLogger`. */
 export interface LoggerOptions {
   readonly level: "debug" | "info" | "warn" | "error";
   /** Process name added to each line. */
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -43,6 +43,7 @@
   1,
 ];
 
+/** Options of `Metrics`. */
 export interface MetricsOptions {
   /** Also export memory, event loop and handles of the process. */
   readonly processMetrics?: boolean;
--- a/src/adapters/telemetry/tracing.ts
+++ b/src/adapters/telemetry/tracing.ts
@@ -31,6 +31,7 @@
 /** Maximum number of spans queued for export; further spans are dropped. */
 const MAX_QUEUED_SPANS = 4_096;
 
+/** Options of `createTracing`. */
 export interface TracingOptions {
   /** Process name added to each span. */
   readonly process: string;
@@ -41,6 +42,7 @@
   readonly share: number;
 }
 
+/** The tracer of a process and its shutdown. */
 export interface Tracing {
   readonly tracer: Tracer;
   /** Exports the queued spans and stops. */
--- a/src/adapters/time/mod.ts
+++ b/src/adapters/time/mod.ts
@@ -55,6 +55,7 @@
   }
 }
 
+/** Options of `monitorLoopDelay`. */
 export interface LoopDelayOptions {
   readonly timer: TimerService;
   /** Receives the recent event-loop delay, in milliseconds. */
--- a/src/adapters/weight_store/mod.ts
+++ b/src/adapters/weight_store/mod.ts
@@ -19,6 +19,7 @@
 const MAX_ATTEMPTS = 3;
 const TOO_MANY_REQUESTS = 429;
 
+/** Why the versions of a model could not be read. */
 export type WeightStoreFailure = Failure<
   "weight_store_unavailable" | "model_unknown"
 >;
