--- a/src/adapters/endpoint/generation_test.ts
+++ b/src/adapters/endpoint/generation_test.ts
@@ -14,9 +14,9 @@
 const TEXTS = TOKENS.map(({ choices }) => choices[0].delta.content);
 
 describe("GenerationReader", () => {
-  /** Feeds the pieces to a reader as if from a socket, then ends the stream. */
+  /** Feeds the chunks to a reader as if from a socket, then ends the stream. */
   async function read(
-    pieces: readonly Uint8Array[],
+    chunks: readonly Uint8Array[],
   ): Promise<{ tokens: string[]; end: GenerationEnd }> {
     const incoming = new PassThrough();
     const tokens: string[] = [];
@@ -28,7 +28,7 @@
         onToken: (text) => tokens.push(text),
       },
     );
-    for (const piece of pieces) incoming.write(piece);
+    for (const chunk of chunks) incoming.write(chunk);
     incoming.end();
     return { tokens, end: await reader.finished };
   }
@@ -41,10 +41,10 @@
         fc.array(fc.nat(STREAM.length), { maxLength: 12 }),
         async (offsets) => {
           const sorted = [...offsets, STREAM.length].sort((a, b) => a - b);
-          const pieces = sorted.map((cut, index) =>
+          const chunks = sorted.map((cut, index) =>
             STREAM.subarray(sorted[index - 1] ?? 0, cut)
           );
-          const { tokens, end } = await read(pieces);
+          const { tokens, end } = await read(chunks);
           expect(end._unsafeUnwrap()).to.equal("stop");
           expect(tokens).to.deep.equal(TEXTS);
         },
--- a/src/adapters/endpoint/mod_test.ts
+++ b/src/adapters/endpoint/mod_test.ts
@@ -47,15 +47,15 @@
     });
 
     it("resumes after the delivered tokens", async () => {
-      const whole = expectedAnswer("triage-llm", MESSAGES).tokens;
+      const allTokens = expectedAnswer("triage-llm", MESSAGES).tokens;
       const tokens: string[] = [];
       const resumedAttempt = {
         ...generationAttempt(),
-        deliveredTokens: whole.slice(0, 5),
+        deliveredTokens: allTokens.slice(0, 5),
       };
       const call = link.generate(resumedAttempt, (text) => tokens.push(text));
       expect((await call.finished).isOk()).to.equal(true);
-      expect(tokens).to.deep.equal(whole.slice(5));
+      expect(tokens).to.deep.equal(allTokens.slice(5));
     });
 
     it("cancels the generation at the engine", async () => {
@@ -193,10 +193,10 @@
     });
 
     it("forwards the call with its idempotency key", async () => {
-      const answer = (await link.call(serviceAttempt()))._unsafeUnwrap();
-      const body = JSON.parse(answer.body);
-      expect(answer.status).to.equal(201);
-      expect(answer.contentType).to.equal("application/json");
+      const response = (await link.call(serviceAttempt()))._unsafeUnwrap();
+      const body = JSON.parse(response.body);
+      expect(response.status).to.equal(201);
+      expect(response.contentType).to.equal("application/json");
       expect(body.method).to.equal("POST");
       expect(body.path).to.equal("/case-numbers");
       expect(body.received).to.equal('{"pile":1}');
@@ -209,8 +209,8 @@
       const bytes = Buffer.from("Piet Müller, Zoë – ✓", "utf8");
       const call = serviceAttempt();
       Object.assign(call.work, { body: bytes.toString("latin1") });
-      const answer = (await link.call(call))._unsafeUnwrap();
-      const body = Buffer.from(answer.body, "latin1").toString("utf8");
+      const response = (await link.call(call))._unsafeUnwrap();
+      const body = Buffer.from(response.body, "latin1").toString("utf8");
       expect(JSON.parse(body).received).to.equal(bytes.toString("utf8"));
     });
 
@@ -229,8 +229,8 @@
       // run would cause a second booking.
       it(`reports that work may have run when the service ${fault}`, async () => {
         Object.assign(service.faults, faults);
-        const answer = await link.call(serviceAttempt());
-        expect(answer._unsafeUnwrapErr().name).to.equal(name);
+        const response = await link.call(serviceAttempt());
+        expect(response._unsafeUnwrapErr().name).to.equal(name);
         expect(service.runs.get("key-1")).to.equal(1);
       });
     }
--- a/src/adapters/forwarding/caller_server_test.ts
+++ b/src/adapters/forwarding/caller_server_test.ts
@@ -210,7 +210,7 @@
     // seconds later, and the process would exit during that request.
     it("closes a keep-alive connection after a response in progress", async () => {
       const agent = new Agent({ keepAlive: true });
-      const answer = new Promise<void>((resolve) => {
+      const responseEnd = new Promise<void>((resolve) => {
         request({ port, host: "127.0.0.1", agent }, (incoming) => {
           incoming.resume();
           incoming.on("end", resolve);
@@ -224,7 +224,7 @@
       void server.stop();
       sink.write(Buffer.from("ok"));
       sink.finish();
-      await answer;
+      await responseEnd;
       await new Promise((resolve) => setTimeout(resolve, 1_500));
       agent.destroy();
       expect(closed).to.equal(true);
--- a/src/adapters/forwarding/endpoint_exchanges_test.ts
+++ b/src/adapters/forwarding/endpoint_exchanges_test.ts
@@ -46,12 +46,12 @@
       body: Buffer.from("body"),
       requestId,
     });
-    const answer = await exchange.answer;
-    if (answer.isErr()) return { failure: answer.error.name };
+    const response = await exchange.answer;
+    if (response.isErr()) return { failure: response.error.name };
     let body = "";
     return new Promise((resolve) => {
-      answer.value.read(
-        (piece) => body += piece.toString(),
+      response.value.read(
+        (chunk) => body += chunk.toString(),
         (end) => resolve({ body, end }),
       );
     });
@@ -190,8 +190,8 @@
     let received = 0;
     const server = createServer((socket) => {
       let answered = false;
-      socket.on("data", (piece) => {
-        received += piece.length;
+      socket.on("data", (chunk) => {
+        received += chunk.length;
         if (answered) return;
         answered = true;
         socket.write(answerBytes("early"));
@@ -210,9 +210,9 @@
       body,
       requestId: "r",
     });
-    const answer = (await exchange.answer)._unsafeUnwrap();
+    const response = (await exchange.answer)._unsafeUnwrap();
     await new Promise<void>((resolve) =>
-      answer.read(() => {}, () => resolve())
+      response.read(() => {}, () => resolve())
     );
     await new Promise((resolve) => setTimeout(resolve, 300));
     server.close();
--- a/src/adapters/log_service/mod.ts
+++ b/src/adapters/log_service/mod.ts
@@ -72,9 +72,7 @@
     }
     const value = status < 300 ? parseJson(body) : undefined;
     if (!validateAppendAnswer(value)) {
-      const reason = status < 300
-        ? "the answer is malformed"
-        : `status ${status}`;
+      const reason = status < 300 ? "malformed response" : `status ${status}`;
       return err(failure(LOG_UNKNOWN, { stream, reason }));
     }
     return ok(numbered<LogOffset>((value as AppendAnswer).offset));
@@ -109,9 +107,7 @@
     }
     const value = status === 200 ? parseJson(body) : undefined;
     if (!validateLogReadAnswer(value)) {
-      const reason = status === 200
-        ? "the answer is malformed"
-        : `status ${status}`;
+      const reason = status === 200 ? "malformed response" : `status ${status}`;
       return err(failure(LOG_UNAVAILABLE, { stream, reason }));
     }
     return validatePage(value as LogReadAnswer, { stream, options });
--- a/src/adapters/weight_store/mod_test.ts
+++ b/src/adapters/weight_store/mod_test.ts
@@ -31,10 +31,10 @@
   // Checking a large inventory exceeds the store's rate limit. Without retries
   // the check would report existing weights as missing.
   it("retries when the store's rate limit is exhausted", async () => {
-    const answers = await Promise.all(
+    const results = await Promise.all(
       [1, 2, 3].map(() => store.versions("triage-llm")),
     );
-    expect(answers.every((answer) => answer.isOk())).to.equal(true);
+    expect(results.every((result) => result.isOk())).to.equal(true);
     expect(standIn.refused).to.equal(1);
   });
 });
