--- a/src/adapters/callers/problem.ts
+++ b/src/adapters/callers/problem.ts
@@ -6,23 +6,25 @@
   UnknownOutcome,
 } from "../../core/requests/mod.ts";
 
-/** A problem detail (RFC 9457) as callers get it. */
+/** A problem detail (RFC 9457) as sent to callers. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
   readonly status: number;
   readonly detail: string;
-  /** Whether the request may have run; callers decide by this alone. */
+  /**
+   * Whether the request may have run; callers decide on retries by this field.
+   */
   readonly outcome: "not_run" | "unknown";
   readonly retryAfterMilliseconds?: number;
 }
 
-interface ProblemKind {
+interface ProblemTemplate {
   readonly status: number;
   readonly title: string;
 }
 
-const REFUSAL_KINDS: Readonly<Record<RefusalReason, ProblemKind>> = {
+const REFUSAL_PROBLEMS: Readonly<Record<RefusalReason, ProblemTemplate>> = {
   invalid: { status: 400, title: "Request is not valid" },
   unknown_model: { status: 404, title: "Model is not served" },
   unknown_route: { status: 404, title: "Route is not served" },
@@ -42,32 +44,34 @@
   key_needed: { status: 400, title: "Idempotency key is not usable" },
   late: { status: 503, title: "Answer would be late" },
 };
-const UNKNOWN_KIND: ProblemKind = {
+const UNKNOWN_OUTCOME_PROBLEM: ProblemTemplate = {
   status: 502,
   title: "Outcome is not known",
 };
 const TYPE_PREFIX = "urn:filbertshore:problem:";
 
-/** The problem that tells a caller of an outcome without an answer. */
-export function problemOf(outcome: Refusal | UnknownOutcome): Problem {
-  const refused = outcome.kind === "not_run";
-  const kind = refused ? REFUSAL_KINDS[outcome.reason] : UNKNOWN_KIND;
+/** Creates the problem detail for a refused request or an unknown outcome. */
+export function createProblem(outcome: Refusal | UnknownOutcome): Problem {
+  const isRefusal = outcome.kind === "not_run";
+  const template = isRefusal
+    ? REFUSAL_PROBLEMS[outcome.reason]
+    : UNKNOWN_OUTCOME_PROBLEM;
   return {
-    type: TYPE_PREFIX + (refused ? outcome.reason : "unknown_outcome"),
-    title: kind.title,
-    status: kind.status,
+    type: TYPE_PREFIX + (isRefusal ? outcome.reason : "unknown_outcome"),
+    title: template.title,
+    status: template.status,
     detail: outcome.detail,
     outcome: outcome.kind,
     retryAfterMilliseconds: outcome.retryAfterMilliseconds,
   };
 }
 
-/** Sends an outcome without an answer as the whole response. */
+/** Sends a refusal or an unknown outcome as the complete response. */
 export function sendProblem(
   response: ServerResponse,
   outcome: Exclude<Outcome, { kind: "answered" }>,
 ): void {
-  const problem = problemOf(outcome);
+  const problem = createProblem(outcome);
   const headers: Record<string, string> = {
     "content-type": "application/problem+json",
   };
@@ -79,7 +83,7 @@
   response.end(JSON.stringify(problem));
 }
 
-/** A refusal for a request that the door itself turns down. */
-export function invalid(detail: string): Refusal {
+/** Creates the refusal of a malformed request. */
+export function invalidRequest(detail: string): Refusal {
   return { kind: "not_run", reason: "invalid", detail };
 }
--- a/src/adapters/callers/answer_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -1,60 +1,60 @@
 import type { ServerResponse } from "node:http";
 import type { AnswerSink, Outcome } from "../../core/requests/mod.ts";
-import { TurnWriter } from "../turn_writer/mod.ts";
-import { problemOf, sendProblem } from "./problem.ts";
+import { CoalescingWriter } from "../coalescing_writer/mod.ts";
+import { createProblem, sendProblem } from "./problem.ts";
 
-/** What every answer to a chat completion names. */
-export interface CompletionHeader {
+/** Fields that every response to a chat completion repeats. */
+export interface CompletionMetadata {
   readonly id: string;
-  /** Seconds since 1970. */
+  /** Seconds since the Unix epoch. */
   readonly created: number;
   readonly model: string;
 }
 
 /**
- * Sends a generation as server-sent events. The response's head goes out
- * with the first token, so that a refusal still has its own status.
+ * Sends a generation as server-sent events. The response headers are sent with
+ * the first token, so that a refusal before it can have its own status.
  *
- * An answer that can't be finished ends with an `error` event and without
- * `[DONE]`: a caller that saw only an end of the stream would take a cut-off
- * answer for a whole one.
+ * A generation that fails after its first token ends with an `error` event and
+ * without `[DONE]`. Otherwise a caller could not distinguish a truncated
+ * generation from a complete one.
  */
 export class EventStreamSink implements AnswerSink {
   readonly #response: ServerResponse;
-  readonly #header: CompletionHeader;
-  readonly #prefix: string;
-  readonly #writer: TurnWriter;
+  readonly #metadata: CompletionMetadata;
+  readonly #chunkPrefix: string;
+  readonly #writer: CoalescingWriter;
 
-  constructor(response: ServerResponse, header: CompletionHeader) {
+  constructor(response: ServerResponse, metadata: CompletionMetadata) {
     this.#response = response;
-    this.#writer = new TurnWriter(response);
-    this.#header = header;
-    // All but the token's text is the same for every event of the stream.
+    this.#writer = new CoalescingWriter(response);
+    this.#metadata = metadata;
+    // Only the token's text differs between the events of a stream.
     const chunk = JSON.stringify({
-      id: header.id,
+      id: metadata.id,
       object: "chat.completion.chunk",
-      created: header.created,
-      model: header.model,
+      created: metadata.created,
+      model: metadata.model,
     });
-    this.#prefix = `data: ${
+    this.#chunkPrefix = `data: ${
       chunk.slice(0, -1)
     },"choices":[{"index":0,"finish_reason":null,"delta":{"content":`;
   }
 
   token(text: string): boolean {
-    this.#sendHead();
-    this.#writer.write(`${this.#prefix}${JSON.stringify(text)}}}]}\n\n`);
+    this.#sendHeaders();
+    this.#writer.write(`${this.#chunkPrefix}${JSON.stringify(text)}}}]}\n\n`);
     return !this.#response.writableNeedDrain;
   }
 
-  response(answer: { body: string }): void {
-    this.token(answer.body);
+  response(serviceResponse: { body: string }): void {
+    this.token(serviceResponse.body);
   }
 
   finish(outcome: Outcome): void {
     if (outcome.kind === "answered") {
-      this.#sendHead();
-      this.#writer.end(`${this.#lastChunk(outcome.reason)}data: [DONE]\n\n`);
+      this.#sendHeaders();
+      this.#writer.end(`${this.#finalChunk(outcome.reason)}data: [DONE]\n\n`);
       return;
     }
     if (!this.#response.headersSent) {
@@ -62,22 +62,22 @@
       return;
     }
     this.#writer.end(
-      `event: error\ndata: ${JSON.stringify(problemOf(outcome))}\n\n`,
+      `event: error\ndata: ${JSON.stringify(createProblem(outcome))}\n\n`,
     );
   }
 
-  #lastChunk(reason: string): string {
+  #finalChunk(reason: string): string {
     const chunk = {
-      id: this.#header.id,
+      id: this.#metadata.id,
       object: "chat.completion.chunk",
-      created: this.#header.created,
-      model: this.#header.model,
+      created: this.#metadata.created,
+      model: this.#metadata.model,
       choices: [{ index: 0, finish_reason: reason, delta: {} }],
     };
     return `data: ${JSON.stringify(chunk)}\n\n`;
   }
 
-  #sendHead(): void {
+  #sendHeaders(): void {
     if (this.#response.headersSent) return;
     this.#response.writeHead(200, {
       "content-type": "text/event-stream; charset=utf-8",
@@ -86,15 +86,15 @@
   }
 }
 
-/** Sends a generation as one JSON object when it is complete. */
-export class WholeAnswerSink implements AnswerSink {
+/** Buffers a generation and sends it as one JSON object when it is complete. */
+export class JsonCompletionSink implements AnswerSink {
   readonly #response: ServerResponse;
-  readonly #header: CompletionHeader;
+  readonly #metadata: CompletionMetadata;
   readonly #tokens: string[] = [];
 
-  constructor(response: ServerResponse, header: CompletionHeader) {
+  constructor(response: ServerResponse, metadata: CompletionMetadata) {
     this.#response = response;
-    this.#header = header;
+    this.#metadata = metadata;
   }
 
   token(text: string): boolean {
@@ -102,8 +102,8 @@
     return true;
   }
 
-  response(answer: { body: string }): void {
-    this.#tokens.push(answer.body);
+  response(serviceResponse: { body: string }): void {
+    this.#tokens.push(serviceResponse.body);
   }
 
   finish(outcome: Outcome): void {
@@ -114,10 +114,10 @@
     const content = this.#tokens.join("");
     this.#response.writeHead(200, { "content-type": "application/json" });
     this.#response.end(JSON.stringify({
-      id: this.#header.id,
+      id: this.#metadata.id,
       object: "chat.completion",
-      created: this.#header.created,
-      model: this.#header.model,
+      created: this.#metadata.created,
+      model: this.#metadata.model,
       choices: [{
         index: 0,
         finish_reason: outcome.reason,
@@ -128,10 +128,10 @@
   }
 }
 
-/** Passes a plain service's answer on as it came. */
-export class ServiceAnswerSink implements AnswerSink {
+/** Forwards the response of a plain service unchanged. */
+export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
-  #answer: { status: number; contentType: string; body: string } | undefined;
+  #reply: { status: number; contentType: string; body: string } | undefined;
 
   constructor(response: ServerResponse) {
     this.#response = response;
@@ -142,9 +142,9 @@
   }
 
   response(
-    answer: { status: number; contentType: string; body: string },
+    serviceResponse: { status: number; contentType: string; body: string },
   ): void {
-    this.#answer = answer;
+    this.#reply = serviceResponse;
   }
 
   finish(outcome: Outcome): void {
@@ -153,7 +153,7 @@
       return;
     }
     const { status = 204, contentType = "text/plain", body = "" } =
-      this.#answer ?? {};
+      this.#reply ?? {};
     this.#response.writeHead(status, { "content-type": contentType });
     this.#response.end(body, "latin1");
   }
--- a/src/adapters/endpoint/generation.ts
+++ b/src/adapters/endpoint/generation.ts
@@ -7,38 +7,39 @@
 import { ENDPOINT_CLOSED, ENDPOINT_ERROR, ENDPOINT_GARBAGE } from "./errors.ts";
 
 /**
- * Most characters of one event. A token is a few characters; an engine that
- * sends megabytes without an end of line would fill the side's memory.
+ * Maximum characters of one event. A token has a few characters; an engine that
+ * sends megabytes without a line break must not exhaust the side's memory.
  */
-const MOST_EVENT_CHARACTERS = 256 * 1024;
+const MAX_EVENT_CHARACTERS = 256 * 1024;
 const END_OF_STREAM = "[DONE]";
 
+/** Options of a `GenerationReader`; `maxBytes` limits the whole stream. */
 export interface GenerationReaderOptions {
   readonly url: string;
   readonly onToken: (text: string) => void;
-  readonly mostBytes: number;
+  readonly maxBytes: number;
 }
 
 /** How a stream of tokens ended. */
 export type GenerationEnd = Result<"stop" | "length", EndpointFailure>;
 
 /**
- * Reads one stream of server-sent events. A stream counts as whole only with
- * a finish reason and the end mark behind it: an engine that is killed
- * closes its connection like one that is done, and without this rule the
- * caller would get a short answer that looks whole.
+ * Reads one stream of server-sent events. A stream is complete only if a finish
+ * reason and then the `[DONE]` marker arrive. The connection of a killed engine
+ * closes like that of an engine that is done, so without this rule a truncated
+ * generation would be delivered as a complete one.
  */
 export class GenerationReader {
-  /** Settles when the stream has ended, well or badly. */
+  /** Settles when the stream has completed or failed. */
   readonly finished: Promise<GenerationEnd>;
   readonly #incoming: IncomingMessage;
   readonly #options: GenerationReaderOptions;
   readonly #parser: EventSourceParser;
   readonly #decoder = new StringDecoder("utf8");
   #settle: (end: GenerationEnd) => void = () => {};
-  #settled = false;
-  #bytes = 0;
-  #reason: "stop" | "length" | undefined;
+  #isSettled = false;
+  #bytesRead = 0;
+  #finishReason: "stop" | "length" | undefined;
 
   constructor(incoming: IncomingMessage, options: GenerationReaderOptions) {
     this.#incoming = incoming;
@@ -48,87 +49,87 @@
       onEvent: (event) => this.#onEvent(event.data),
       onError: (error) => {
         if (error.type === "max-buffer-size-exceeded") {
-          this.#garbage("an event without an end");
+          this.#failInvalid("an event exceeds the maximum size");
         }
       },
-      maxBufferSize: MOST_EVENT_CHARACTERS,
+      maxBufferSize: MAX_EVENT_CHARACTERS,
     });
-    incoming.on("data", (piece: Buffer) => this.#onPiece(piece));
-    const cutOff = () => this.#closed();
-    incoming.on("end", cutOff);
-    incoming.on("error", cutOff);
-    incoming.on("close", cutOff);
+    incoming.on("data", (data: Buffer) => this.#onData(data));
+    const onClosed = () => this.#onClosed();
+    incoming.on("end", onClosed);
+    incoming.on("error", onClosed);
+    incoming.on("close", onClosed);
   }
 
-  #onPiece(piece: Buffer): void {
-    if (this.#settled) return;
-    this.#bytes += piece.length;
-    if (this.#bytes > this.#options.mostBytes) {
-      this.#garbage(`more than ${this.#options.mostBytes} bytes`);
+  #onData(data: Buffer): void {
+    if (this.#isSettled) return;
+    this.#bytesRead += data.length;
+    if (this.#bytesRead > this.#options.maxBytes) {
+      this.#failInvalid(`more than ${this.#options.maxBytes} bytes`);
       return;
     }
-    this.#parser.feed(this.#decoder.write(piece));
+    this.#parser.feed(this.#decoder.write(data));
   }
 
   #onEvent(data: string): void {
-    if (this.#settled) return;
+    if (this.#isSettled) return;
     if (data === END_OF_STREAM) {
-      if (this.#reason === undefined) {
-        this.#garbage("the end mark came without a finish reason");
-      } else this.#end(ok(this.#reason));
+      if (this.#finishReason === undefined) {
+        this.#failInvalid("the end marker arrived without a finish reason");
+      } else this.#end(ok(this.#finishReason));
       return;
     }
     const chunk = parseChunk(data);
     if (chunk === undefined) {
-      this.#garbage("an event is no completion chunk");
+      this.#failInvalid("an event is not a completion chunk");
       return;
     }
     if (chunk.error !== undefined) {
-      this.#end(err(failure(ENDPOINT_ERROR, this.#facts(chunk.error))));
+      this.#end(err(failure(ENDPOINT_ERROR, this.#errorValues(chunk.error))));
       return;
     }
     if (chunk.text !== undefined && chunk.text !== "") {
-      if (this.#reason !== undefined) {
-        this.#garbage("a token came behind the finish reason");
+      if (this.#finishReason !== undefined) {
+        this.#failInvalid("a token arrived after the finish reason");
         return;
       }
       this.#options.onToken(chunk.text);
     }
-    if (chunk.reason !== undefined) this.#reason = chunk.reason;
+    if (chunk.reason !== undefined) this.#finishReason = chunk.reason;
   }
 
-  #closed(): void {
-    const reason = "the stream ended without its end mark";
-    this.#end(err(failure(ENDPOINT_CLOSED, this.#facts(reason))));
+  #onClosed(): void {
+    const reason = "the stream ended without its end marker";
+    this.#end(err(failure(ENDPOINT_CLOSED, this.#errorValues(reason))));
   }
 
-  #garbage(reason: string): void {
-    this.#end(err(failure(ENDPOINT_GARBAGE, this.#facts(reason))));
+  #failInvalid(reason: string): void {
+    this.#end(err(failure(ENDPOINT_GARBAGE, this.#errorValues(reason))));
     this.#incoming.destroy();
   }
 
-  #facts(reason: string): { url: string; reason: string } {
+  #errorValues(reason: string): { url: string; reason: string } {
     return { url: this.#options.url, reason };
   }
 
   #end(end: GenerationEnd): void {
-    if (this.#settled) return;
-    this.#settled = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     this.#settle(end);
   }
 }
 
-interface Chunk {
+interface CompletionChunk {
   readonly text?: string;
   readonly reason?: "stop" | "length";
   readonly error?: string;
 }
 
 /**
- * Takes what is needed from one chunk. Written by hand as it runs once for
+ * Parses the required fields of one chunk. Handwritten because it runs for
  * every token; a validator that collects problems costs several times more.
  */
-function parseChunk(data: string): Chunk | undefined {
+function parseChunk(data: string): CompletionChunk | undefined {
   let value;
   try {
     value = JSON.parse(data);
--- a/src/adapters/endpoint/generation_test.ts
+++ b/src/adapters/endpoint/generation_test.ts
@@ -6,17 +6,17 @@
 
 const TOKENS = ["Köt ", "🚛 ", "by the ", "river", "\n\n", '"']
   .map((text) => ({ choices: [{ delta: { content: text } }] }));
-const LAST = { choices: [{ delta: {}, finish_reason: "stop" }] };
+const FINAL_CHUNK = { choices: [{ delta: {}, finish_reason: "stop" }] };
 const STREAM = Buffer.from(
-  [...TOKENS, LAST].map((chunk) => `data: ${JSON.stringify(chunk)}\n\n`)
+  [...TOKENS, FINAL_CHUNK].map((chunk) => `data: ${JSON.stringify(chunk)}\n\n`)
     .join("") + "data: [DONE]\n\n",
 );
 const TEXTS = TOKENS.map(({ choices }) => choices[0].delta.content);
 
 describe("GenerationReader", () => {
-  /** Reads pieces as they come from a socket, then an end or a cut. */
+  /** Feeds the chunks to a reader as if from a socket, then ends the stream. */
   async function read(
-    pieces: readonly Uint8Array[],
+    chunks: readonly Uint8Array[],
   ): Promise<{ tokens: string[]; end: GenerationEnd }> {
     const incoming = new PassThrough();
     const tokens: string[] = [];
@@ -24,27 +24,27 @@
       incoming as unknown as IncomingMessage,
       {
         url: "http://engine",
-        mostBytes: 10_000,
+        maxBytes: 10_000,
         onToken: (text) => tokens.push(text),
       },
     );
-    for (const piece of pieces) incoming.write(piece);
+    for (const chunk of chunks) incoming.write(chunk);
     incoming.end();
     return { tokens, end: await reader.finished };
   }
 
-  // A token's bytes come in two packets, also in the middle of a letter. Read
-  // one by one they would come out as question marks.
-  it("gives the same tokens wherever the packets are cut", async () => {
+  // A packet boundary may fall within a multi-byte character. Packets that are
+  // decoded separately would produce replacement characters.
+  it("returns the same tokens for any packet boundaries", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(fc.nat(STREAM.length), { maxLength: 12 }),
-        async (cuts) => {
-          const sorted = [...cuts, STREAM.length].sort((a, b) => a - b);
-          const pieces = sorted.map((cut, index) =>
+        async (offsets) => {
+          const sorted = [...offsets, STREAM.length].sort((a, b) => a - b);
+          const chunks = sorted.map((cut, index) =>
             STREAM.subarray(sorted[index - 1] ?? 0, cut)
           );
-          const { tokens, end } = await read(pieces);
+          const { tokens, end } = await read(chunks);
           expect(end._unsafeUnwrap()).to.equal("stop");
           expect(tokens).to.deep.equal(TEXTS);
         },
@@ -52,18 +52,18 @@
     );
   });
 
-  // An engine is killed at any byte of its answer. Whatever it was, it is no
-  // whole answer, and the tokens before it count.
-  it("takes no part of a stream for a whole answer", async () => {
-    const mark = STREAM.indexOf("[DONE]") + "[DONE]\n".length;
-    for (let length = 0; length < mark; length++) {
+  // An engine may be killed at any byte of its response. The response must not
+  // count as complete, and the tokens before that byte are valid.
+  it("treats no prefix of a stream as complete", async () => {
+    const endMarkOffset = STREAM.indexOf("[DONE]") + "[DONE]\n".length;
+    for (let length = 0; length < endMarkOffset; length++) {
       const { tokens, end } = await read([STREAM.subarray(0, length)]);
       expect(end._unsafeUnwrapErr().name).to.equal("endpoint_closed");
       expect(TEXTS.slice(0, tokens.length)).to.deep.equal(tokens);
     }
   });
 
-  it("gives a typed failure for any other bytes", async () => {
+  it("returns a typed failure for arbitrary bytes", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.oneof(
--- a/src/adapters/forwarding/endpoint_exchanges.ts
+++ b/src/adapters/forwarding/endpoint_exchanges.ts
@@ -14,41 +14,43 @@
   EXCHANGE_LOST,
   EXCHANGE_NOT_SENT,
 } from "./errors.ts";
-import { KeptConnections } from "./kept_connections.ts";
+import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 /**
- * How long a connection may take to open. Load: an endpoint that went dark.
- * A packet that is lost at the opening is sent again after a second, which is
- * more than most callers have; a healthy network needs a few milliseconds.
+ * Connect timeout, for an endpoint that does not respond. TCP retransmits a
+ * lost SYN after a second, which exceeds most callers' deadlines; a healthy
+ * network connects within a few milliseconds.
  */
-const CONNECT_MILLISECONDS = 400;
+const CONNECT_TIMEOUT_MILLISECONDS = 400;
 
+/** An HTTP request to an endpoint. */
 export interface OutgoingRequest {
   readonly address: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** An answer that names another request is not this one's. */
+  /** Request id; a response with another one is rejected. */
   readonly requestId: string;
 }
 
+/** Options of `EndpointExchanges`. */
 export interface EndpointExchangesOptions {
   readonly timer: TimerService;
-  /** Most connections to the endpoint at the address. */
+  /** Maximum number of connections to the endpoint at the address. */
   readonly mostConnections: (address: string) => number;
-  /** Decodes an answer's status and headers. */
+  /** Decodes the status and headers of a response. */
   readonly decodeHead: (
     status: number,
     headers: readonly string[],
   ) => AnswerHead;
 }
 
-/** Requests to endpoints over kept connections. */
+/** HTTP client for endpoints with keep-alive connections. */
 export class EndpointExchanges {
   readonly #options: EndpointExchangesOptions;
-  readonly #agents = new Map<string, KeptConnections>();
+  readonly #agents = new Map<string, KeepAliveAgent>();
 
   constructor(options: EndpointExchangesOptions) {
     this.#options = options;
@@ -65,33 +67,36 @@
       path: outgoing.target,
       headers: [...outgoing.headers] as never,
       setHost: false,
-      agent: this.#agentOf(address),
-    });
-    const opening = this.#options.timer.after(CONNECT_MILLISECONDS, () => {
-      if (connected) return;
-      reason = `no connection in ${CONNECT_MILLISECONDS} ms`;
-      clientRequest.destroy();
+      agent: this.#agentFor(address),
     });
+    const connectTimeout = this.#options.timer.after(
+      CONNECT_TIMEOUT_MILLISECONDS,
+      () => {
+        if (connected) return;
+        reason = `no connection within ${CONNECT_TIMEOUT_MILLISECONDS} ms`;
+        clientRequest.destroy();
+      },
+    );
     clientRequest.on("socket", (socket) => {
-      const opened = () => {
+      const onConnected = () => {
         connected = true;
-        opening.cancel();
+        connectTimeout.cancel();
       };
-      if (socket.connecting) socket.once("connect", opened);
-      else opened();
+      if (socket.connecting) socket.once("connect", onConnected);
+      else onConnected();
     });
     const answer = new Promise<Result<EndpointAnswer, ExchangeFailure>>(
       (resolve) => {
         clientRequest.on("response", (incoming) => {
-          const taken = this.#take(incoming, outgoing);
-          if (taken.isErr()) clientRequest.destroy();
-          resolve(taken);
+          const accepted = this.#acceptResponse(incoming, outgoing);
+          if (accepted.isErr()) clientRequest.destroy();
+          resolve(accepted);
         });
         clientRequest.on("error", (cause) => {
-          opening.cancel();
+          connectTimeout.cancel();
           const definition = connected ? EXCHANGE_LOST : EXCHANGE_NOT_SENT;
-          const facts = { address, reason: reason ?? cause.message };
-          resolve(err(failure(definition, facts)));
+          const errorValues = { address, reason: reason ?? cause.message };
+          resolve(err(failure(definition, errorValues)));
         });
       },
     );
@@ -99,20 +104,21 @@
     return {
       answer,
       abort() {
-        opening.cancel();
-        reason = "given up";
+        connectTimeout.cancel();
+        reason = "aborted";
         clientRequest.destroy();
       },
     };
   }
 
   /**
-   * Drops the idle connections to an address that an endpoint has left. Those
-   * in use go on: an endpoint serves what it has begun beyond its own
-   * registration, and another one may have the address already.
+   * Closes the idle connections to an address whose endpoint is no longer
+   * registered. Connections in use stay open: an endpoint completes its running
+   * requests after its registration ends, and another endpoint may already use
+   * the address.
    */
   forget(address: string): void {
-    this.#agents.get(address)?.dropIdle();
+    this.#agents.get(address)?.closeIdle();
   }
 
   close(): void {
@@ -120,16 +126,16 @@
     this.#agents.clear();
   }
 
-  #agentOf(address: string): KeptConnections {
+  #agentFor(address: string): KeepAliveAgent {
     let agent = this.#agents.get(address);
     if (agent === undefined) {
-      agent = new KeptConnections(this.#options.mostConnections(address));
+      agent = new KeepAliveAgent(this.#options.mostConnections(address));
       this.#agents.set(address, agent);
     }
     return agent;
   }
 
-  #take(
+  #acceptResponse(
     incoming: IncomingMessage,
     outgoing: OutgoingRequest,
   ): Result<EndpointAnswer, ExchangeFailure> {
@@ -140,21 +146,21 @@
     const isForeign = head.requestId !== undefined &&
       head.requestId !== outgoing.requestId;
     if (isForeign) {
-      const reason = `it names "${head.requestId}"`;
-      const facts = { address: outgoing.address, reason };
-      return err(failure(EXCHANGE_FOREIGN, facts));
+      const reason = `the response has request id "${head.requestId}"`;
+      const errorValues = { address: outgoing.address, reason };
+      return err(failure(EXCHANGE_FOREIGN, errorValues));
     }
-    return ok(answerOf(head, incoming));
+    return ok(createAnswer(head, incoming));
   }
 }
 
-function answerOf(
+function createAnswer(
   head: AnswerHead,
   incoming: IncomingMessage,
 ): EndpointAnswer {
-  // A connection that is kept would gather listeners with each answer.
-  const wasReset = endsWithConnection(incoming)
-    ? watchForReset(incoming.socket)
+  // On a keep-alive connection each response would add listeners to the socket.
+  const wasReset = isCloseDelimited(incoming)
+    ? detectReset(incoming.socket)
     : () => false;
   return {
     head,
@@ -178,22 +184,22 @@
 }
 
 /**
- * An answer without a length ends with its connection. Where a reset comes
- * right behind the last bytes, Node reports an ordinary end, so that half an
- * answer would pass for a whole one. A connection that was reset has no remote
- * address any more; one that the other side has closed still has. The address
- * must not have been read before: Node remembers it.
+ * Detects a reset of the connection of a response without a length, which ends
+ * with its connection. If a reset directly follows the last bytes, Node reports
+ * a regular end, and a truncated response would appear to be complete. A socket
+ * that was reset has no remote address any more; one that the peer closed still
+ * has it. The address must not be read earlier because Node caches it.
  */
-function watchForReset(socket: Socket): () => boolean {
-  let reset = false;
-  socket.once("error", () => reset = true);
+function detectReset(socket: Socket): () => boolean {
+  let wasReset = false;
+  socket.once("error", () => wasReset = true);
   socket.prependOnceListener("end", () => {
-    if (socket.remoteAddress === undefined) reset = true;
+    if (socket.remoteAddress === undefined) wasReset = true;
   });
-  return () => reset;
+  return () => wasReset;
 }
 
-function endsWithConnection(incoming: IncomingMessage): boolean {
+function isCloseDelimited(incoming: IncomingMessage): boolean {
   const { headers } = incoming;
   return headers["content-length"] === undefined &&
     headers["transfer-encoding"] === undefined;
--- a/src/adapters/http_client/mod.ts
+++ b/src/adapters/http_client/mod.ts
@@ -1,4 +1,4 @@
-/** Calls to the platform and to endpoints over Node's http. */
+/** HTTP client for the platform's services and for endpoints. */
 import { Agent, type IncomingMessage, request } from "node:http";
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
@@ -10,60 +10,65 @@
   HTTP_TOO_LARGE,
 } from "./errors.ts";
 
-/** `http_not_sent`: no byte left. The others: the call may have its effect. */
+/**
+ * `http_not_sent`: no byte was sent. With the other failures the call may have
+ * taken effect.
+ */
 export type HttpFailure = Failure<
   "http_not_sent" | "http_no_answer" | "http_closed" | "http_too_large"
 >;
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** Names this state of what was asked for, where the service gives it. */
+  /** The `ETag` header, if the service sends one. */
   readonly entityTag?: string;
 }
 
-/** What is sent. */
+/** The request to send. */
 export interface HttpRequestOptions {
   readonly method: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   /**
-   * How text stands for bytes, both ways; UTF-8 where absent. Bodies that are
-   * passed on and never read travel as latin1, which keeps every byte.
+   * Encoding of the request and response bodies; UTF-8 by default. Bodies that
+   * are forwarded without being parsed use latin1, which preserves every byte.
    */
   readonly encoding?: "utf8" | "latin1";
   /**
-   * True: a connection of its own. On a kept connection that the service
-   * closes at the same moment, a request that was never read looks like one
-   * whose answer was lost; work that may run once only would then end as
-   * "unknown" for no reason.
+   * True: uses a new connection. If the service closes a keep-alive connection
+   * while a request is being sent on it, an unread request looks like one with
+   * a lost response; non-idempotent work would then end as "unknown" although
+   * it did not run.
    */
-  readonly ownConnection?: boolean;
+  readonly useNewConnection?: boolean;
 }
 
+/** A request with limits on time and response size. */
 export interface HttpCallOptions extends HttpRequestOptions {
   readonly timeoutMilliseconds: number;
   readonly mostResponseBytes: number;
 }
 
-/** A request that is under way. */
+/** A request in progress. */
 export interface HttpExchange {
-  /** Settles when the head of the answer is there. */
+  /** Settles when the response headers arrive or the request fails. */
   readonly response: Promise<Result<IncomingMessage, HttpFailure>>;
   /** Closes the connection. */
   abort(reason: string): void;
 }
 
+/** Options of an `HttpClient`. */
 export interface HttpClientOptions {
   readonly timer: TimerService;
-  /** Most connections at once; further calls wait for one. */
+  /** Maximum number of connections; further calls wait for a free one. */
   readonly mostConnections?: number;
 }
 
-/** A service at one base URL, with kept connections. */
+/** Client of the service at one base URL, with keep-alive connections. */
 export class HttpClient {
   readonly #baseUrl: URL;
   readonly #timer: TimerService;
@@ -79,15 +84,15 @@
     });
   }
 
-  /** Sends a request; the answer's body is the caller's to read. */
+  /** Sends a request; the calling code reads the response body. */
   open(path: string, options: HttpRequestOptions): HttpExchange {
     const url = this.#url(path);
     let connected = false;
     let abortReason: string | undefined;
     const outgoing = request(url, {
       method: options.method,
-      agent: options.ownConnection ? false : this.#agent,
-      headers: headersFor(options),
+      agent: options.useNewConnection ? false : this.#agent,
+      headers: buildHeaders(options),
     });
     const response = new Promise<Result<IncomingMessage, HttpFailure>>(
       (resolve) => {
@@ -98,7 +103,7 @@
         outgoing.on("response", (incoming) => resolve(ok(incoming)));
         outgoing.on("error", (cause) => {
           const definition = connected ? HTTP_NO_ANSWER : HTTP_NOT_SENT;
-          const reason = abortReason ?? reasonOf(cause);
+          const reason = abortReason ?? errorReason(cause);
           resolve(err(failure(definition, { url: url.href, reason })));
         });
       },
@@ -113,29 +118,30 @@
     };
   }
 
-  /** Sends a request and reads the whole answer, within time and size. */
+  /** Sends a request and reads the response, limited in time and size. */
   async call(
     path: string,
     options: HttpCallOptions,
   ): Promise<Result<HttpAnswer, HttpFailure>> {
     const exchange = this.open(path, options);
-    const limit = this.#timer.after(
+    const timeout = this.#timer.after(
       options.timeoutMilliseconds,
-      () => exchange.abort(`no answer in ${options.timeoutMilliseconds} ms`),
+      () =>
+        exchange.abort(`no response within ${options.timeoutMilliseconds} ms`),
     );
     const response = await exchange.response;
-    const answer = response.isErr()
+    const result = response.isErr()
       ? err(response.error)
-      : await readAnswer(response.value, {
+      : await readResponse(response.value, {
         url: this.#url(path).href,
-        mostBytes: options.mostResponseBytes,
+        maxBytes: options.mostResponseBytes,
         encoding: options.encoding ?? "utf8",
       });
-    limit.cancel();
-    return answer;
+    timeout.cancel();
+    return result;
   }
 
-  /** Closes kept connections. */
+  /** Closes the keep-alive connections, including those in use. */
   close(): void {
     this.#agent.destroy();
   }
@@ -146,7 +152,7 @@
   }
 }
 
-function headersFor(options: HttpRequestOptions): Record<string, string> {
+function buildHeaders(options: HttpRequestOptions): Record<string, string> {
   const headers: Record<string, string> = { ...options.headers };
   if (options.body !== undefined) {
     headers["content-length"] = String(
@@ -156,47 +162,47 @@
   return headers;
 }
 
-function reasonOf(cause: Error): string {
+function errorReason(cause: Error): string {
   const code = (cause as NodeJS.ErrnoException).code;
   return code === undefined ? cause.message : `${code} ${cause.message}`.trim();
 }
 
-function readAnswer(
+function readResponse(
   incoming: IncomingMessage,
-  options: { url: string; mostBytes: number; encoding: BufferEncoding },
+  options: { url: string; maxBytes: number; encoding: BufferEncoding },
 ): Promise<Result<HttpAnswer, HttpFailure>> {
-  const { url, mostBytes, encoding } = options;
-  const pieces: Buffer[] = [];
-  let size = 0;
+  const { url, maxBytes, encoding } = options;
+  const chunks: Buffer[] = [];
+  let bytesRead = 0;
   return new Promise((resolve) => {
-    incoming.on("data", (piece: Buffer) => {
-      size += piece.length;
-      if (size > mostBytes) {
-        resolve(err(failure(HTTP_TOO_LARGE, { url, limit: mostBytes })));
+    incoming.on("data", (chunk: Buffer) => {
+      bytesRead += chunk.length;
+      if (bytesRead > maxBytes) {
+        resolve(err(failure(HTTP_TOO_LARGE, { url, limit: maxBytes })));
         incoming.destroy();
         return;
       }
-      pieces.push(piece);
+      chunks.push(chunk);
     });
     incoming.on("end", () => {
       resolve(ok({
         status: incoming.statusCode ?? 0,
         contentType: incoming.headers["content-type"] ??
           "application/octet-stream",
-        body: Buffer.concat(pieces).toString(encoding),
+        body: Buffer.concat(chunks).toString(encoding),
         headers: incoming.headers,
         entityTag: incoming.headers.etag,
       }));
     });
-    const cutOff = () => {
+    const onClosedEarly = () => {
       resolve(err(failure(HTTP_CLOSED, { url })));
     };
-    incoming.on("error", cutOff);
-    incoming.on("close", cutOff);
+    incoming.on("error", onClosedEarly);
+    incoming.on("close", onClosedEarly);
   });
 }
 
-/** The value of a JSON text; undefined where it is none. */
+/** Parses JSON; returns undefined if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/adapters/log_service/mod.ts
+++ b/src/adapters/log_service/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's log service over HTTP. */
+/** HTTP client of the platform's log service. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { failure } from "../../core/errors/mod.ts";
 import { type LogOffset, numbered } from "../../core/identity/mod.ts";
@@ -19,21 +19,22 @@
 import { LOG_EXPIRED, LOG_UNAVAILABLE, LOG_UNKNOWN } from "./errors.ts";
 
 /**
- * How long an answer may take beyond the wait that a read asked for. The
- * service takes hundreds of appends a second, so that seconds of silence
- * mean that it is down; a longer wait would hold a caller's request whose
- * record is being appended.
+ * Response timeout, in addition to the long-poll wait of a read. The service
+ * handles hundreds of appends a second, so no response for seconds means that
+ * it is down; a longer timeout would delay a caller's request whose record is
+ * being appended.
  */
 const DEFAULT_TIMEOUT_MILLISECONDS = 3_000;
-/** A page of records; keeps one answer from taking a thin VM's memory. */
-const MOST_RESPONSE_BYTES = 16 * 1024 * 1024;
+/** Limit for one page of records, so that it fits the memory of a small VM. */
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
+/** Options of an `HttpLogService`. */
 export interface HttpLogServiceOptions {
   readonly timer: TimerService;
   readonly timeoutMilliseconds?: number;
 }
 
-/** Appends and reads over HTTP, with kept connections. */
+/** Appends and reads records over keep-alive HTTP connections. */
 export class HttpLogService implements LogService {
   readonly #client: HttpClient;
   readonly #timeoutMilliseconds: number;
@@ -48,22 +49,22 @@
     stream: StreamName,
     records: readonly unknown[],
   ): Promise<Result<LogOffset, LogFailure>> {
-    const answer = await this.#client.call(pathOf(stream), {
+    const response = await this.#client.call(recordsPath(stream), {
       method: "POST",
       headers: { "content-type": "application/json" },
       body: JSON.stringify({ records }),
       timeoutMilliseconds: this.#timeoutMilliseconds,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
+      mostResponseBytes: MAX_RESPONSE_BYTES,
     });
-    if (answer.isErr()) {
-      const definition = answer.error.name === "http_not_sent"
+    if (response.isErr()) {
+      const definition = response.error.name === "http_not_sent"
         ? LOG_UNAVAILABLE
         : LOG_UNKNOWN;
       return err(
-        failure(definition, { stream, reason: answer.error.message }),
+        failure(definition, { stream, reason: response.error.message }),
       );
     }
-    const { status, body } = answer.value;
+    const { status, body } = response.value;
     if (isClientError(status)) {
       return err(
         failure(LOG_UNAVAILABLE, { stream, reason: `status ${status}` }),
@@ -71,9 +72,7 @@
     }
     const value = status < 300 ? parseJson(body) : undefined;
     if (!validateAppendAnswer(value)) {
-      const reason = status < 300
-        ? "the answer is malformed"
-        : `status ${status}`;
+      const reason = status < 300 ? "malformed response" : `status ${status}`;
       return err(failure(LOG_UNKNOWN, { stream, reason }));
     }
     return ok(numbered<LogOffset>((value as AppendAnswer).offset));
@@ -88,73 +87,75 @@
       limit: String(options.limit),
       wait: String(Math.round(options.waitMilliseconds)),
     });
-    const answer = await this.#client.call(`${pathOf(stream)}?${query}`, {
-      method: "GET",
-      timeoutMilliseconds: options.waitMilliseconds + this.#timeoutMilliseconds,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
-    });
-    if (answer.isErr()) {
+    const response = await this.#client.call(
+      `${recordsPath(stream)}?${query}`,
+      {
+        method: "GET",
+        timeoutMilliseconds: options.waitMilliseconds +
+          this.#timeoutMilliseconds,
+        mostResponseBytes: MAX_RESPONSE_BYTES,
+      },
+    );
+    if (response.isErr()) {
       return err(
-        failure(LOG_UNAVAILABLE, { stream, reason: answer.error.message }),
+        failure(LOG_UNAVAILABLE, { stream, reason: response.error.message }),
       );
     }
-    const { status, body } = answer.value;
+    const { status, body } = response.value;
     if (status === 410) {
       return err(failure(LOG_EXPIRED, { stream, from: options.from }));
     }
     const value = status === 200 ? parseJson(body) : undefined;
     if (!validateLogReadAnswer(value)) {
-      const reason = status === 200
-        ? "the answer is malformed"
-        : `status ${status}`;
+      const reason = status === 200 ? "malformed response" : `status ${status}`;
       return err(failure(LOG_UNAVAILABLE, { stream, reason }));
     }
-    return checkedPage(value as LogReadAnswer, { stream, options });
+    return validatePage(value as LogReadAnswer, { stream, options });
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections; aborts a long poll in progress. */
   close(): void {
     this.#client.close();
   }
 }
 
 /**
- * A page with a hole would let a reader pass over a record, and from there on
- * its verdicts would differ from everyone else's. Such a page is refused like
- * an outage, which shows in the log as a service that answers and does not
- * move on.
+ * Checks that a page has no gap. A reader that skipped a record would reach
+ * other decisions than all other readers from then on. A page with a gap is
+ * treated as an outage; it shows as a log service that responds while the
+ * reader makes no progress.
  */
-function checkedPage(
-  answer: LogReadAnswer,
+function validatePage(
+  response: LogReadAnswer,
   context: { stream: StreamName; options: LogReadOptions },
 ): Result<LogPage, LogFailure> {
   const { stream, options } = context;
-  const first = Math.max(options.from, answer.oldest);
-  const contiguous = answer.records.every((item, index) =>
+  const first = Math.max(options.from, response.oldest);
+  const isContiguous = response.records.every((item, index) =>
     item.offset === first + index
   );
-  if (!contiguous) {
-    const reason = "the answer's records have a hole";
+  if (!isContiguous) {
+    const reason = "the page has a gap between its records";
     return err(failure(LOG_UNAVAILABLE, { stream, reason }));
   }
   return ok({
-    records: answer.records.map((item) => ({
+    records: response.records.map((item) => ({
       offset: numbered<LogOffset>(item.offset),
       value: item.value,
     })),
-    oldest: numbered<LogOffset>(answer.oldest),
-    head: numbered<LogOffset>(answer.head),
+    oldest: numbered<LogOffset>(response.oldest),
+    head: numbered<LogOffset>(response.head),
   });
 }
 
 /**
- * The service itself refused the call. A timeout (408) is no refusal, and a
- * server error may come after the effect.
+ * Whether the service rejected the call, so that nothing was appended. After a
+ * timeout (408) or a server error the append may have taken effect.
  */
 function isClientError(status: number): boolean {
   return status >= 400 && status < 500 && status !== 408;
 }
 
-function pathOf(stream: StreamName): string {
+function recordsPath(stream: StreamName): string {
   return `/streams/${encodeURIComponent(stream)}/records`;
 }
--- a/src/adapters/peers/mod.ts
+++ b/src/adapters/peers/mod.ts
@@ -1,9 +1,9 @@
-/** Links between the system's own processes over HTTP. */
+/** Communication between the system's own processes over HTTP. */
 export { HttpPeers } from "./peer_client.ts";
 export { PeerServer } from "./peer_server.ts";
 export type {
   PeerMethods,
   PeerServerOptions,
-  ServedAttempt,
+  RunningAttempt,
 } from "./peer_server.ts";
 export { PEER_METHODS } from "./protocol.ts";
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -24,15 +24,19 @@
   WatchQuestion,
 } from "../../generated/messages.ts";
 import { LINK_LOST, LINK_NOT_SENT } from "./errors.ts";
-import { FrameLineReader } from "./frame_lines.ts";
-import { ATTEMPT_PATH, CALL_PATH, PEER_METHODS } from "./protocol.ts";
+import { FrameLineReader } from "./frame_line_reader.ts";
+import { ATTEMPT_PATH, PEER_METHODS, RPC_PATH } from "./protocol.ts";
 
-/** Answer to a call is overdue after this time, milliseconds. */
+/** Response timeout of a call, without its long-poll wait. */
 const CALL_TIMEOUT_MILLISECONDS = 2_000;
-/** Idle connections kept per peer; a few serve hundreds of calls a second. */
-const MOST_IDLE_CONNECTIONS = 32;
+/**
+ * Maximum idle connections per peer; a few handle hundreds of calls a second.
+ */
+const MAX_IDLE_CONNECTIONS = 32;
 
-/** Thrown inside the JSON-RPC client only; `link` is what the core sees. */
+/**
+ * Carries a link failure through the JSON-RPC client; not thrown to callers.
+ */
 class LinkError extends Error {
   readonly link: LinkFailure;
 
@@ -42,11 +46,11 @@
   }
 }
 
-/** Links to sides and entries over HTTP with connections kept open. */
+/** Calls sides and entries over keep-alive HTTP connections. */
 export class HttpPeers implements SideLink, EntryLink {
   readonly #agent = new http.Agent({
     keepAlive: true,
-    maxFreeSockets: MOST_IDLE_CONNECTIONS,
+    maxFreeSockets: MAX_IDLE_CONNECTIONS,
     scheduling: "lifo",
   });
   readonly #clients = new Map<PeerAddress, JSONRPCClient<number>>();
@@ -104,7 +108,7 @@
     return startAttempt(attempt, { side, onFrame, agent: this.#agent });
   }
 
-  /** Closes the idle connections. */
+  /** Closes all connections to peers. */
   close(): void {
     this.#agent.destroy();
   }
@@ -113,7 +117,8 @@
     address: PeerAddress,
     call: { method: string; parameters: object; extraMilliseconds?: number },
   ): Promise<Result<Answer, LinkFailure>> {
-    const timeout = CALL_TIMEOUT_MILLISECONDS + (call.extraMilliseconds ?? 0);
+    const timeout = CALL_TIMEOUT_MILLISECONDS +
+      (call.extraMilliseconds ?? 0);
     try {
       return ok(
         await this.#client(address).request(
@@ -129,12 +134,12 @@
   }
 
   #client(address: PeerAddress): JSONRPCClient<number> {
-    const known = this.#clients.get(address);
-    if (known !== undefined) return known;
+    const existing = this.#clients.get(address);
+    if (existing !== undefined) return existing;
     const client: JSONRPCClient<number> = new JSONRPCClient(
       async (request: JSONRPCRequest, timeoutMilliseconds: number) => {
         const text = await post(address, {
-          path: CALL_PATH,
+          path: RPC_PATH,
           body: JSON.stringify(request),
           agent: this.#agent,
           timeoutMilliseconds,
@@ -177,17 +182,17 @@
     const request = openPost(address, options);
     request.setTimeout(
       options.timeoutMilliseconds,
-      () => request.destroy(new Error("no answer in time")),
+      () => request.destroy(new Error("no response within the timeout")),
     );
     request.on("error", (error) => {
-      reject(new LinkError(linkFailure(address, error)));
+      reject(new LinkError(toLinkFailure(address, error)));
     });
     request.on("response", (response) => {
       let text = "";
       response.setEncoding("utf8");
-      response.on("data", (piece: string) => text += piece);
+      response.on("data", (chunk: string) => text += chunk);
       response.on("error", (error) => {
-        reject(new LinkError(linkFailure(address, error)));
+        reject(new LinkError(toLinkFailure(address, error)));
       });
       response.on("end", () => resolve(text));
     });
@@ -196,10 +201,10 @@
 }
 
 /**
- * A refused connection proves that nothing was sent. Any other error, a reset
- * included, may come after the peer has read the message.
+ * A refused connection proves that nothing was sent. Any other error, such as a
+ * reset, may occur after the peer has read the message.
  */
-function linkFailure(address: PeerAddress, error: Error): LinkFailure {
+function toLinkFailure(address: PeerAddress, error: Error): LinkFailure {
   const code = (error as NodeJS.ErrnoException).code;
   const values = { address, detail: error.message };
   return code === "ECONNREFUSED" || code === "EHOSTUNREACH"
@@ -220,22 +225,22 @@
   const request = openPost(side, { path: ATTEMPT_PATH, body, agent });
   let response: http.IncomingMessage | undefined;
   const closed = new Promise<Result<void, LinkFailure>>((resolve) => {
-    const fail = (error: Error) => resolve(err(linkFailure(side, error)));
-    request.on("error", fail);
+    const onError = (error: Error) => resolve(err(toLinkFailure(side, error)));
+    request.on("error", onError);
     request.on("close", () => resolve(ok(undefined)));
-    request.on("response", (incoming) => {
-      response = incoming;
+    request.on("response", (incomingMessage) => {
+      response = incomingMessage;
       const reader = new FrameLineReader(onFrame);
-      incoming.setEncoding("utf8");
-      incoming.on("data", (text: string) => {
+      incomingMessage.setEncoding("utf8");
+      incomingMessage.on("data", (text: string) => {
         try {
           reader.push(text);
         } catch (error) {
           request.destroy(error as Error);
         }
       });
-      incoming.on("error", fail);
-      incoming.on("end", () => resolve(ok(undefined)));
+      incomingMessage.on("error", onError);
+      incomingMessage.on("end", () => resolve(ok(undefined)));
     });
   });
   request.end(body);
--- a/src/adapters/settings/configuration_files.ts
+++ b/src/adapters/settings/configuration_files.ts
@@ -1,4 +1,4 @@
-/** Reads the operators' inventory and rules. */
+/** Reads the inventory and rules of operators. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import {
   checkConfiguration,
@@ -17,12 +17,13 @@
 import { formatPath, type SchemaDocument } from "./problems.ts";
 import { readTomlFile } from "./toml_file.ts";
 
+/** Paths of the files that make up a configuration. */
 export interface ConfigurationFiles {
   readonly inventory: string;
   readonly rules: string;
 }
 
-/** Inventory and rules that can be published, or every problem of both. */
+/** Reads inventory and rules; fails with all problems of both files. */
 export function loadConfiguration(
   files: ConfigurationFiles,
 ): Result<ConfigurationContent, readonly FileProblem[]> {
@@ -47,16 +48,16 @@
   };
   const problems = checkConfiguration(content);
   if (problems.length === 0) return ok(content);
-  return err(problems.map((problem) => inFile(problem, files)));
+  return err(problems.map((problem) => toFileProblem(problem, files)));
 }
 
-/** The judge's problems name a place in the content; operators know files. */
-function inFile(
+/** Converts a path within the configuration to a file and a path in it. */
+function toFileProblem(
   problem: ConfigurationProblem,
   files: ConfigurationFiles,
 ): FileProblem {
-  const [, part, ...steps] = problem.path.split("/");
-  const file = part === "rules" ? files.rules : files.inventory;
+  const [, section, ...segments] = problem.path.split("/");
+  const file = section === "rules" ? files.rules : files.inventory;
   const { found, expected } = problem;
-  return { file, path: formatPath(steps), found, expected };
+  return { file, path: formatPath(segments), found, expected };
 }
--- a/src/adapters/settings/mod.ts
+++ b/src/adapters/settings/mod.ts
@@ -1,4 +1,4 @@
-/** Settings of processes: read, checked, filled with defaults, frozen. */
+/** Settings of processes: parsed, validated, with defaults, and frozen. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import settingsSchema from "../../schema/settings.json" with { type: "json" };
 import type {
@@ -35,100 +35,103 @@
 export { type FileProblem, formatProblem } from "./errors.ts";
 export type { SchemaDocument } from "./problems.ts";
 export {
-  type FileCheck,
   type FileFailure,
   fileFailure,
+  type FileSchema,
   readTomlFile,
 } from "./toml_file.ts";
 
-/** Where traces go; neither `otlpUrl` nor `file`: none are made. */
+/** Trace output; without `otlpUrl` and `file` no traces are created. */
 export type CheckedTraceOutput = Readonly<TraceOutput & { share: number }>;
 
-/** What entries and sides have in common. */
-interface CheckedCommon {
+/** Settings that entries and sides share. */
+interface CommonSettings {
   readonly log: Readonly<Required<LogOutput>>;
   readonly traces: CheckedTraceOutput;
   readonly coordination: Readonly<Required<CoordinationTimes>>;
 }
 
-/** Settings of an entry with every optional field filled. */
+/** Settings of an entry with all defaults applied. */
 export interface CheckedEntrySettings
   extends
-    Readonly<Omit<EntrySettings, keyof CheckedCommon | "limits">>,
-    CheckedCommon {
+    Readonly<Omit<EntrySettings, keyof CommonSettings | "limits">>,
+    CommonSettings {
   readonly peerAddresses: string[];
   readonly limits: Readonly<Required<EntryLimits>>;
 }
 
-/** Settings of a side with every optional field filled. */
+/** Settings of a side with all defaults applied. */
 export interface CheckedSideSettings
   extends
-    Readonly<Omit<SideSettings, keyof CheckedCommon | "limits">>,
-    CheckedCommon {
+    Readonly<Omit<SideSettings, keyof CommonSettings | "limits">>,
+    CommonSettings {
   readonly kind: "engine" | "service";
   readonly limits: Readonly<Required<SideLimits>>;
 }
 
-/** Settings of operators' commands. */
+/** Settings of the operator commands. */
 export type CheckedOperatorSettings = Readonly<OperatorSettings>;
 
-/** Which settings a kind of process has. */
+/** The settings type of each kind of process. */
 export interface SettingsByKind {
   readonly entry: CheckedEntrySettings;
   readonly side: CheckedSideSettings;
   readonly operator: CheckedOperatorSettings;
 }
 
+/** Kind of process that settings belong to. */
 export type SettingsKind = keyof SettingsByKind;
 
-interface KindCheck<Kind extends SettingsKind> {
+interface KindSchema<Kind extends SettingsKind> {
   readonly validator: Validator;
   readonly definition: string;
-  readonly fill: (value: never) => SettingsByKind[Kind];
+  readonly applyDefaults: (value: never) => SettingsByKind[Kind];
 }
 
-const CHECKS: { readonly [Kind in SettingsKind]: KindCheck<Kind> } = {
+const SCHEMAS: { readonly [Kind in SettingsKind]: KindSchema<Kind> } = {
   entry: {
     validator: validateEntrySettings,
     definition: "EntrySettings",
-    fill: fillEntry,
+    applyDefaults: applyEntryDefaults,
   },
   side: {
     validator: validateSideSettings,
     definition: "SideSettings",
-    fill: fillSide,
+    applyDefaults: applySideDefaults,
   },
   operator: {
     validator: validateOperatorSettings,
     definition: "OperatorSettings",
-    fill: (value: OperatorSettings) => value,
+    applyDefaults: (value: OperatorSettings) => value,
   },
 };
 
-/** Reads a settings file; a frozen value that is taken as true, or every problem. */
+/** Reads and validates a settings file; fails with all problems found. */
 export function loadSettings<Kind extends SettingsKind>(
   file: string,
   kind: Kind,
 ): Result<SettingsByKind[Kind], FileFailure> {
-  const check: KindCheck<Kind> = CHECKS[kind];
+  const schema: KindSchema<Kind> = SCHEMAS[kind];
   return readTomlFile(file, {
-    validator: check.validator,
+    validator: schema.validator,
     document: settingsSchema as SchemaDocument,
-    definition: check.definition,
+    definition: schema.definition,
   }).andThen((value) => {
-    const filled = check.fill(value as never);
+    const settings = schema.applyDefaults(value as never);
     const problems = [
-      ...addressProblems(file, filled),
-      ...("coordination" in filled
-        ? timeProblems(file, filled.coordination)
+      ...findAddressProblems(file, settings),
+      ...("coordination" in settings
+        ? findTimingProblems(file, settings.coordination)
         : []),
     ];
     if (problems.length > 0) return err(fileFailure(file, problems));
-    return ok(deepFreeze(filled));
+    return ok(deepFreeze(settings));
   });
 }
 
-function fillCommon(value: EntrySettings | SideSettings): CheckedCommon {
+function applyCommonDefaults(
+  value: EntrySettings | SideSettings,
+): CommonSettings {
   return {
     log: { ...DEFAULT_LOG_OUTPUT, ...value.log },
     traces: { share: DEFAULT_TRACE_SHARE, ...value.traces },
@@ -136,37 +139,37 @@
   };
 }
 
-function fillEntry(value: EntrySettings): CheckedEntrySettings {
+function applyEntryDefaults(value: EntrySettings): CheckedEntrySettings {
   return {
     ...value,
-    ...fillCommon(value),
+    ...applyCommonDefaults(value),
     peerAddresses: value.peerAddresses ?? [],
     limits: { ...DEFAULT_ENTRY_LIMITS, ...value.limits },
   };
 }
 
-function fillSide(value: SideSettings): CheckedSideSettings {
+function applySideDefaults(value: SideSettings): CheckedSideSettings {
   return {
     ...value,
-    ...fillCommon(value),
+    ...applyCommonDefaults(value),
     kind: value.kind ?? "engine",
     limits: { ...DEFAULT_SIDE_LIMITS, ...value.limits },
   };
 }
 
-/** `host:port`, with brackets around an IPv6 number. */
-const ADDRESS = /^(?:[A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):(\d{1,5})$/;
-const HIGHEST_PORT = 65_535;
+/** `host:port`, with brackets around an IPv6 address. */
+const ADDRESS_PATTERN = /^(?:[A-Za-z0-9.-]+|\[[0-9a-fA-F:]+\]):(\d{1,5})$/;
+const MAX_PORT = 65_535;
 
-function addressProblems(
+function findAddressProblems(
   file: string,
   settings: { entries?: readonly string[]; peerAddresses?: readonly string[] },
 ): FileProblem[] {
   const problems: FileProblem[] = [];
   for (const key of ["entries", "peerAddresses"] as const) {
     (settings[key] ?? []).forEach((address, index) => {
-      const port = ADDRESS.exec(address)?.[1];
-      if (port !== undefined && Number(port) <= HIGHEST_PORT) return;
+      const port = ADDRESS_PATTERN.exec(address)?.[1];
+      if (port !== undefined && Number(port) <= MAX_PORT) return;
       problems.push({
         file,
         path: `${key}[${index}]`,
@@ -179,10 +182,11 @@
 }
 
 /**
- * A process that is suspected before its next report can come is out of use
- * all the time; it shows as endpoints that come and go each second.
+ * Checks that a process is not suspected before its next report is due.
+ * Otherwise its endpoints would become unavailable and available again every
+ * second.
  */
-function timeProblems(
+function findTimingProblems(
   file: string,
   times: Readonly<Required<CoordinationTimes>>,
 ): FileProblem[] {
@@ -197,7 +201,7 @@
 
 function deepFreeze<Value>(value: Value): Value {
   if (typeof value === "object" && value !== null) {
-    for (const part of Object.values(value)) deepFreeze(part);
+    for (const property of Object.values(value)) deepFreeze(property);
     Object.freeze(value);
   }
   return value;
--- a/src/adapters/telemetry/forwarding_record.ts
+++ b/src/adapters/telemetry/forwarding_record.ts
@@ -1,4 +1,4 @@
-/** Log lines and metrics of forwarded requests. */
+/** Logs and metrics of the forwarding path. */
 import { Counter, Gauge, Histogram, type Registry } from "prom-client";
 import type { RepeatUse } from "../../core/forwarding/mod.ts";
 import type { Logger } from "../../core/observation/mod.ts";
@@ -10,14 +10,14 @@
 } from "../../entry/forwarding/mod.ts";
 
 /**
- * Decisions that are logged in one second. Load: a burst of several thousand
- * requests. Harm prevented: the log takes the processor that answers need.
- * Limit: four lines for each of the hundred requests a second that an entry
- * serves when it is busy; the rest is counted and the count is logged.
+ * Decisions logged per second: four lines for each of the 100 requests a second
+ * of a busy entry. In a burst of several thousand requests, logging would take
+ * the CPU time that responses need. The lines beyond the limit are counted, and
+ * their count is logged.
  */
-const MOST_LINES_PER_SECOND = 400;
-const SECOND_MILLISECONDS = 1_000;
-const BUCKETS_SECONDS = [
+const MAX_LINES_PER_SECOND = 400;
+const MILLISECONDS_PER_SECOND = 1_000;
+const LATENCY_BUCKETS_SECONDS = [
   0.005,
   0.01,
   0.025,
@@ -33,13 +33,14 @@
   15,
 ];
 
-export interface ForwardingRecordOptions {
+/** Options of `recordForwarding`. */
+export interface ForwardingObserverOptions {
   readonly registry: Registry;
   readonly logger: Logger;
   readonly timer: TimerService;
 }
 
-/** Gives the function that counts registrations that became unreadable. */
+/** Returns a function that counts registrations that became unreadable. */
 export function countUnreadable(registry: Registry): () => void {
   const counter = new Counter({
     name: "filbertshore_unreadable_registrations_total",
@@ -49,7 +50,7 @@
   return () => counter.inc();
 }
 
-/** Counts questions for an endpoint's load by what became of them. */
+/** Returns a function that counts load queries by outcome. */
 export function countLoadQuestions(
   registry: Registry,
 ): (outcome: LoadQuestionOutcome) => void {
@@ -62,7 +63,7 @@
   return (outcome) => questions.inc({ outcome });
 }
 
-/** Counts reports of usage by what became of them. */
+/** Returns a function that counts usage reports by outcome. */
 export function countUsageReports(
   registry: Registry,
 ): (outcome: ReportOutcome | "given_up") => void {
@@ -75,7 +76,9 @@
   return (outcome) => reports.inc({ outcome });
 }
 
-/** Shows the fencing token of usage reports where this entry sends them. */
+/**
+ * Exports the fencing token of usage reports; -1 if another entry sends them.
+ */
 export function showUsageFencing(
   registry: Registry,
   fencing: () => number | undefined,
@@ -90,7 +93,7 @@
   });
 }
 
-/** Shows how far the repeats of each pool have used up this entry's part. */
+/** Exports the retries of each pool and this entry's limit on them. */
 export function showRepeats(
   registry: Registry,
   uses: () => readonly RepeatUse[],
@@ -115,7 +118,9 @@
   });
 }
 
-/** Shows how many requests are refused because they crash endpoints. */
+/**
+ * Exports the number of requests that are blocked because they crash endpoints.
+ */
 export function showBlockedRequests(
   registry: Registry,
   blocked: () => number,
@@ -130,9 +135,9 @@
   });
 }
 
-/** Gives the function that the forwarding path tells its decisions to. */
+/** Returns a function that logs and counts decisions of the forwarding path. */
 export function recordForwarding(
-  options: ForwardingRecordOptions,
+  options: ForwardingObserverOptions,
 ): ObserveForwarding {
   const { registry, logger, timer } = options;
   const decisions = new Counter({
@@ -141,64 +146,67 @@
     labelNames: ["decision", "reason"],
     registers: [registry],
   });
-  const firstByte = new Histogram({
+  const firstByteTime = new Histogram({
     name: "filbertshore_forwarding_first_byte_seconds",
     help: "Time from a request's arrival to its answer's first byte",
     labelNames: ["route"],
-    buckets: BUCKETS_SECONDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [registry],
   });
-  const whole = new Histogram({
+  const responseTime = new Histogram({
     name: "filbertshore_forwarding_answer_seconds",
     help: "Time from a request's arrival to the end of its answer",
     labelNames: ["route"],
-    buckets: BUCKETS_SECONDS,
+    buckets: LATENCY_BUCKETS_SECONDS,
     registers: [registry],
   });
-  const lines = new LineLimit(timer, logger);
-  return (decision, facts) => {
-    decisions.inc({ decision, reason: String(facts.reason ?? "") });
+  const limiter = new LogRateLimiter(timer, logger);
+  return (decision, fields) => {
+    decisions.inc({ decision, reason: String(fields.reason ?? "") });
     if (decision === "answered") {
-      const { route } = facts;
-      firstByte.observe({ route }, seconds(facts.firstByteMilliseconds));
-      whole.observe({ route }, seconds(facts.milliseconds));
+      const { route } = fields;
+      firstByteTime.observe({ route }, toSeconds(fields.firstByteMilliseconds));
+      responseTime.observe({ route }, toSeconds(fields.milliseconds));
     }
-    if (lines.take()) logger.info({ decision, ...facts }, "Request");
+    if (limiter.tryAcquire()) logger.info({ decision, ...fields }, "Request");
   };
 }
 
-function seconds(milliseconds: unknown): number {
-  return Number(milliseconds) / SECOND_MILLISECONDS;
+function toSeconds(milliseconds: unknown): number {
+  return Number(milliseconds) / MILLISECONDS_PER_SECOND;
 }
 
-/** Counts the lines of each second and tells how many were left out. */
-class LineLimit {
+/** Limits the log lines per second and logs how many were dropped. */
+class LogRateLimiter {
   readonly #timer: TimerService;
   readonly #logger: Logger;
-  #second = 0;
-  #lines = 0;
-  #leftOut = 0;
+  #currentSecond = 0;
+  #writtenLines = 0;
+  #droppedLines = 0;
 
   constructor(timer: TimerService, logger: Logger) {
     this.#timer = timer;
     this.#logger = logger;
   }
 
-  take(): boolean {
-    const second = Math.floor(this.#timer.now() / SECOND_MILLISECONDS);
-    if (second !== this.#second) this.#begin(second);
-    this.#lines += 1;
-    if (this.#lines <= MOST_LINES_PER_SECOND) return true;
-    this.#leftOut += 1;
+  tryAcquire(): boolean {
+    const second = Math.floor(this.#timer.now() / MILLISECONDS_PER_SECOND);
+    if (second !== this.#currentSecond) this.#startSecond(second);
+    this.#writtenLines += 1;
+    if (this.#writtenLines <= MAX_LINES_PER_SECOND) return true;
+    this.#droppedLines += 1;
     return false;
   }
 
-  #begin(second: number): void {
-    if (this.#leftOut > 0) {
-      this.#logger.warn({ lines: this.#leftOut }, "Log lines were left out");
+  #startSecond(second: number): void {
+    if (this.#droppedLines > 0) {
+      this.#logger.warn(
+        { lines: this.#droppedLines },
+        "Log lines were left out",
+      );
     }
-    this.#second = second;
-    this.#lines = 0;
-    this.#leftOut = 0;
+    this.#currentSecond = second;
+    this.#writtenLines = 0;
+    this.#droppedLines = 0;
   }
 }
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -1,35 +1,39 @@
-/** JSON logs by pino, written by the process itself. */
+/** JSON logging with pino. */
 import { type DestinationStream, pino } from "pino";
 import type { Logger } from "../../core/observation/mod.ts";
 
 /**
- * Log text that may wait for a slow reader. Beyond it lines are dropped: a
- * log collector that hangs must not fill the memory of a thin VM.
+ * Maximum log text buffered for a slow reader. Further lines are dropped, so
+ * that a stalled log collector cannot exhaust the memory of a small VM.
  */
-const MOST_WAITING_BYTES = 4 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /** Standard output. */
-const DEFAULT_FILE_DESCRIPTOR = 1;
+const STDOUT_FILE_DESCRIPTOR = 1;
 
-/** A logger that makes further ones for parts of the process. */
+/** A logger that can create child loggers for the components of the process. */
 export interface LabelledLogger extends Logger {
-  /** The same log with the part's name on each line. */
+  /** Returns a child logger that adds the component's name to each line. */
   labelled(part: string): LabelledLogger;
 }
 
+/** Options of `createLogger`. */
 export interface LoggerOptions {
   readonly level: "debug" | "info" | "warn" | "error";
-  /** Name of the process on each line. */
+  /** Process name added to each line. */
   readonly process: string;
-  /** Absent: standard output. */
+  /** Defaults to standard output. */
   readonly destination?: DestinationStream;
 }
 
-/** Makes the log of a process; without worker threads, as one binary has none. */
+/**
+ * Creates the logger of a process. It uses no worker threads because they are
+ * not available in the single-binary build.
+ */
 export function createLogger(options: LoggerOptions): LabelledLogger {
   const destination = options.destination ?? pino.destination({
-    dest: DEFAULT_FILE_DESCRIPTOR,
+    dest: STDOUT_FILE_DESCRIPTOR,
     sync: false,
-    maxLength: MOST_WAITING_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
   });
   const root = pino({
     level: options.level,
@@ -37,15 +41,15 @@
     timestamp: pino.stdTimeFunctions.isoTime,
     formatters: { level: (label) => ({ level: label }) },
   }, destination);
-  return labelledLogger(root);
+  return createPinoAdapter(root);
 }
 
-function labelledLogger(log: pino.Logger): LabelledLogger {
+function createPinoAdapter(log: pino.Logger): LabelledLogger {
   return {
-    debug: (facts, message) => log.debug(facts, message),
-    info: (facts, message) => log.info(facts, message),
-    warn: (facts, message) => log.warn(facts, message),
-    error: (facts, message) => log.error(facts, message),
-    labelled: (part) => labelledLogger(log.child({ part })),
+    debug: (fields, message) => log.debug(fields, message),
+    info: (fields, message) => log.info(fields, message),
+    warn: (fields, message) => log.warn(fields, message),
+    error: (fields, message) => log.error(fields, message),
+    labelled: (part) => createPinoAdapter(log.child({ part })),
   };
 }
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics by prom-client, fed from what the cores tell of. */
+/** Prometheus metrics, updated from the events of the cores. */
 import {
   collectDefaultMetrics,
   Counter,
@@ -7,10 +7,10 @@
   Registry,
 } from "prom-client";
 import type { HistoryEvent } from "../../core/observation/mod.ts";
-import { type RequestEnd, RequestTimes } from "./request_times.ts";
+import { type RequestCompletion, RequestTimings } from "./request_timings.ts";
 
-/** From a millisecond to the longest summary. */
-const LONG_BUCKETS_SECONDS = [
+/** From a millisecond to the duration of the longest summaries. */
+const REQUEST_BUCKETS_SECONDS = [
   0.001,
   0.0025,
   0.005,
@@ -28,8 +28,8 @@
   30,
   60,
 ];
-/** Around the 26 ms between tokens that callers are promised. */
-const TOKEN_BUCKETS_SECONDS = [
+/** Finest around 26 ms, the token interval that callers are promised. */
+const TOKEN_INTERVAL_BUCKETS_SECONDS = [
   0.002,
   0.005,
   0.01,
@@ -43,15 +43,16 @@
   1,
 ];
 
+/** Options of `Metrics`. */
 export interface MetricsOptions {
-  /** Also tell of the process's own memory, loop and handles. */
+  /** Also export memory, event loop and handles of the process. */
   readonly processMetrics?: boolean;
 }
 
-/** All metrics of one process, in a registry of their own. */
+/** All metrics of one process, in a separate registry. */
 export class Metrics {
   readonly registry = new Registry();
-  readonly #times: RequestTimes;
+  readonly #timings: RequestTimings;
   readonly #requests = this.#counter("requests_total", [
     "class",
     "outcome",
@@ -83,19 +84,19 @@
   ], "Tokens delivered to callers");
   readonly #queueTime = this.#histogram("queue_seconds", {
     help: "Time from a request's arrival to its place at an endpoint",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
   readonly #firstToken = this.#histogram("first_token_seconds", {
     help: "Time from a request's arrival to its first token",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
-  readonly #betweenTokens = this.#histogram("token_interval_seconds", {
+  readonly #tokenInterval = this.#histogram("token_interval_seconds", {
     help: "Time between two tokens of an answer",
-    buckets: TOKEN_BUCKETS_SECONDS,
+    buckets: TOKEN_INTERVAL_BUCKETS_SECONDS,
   });
   readonly #answerTime = this.#histogram("answer_seconds", {
     help: "Time from a request's arrival to its complete answer",
-    buckets: LONG_BUCKETS_SECONDS,
+    buckets: REQUEST_BUCKETS_SECONDS,
   });
   readonly #configurationVersion = this.#gauge(
     "configuration_version",
@@ -111,22 +112,22 @@
   );
 
   constructor(options: MetricsOptions = {}) {
-    this.#times = new RequestTimes({
+    this.#timings = new RequestTimings({
       queued: (className, seconds) =>
         this.#queueTime.observe({ class: className }, seconds),
       firstToken: (className, seconds) =>
         this.#firstToken.observe({ class: className }, seconds),
-      betweenTokens: (className, seconds) =>
-        this.#betweenTokens.observe({ class: className }, seconds),
-      ended: (end) => this.#onEnd(end),
+      tokenInterval: (className, seconds) =>
+        this.#tokenInterval.observe({ class: className }, seconds),
+      completed: (ended) => this.#recordCompletion(ended),
     });
-    const open = this.#times;
+    const timings = this.#timings;
     new Gauge({
       name: "filbertshore_open_requests",
       help: "Requests that have not ended",
       registers: [this.registry],
       collect() {
-        this.set(open.size);
+        this.set(timings.size);
       },
     });
     if (options.processMetrics) {
@@ -134,16 +135,16 @@
     }
   }
 
-  /** Pass it to a core as its observation function. */
+  /** Event observer to pass to a core. */
   readonly observe = (event: HistoryEvent): void => {
-    this.#times.observe(event);
+    this.#timings.observe(event);
     const { facts } = event;
     switch (event.kind) {
       case "retry":
         this.#retries.inc({ reason: String(facts.reason ?? "unnamed") });
         break;
       case "order_sent":
-        this.#roleChanges.inc({ role: roleOf(String(facts.target)) });
+        this.#roleChanges.inc({ role: targetRole(String(facts.target)) });
         break;
       case "order_void":
         this.#voidOrders.inc({ reason: String(facts.reason ?? "unnamed") });
@@ -173,22 +174,22 @@
     }
   };
 
-  /** The text that `/metrics` answers. */
+  /** Renders the response of `/metrics`. */
   async render(): Promise<{ contentType: string; body: string }> {
     const body = await this.registry.metrics();
     return { contentType: this.registry.contentType, body };
   }
 
-  #onEnd(end: RequestEnd): void {
-    const { className } = end;
-    this.#requests.inc({ class: className, outcome: end.outcome });
-    if (end.tokens > 0) this.#tokens.inc({ class: className }, end.tokens);
-    if (end.outcome === "not_run") {
-      this.#refusals.inc({ class: className, reason: end.reason });
+  #recordCompletion(ended: RequestCompletion): void {
+    const { className } = ended;
+    this.#requests.inc({ class: className, outcome: ended.outcome });
+    if (ended.tokens > 0) this.#tokens.inc({ class: className }, ended.tokens);
+    if (ended.outcome === "not_run") {
+      this.#refusals.inc({ class: className, reason: ended.reason });
     }
-    if (end.outcome !== "answered") return;
-    this.#answerTime.observe({ class: className }, end.seconds);
-    if (end.onTime) this.#goodput.inc({ class: className });
+    if (ended.outcome !== "answered") return;
+    this.#answerTime.observe({ class: className }, ended.seconds);
+    if (ended.onTime) this.#goodput.inc({ class: className });
   }
 
   #counter<Label extends string>(
@@ -225,7 +226,9 @@
   }
 }
 
-/** Role of an order's target, which stands as JSON among the facts. */
-function roleOf(target: string): string {
+/**
+ * Extracts the role from an order's target, which the event has as JSON text.
+ */
+function targetRole(target: string): string {
   return /"role":"([a-z]+)"/.exec(target)?.[1] ?? "unnamed";
 }
--- a/src/adapters/telemetry/mod_test.ts
+++ b/src/adapters/telemetry/mod_test.ts
@@ -11,7 +11,7 @@
 import { createLogger, createTracing, Metrics } from "./mod.ts";
 
 describe("createLogger", () => {
-  it("writes lines of JSON with process and part", () => {
+  it("writes JSON lines with process and component", () => {
     const lines: string[] = [];
     const log = createLogger({
       level: "info",
@@ -32,7 +32,7 @@
 });
 
 describe("Metrics", () => {
-  function tell(
+  function observe(
     metrics: Metrics,
     at: number,
     kind: HistoryEventKind,
@@ -41,15 +41,15 @@
     metrics.observe({ at, process: "entry-1", kind, facts });
   }
 
-  it("counts an answer as goodput only where it came on time", async () => {
+  it("counts a response as goodput only if it was on time", async () => {
     const metrics = new Metrics();
     const ends = [["in-time", 900], ["late", 1100]] as const;
     for (const [requestId, end] of ends) {
-      tell(metrics, 0, "request_received", { requestId, className: "wish" });
-      tell(metrics, 5, "request_placed", { requestId, className: "urgent" });
-      tell(metrics, 40, "token_delivered", { requestId });
-      tell(metrics, 60, "token_delivered", { requestId });
-      tell(metrics, end, "request_finished", {
+      observe(metrics, 0, "request_received", { requestId, className: "wish" });
+      observe(metrics, 5, "request_placed", { requestId, className: "urgent" });
+      observe(metrics, 40, "token_delivered", { requestId });
+      observe(metrics, 60, "token_delivered", { requestId });
+      observe(metrics, end, "request_finished", {
         requestId,
         outcome: "answered",
         onTime: end <= 1000,
@@ -71,18 +71,18 @@
     expect(body).to.include("filbertshore_open_requests 0");
   });
 
-  it("tells refusals, retries, role changes and the version", async () => {
+  it("exports refusals, retries, role changes and the version", async () => {
     const metrics = new Metrics();
     const requestId = "refused";
-    tell(metrics, 0, "request_received", { requestId, className: "bulk" });
-    tell(metrics, 1, "request_finished", {
+    observe(metrics, 0, "request_received", { requestId, className: "bulk" });
+    observe(metrics, 1, "request_finished", {
       requestId,
       outcome: "not_run",
       reason: "saturated",
     });
-    tell(metrics, 2, "retry", { requestId, reason: "endpoint_closed" });
-    tell(metrics, 3, "order_sent", { target: '{"role":"decode"}' });
-    tell(metrics, 4, "configuration_in_force", { version: 17 });
+    observe(metrics, 2, "retry", { requestId, reason: "endpoint_closed" });
+    observe(metrics, 3, "order_sent", { target: '{"role":"decode"}' });
+    observe(metrics, 4, "configuration_in_force", { version: 17 });
     const { body } = await metrics.render();
     for (
       const line of [
@@ -94,15 +94,15 @@
     ) expect(body).to.include(line);
   });
 
-  // A caller puts a new class into its header with each request. Every name
-  // would stay as a series for good and fill the entry's memory.
-  it("does not let callers make series without end", async () => {
+  // A caller sends a new class name with each request. Each name would add
+  // permanent series and exhaust the entry's memory.
+  it("limits the number of series that callers can create", async () => {
     const metrics = new Metrics();
     for (let count = 0; count < 200; count++) {
       const requestId = String(count);
       const className = `class-${count}`;
-      tell(metrics, 0, "request_received", { requestId, className });
-      tell(metrics, 1, "request_finished", {
+      observe(metrics, 0, "request_received", { requestId, className });
+      observe(metrics, 1, "request_finished", {
         requestId,
         outcome: "not_run",
         reason: "saturated",
@@ -118,12 +118,12 @@
     );
   });
 
-  // A core that is embedded wrongly never tells of ends. Without a bound the
-  // entry's memory would grow with each request until it is killed.
-  it("forgets the oldest request where ends are never told", () => {
+  // An incorrectly embedded core may never report completions. Without a limit
+  // memory would grow with each request until the process is killed.
+  it("evicts the oldest request when completions are never reported", () => {
     const metrics = new Metrics();
     for (let count = 0; count < 20_100; count++) {
-      tell(metrics, count, "request_received", { requestId: String(count) });
+      observe(metrics, count, "request_received", { requestId: String(count) });
     }
     return metrics.render().then(({ body }) =>
       expect(body).to.include("filbertshore_open_requests 20000")
@@ -132,14 +132,15 @@
 });
 
 describe("createTracing", () => {
-  const CALLER = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
+  const CALLER_TRACEPARENT =
+    "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
-  it("writes spans of one trace to a file of lines", async () => {
+  it("writes the spans of a trace to a file, one per line", async () => {
     const folder = mkdtempSync(join(tmpdir(), "filbertshore-traces-"));
     const file = join(folder, "spans.jsonl");
     const tracing = createTracing({ process: "entry-1", file, share: 1 });
     const receive = tracing.tracer.start("entry.receive", {
-      traceparent: CALLER,
+      traceparent: CALLER_TRACEPARENT,
     });
     const dispatch = tracing.tracer.start("entry.dispatch", {
       traceparent: receive.traceparent,
@@ -156,16 +157,16 @@
       "entry.dispatch",
       "entry.receive",
     ]);
-    expect(lines[0].traceId).to.equal(CALLER.split("-")[1]);
+    expect(lines[0].traceId).to.equal(CALLER_TRACEPARENT.split("-")[1]);
     expect(lines[0].parentSpanId).to.equal(lines[1].spanId);
     expect(lines[1].parentSpanId).to.equal("b7ad6b7169203331");
     expect(lines[0].facts.endpoint).to.equal("triage-llm-01");
   });
 
-  it("sends spans to a collector", async () => {
+  it("exports spans to a collector", async () => {
     let received = "";
     const collector = createServer((request, response) => {
-      request.setEncoding("utf8").on("data", (piece) => received += piece);
+      request.setEncoding("utf8").on("data", (chunk) => received += chunk);
       request.on("end", () => response.end("{}"));
     });
     await new Promise<void>((resolve) => {
@@ -184,14 +185,16 @@
     expect(received).to.include("side.attempt");
   });
 
-  it("makes nothing where no output is set", () => {
+  it("creates no spans when no output is set", () => {
     const { tracer } = createTracing({ process: "entry-1", share: 1 });
-    const span = tracer.start("entry.receive", { traceparent: CALLER });
+    const span = tracer.start("entry.receive", {
+      traceparent: CALLER_TRACEPARENT,
+    });
     expect(span.traceparent).to.equal(undefined);
     expect(tracer.start("entry.queue", {})).to.equal(span);
   });
 
-  it("starts a new trace where a caller's header makes no sense", () => {
+  it("starts a new trace when the traceparent header is invalid", () => {
     const tracing = createTracing({
       process: "entry-1",
       otlpUrl: "http://127.0.0.1:9/v1/traces",
--- a/src/adapters/telemetry/tracing.ts
+++ b/src/adapters/telemetry/tracing.ts
@@ -1,4 +1,4 @@
-/** Traces by OpenTelemetry: over HTTP to a collector or to a file of lines. */
+/** OpenTelemetry tracing, exported to an OTLP collector or to a file. */
 import {
   type Context,
   ROOT_CONTEXT,
@@ -26,30 +26,32 @@
   type SpanOptions,
   type Tracer,
 } from "../../core/observation/mod.ts";
-import { SpanFile } from "./span_file.ts";
+import { FileSpanExporter } from "./file_span_exporter.ts";
 
-/** Spans that may wait for the collector; beyond it they are dropped. */
-const MOST_WAITING_SPANS = 4_096;
+/** Maximum number of spans queued for export; further spans are dropped. */
+const MAX_QUEUED_SPANS = 4_096;
 
+/** Options of `createTracing`. */
 export interface TracingOptions {
-  /** Name of the process on each span. */
+  /** Process name added to each span. */
   readonly process: string;
-  /** Address of a collector; goes before the file. */
+  /** URL of an OTLP collector; takes precedence over `file`. */
   readonly otlpUrl?: string;
   readonly file?: string;
-  /** Share of traces that start here and are kept, 0 to 1. */
+  /** Sampling ratio of traces that start in this process, 0 to 1. */
   readonly share: number;
 }
 
+/** The tracer of a process and its shutdown. */
 export interface Tracing {
   readonly tracer: Tracer;
-  /** Writes what waits and ends. */
+  /** Exports the queued spans and stops. */
   shutdown(): Promise<void>;
 }
 
-/** Makes the tracing of a process; with no output set it is a null object. */
+/** Creates the tracing of a process; does nothing if no output is set. */
 export function createTracing(options: TracingOptions): Tracing {
-  const exporter = exporterFor(options);
+  const exporter = createExporter(options);
   if (exporter === undefined) {
     return { tracer: NO_TRACER, shutdown: () => Promise.resolve() };
   }
@@ -62,7 +64,7 @@
       root: new TraceIdRatioBasedSampler(options.share),
     }),
     spanProcessors: [
-      new BatchSpanProcessor(exporter, { maxQueueSize: MOST_WAITING_SPANS }),
+      new BatchSpanProcessor(exporter, { maxQueueSize: MAX_QUEUED_SPANS }),
     ],
   });
   return {
@@ -71,11 +73,13 @@
   };
 }
 
-function exporterFor(options: TracingOptions): SpanExporter | undefined {
+function createExporter(options: TracingOptions): SpanExporter | undefined {
   if (options.otlpUrl !== undefined) {
     return new OTLPTraceExporter({ url: options.otlpUrl });
   }
-  return options.file === undefined ? undefined : new SpanFile(options.file);
+  return options.file === undefined
+    ? undefined
+    : new FileSpanExporter(options.file);
 }
 
 class OpenTelemetryTracer implements Tracer {
@@ -119,7 +123,9 @@
   }
 }
 
-/** A caller's header that makes no sense starts a new trace. */
+/**
+ * Context of the caller's span; an invalid `traceparent` starts a new trace.
+ */
 function parentContext(traceparent: string | undefined): Context {
   if (traceparent === undefined) return ROOT_CONTEXT;
   const parent = parseTraceParent(traceparent);
--- a/src/adapters/vm_list/mod.ts
+++ b/src/adapters/vm_list/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's list of VMs over HTTP. */
+/** HTTP client of the platform's VM list. */
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
@@ -9,19 +9,21 @@
 import { HttpClient, parseJson } from "../http_client/mod.ts";
 import { VM_LIST_UNAVAILABLE } from "./errors.ts";
 
-/** The list changes slowly; a slow answer is worth the next try. */
+/**
+ * The list changes slowly, so a slow request can be retried at the next poll.
+ */
 const TIMEOUT_MILLISECONDS = 3_000;
-/** 12,000 VMs at 200 bytes each, three times over. */
-const MOST_RESPONSE_BYTES = 8 * 1024 * 1024;
+/** Three times the size of 12,000 VMs at 200 bytes each. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /**
- * Reads the whole list with `GET /vms`. Where the platform names its answers
- * with entity tags, a list that has not changed costs a few hundred bytes:
- * leaving VMs are noticed within seconds without moving the list each time.
+ * Reads the complete list with `GET /vms`. If the platform sends entity tags,
+ * polling an unchanged list costs a few hundred bytes, so it can be polled
+ * every few seconds to detect leaving VMs.
  */
 export class HttpVmList implements VmList {
   readonly #client: HttpClient;
-  #last: { entityTag: string; vms: readonly ListedVm[] } | undefined;
+  #cache: { entityTag: string; vms: readonly ListedVm[] } | undefined;
 
   constructor(url: string, options: { timer: TimerService }) {
     this.#client = new HttpClient(url, options);
@@ -30,21 +32,21 @@
   async read(): Promise<
     Result<readonly ListedVm[], Failure<"vm_list_unavailable">>
   > {
-    const answer = await this.#client.call("/vms", {
+    const response = await this.#client.call("/vms", {
       method: "GET",
-      ...(this.#last && {
-        headers: { "if-none-match": this.#last.entityTag },
+      ...(this.#cache && {
+        headers: { "if-none-match": this.#cache.entityTag },
       }),
       timeoutMilliseconds: TIMEOUT_MILLISECONDS,
-      mostResponseBytes: MOST_RESPONSE_BYTES,
+      mostResponseBytes: MAX_RESPONSE_BYTES,
     });
-    if (answer.isErr()) return unavailable(answer.error.message);
-    const { status, body, entityTag } = answer.value;
-    if (status === 304 && this.#last !== undefined) return ok(this.#last.vms);
+    if (response.isErr()) return unavailable(response.error.message);
+    const { status, body, entityTag } = response.value;
+    if (status === 304 && this.#cache !== undefined) return ok(this.#cache.vms);
     if (status !== 200) return unavailable(`status ${status}`);
     const value = parseJson(body);
     if (!validateVmListAnswer(value)) {
-      return unavailable("the answer is malformed");
+      return unavailable("malformed response");
     }
     const vms = (value as VmListAnswer).vms.map((vm) => ({
       id: vm.id,
@@ -53,11 +55,11 @@
       availabilityZone: vm.availability_zone,
       leaving: vm.leaving,
     }));
-    this.#last = entityTag === undefined ? undefined : { entityTag, vms };
+    this.#cache = entityTag === undefined ? undefined : { entityTag, vms };
     return ok(vms);
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections to the service. */
   close(): void {
     this.#client.close();
   }
--- a/src/adapters/weight_store/mod.ts
+++ b/src/adapters/weight_store/mod.ts
@@ -1,4 +1,4 @@
-/** The platform's weight store over HTTP, within its rate. */
+/** HTTP client of the platform's weight store that respects its rate limit. */
 import PQueue from "p-queue";
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { type Failure, failure } from "../../core/errors/mod.ts";
@@ -9,20 +9,22 @@
 import { MODEL_UNKNOWN, WEIGHT_STORE_UNAVAILABLE } from "./errors.ts";
 
 const TIMEOUT_MILLISECONDS = 5_000;
-const MOST_RESPONSE_BYTES = 1024 * 1024;
+const MAX_RESPONSE_BYTES = 1024 * 1024;
 /**
- * Wait after the store said that its rate is used up. Engines load weights
- * from the same store; asking on without a pause would take their turns.
+ * Delay before a retry when the store's rate limit is exhausted. Engines load
+ * weights from the same store; retrying without a delay would use up their
+ * share of the rate.
  */
-const PAUSE_MILLISECONDS = 1_000;
-const MOST_TRIES = 3;
+const RETRY_DELAY_MILLISECONDS = 1_000;
+const MAX_ATTEMPTS = 3;
 const TOO_MANY_REQUESTS = 429;
 
+/** Why the versions of a model could not be read. */
 export type WeightStoreFailure = Failure<
   "weight_store_unavailable" | "model_unknown"
 >;
 
-/** Asks the store about one model at a time. */
+/** Queries the weight store, one model at a time. */
 export class HttpWeightStore {
   readonly #client: HttpClient;
   readonly #timer: TimerService;
@@ -33,52 +35,54 @@
     this.#timer = options.timer;
   }
 
-  /** Versions of the model's weights that the store holds, newest last. */
+  /** Returns the versions of the model's weights in the store, newest last. */
   versions(
     model: string,
   ): Promise<Result<readonly string[], WeightStoreFailure>> {
-    return this.#queue.add(() => this.#ask(model));
+    return this.#queue.add(() => this.#fetchVersions(model));
   }
 
-  /** Closes kept connections. */
+  /** Closes all connections to the store. */
   close(): void {
     this.#client.close();
   }
 
-  async #ask(
+  async #fetchVersions(
     model: string,
   ): Promise<Result<readonly string[], WeightStoreFailure>> {
-    for (let tries = 1;; tries++) {
-      const answer = await this.#client.call(
+    for (let attempt = 1;; attempt++) {
+      const response = await this.#client.call(
         `/models/${encodeURIComponent(model)}/versions`,
         {
           method: "GET",
           timeoutMilliseconds: TIMEOUT_MILLISECONDS,
-          mostResponseBytes: MOST_RESPONSE_BYTES,
+          mostResponseBytes: MAX_RESPONSE_BYTES,
         },
       );
-      if (answer.isErr()) return unavailable(model, answer.error.message);
-      if (answer.value.status !== TOO_MANY_REQUESTS || tries === MOST_TRIES) {
-        return readVersions(model, answer.value);
+      if (response.isErr()) return unavailable(model, response.error.message);
+      if (
+        response.value.status !== TOO_MANY_REQUESTS || attempt === MAX_ATTEMPTS
+      ) {
+        return parseVersions(model, response.value);
       }
       await new Promise<void>((resolve) => {
-        this.#timer.after(PAUSE_MILLISECONDS, resolve);
+        this.#timer.after(RETRY_DELAY_MILLISECONDS, resolve);
       });
     }
   }
 }
 
-function readVersions(
+function parseVersions(
   model: string,
-  answer: HttpAnswer,
+  response: HttpAnswer,
 ): Result<readonly string[], WeightStoreFailure> {
-  if (answer.status === 404) return err(failure(MODEL_UNKNOWN, { model }));
-  if (answer.status !== 200) {
-    return unavailable(model, `status ${answer.status}`);
+  if (response.status === 404) return err(failure(MODEL_UNKNOWN, { model }));
+  if (response.status !== 200) {
+    return unavailable(model, `status ${response.status}`);
   }
-  const value = parseJson(answer.body);
+  const value = parseJson(response.body);
   if (!validateWeightsAnswer(value)) {
-    return unavailable(model, "the answer is malformed");
+    return unavailable(model, "malformed response");
   }
   return ok((value as WeightsAnswer).versions);
 }
--- a/src/cli/process_life.ts
+++ b/src/cli/process_lifecycle.ts
@@ -1,16 +1,16 @@
 import process from "node:process";
 import { type FileFailure, formatProblem } from "../adapters/settings/mod.ts";
 
-/** Settles when the platform or an operator asks the process to stop. */
-export function onTerminate(): Promise<void> {
+/** Settles on SIGTERM or SIGINT. */
+export function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once("SIGTERM", () => resolve());
     process.once("SIGINT", () => resolve());
   });
 }
 
-/** Prints every problem of a settings file. */
-export function reportBadSettings(error: FileFailure): void {
+/** Prints all problems of a settings file to standard error. */
+export function reportInvalidSettings(error: FileFailure): void {
   const lines = [
     error.message,
     ...error.problems.map((problem) => formatProblem(problem)),
--- a/src/cli/status/fleet_status.ts
+++ b/src/cli/status/fleet_status.ts
@@ -1,9 +1,9 @@
-/** What the entries know together. */
+/** Status of the fleet, merged from the status of all entries. */
 import type { EntryLink, PeerAddress } from "../../core/links/mod.ts";
 import type { EntryStatus, SideReport } from "../../generated/messages.ts";
 
-/** One entry's answer, or why there is none. */
-export interface EntryAnswer {
+/** The status of one entry, or the reason why it is missing. */
+export interface EntryResult {
   readonly address: PeerAddress;
   readonly status?: EntryStatus;
   readonly failure?: string;
@@ -11,20 +11,20 @@
 
 /** The fleet as the entries see it. */
 export interface FleetStatus {
-  readonly entries: readonly EntryAnswer[];
-  /** Newest report of each side, by endpoint. */
+  readonly entries: readonly EntryResult[];
+  /** Latest report of each side, sorted by endpoint. */
   readonly sides: readonly SideReport[];
-  /** Highest version that any process has in force. */
+  /** Highest configuration version in force in any process. */
   readonly version: number;
 }
 
-/** Asks every entry at once; one that is down delays nobody. */
-export async function askFleet(
-  link: Pick<EntryLink, "status">,
+/** Queries all entries concurrently. */
+export async function queryFleet(
+  client: Pick<EntryLink, "status">,
   addresses: readonly PeerAddress[],
 ): Promise<FleetStatus> {
   const entries = await Promise.all(
-    addresses.map((address) => askEntry(link, address)),
+    addresses.map((address) => queryEntry(client, address)),
   );
   const sides = newestReports(entries);
   const versions = [
@@ -34,18 +34,18 @@
   return { entries, sides, version: Math.max(0, ...versions) };
 }
 
-/** Which processes have a version in force. */
+/** Number of processes that have a version in force. */
 export interface InForceCount {
   readonly have: number;
   readonly all: number;
-  /** Some of those that have not told of it. */
+  /** Names of the first processes that have not confirmed it. */
   readonly missing: readonly string[];
 }
 
-/** Names that a line on a terminal can hold. */
-const MOST_MISSING_NAMES = 10;
+/** Limits the names to what fits into a terminal line. */
+const MAX_LISTED_MISSING = 10;
 
-/** How many processes have at least this version in force, and who has not. */
+/** Counts the processes that have at least this version in force. */
 export function countInForce(
   fleet: FleetStatus,
   version: number,
@@ -64,26 +64,29 @@
   return {
     have: versions.length - missing.length,
     all: versions.length,
-    missing: missing.slice(0, MOST_MISSING_NAMES).map(([name]) => name),
+    missing: missing.slice(0, MAX_LISTED_MISSING).map(([name]) => name),
   };
 }
 
-async function askEntry(
-  link: Pick<EntryLink, "status">,
+async function queryEntry(
+  client: Pick<EntryLink, "status">,
   address: PeerAddress,
-): Promise<EntryAnswer> {
-  const answer = await link.status(address);
-  return answer.isOk()
-    ? { address, status: answer.value }
-    : { address, failure: answer.error.message };
+): Promise<EntryResult> {
+  const status = await client.status(address);
+  return status.isOk()
+    ? { address, status: status.value }
+    : { address, failure: status.error.message };
 }
 
-/** Entries hear a side at different times; its positions only rise. */
-function newestReports(entries: readonly EntryAnswer[]): SideReport[] {
+/**
+ * Selects the latest report of each side. Entries receive reports at different
+ * times; the versions and offsets in them only increase.
+ */
+function newestReports(entries: readonly EntryResult[]): SideReport[] {
   const byEndpoint = new Map<string, SideReport>();
   for (const report of entries.flatMap((entry) => entry.status?.sides ?? [])) {
-    const known = byEndpoint.get(report.endpoint);
-    if (known === undefined || isNewer(report, known)) {
+    const latest = byEndpoint.get(report.endpoint);
+    if (latest === undefined || isNewer(report, latest)) {
       byEndpoint.set(report.endpoint, report);
     }
   }
