--- a/test/history/answers.ts
+++ b/test/history/answers.ts
@@ -1,7 +1,12 @@
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
-import { numberOf, textOf, valueOf, type Violation } from "./violation.ts";
+import {
+  factNumber,
+  factText,
+  getOrCreate,
+  type Violation,
+} from "./violation.ts";
 
-interface RequestState {
+interface RequestHistory {
   received?: HistoryEvent;
   expected?: HistoryEvent;
   readonly tokens: HistoryEvent[];
@@ -10,34 +15,35 @@
 }
 
 /**
- * Each caller gets the whole answer to its own request: tokens in order and
- * once, one outcome and nothing behind it, an answer called whole only if it
- * is, and no request left without an outcome at an entry that lived on.
+ * Checks that each caller receives the complete answer to its own request:
+ * every token once and in order, exactly one outcome, nothing after it,
+ * `answered` only for a complete answer, and no request without an outcome
+ * unless its entry was killed.
  */
 export function checkWrongAnswer(events: readonly HistoryEvent[]): Violation[] {
   const violations: Violation[] = [];
-  const requests = new Map<string, RequestState>();
-  const dead = new Set<string>();
+  const requests = new Map<string, RequestHistory>();
+  const killedProcesses = new Set<string>();
   let ended = false;
   for (const event of events) {
-    if (event.kind === "process_killed") dead.add(event.process);
+    if (event.kind === "process_killed") killedProcesses.add(event.process);
     if (event.kind === "run_ended") ended = true;
-    const id = textOf(event, "requestId");
+    const id = factText(event, "requestId");
     if (id === "") continue;
-    const request = valueOf(requests, {
+    const request = getOrCreate(requests, {
       key: id,
-      make: () => ({ tokens: [] }),
+      create: () => ({ tokens: [] }),
     });
-    violations.push(...take(request, event));
+    violations.push(...applyEvent(request, event));
   }
   if (!ended) return violations;
   for (const request of requests.values()) {
-    violations.push(...checkLost(request, dead));
+    violations.push(...checkMissingOutcome(request, killedProcesses));
   }
   return violations;
 }
 
-function take(request: RequestState, event: HistoryEvent): Violation[] {
+function applyEvent(request: RequestHistory, event: HistoryEvent): Violation[] {
   switch (event.kind) {
     case "answer_expected":
       request.expected = event;
@@ -46,141 +52,171 @@
       request.received = event;
       return [];
     case "token_delivered":
-      return takeToken(request, event);
+      return checkToken(request, event);
     case "response_delivered":
-      return takeResponse(request, event);
+      return checkResponse(request, event);
     case "request_finished":
-      return takeEnd(request, event);
+      return checkOutcome(request, event);
     default:
       return [];
   }
 }
 
-function takeToken(request: RequestState, event: HistoryEvent): Violation[] {
+function checkToken(request: RequestHistory, event: HistoryEvent): Violation[] {
   const index = request.tokens.push(event) - 1;
   if (request.finished !== undefined) {
-    return [wrong("A token behind the outcome", [request.finished, event])];
+    return [
+      wrongAnswer("Token delivered after the outcome", [
+        request.finished,
+        event,
+      ]),
+    ];
   }
-  if (numberOf(event, "index") !== index) {
-    return [wrong(`Token ${event.facts.index} in place ${index}`, [event])];
+  if (factNumber(event, "index") !== index) {
+    return [
+      wrongAnswer(`Token ${event.facts.index} at position ${index}`, [event]),
+    ];
   }
   const expected = request.expected;
   if (expected === undefined) return [];
-  if (textOf(expected, "text").startsWith(joined(request))) return [];
-  return [wrong("A token of another answer", [expected, event])];
+  if (factText(expected, "text").startsWith(deliveredText(request))) return [];
+  return [wrongAnswer("Token of another answer", [expected, event])];
 }
 
-function takeResponse(request: RequestState, event: HistoryEvent): Violation[] {
+function checkResponse(
+  request: RequestHistory,
+  event: HistoryEvent,
+): Violation[] {
   const earlier = request.response ?? request.finished;
   request.response = event;
   if (earlier !== undefined) {
-    return [wrong("A response behind another end", [earlier, event])];
+    return [
+      wrongAnswer("Response after an earlier response or outcome", [
+        earlier,
+        event,
+      ]),
+    ];
   }
   const expected = request.expected;
   if (expected === undefined) return [];
-  if (textOf(expected, "text") === textOf(event, "body")) return [];
-  return [wrong("The response to another request", [expected, event])];
+  if (factText(expected, "text") === factText(event, "body")) return [];
+  return [wrongAnswer("Response of another request", [expected, event])];
 }
 
-function takeEnd(request: RequestState, event: HistoryEvent): Violation[] {
+function checkOutcome(
+  request: RequestHistory,
+  event: HistoryEvent,
+): Violation[] {
   const earlier = request.finished;
   request.finished = event;
   if (earlier !== undefined) {
-    return [wrong("A second outcome", [earlier, event])];
+    return [wrongAnswer("Second outcome", [earlier, event])];
   }
-  if (textOf(event, "outcome") !== "answered") return [];
+  if (factText(event, "outcome") !== "answered") return [];
   if (request.response !== undefined) return [];
-  const count = numberOf(event, "tokens");
+  const count = factNumber(event, "tokens");
   if (!(count > 0) || count !== request.tokens.length) {
-    const detail = `An answer of ${count} tokens with ${request.tokens.length}`;
-    return [wrong(detail, [event])];
+    const detail =
+      `Outcome counts ${count} tokens, delivered ${request.tokens.length}`;
+    return [wrongAnswer(detail, [event])];
   }
   const { expected } = request;
   if (expected === undefined) return [];
-  if (textOf(expected, "text") === joined(request)) return [];
-  return [wrong("A shorter answer that looks whole", [expected, event])];
+  if (factText(expected, "text") === deliveredText(request)) return [];
+  return [
+    wrongAnswer("Truncated answer reported as complete", [expected, event]),
+  ];
 }
 
-function checkLost(request: RequestState, dead: Set<string>): Violation[] {
+function checkMissingOutcome(
+  request: RequestHistory,
+  killedProcesses: Set<string>,
+): Violation[] {
   const { received, finished } = request;
   if (received === undefined || finished !== undefined) return [];
-  if (dead.has(received.process)) return [];
-  return [wrong("A request without an outcome", [received])];
+  if (killedProcesses.has(received.process)) return [];
+  return [wrongAnswer("Request without an outcome", [received])];
 }
 
-function joined(request: RequestState): string {
-  return request.tokens.map((event) => textOf(event, "text")).join("");
+function deliveredText(request: RequestHistory): string {
+  return request.tokens.map((event) => factText(event, "text")).join("");
 }
 
-function wrong(detail: string, events: HistoryEvent[]): Violation {
+function wrongAnswer(detail: string, events: HistoryEvent[]): Violation {
   return { condition: "wrong_answer", detail, events };
 }
 
 /**
- * "Not run" is true: no endpoint has started work of the request, before or
- * after. A start that the side took back as refused by its endpoint is none.
+ * Checks that a `not_run` outcome is true: no endpoint started the request's
+ * work before or after it. A start that the endpoint refused does not count.
  */
 export function checkFalseNotRun(events: readonly HistoryEvent[]): Violation[] {
   const refused = new Set(
     events.filter((event) => event.kind === "attempt_refused")
-      .map((event) => textOf(event, "attemptId")),
+      .map((event) => factText(event, "attemptId")),
   );
   const started = new Map<string, HistoryEvent>();
   for (const event of events) {
-    const handedOver = event.kind === "endpoint_started" &&
-      !refused.has(textOf(event, "attemptId"));
-    if (handedOver || event.kind === "endpoint_executed") {
-      started.set(textOf(event, "requestId"), event);
+    const isStart = event.kind === "endpoint_started" &&
+      !refused.has(factText(event, "attemptId"));
+    if (isStart || event.kind === "endpoint_executed") {
+      started.set(factText(event, "requestId"), event);
     }
   }
   return events.flatMap((event) => {
     if (event.kind !== "request_finished") return [];
-    if (textOf(event, "outcome") !== "not_run") return [];
-    const start = started.get(textOf(event, "requestId"));
+    if (factText(event, "outcome") !== "not_run") return [];
+    const start = started.get(factText(event, "requestId"));
     if (start === undefined) return [];
-    const detail = `"Not run" of work that an endpoint started`;
+    const detail = `Outcome not_run for work that an endpoint started`;
     return [{ condition: "false_not_run", detail, events: [start, event] }];
   });
 }
 
 /**
- * A non-idempotent request runs at most once, counted by its key or, without
- * one, by the request; and every repeat of a key gets the first answer.
+ * Checks that a non-idempotent request runs at most once per key, or per
+ * request if it has no key, and that every retry with a key gets the first
+ * answer.
  */
 export function checkRanTwice(events: readonly HistoryEvent[]): Violation[] {
-  return [...checkExecutions(events), ...checkRepeats(events)];
+  return [
+    ...checkDuplicateExecutions(events),
+    ...checkRepeatedKeyAnswers(events),
+  ];
 }
 
-function checkExecutions(events: readonly HistoryEvent[]): Violation[] {
+function checkDuplicateExecutions(
+  events: readonly HistoryEvent[],
+): Violation[] {
   const first = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
     if (event.kind !== "endpoint_executed") return [];
     if (event.facts.idempotent !== false) return [];
-    const id = textOf(event, "key") || textOf(event, "requestId");
+    const id = factText(event, "key") || factText(event, "requestId");
     const earlier = first.get(id);
     if (earlier === undefined) {
       first.set(id, event);
       return [];
     }
-    const detail = `Work of "${id}" took effect twice`;
+    const detail = `Work of "${id}" executed twice`;
     return [{ condition: "ran_twice", detail, events: [earlier, event] }];
   });
 }
 
-function checkRepeats(events: readonly HistoryEvent[]): Violation[] {
+function checkRepeatedKeyAnswers(events: readonly HistoryEvent[]): Violation[] {
   const keys = new Map<string, string>();
   const answers = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
-    const request = textOf(event, "requestId");
+    const request = factText(event, "requestId");
     if (event.kind === "request_received" && event.facts.key !== undefined) {
-      keys.set(request, textOf(event, "key"));
+      keys.set(request, factText(event, "key"));
     }
     const key = keys.get(request);
     if (event.kind !== "response_delivered" || key === undefined) return [];
     const earlier = answers.get(key) ?? event;
     answers.set(key, earlier);
-    if (textOf(earlier, "body") === textOf(event, "body")) return [];
-    const detail = `A repeat of "${key}" got another answer`;
+    if (factText(earlier, "body") === factText(event, "body")) return [];
+    const detail = `Retry of "${key}" got a different answer`;
     return [{ condition: "ran_twice", detail, events: [earlier, event] }];
   });
 }
--- a/test/history/changes.ts
+++ b/test/history/changes.ts
@@ -1,67 +1,68 @@
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
 import {
   type CheckOptions,
-  textOf,
-  valueOf,
+  factText,
+  getOrCreate,
   type Violation,
 } from "./violation.ts";
 
-/** Which endpoint each side stands beside, as the sides tell at their start. */
-function endpointsOfSides(events: readonly HistoryEvent[]) {
+/** Maps each side to its endpoint, from the sides' start events. */
+function endpointsBySide(events: readonly HistoryEvent[]) {
   const endpoints = new Map<string, string>();
   for (const event of events) {
     if (event.kind !== "process_started") continue;
-    const endpoint = textOf(event, "endpoint");
+    const endpoint = factText(event, "endpoint");
     if (endpoint !== "") endpoints.set(event.process, endpoint);
   }
   return endpoints;
 }
 
-/** Work that has been handed to endpoints and has not ended, by endpoint. */
-class WorkUnderWay {
+/** Tracks work that endpoints have started and not ended. */
+class WorkInProgress {
   readonly #endpoints: Map<string, string>;
   readonly #work = new Map<string, Map<string, HistoryEvent>>();
 
   constructor(events: readonly HistoryEvent[]) {
-    this.#endpoints = endpointsOfSides(events);
+    this.#endpoints = endpointsBySide(events);
   }
 
-  take(event: HistoryEvent): void {
-    const attempt = textOf(event, "attemptId");
+  applyEvent(event: HistoryEvent): void {
+    const attempt = factText(event, "attemptId");
     if (event.kind === "endpoint_started") {
-      this.at(textOf(event, "endpoint")).set(attempt, event);
+      this.workOn(factText(event, "endpoint")).set(attempt, event);
     }
     const ends = event.kind === "endpoint_finished" ||
       event.kind === "endpoint_cancelled" ||
       event.kind === "attempt_refused";
-    if (ends) this.at(textOf(event, "endpoint")).delete(attempt);
+    if (ends) this.workOn(factText(event, "endpoint")).delete(attempt);
     if (event.kind !== "process_killed") return;
-    this.at(this.#endpoints.get(event.process) ?? event.process).clear();
+    this.workOn(this.#endpoints.get(event.process) ?? event.process).clear();
   }
 
-  at(endpoint: string): Map<string, HistoryEvent> {
-    return valueOf(this.#work, { key: endpoint, make: () => new Map() });
+  workOn(endpoint: string): Map<string, HistoryEvent> {
+    return getOrCreate(this.#work, { key: endpoint, create: () => new Map() });
   }
 }
 
 /**
- * No request is cut off by a planned change: no order that alters an engine
- * reaches it while it works, and what is moved for a change goes on elsewhere.
+ * Checks that a planned change interrupts no request: no order that changes an
+ * engine's target reaches it while it is working, and work that is moved for a
+ * change continues on another endpoint.
  */
 export function checkCutByChange(events: readonly HistoryEvent[]): Violation[] {
   const violations: Violation[] = [];
-  const underWay = new WorkUnderWay(events);
+  const workInProgress = new WorkInProgress(events);
   const targets = new Map<string, string>();
   for (const event of events) {
-    underWay.take(event);
-    const endpoint = textOf(event, "endpoint");
+    workInProgress.applyEvent(event);
+    const endpoint = factText(event, "endpoint");
     if (event.kind === "order_done") {
-      targets.set(endpoint, textOf(event, "target"));
+      targets.set(endpoint, factText(event, "target"));
     }
     if (event.kind !== "order_received") continue;
-    if (targets.get(endpoint) === textOf(event, "target")) continue;
-    for (const work of underWay.at(endpoint).values()) {
-      const detail = "An order reached an engine that was at work";
+    if (targets.get(endpoint) === factText(event, "target")) continue;
+    for (const work of workInProgress.workOn(endpoint).values()) {
+      const detail = "Order reached an engine with work in progress";
       violations.push({
         condition: "cut_by_change",
         detail,
@@ -75,34 +76,38 @@
 function checkMovedWork(events: readonly HistoryEvent[]): Violation[] {
   const moved = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
-    const request = textOf(event, "requestId");
+    const request = factText(event, "requestId");
     if (
       event.kind === "endpoint_cancelled" &&
-      textOf(event, "cause") === "planned"
+      factText(event, "cause") === "planned"
     ) moved.set(request, event);
     if (event.kind === "endpoint_started") moved.delete(request);
     if (event.kind !== "request_finished") return [];
-    const cut = moved.get(request);
-    if (cut === undefined || isServed(event)) return [];
-    const detail = "Work was cut for a change and did not go on elsewhere";
-    return [{ condition: "cut_by_change", detail, events: [cut, event] }];
+    const interrupted = moved.get(request);
+    if (interrupted === undefined || isServed(event)) return [];
+    const detail = "Work interrupted for a change did not continue elsewhere";
+    return [{
+      condition: "cut_by_change",
+      detail,
+      events: [interrupted, event],
+    }];
   });
 }
 
-/** Answered, or given up by the caller itself. */
+/** Whether the request was answered or cancelled by its caller. */
 function isServed(event: HistoryEvent): boolean {
-  return textOf(event, "outcome") === "answered" ||
-    textOf(event, "reason") === "cancelled";
+  return factText(event, "outcome") === "answered" ||
+    factText(event, "reason") === "cancelled";
 }
 
-/** A leaving endpoint gets no new work after a few seconds. */
+/** Checks that a leaving endpoint gets no new work after the time limit. */
 export function checkLeavingEndpointUsed(
   events: readonly HistoryEvent[],
   options: CheckOptions,
 ): Violation[] {
   const leaving = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
-    const endpoint = textOf(event, "endpoint");
+    const endpoint = factText(event, "endpoint");
     if (event.kind === "endpoint_leaving" && !leaving.has(endpoint)) {
       leaving.set(endpoint, event);
     }
@@ -112,7 +117,9 @@
     const since = leaving.get(endpoint);
     if (!isNewWork || since === undefined) return [];
     if (event.at <= since.at + options.leavingLimitMilliseconds) return [];
-    const detail = `New work ${event.at - since.at} ms after it was leaving`;
+    const detail = `New work ${
+      event.at - since.at
+    } ms after the endpoint began to leave`;
     return [{
       condition: "leaving_endpoint_used",
       detail,
@@ -122,32 +129,32 @@
 }
 
 /**
- * Every planned stop cuts no request: an entry stops when its requests have
- * their outcome, a side when its endpoint's work has ended or goes on
- * elsewhere to a whole answer.
+ * Checks that a planned stop interrupts no request: an entry stops only after
+ * its requests have outcomes, and a side only after its endpoint's work has
+ * ended or is answered through another endpoint.
  */
 export function checkCutByStop(events: readonly HistoryEvent[]): Violation[] {
   const violations: Violation[] = [];
   const open = new Map<string, HistoryEvent>();
-  const underWay = new WorkUnderWay(events);
-  const endpoints = endpointsOfSides(events);
-  const outcomes = outcomesOf(events);
+  const workInProgress = new WorkInProgress(events);
+  const endpoints = endpointsBySide(events);
+  const outcomes = outcomesByRequest(events);
   for (const event of events) {
-    underWay.take(event);
-    const request = textOf(event, "requestId");
+    workInProgress.applyEvent(event);
+    const request = factText(event, "requestId");
     if (event.kind === "request_received") open.set(request, event);
     if (event.kind === "request_finished") open.delete(request);
-    if (event.kind === "process_killed") forgetRequestsOf(open, event.process);
+    if (event.kind === "process_killed") deleteRequestsOf(open, event.process);
     if (event.kind !== "process_stopped") continue;
     const endpoint = endpoints.get(event.process);
-    const cut = endpoint === undefined
+    const interrupted = endpoint === undefined
       ? [...open.values()].filter((one) => one.process === event.process)
-      : [...underWay.at(endpoint).values()].filter((one) => {
-        const end = outcomes.get(textOf(one, "requestId"));
+      : [...workInProgress.workOn(endpoint).values()].filter((one) => {
+        const end = outcomes.get(factText(one, "requestId"));
         return end === undefined || !isServed(end);
       });
-    for (const work of cut) {
-      const detail = "A planned stop left a request behind";
+    for (const work of interrupted) {
+      const detail = "Planned stop left a request unfinished";
       violations.push({
         condition: "cut_by_stop",
         detail,
@@ -158,8 +165,8 @@
   return violations;
 }
 
-/** What a kill cut off is not left behind by a later run's planned stop. */
-function forgetRequestsOf(
+/** Deletes requests that a kill ended; a later run's planned stop did not. */
+function deleteRequestsOf(
   open: Map<string, HistoryEvent>,
   process: string,
 ): void {
@@ -168,11 +175,11 @@
   }
 }
 
-function outcomesOf(events: readonly HistoryEvent[]) {
+function outcomesByRequest(events: readonly HistoryEvent[]) {
   const outcomes = new Map<string, HistoryEvent>();
   for (const event of events) {
     if (event.kind !== "request_finished") continue;
-    outcomes.set(textOf(event, "requestId"), event);
+    outcomes.set(factText(event, "requestId"), event);
   }
   return outcomes;
 }
--- a/test/history/configuration.ts
+++ b/test/history/configuration.ts
@@ -1,17 +1,17 @@
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
-import { inLogOrder } from "./orders.ts";
+import { recordsInLogOrder } from "./orders.ts";
 import {
   type CheckOptions,
-  numberOf,
-  textOf,
+  factNumber,
+  factText,
   type Violation,
 } from "./violation.ts";
 
 /**
- * An accepted configuration is in force everywhere within seconds and never
- * reverts: versions in force only rise, also across a process's restarts;
- * only what the log accepted is in force; and every process that runs
- * unhindered has it in force in time.
+ * Checks that an accepted configuration is in force everywhere within the time
+ * limit and never reverts: versions in force never decrease, also across
+ * restarts of a process; only versions that the log accepted are in force; and
+ * every process without an active fault puts them in force in time.
  */
 export function checkConfigurationReverted(
   events: readonly HistoryEvent[],
@@ -19,16 +19,16 @@
 ): Violation[] {
   const accepted = acceptedVersions(events);
   return [
-    ...checkRising(events),
+    ...checkMonotonic(events),
     ...checkAccepted(events, accepted),
-    ...checkInTime(events, { ...options, accepted }),
+    ...checkInForceInTime(events, { ...options, accepted }),
   ];
 }
 
 /**
- * Folds the stream: a verdict counts if its claim was in force where it
- * stands and its publication was undecided, and accepts only on the version
- * in force. A version is its verdict's offset + 1.
+ * Folds the stream. A verdict is valid if its claim was in force at its offset
+ * and its publication was undecided; it accepts only a publication based on
+ * the version in force. A version is the offset of its verdict + 1.
  */
 function acceptedVersions(
   events: readonly HistoryEvent[],
@@ -37,19 +37,19 @@
   const bases = new Map<number, number>();
   let claim = -1;
   let version = 0;
-  for (const event of inLogOrder(events, "configuration")) {
-    const offset = numberOf(event, "offset");
-    switch (textOf(event, "kind")) {
+  for (const event of recordsInLogOrder(events, "configuration")) {
+    const offset = factNumber(event, "offset");
+    switch (factText(event, "kind")) {
       case "claim":
-        if (numberOf(event, "replaces") === claim) claim = offset;
+        if (factNumber(event, "replaces") === claim) claim = offset;
         break;
       case "publication":
-        bases.set(offset, numberOf(event, "base"));
+        bases.set(offset, factNumber(event, "base"));
         break;
       case "verdict": {
-        const publication = numberOf(event, "publication");
+        const publication = factNumber(event, "publication");
         const base = bases.get(publication);
-        if (numberOf(event, "claim") !== claim || base === undefined) break;
+        if (factNumber(event, "claim") !== claim || base === undefined) break;
         bases.delete(publication);
         if (event.facts.accepted !== true || base !== version) break;
         version = offset + 1;
@@ -61,15 +61,19 @@
   return accepted;
 }
 
-function checkRising(events: readonly HistoryEvent[]): Violation[] {
+function checkMonotonic(events: readonly HistoryEvent[]): Violation[] {
   const last = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
     if (event.kind !== "configuration_in_force") return [];
     const earlier = last.get(event.process);
     last.set(event.process, event);
     if (earlier === undefined) return [];
-    if (numberOf(event, "version") >= numberOf(earlier, "version")) return [];
-    return [reverted("A version in force went back", [earlier, event])];
+    if (factNumber(event, "version") >= factNumber(earlier, "version")) {
+      return [];
+    }
+    return [
+      configurationViolation("Version in force decreased", [earlier, event]),
+    ];
   });
 }
 
@@ -78,22 +82,24 @@
   accepted: Map<number, HistoryEvent>,
 ): Violation[] {
   return events.flatMap((event) => {
-    const tells = event.kind === "configuration_in_force" ||
+    const reportsVersion = event.kind === "configuration_in_force" ||
       event.kind === "configuration_accepted";
-    const version = numberOf(event, "version");
-    if (!tells || version === 0 || accepted.has(version)) return [];
-    return [reverted("A version that the log did not accept", [event])];
+    const version = factNumber(event, "version");
+    if (!reportsVersion || version === 0 || accepted.has(version)) return [];
+    return [
+      configurationViolation("Version was not accepted by the log", [event]),
+    ];
   });
 }
 
-interface Process {
+interface ProcessHistory {
   readonly name: string;
-  /** Ends of the times in which no entry ran that a side could hear. */
-  readonly relayless: readonly Span[];
+  /** Periods in which no entry could relay configurations; none for entries. */
+  readonly entryOutages: readonly TimeSpan[];
   readonly events: readonly HistoryEvent[];
 }
 
-function checkInTime(
+function checkInForceInTime(
   events: readonly HistoryEvent[],
   options: CheckOptions & { accepted: Map<number, HistoryEvent> },
 ): Violation[] {
@@ -101,65 +107,69 @@
     events.filter((event) => event.kind === "process_started")
       .map((event) => event.process),
   );
-  const entries = entriesOf(events);
+  const entries = entryNames(events);
   const processes = [...names].map((name) => ({
     name,
-    events: events.filter((event) => concerns(event, name)),
-    relayless: entries.includes(name)
+    events: events.filter((event) => affects(event, name)),
+    entryOutages: entries.includes(name)
       ? []
-      : timesWithoutEntries(events, entries),
+      : findEntryOutages(events, entries),
   }));
   const end = events.length === 0 ? 0 : events[events.length - 1].at;
   const violations: Violation[] = [];
   for (const [version, verdict] of options.accepted) {
     for (const process of processes) {
-      const due = dueTime(process, {
+      const due = deadlineOf(process, {
         from: verdict.at,
         limit: options.inForceLimitMilliseconds,
       });
       if (due === undefined || due > end) continue;
-      if (hasInForce(process, { version, due })) continue;
+      if (wasInForceByDeadline(process, { version, due })) continue;
       const detail =
-        `Version ${version} not in force at ${process.name} in time`;
-      violations.push(reverted(detail, [verdict]));
+        `Version ${version} not in force at ${process.name} by its deadline`;
+      violations.push(configurationViolation(detail, [verdict]));
     }
   }
   return violations;
 }
 
-interface Span {
+interface TimeSpan {
   readonly from: number;
   readonly to: number;
 }
 
-function entriesOf(events: readonly HistoryEvent[]): string[] {
+function entryNames(events: readonly HistoryEvent[]): string[] {
   const started = events.filter((event) =>
-    event.kind === "process_started" && textOf(event, "role") === "entry"
+    event.kind === "process_started" && factText(event, "role") === "entry"
   );
   return [...new Set(started.map((event) => event.process))];
 }
 
 /**
- * Sides hear of a configuration from entries. While every entry is paused or
- * has gone there is nobody who could have told them.
+ * Sides receive configurations from entries. While every entry has an active
+ * fault, no side can receive one.
  */
-function timesWithoutEntries(
+function findEntryOutages(
   events: readonly HistoryEvent[],
   entries: readonly string[],
-): Span[] {
-  const spans: Span[] = [];
-  const hindered = new Map(entries.map((name) => [name, new Set(["process"])]));
+): TimeSpan[] {
+  const spans: TimeSpan[] = [];
+  const activeFaultsByEntry = new Map(
+    entries.map((name) => [name, new Set(["process"])]),
+  );
   let from: number | undefined;
   for (const event of events) {
-    const hindrances = hindered.get(event.process);
-    if (hindrances === undefined) continue;
-    if (HINDRANCE_BEGINS.includes(event.kind)) {
-      hindrances.add(hindranceOf(event));
-    } else if (HINDRANCE_ENDS.includes(event.kind)) {
-      hindrances.delete(hindranceOf(event));
+    const activeFaults = activeFaultsByEntry.get(event.process);
+    if (activeFaults === undefined) continue;
+    if (FAULT_START_KINDS.includes(event.kind)) {
+      activeFaults.add(faultKey(event));
+    } else if (FAULT_END_KINDS.includes(event.kind)) {
+      activeFaults.delete(faultKey(event));
     } else continue;
-    const none = [...hindered.values()].every((each) => each.size > 0);
-    if (none) from ??= event.at;
+    const noEntryAvailable = [...activeFaultsByEntry.values()].every((each) =>
+      each.size > 0
+    );
+    if (noEntryAvailable) from ??= event.at;
     else if (from !== undefined) {
       spans.push({ from, to: event.at });
       from = undefined;
@@ -169,22 +179,22 @@
   return spans;
 }
 
-function concerns(event: HistoryEvent, name: string): boolean {
+function affects(event: HistoryEvent, name: string): boolean {
   if (event.kind === "link_cut" || event.kind === "link_healed") {
-    return textOf(event, "from") === name || textOf(event, "to") === name;
+    return factText(event, "from") === name || factText(event, "to") === name;
   }
   return event.process === name || event.kind === "log_outage_began" ||
     event.kind === "log_outage_ended";
 }
 
-const HINDRANCE_BEGINS: readonly string[] = [
+const FAULT_START_KINDS: readonly string[] = [
   "process_paused",
   "process_killed",
   "process_stopped",
   "link_cut",
   "log_outage_began",
 ];
-const HINDRANCE_ENDS: readonly string[] = [
+const FAULT_END_KINDS: readonly string[] = [
   "process_resumed",
   "process_started",
   "link_healed",
@@ -192,35 +202,36 @@
 ];
 
 /**
- * When the process has to have a version that was accepted at `from`: the
- * limit after it, counted anew from the end of each fault that hit the process
- * before. Undefined where it was not running then or a fault never ended.
+ * Returns when a version accepted at `from` must be in force at the process:
+ * `limit` milliseconds later, restarted at the end of each fault that began
+ * before the deadline. Undefined if the process is not running or a fault is
+ * still active.
  */
-function dueTime(
-  process: Process,
+function deadlineOf(
+  process: ProcessHistory,
   options: { from: number; limit: number },
 ): number | undefined {
-  const hindrances = new Set<string>(["process"]);
+  const activeFaults = new Set<string>(["process"]);
   let due = options.from + options.limit;
   for (const event of process.events) {
-    if (event.at > due && hindrances.size === 0) break;
-    if (HINDRANCE_BEGINS.includes(event.kind)) {
-      hindrances.add(hindranceOf(event));
+    if (event.at > due && activeFaults.size === 0) break;
+    if (FAULT_START_KINDS.includes(event.kind)) {
+      activeFaults.add(faultKey(event));
     }
-    if (!HINDRANCE_ENDS.includes(event.kind)) continue;
-    hindrances.delete(hindranceOf(event));
+    if (!FAULT_END_KINDS.includes(event.kind)) continue;
+    activeFaults.delete(faultKey(event));
     due = Math.max(due, event.at + options.limit);
   }
-  for (const span of process.relayless) {
+  for (const span of process.entryOutages) {
     if (span.from > due) break;
     due = Math.max(due, span.to + options.limit);
   }
-  return hindrances.size === 0 ? due : undefined;
+  return activeFaults.size === 0 ? due : undefined;
 }
 
-function hindranceOf(event: HistoryEvent): string {
+function faultKey(event: HistoryEvent): string {
   if (event.kind.startsWith("link_")) {
-    return `link ${textOf(event, "from")} ${textOf(event, "to")}`;
+    return `link ${factText(event, "from")} ${factText(event, "to")}`;
   }
   if (event.kind.startsWith("log_")) return "log";
   if (event.kind === "process_paused" || event.kind === "process_resumed") {
@@ -229,16 +240,19 @@
   return "process";
 }
 
-function hasInForce(
-  process: Process,
+function wasInForceByDeadline(
+  process: ProcessHistory,
   options: { version: number; due: number },
 ): boolean {
   return process.events.some((event) =>
     event.kind === "configuration_in_force" && event.at <= options.due &&
-    numberOf(event, "version") >= options.version
+    factNumber(event, "version") >= options.version
   );
 }
 
-function reverted(detail: string, events: HistoryEvent[]): Violation {
+function configurationViolation(
+  detail: string,
+  events: HistoryEvent[],
+): Violation {
   return { condition: "configuration_reverted", detail, events };
 }
--- a/test/history/history_test.ts
+++ b/test/history/history_test.ts
@@ -10,15 +10,15 @@
 function event(
   at: number,
   kind: HistoryEventKind,
-  facts: Facts & { by?: string } = {},
+  facts: Facts & { process?: string } = {},
 ): HistoryEvent {
-  const { by, ...others } = facts;
-  return { at, process: by ?? "entry-1", kind, facts: others };
+  const { process, ...others } = facts;
+  return { at, process: process ?? "entry-1", kind, facts: others };
 }
 
 function order(at: number, number: number, facts: Facts = {}): HistoryEvent {
   return event(at, "order_received", {
-    by: "e1",
+    process: "e1",
     endpoint: "e1",
     order: number,
     target: "decode",
@@ -28,7 +28,7 @@
 
 function done(at: number, number: number): HistoryEvent {
   return event(at, "order_done", {
-    by: "e1",
+    process: "e1",
     endpoint: "e1",
     order: number,
     target: "decode",
@@ -40,7 +40,7 @@
     ? "configuration"
     : "orders.r";
   return event(0, "log_appended", {
-    by: "log",
+    process: "log",
     stream,
     offset,
     kind,
@@ -49,7 +49,7 @@
 }
 
 const CLAIM = appended(0, "claim", { replaces: -1, holder: "entry-1" });
-/** Orders 1 to 3 of the claim at 0, all valid. */
+/** A claim at offset 0 and its valid orders 1 to 3. */
 const ORDERS = [
   CLAIM,
   ...[1, 2, 3].map((offset) =>
@@ -65,19 +65,23 @@
 const LATE_WRITER = { writer: "entry-2", incarnation: "i" };
 
 const SIDE = event(0, "process_started", {
-  by: "side-1",
+  process: "side-1",
   role: "side",
   endpoint: "e1",
 });
 const ATTEMPT = { requestId: "r", attemptId: "a", endpoint: "e1" };
 
 function started(at: number, facts: Facts = {}): HistoryEvent {
-  return event(at, "endpoint_started", { by: "side-1", ...ATTEMPT, ...facts });
+  return event(at, "endpoint_started", {
+    process: "side-1",
+    ...ATTEMPT,
+    ...facts,
+  });
 }
 
 function executed(at: number, facts: Facts = {}): HistoryEvent {
   const work = { ...ATTEMPT, idempotent: false };
-  return event(at, "endpoint_executed", { by: "e1", ...work, ...facts });
+  return event(at, "endpoint_executed", { process: "e1", ...work, ...facts });
 }
 
 function finished(at: number, outcome: string, facts: Facts = {}) {
@@ -92,8 +96,12 @@
 const EXPECTED = event(0, "answer_expected", { requestId: "r", text: "xx" });
 const RUN_ENDED = event(60_000, "run_ended");
 
-function inForce(at: number, version: number, by = "entry-1"): HistoryEvent {
-  return event(at, "configuration_in_force", { by, version });
+function inForce(
+  at: number,
+  version: number,
+  process = "entry-1",
+): HistoryEvent {
+  return event(at, "configuration_in_force", { process, version });
 }
 
 const CONFIGURATION = [
@@ -109,21 +117,37 @@
   appended(2, "verdict", { claim: 0, publication: 1, accepted: true }),
 ];
 
-/** Histories that break exactly one condition. */
-const WRONG: Readonly<Record<Condition, Record<string, HistoryEvent[]>>> = {
+/** Histories that violate exactly one condition. */
+const INVALID_HISTORIES: Readonly<
+  Record<Condition, Record<string, HistoryEvent[]>>
+> = {
   conflicting_orders: {
-    "a second order under way": [...ORDERS, order(1, 1), order(2, 2)],
-    "an older order late": [...ORDERS, order(1, 2), done(2, 2), order(3, 1)],
+    "a second order while one is in progress": [
+      ...ORDERS,
+      order(1, 1),
+      order(2, 2),
+    ],
+    "an older order that arrives late": [
+      ...ORDERS,
+      order(1, 2),
+      done(2, 2),
+      order(3, 1),
+    ],
     "an older order after a crash": [
       ...ORDERS,
       order(1, 2),
-      event(2, "process_killed", { by: "e1" }),
+      event(2, "process_killed", { process: "e1" }),
       order(3, 1),
     ],
   },
   cut_by_change: {
-    "an order at an engine at work": [SIDE, ...ORDERS, started(1), order(2, 1)],
-    "work moved and not taken up": [
+    "an order to an engine with work in progress": [
+      SIDE,
+      ...ORDERS,
+      started(1),
+      order(2, 1),
+    ],
+    "work that is moved and not continued": [
       started(1),
       event(2, "endpoint_cancelled", { ...ATTEMPT, cause: "planned" }),
       finished(3, "unknown"),
@@ -131,7 +155,7 @@
   },
   order_without_authority: {
     "an order that is not on the log": [order(1, 1)],
-    "an order behind a newer claim": [
+    "an order after a newer claim": [
       CLAIM,
       appended(1, "claim", { replaces: 0, holder: "entry-2" }),
       appended(2, "order", {
@@ -142,7 +166,7 @@
       }),
       order(1, 2),
     ],
-    "a number given twice": [
+    "a reused order number": [
       CLAIM,
       ...[1, 2].map((offset) =>
         appended(offset, "order", {
@@ -154,26 +178,26 @@
       ),
       order(1, 2),
     ],
-    "another target than on the log": [
+    "a target that differs from the log": [
       ...ORDERS,
       order(1, 1, { target: "prefill" }),
     ],
   },
   wrong_answer: {
-    "a token twice": [token(1, 0), token(2, 0)],
-    "a token left out": [token(1, 0), token(2, 2)],
+    "a duplicate token": [token(1, 0), token(2, 0)],
+    "a missing token": [token(1, 0), token(2, 2)],
     "a token of another request": [EXPECTED, token(1, 0, "y")],
-    "a shorter answer that looks whole": [
+    "a truncated answer reported as complete": [
       EXPECTED,
       token(1, 0),
       finished(2, "answered", { tokens: 1 }),
     ],
-    "a token behind the end": [
+    "a token after the outcome": [
       token(1, 0),
       finished(2, "answered", { tokens: 1 }),
       token(3, 1),
     ],
-    "the response to another": [
+    "the response of another request": [
       EXPECTED,
       event(1, "response_delivered", { requestId: "r", body: "yy" }),
     ],
@@ -182,61 +206,64 @@
     "no outcome": [RECEIVED, RUN_ENDED],
   },
   false_not_run: {
-    "work started before": [started(1), finished(2, "not_run")],
-    "work executed after": [finished(1, "not_run"), executed(2)],
+    "work started before the outcome": [started(1), finished(2, "not_run")],
+    "work executed after the outcome": [finished(1, "not_run"), executed(2)],
   },
   ran_twice: {
-    "a key twice": [
+    "a key executed twice": [
       executed(1, { key: "k" }),
       executed(2, { key: "k", requestId: "r2", endpoint: "e2" }),
     ],
-    "a request without a key twice": [executed(1), executed(2)],
-    "a repeat with another answer": ["r", "r2"].flatMap((requestId, index) => [
+    "a request without a key executed twice": [executed(1), executed(2)],
+    "a retry with a different answer": ["r", "r2"].flatMap((
+      requestId,
+      index,
+    ) => [
       event(1, "request_received", { requestId, key: "k" }),
       event(2, "response_delivered", { requestId, body: `case ${index}` }),
     ]),
   },
   leaving_endpoint_used: {
     "new work six seconds later": [
-      event(0, "endpoint_leaving", { by: "network", endpoint: "e1" }),
+      event(0, "endpoint_leaving", { process: "network", endpoint: "e1" }),
       started(6_000),
     ],
   },
   cut_by_stop: {
-    "an entry stops with a request open": [
+    "an entry that stops with an open request": [
       RECEIVED,
       event(1, "process_stopped"),
       finished(2, "unknown"),
     ],
-    "a side stops with work under way": [
+    "a side that stops with work in progress": [
       SIDE,
       started(1),
-      event(2, "process_stopped", { by: "side-1" }),
+      event(2, "process_stopped", { process: "side-1" }),
       finished(3, "unknown"),
     ],
   },
   configuration_reverted: {
-    "a version that goes back": [
+    "a version that decreases": [
       ...CONFIGURATION,
       inForce(1, 3),
       inForce(2, 0),
     ],
-    "a version that goes back over a restart": [
+    "a version that decreases across a restart": [
       ...CONFIGURATION,
       inForce(1, 3),
       event(2, "process_killed"),
       event(3, "process_started"),
       inForce(4, 0),
     ],
-    "a version that nobody accepted": [...CONFIGURATION, inForce(1, 4)],
+    "a version that was not accepted": [...CONFIGURATION, inForce(1, 4)],
     "a second publication on the same base": [
       ...CONFIGURATION,
       appended(3, "publication", { base: 0, publicationId: "q" }),
       appended(4, "verdict", { claim: 0, publication: 3, accepted: true }),
       inForce(1, 5),
     ],
-    "a process that never gets it": [...CONFIGURATION, RUN_ENDED],
-    "a side that gets it late after its only entry's pause": [
+    "a process that never puts it in force": [...CONFIGURATION, RUN_ENDED],
+    "a side that is late after a pause of its only entry": [
       ...CONFIGURATION,
       SIDE,
       event(1, "process_paused"),
@@ -244,7 +271,7 @@
       inForce(20_001, 3),
       inForce(29_001, 3, "side-1"),
     ],
-    "a process that gets it late after a pause": [
+    "a process that is late after a pause": [
       ...CONFIGURATION,
       event(1, "process_paused"),
       event(20_000, "process_resumed"),
@@ -253,38 +280,40 @@
   },
 };
 
-/** Histories that come near a violation and are allowed. */
-const ALLOWED: Readonly<Record<Condition, Record<string, HistoryEvent[]>>> = {
+/** Histories that are close to a violation and valid. */
+const VALID_HISTORIES: Readonly<
+  Record<Condition, Record<string, HistoryEvent[]>>
+> = {
   conflicting_orders: {
-    "one order twice": [...ORDERS, order(1, 1), order(2, 1)],
-    "the next order after a crash in mid-change": [
+    "a repeated order": [...ORDERS, order(1, 1), order(2, 1)],
+    "the next order after a crash during a change": [
       ...ORDERS,
       order(1, 1),
-      event(2, "process_killed", { by: "e1" }),
+      event(2, "process_killed", { process: "e1" }),
       order(3, 1),
       done(4, 1),
       order(5, 2),
     ],
-    "an older order refused by the engine": [
+    "an older order that the engine refuses": [
       ...ORDERS,
       order(1, 2),
-      event(2, "order_refused", { by: "e1", endpoint: "e1", order: 1 }),
+      event(2, "order_refused", { process: "e1", endpoint: "e1", order: 1 }),
     ],
   },
   cut_by_change: {
-    "an order behind the end of the work": [
+    "an order after the work has ended": [
       SIDE,
       ...ORDERS,
       started(1),
       event(2, "endpoint_finished", { ...ATTEMPT, result: "answered" }),
       order(3, 1),
     ],
-    "work moved and taken up": [
+    "work that is moved and continued": [
       started(1),
       event(2, "endpoint_cancelled", { ...ATTEMPT, cause: "planned" }),
       started(3, { attemptId: "b", endpoint: "e2" }),
     ],
-    "the same target again under work": [
+    "an unchanged target while work is in progress": [
       SIDE,
       ...ORDERS,
       order(1, 1),
@@ -299,7 +328,7 @@
       appended(4, "claim", { replaces: 0, holder: "entry-2" }),
       order(1, 3),
     ],
-    "a claim that landed behind a later record of its writer": [
+    "a claim that was appended after a later record of its writer": [
       ...ORDERS,
       appended(4, "renewal", { ...LATE_WRITER, sequence: 7 }),
       appended(5, "claim", { ...LATE_WRITER, sequence: 6, replaces: 0 }),
@@ -324,7 +353,7 @@
     ],
   },
   wrong_answer: {
-    "the whole answer": [
+    "the complete answer": [
       RECEIVED,
       EXPECTED,
       token(1, 0),
@@ -332,7 +361,7 @@
       finished(3, "answered", { tokens: 2 }),
       RUN_ENDED,
     ],
-    "a part with an explicit error": [
+    "a partial answer with an explicit error": [
       EXPECTED,
       token(1, 0),
       finished(2, "unknown"),
@@ -344,57 +373,57 @@
     ],
   },
   false_not_run: {
-    "work that its endpoint refused": [
+    "work that the endpoint refused": [
       started(1),
       event(2, "attempt_refused", ATTEMPT),
       finished(3, "not_run"),
     ],
-    "another request of the key": [
+    "another request with the same key": [
       started(1, { key: "k" }),
       finished(2, "not_run", { requestId: "r2", key: "k" }),
     ],
   },
   ran_twice: {
-    "idempotent work twice": [
+    "idempotent work executed twice": [
       executed(1, { idempotent: true }),
       executed(2, { idempotent: true }),
     ],
-    "two keys of one body": [
+    "two keys with the same body": [
       executed(1, { key: "k" }),
       executed(2, { key: "l" }),
     ],
-    "a repeat with the first answer": ["r", "r2"].flatMap((requestId) => [
+    "a retry with the first answer": ["r", "r2"].flatMap((requestId) => [
       event(1, "request_received", { requestId, key: "k" }),
       event(2, "response_delivered", { requestId, body: "case 1" }),
     ]),
   },
   leaving_endpoint_used: {
-    "new work within a few seconds": [
-      event(0, "endpoint_leaving", { by: "network", endpoint: "e1" }),
+    "new work within the time limit": [
+      event(0, "endpoint_leaving", { process: "network", endpoint: "e1" }),
       started(4_000),
     ],
-    "new work after it is back": [
-      event(0, "endpoint_leaving", { by: "network", endpoint: "e1" }),
-      event(5_500, "endpoint_returned", { by: "network", endpoint: "e1" }),
+    "new work after the endpoint returned": [
+      event(0, "endpoint_leaving", { process: "network", endpoint: "e1" }),
+      event(5_500, "endpoint_returned", { process: "network", endpoint: "e1" }),
       started(6_000),
     ],
   },
   cut_by_stop: {
-    "an entry that stops behind its last outcome": [
+    "an entry that stops after its last outcome": [
       RECEIVED,
       finished(1, "unknown"),
       event(2, "process_stopped"),
     ],
-    "a side that stops with work that goes on elsewhere": [
+    "a side that stops while its work continues elsewhere": [
       SIDE,
       started(1),
-      event(2, "process_stopped", { by: "side-1" }),
+      event(2, "process_stopped", { process: "side-1" }),
       started(3, { attemptId: "b", endpoint: "e2" }),
       token(4, 0),
       finished(5, "answered", { tokens: 1 }),
     ],
     "a kill": [RECEIVED, event(1, "process_killed")],
-    "a planned stop of the run behind a kill": [
+    "a planned stop of the run after a kill": [
       RECEIVED,
       event(1, "process_killed"),
       event(2, "process_started"),
@@ -410,14 +439,14 @@
       inForce(28_000, 3),
       RUN_ENDED,
     ],
-    "a loser of a race that was never in force": [
+    "a losing publication that was never in force": [
       ...CONFIGURATION,
       appended(3, "publication", { base: 0, publicationId: "q" }),
       appended(4, "verdict", { claim: 0, publication: 3, accepted: true }),
       inForce(1, 3),
       RUN_ENDED,
     ],
-    "a side in time after its only entry's pause": [
+    "a side in time after a pause of its only entry": [
       ...CONFIGURATION,
       SIDE,
       event(1, "process_paused"),
@@ -426,7 +455,7 @@
       inForce(28_000, 3, "side-1"),
       RUN_ENDED,
     ],
-    "a process that was stopped": [
+    "a stopped process": [
       ...CONFIGURATION,
       event(1, "process_stopped"),
       RUN_ENDED,
@@ -437,13 +466,15 @@
 describe("checkHistory", () => {
   for (const condition of CONDITIONS) {
     describe(condition, () => {
-      for (const [name, events] of Object.entries(WRONG[condition])) {
+      for (
+        const [name, events] of Object.entries(INVALID_HISTORIES[condition])
+      ) {
         it(`reports ${name}`, () => {
           const found = checkHistory(events).map((one) => one.condition);
           expect([...new Set(found)]).to.deep.equal([condition]);
         });
       }
-      for (const [name, events] of Object.entries(ALLOWED[condition])) {
+      for (const [name, events] of Object.entries(VALID_HISTORIES[condition])) {
         it(`allows ${name}`, () => {
           expect(checkHistory(events)).to.deep.equal([]);
         });
--- a/test/history/mod.ts
+++ b/test/history/mod.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the history of a run, whatever made it (one process on virtual time,
- * or many processes), and says which of the nine conditions did not hold.
+ * Checks the event history of a run against the nine correctness conditions.
+ * The history may come from one process on virtual time or from many
+ * processes.
  */
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
 import {
@@ -28,7 +29,7 @@
 export type { CheckOptions, Condition, Violation } from "./violation.ts";
 export { CONDITIONS } from "./violation.ts";
 
-/** One checker for each condition. */
+/** The checker of each condition. */
 export const CHECKERS: Readonly<Record<Condition, Checker>> = {
   conflicting_orders: checkConflictingOrders,
   cut_by_change: checkCutByChange,
@@ -41,17 +42,17 @@
   configuration_reverted: checkConfigurationReverted,
 };
 
-/** "A few seconds" of the users, and their limit for a configuration. */
-const DEFAULT_OPTIONS: CheckOptions = {
+/** The limits that the user contract sets for draining and configurations. */
+const DEFAULT_CHECK_OPTIONS: CheckOptions = {
   leavingLimitMilliseconds: 5_000,
   inForceLimitMilliseconds: 9_000,
 };
 
-/** Every violation in the history, by condition; events in order of time. */
+/** Returns all violations, grouped by condition; `events` are in time order. */
 export function checkHistory(
   events: readonly HistoryEvent[],
   options: Partial<CheckOptions> = {},
 ): readonly Violation[] {
-  const all = { ...DEFAULT_OPTIONS, ...options };
+  const all = { ...DEFAULT_CHECK_OPTIONS, ...options };
   return Object.values(CHECKERS).flatMap((check) => check(events, all));
 }
--- a/test/history/orders.ts
+++ b/test/history/orders.ts
@@ -1,16 +1,22 @@
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
-import { numberOf, textOf, valueOf, type Violation } from "./violation.ts";
+import {
+  factNumber,
+  factText,
+  getOrCreate,
+  type Violation,
+} from "./violation.ts";
 
 interface EngineState {
-  underWay?: HistoryEvent;
+  inProgress?: HistoryEvent;
   newest?: HistoryEvent;
-  readonly targets: Map<number, HistoryEvent>;
+  readonly ordersByNumber: Map<number, HistoryEvent>;
 }
 
 /**
- * An engine never receives conflicting orders: none while another is under
- * way, none older than one it has had, none of the same number with another
- * target. The same order again is no conflict, since orders are whole states.
+ * Checks that an engine receives no conflicting orders: none while another is
+ * in progress, none older than one already received, and none with the same
+ * number and another target. A repeated order does not conflict, because an
+ * order states the complete target.
  */
 export function checkConflictingOrders(
   events: readonly HistoryEvent[],
@@ -18,63 +24,73 @@
   const violations: Violation[] = [];
   const engines = new Map<string, EngineState>();
   for (const event of events) {
-    const engine = engineOf(engines, event);
+    const engine = engineStateOf(engines, event);
     if (event.kind === "order_received") {
-      violations.push(...conflictsOf(engine, event));
-      engine.underWay = event;
+      violations.push(...checkConflicts(engine, event));
+      engine.inProgress = event;
       if (!isOlder(event, engine.newest)) engine.newest = event;
-      engine.targets.set(numberOf(event, "order"), event);
+      engine.ordersByNumber.set(factNumber(event, "order"), event);
     }
     const ends = event.kind === "order_done" &&
-      isSameOrder(event, engine.underWay);
-    if (ends || event.kind === "process_killed") engine.underWay = undefined;
+      isSameOrder(event, engine.inProgress);
+    if (ends || event.kind === "process_killed") engine.inProgress = undefined;
   }
   return violations;
 }
 
-function engineOf(
+function engineStateOf(
   engines: Map<string, EngineState>,
   event: HistoryEvent,
 ): EngineState {
-  const key = textOf(event, "endpoint") || event.process;
-  return valueOf(engines, { key, make: () => ({ targets: new Map() }) });
+  const key = factText(event, "endpoint") || event.process;
+  return getOrCreate(engines, {
+    key,
+    create: () => ({ ordersByNumber: new Map() }),
+  });
 }
 
-function conflictsOf(engine: EngineState, event: HistoryEvent): Violation[] {
+function checkConflicts(engine: EngineState, event: HistoryEvent): Violation[] {
   const violations: Violation[] = [];
-  const { underWay, newest } = engine;
-  if (underWay !== undefined && !isSameOrder(event, underWay)) {
-    violations.push(conflict("A second order while one was under way", [
-      underWay,
-      event,
-    ]));
+  const { inProgress: inProgress, newest } = engine;
+  if (inProgress !== undefined && !isSameOrder(event, inProgress)) {
+    violations.push(
+      conflictViolation("Second order while another was in progress", [
+        inProgress,
+        event,
+      ]),
+    );
   }
   if (newest !== undefined && isOlder(event, newest)) {
-    violations.push(conflict("An order older than one the engine has had", [
+    violations.push(conflictViolation("Order older than one already received", [
       newest,
       event,
     ]));
   }
-  const same = engine.targets.get(numberOf(event, "order"));
+  const same = engine.ordersByNumber.get(factNumber(event, "order"));
   if (
-    same !== undefined && textOf(same, "target") !== textOf(event, "target")
+    same !== undefined && factText(same, "target") !== factText(event, "target")
   ) {
-    violations.push(conflict("One order with two targets", [same, event]));
+    violations.push(
+      conflictViolation("Order number reused with another target", [
+        same,
+        event,
+      ]),
+    );
   }
   return violations;
 }
 
 function isSameOrder(event: HistoryEvent, other?: HistoryEvent): boolean {
   return other !== undefined &&
-    numberOf(event, "order") === numberOf(other, "order");
+    factNumber(event, "order") === factNumber(other, "order");
 }
 
 function isOlder(event: HistoryEvent, other?: HistoryEvent): boolean {
   return other !== undefined &&
-    numberOf(event, "order") < numberOf(other, "order");
+    factNumber(event, "order") < factNumber(other, "order");
 }
 
-function conflict(detail: string, events: HistoryEvent[]): Violation {
+function conflictViolation(detail: string, events: HistoryEvent[]): Violation {
   return { condition: "conflicting_orders", detail, events };
 }
 
@@ -84,97 +100,100 @@
 }
 
 /**
- * Orders from a process that has lost its authority have no effect. The
- * checker folds the log itself: an order counts if its claim was in force
- * where it stands and its number is above the endpoint's last one.
+ * Checks that orders of a process that lost its authority have no effect. The
+ * checker folds the log itself: an order is valid if its claim was in force at
+ * its offset and its number is above the endpoint's last one.
  */
 export function checkOrderWithoutAuthority(
   events: readonly HistoryEvent[],
 ): Violation[] {
   const orders = new Map<string, { event: HistoryEvent; valid: boolean }>();
   const streams = new Map<string, StreamState>();
-  for (const event of inLogOrder(events, "orders")) {
-    const stream = valueOf(streams, {
-      key: textOf(event, "stream"),
-      make: () => ({ claim: -1, numbers: new Map<string, number>() }),
+  for (const event of recordsInLogOrder(events, "orders")) {
+    const stream = getOrCreate(streams, {
+      key: factText(event, "stream"),
+      create: () => ({ claim: -1, numbers: new Map<string, number>() }),
     });
-    if (textOf(event, "kind") === "claim") takeClaim(stream, event);
-    if (textOf(event, "kind") !== "order") continue;
+    if (factText(event, "kind") === "claim") applyClaim(stream, event);
+    if (factText(event, "kind") !== "order") continue;
     orders.set(orderKey(event, "offset"), {
       event,
-      valid: takeOrder(stream, event),
+      valid: applyOrder(stream, event),
     });
   }
   return events
     .filter((event) => event.kind === "order_received")
     .flatMap((event) =>
-      authorityOf(event, orders.get(orderKey(event, "order")))
+      checkAuthority(event, orders.get(orderKey(event, "order")))
     );
 }
 
 /**
- * What counts on streams with this name's beginning, by offset. A record that
- * landed behind a later one of its writer's run is void, whatever it says.
+ * Returns the valid records of streams whose name starts with `stream`, by
+ * offset. A record that was appended after a later one of the same writer run
+ * is void.
  */
-export function inLogOrder(
+export function recordsInLogOrder(
   events: readonly HistoryEvent[],
   stream: string,
 ): HistoryEvent[] {
   return events
     .filter((event) =>
       event.kind === "log_appended" &&
-      textOf(event, "stream").startsWith(stream)
+      factText(event, "stream").startsWith(stream)
+    )
+    .sort((one, other) =>
+      factNumber(one, "offset") - factNumber(other, "offset")
     )
-    .sort((one, other) => numberOf(one, "offset") - numberOf(other, "offset"))
-    .filter(inSequence());
+    .filter(createSequenceFilter());
 }
 
-function inSequence(): (event: HistoryEvent) => boolean {
+function createSequenceFilter(): (event: HistoryEvent) => boolean {
   const last = new Map<string, number>();
   return (event) => {
-    const sequence = numberOf(event, "sequence");
+    const sequence = factNumber(event, "sequence");
     if (Number.isNaN(sequence)) return true;
     const writer = ["stream", "writer", "incarnation"]
-      .map((fact) => textOf(event, fact)).join(" ");
+      .map((fact) => factText(event, fact)).join(" ");
     if (sequence <= (last.get(writer) ?? -1)) return false;
     last.set(writer, sequence);
     return true;
   };
 }
 
-function takeClaim(stream: StreamState, event: HistoryEvent): void {
-  if (numberOf(event, "replaces") !== stream.claim) return;
-  stream.claim = numberOf(event, "offset");
+function applyClaim(stream: StreamState, event: HistoryEvent): void {
+  if (factNumber(event, "replaces") !== stream.claim) return;
+  stream.claim = factNumber(event, "offset");
 }
 
-function takeOrder(stream: StreamState, event: HistoryEvent): boolean {
-  const endpoint = textOf(event, "endpoint");
+function applyOrder(stream: StreamState, event: HistoryEvent): boolean {
+  const endpoint = factText(event, "endpoint");
   const last = stream.numbers.get(endpoint) ?? Number.NEGATIVE_INFINITY;
-  const valid = numberOf(event, "claim") === stream.claim &&
-    numberOf(event, "number") > last;
-  if (valid) stream.numbers.set(endpoint, numberOf(event, "number"));
+  const valid = factNumber(event, "claim") === stream.claim &&
+    factNumber(event, "number") > last;
+  if (valid) stream.numbers.set(endpoint, factNumber(event, "number"));
   return valid;
 }
 
 function orderKey(event: HistoryEvent, fact: string): string {
-  return `${textOf(event, "endpoint")} ${numberOf(event, fact)}`;
+  return `${factText(event, "endpoint")} ${factNumber(event, fact)}`;
 }
 
-function authorityOf(
+function checkAuthority(
   event: HistoryEvent,
   order: { event: HistoryEvent; valid: boolean } | undefined,
 ): Violation[] {
   const condition = "order_without_authority";
   if (order === undefined) {
-    const detail = "An order that does not stand on the log";
+    const detail = "Order is not on the log";
     return [{ condition, detail, events: [event] }];
   }
   if (!order.valid) {
-    const detail = "An order that was void where it stood";
+    const detail = "Order is void at its log offset";
     return [{ condition, detail, events: [order.event, event] }];
   }
-  if (textOf(order.event, "target") !== textOf(event, "target")) {
-    const detail = "An order with another target than on the log";
+  if (factText(order.event, "target") !== factText(event, "target")) {
+    const detail = "Order target differs from the log record";
     return [{ condition, detail, events: [order.event, event] }];
   }
   return [];
--- a/test/history/violation.ts
+++ b/test/history/violation.ts
@@ -1,6 +1,6 @@
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
 
-/** The nine conditions of the contract with the users, in its order. */
+/** The nine correctness conditions, in the order of the user contract. */
 export const CONDITIONS = [
   "conflicting_orders",
   "cut_by_change",
@@ -15,7 +15,7 @@
 
 export type Condition = (typeof CONDITIONS)[number];
 
-/** A condition that did not hold, with the events that show it. */
+/** A violated condition with the events that prove it. */
 export interface Violation {
   readonly condition: Condition;
   readonly detail: string;
@@ -23,7 +23,7 @@
 }
 
 export interface CheckOptions {
-  /** "A few seconds" in which a leaving endpoint may still get new work. */
+  /** Time in which a leaving endpoint may still receive new work. */
   readonly leavingLimitMilliseconds: number;
   /** Time until an accepted configuration is in force everywhere. */
   readonly inForceLimitMilliseconds: number;
@@ -34,26 +34,26 @@
   options: CheckOptions,
 ) => Violation[];
 
-/** A fact as text; absent facts read as "". */
-export function textOf(event: HistoryEvent, fact: string): string {
+/** Returns a fact as text; "" if it is absent. */
+export function factText(event: HistoryEvent, fact: string): string {
   const value = event.facts[fact];
   return value === undefined ? "" : String(value);
 }
 
-/** A fact as a number; absent facts read as NaN, which equals nothing. */
-export function numberOf(event: HistoryEvent, fact: string): number {
+/** Returns a numeric fact; otherwise NaN, which compares equal to nothing. */
+export function factNumber(event: HistoryEvent, fact: string): number {
   const value = event.facts[fact];
   return typeof value === "number" ? value : Number.NaN;
 }
 
-/** The value of a map's key, made on first use. */
-export function valueOf<Key, Value>(
+/** Returns the value of a key and creates it on first use. */
+export function getOrCreate<Key, Value>(
   map: Map<Key, Value>,
-  at: { readonly key: Key; readonly make: () => Value },
+  options: { readonly key: Key; readonly create: () => Value },
 ): Value {
-  const known = map.get(at.key);
-  if (known !== undefined) return known;
-  const made = at.make();
-  map.set(at.key, made);
-  return made;
+  const existing = map.get(options.key);
+  if (existing !== undefined) return existing;
+  const created = options.create();
+  map.set(options.key, created);
+  return created;
 }
