--- a/test/model/claims_model.ts
+++ b/test/model/claims_model.ts
@@ -1,66 +1,69 @@
-/** Planners that claim from each other and give orders to one endpoint. */
+/**
+ * Model of two planners that take over the claim from each other and issue
+ * orders to one endpoint.
+ */
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { OrdersFold, type OrdersGuards } from "../../src/core/authority/mod.ts";
-import { type Log, logModel } from "./log_model.ts";
+import { logModel, type LogRecords } from "./log_model.ts";
 import type { Model } from "./search.ts";
 
-const ENDPOINT = "triage-1";
+const ENDPOINT_ID = "triage-1";
 const ROLES: Readonly<Record<string, "prefill" | "decode">> = {
   a: "prefill",
   b: "decode",
 };
 
 export interface ClaimsModelOptions {
-  readonly records: number;
-  /** Guards that are taken out. */
+  readonly maxRecords: number;
+  /** Overrides that disable guards of the fold. */
   readonly guards?: Partial<OrdersGuards>;
 }
 
-export function claimsModel(options: ClaimsModelOptions): Model<Log> {
+export function claimsModel(options: ClaimsModelOptions): Model<LogRecords> {
   return logModel({
     makeFold: () => new OrdersFold({ guards: options.guards }),
     processes: Object.keys(ROLES),
-    wishes,
-    records: options.records,
+    candidateRecords,
+    maxRecords: options.maxRecords,
     violation,
   });
 }
 
-function wishes(fold: OrdersFold, planner: string): RecordBody[] {
+function candidateRecords(fold: OrdersFold, planner: string): RecordBody[] {
   const replaces = fold.claim?.offset ?? -1;
   const claim = { kind: "claim", holder: planner, replaces } as const;
   if (fold.claim?.holder !== planner) return [claim];
-  // A planner may also be replaced by its own next run.
+  // A planner's own next run may also replace its claim.
   return [claim, {
     kind: "order",
     claim: replaces,
-    number: fold.lastNumber(ENDPOINT) + 1,
-    endpoint: ENDPOINT,
+    number: fold.lastNumber(ENDPOINT_ID) + 1,
+    endpoint: ENDPOINT_ID,
     target: { role: ROLES[planner] },
   }];
 }
 
 /**
- * Reckoned from the log without the fold: the standing order must be the last
- * one that was given under the claim in force where it stands, with a number
- * of its own. Everything that a relay can tell a side, however late, is the
- * standing order of some prefix, and all prefixes have been looked at.
+ * Computed from the log without the fold: the standing order must be the last
+ * one with an unused number whose claim was in force at its offset. Whatever an
+ * entry relays to a side, however late, is the standing order of some prefix,
+ * and the search checks every prefix.
  */
 function violation(
-  log: Log,
-  foldOf: (log: Log) => OrdersFold,
+  log: LogRecords,
+  foldOf: (log: LogRecords) => OrdersFold,
 ): string | undefined {
   let claim = -1;
-  let standing = -1;
+  let expectedOffset = -1;
   const numbers = new Set<number>();
   for (const [offset, body] of log.entries()) {
     if (body.kind === "claim" && body.replaces === claim) claim = offset;
     if (body.kind !== "order" || body.claim !== claim) continue;
     if (numbers.has(body.number)) continue;
     numbers.add(body.number);
-    standing = offset;
+    expectedOffset = offset;
   }
-  const told = foldOf(log).standingOrder(ENDPOINT)?.offset ?? -1;
-  if (told === standing) return undefined;
-  return `order ${told} stands instead of order ${standing}`;
+  const actualOffset = foldOf(log).standingOrder(ENDPOINT_ID)?.offset ?? -1;
+  if (actualOffset === expectedOffset) return undefined;
+  return `the standing order is ${actualOffset}, expected ${expectedOffset}`;
 }
--- a/test/model/configuration_model.ts
+++ b/test/model/configuration_model.ts
@@ -1,37 +1,41 @@
 /**
- * Operators that publish and judges that claim from each other. The judges
- * accept whatever is published, so that the fold alone has to hold.
+ * Model of operators that publish and judges that take over the claim from
+ * each other. The judges accept every publication, so that only the fold can
+ * reject one.
  */
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import {
   ConfigurationFold,
   type ConfigurationGuards,
 } from "../../src/core/configuration/mod.ts";
-import { type Log, logModel } from "./log_model.ts";
+import { logModel, type LogRecords } from "./log_model.ts";
 import type { Model } from "./search.ts";
 
 const OPERATORS: readonly string[] = ["x", "y"];
 const JUDGES: readonly string[] = ["a", "b"];
 
 export interface ConfigurationModelOptions {
-  readonly records: number;
-  /** Guards that are taken out. */
+  readonly maxRecords: number;
+  /** Overrides that disable guards of the fold. */
   readonly guards?: Partial<ConfigurationGuards>;
 }
 
 export function configurationModel(
   options: ConfigurationModelOptions,
-): Model<Log> {
+): Model<LogRecords> {
   return logModel({
     makeFold: () => new ConfigurationFold({ guards: options.guards }),
     processes: [...OPERATORS, ...JUDGES],
-    wishes,
-    records: options.records,
+    candidateRecords,
+    maxRecords: options.maxRecords,
     violation,
   });
 }
 
-function wishes(fold: ConfigurationFold, process: string): RecordBody[] {
+function candidateRecords(
+  fold: ConfigurationFold,
+  process: string,
+): RecordBody[] {
   if (OPERATORS.includes(process)) {
     const base = fold.version;
     const publicationId = `of ${process}`;
@@ -50,34 +54,36 @@
 }
 
 /**
- * Reckoned from the log: each new version must stand on the one before, by a
- * verdict of the judge that held the claim there, and no publication may come
- * into force twice.
+ * Computed from the log: each new version must be based on the one before, by a
+ * verdict of the judge that held the claim at its offset, and no publication
+ * may come into force twice.
  */
 function violation(
-  log: Log,
-  foldOf: (log: Log) => ConfigurationFold,
+  log: LogRecords,
+  foldOf: (log: LogRecords) => ConfigurationFold,
 ): string | undefined {
   let claim = -1;
   let version = 0;
   const accepted = new Set<string>();
   for (const [offset, body] of log.entries()) {
     if (body.kind === "claim" && body.replaces === claim) claim = offset;
-    const now = foldOf(log.slice(0, offset + 1)).version;
-    if (now === version) continue;
+    const currentVersion = foldOf(log.slice(0, offset + 1)).version;
+    if (currentVersion === version) continue;
     if (body.kind !== "verdict" || body.claim !== claim) {
-      return `version ${now} came into force without a valid verdict`;
+      return `version ${currentVersion} took effect without a valid verdict`;
     }
-    const judged = log[body.publication];
-    if (judged?.kind !== "publication") return "a verdict on no publication";
-    if (judged.base !== version) {
-      return `version ${now} reverts version ${version}`;
+    const publication = log[body.publication];
+    if (publication?.kind !== "publication") {
+      return "a verdict without a publication";
     }
-    if (accepted.has(judged.publicationId)) {
-      return `publication ${judged.publicationId} came into force twice`;
+    if (publication.base !== version) {
+      return `version ${currentVersion} reverts version ${version}`;
     }
-    accepted.add(judged.publicationId);
-    version = now;
+    if (accepted.has(publication.publicationId)) {
+      return `publication ${publication.publicationId} took effect twice`;
+    }
+    accepted.add(publication.publicationId);
+    version = currentVersion;
   }
   return undefined;
 }
--- a/test/model/coordination_model_test.ts
+++ b/test/model/coordination_model_test.ts
@@ -5,19 +5,19 @@
 import { claimsModel } from "./claims_model.ts";
 import { search } from "./search.ts";
 
-const MOST_STATES = 400_000;
-const ORDERS_RECORDS = 6;
-const CONFIGURATION_RECORDS = 6;
+const MAX_STATES = 400_000;
+const MAX_ORDERS_RECORDS = 6;
+const MAX_CONFIGURATION_RECORDS = 6;
 
 describe("search over claims and orders", function () {
   this.timeout(60_000);
 
-  // Planners are paused and woken at every possible moment, and every append
-  // lands at every possible moment, once or twice. No engine may get an order
-  // of a planner that had been replaced where its record stands.
-  it("finds nothing", () => {
-    const found = search(claimsModel({ records: ORDERS_RECORDS }), {
-      mostStates: MOST_STATES,
+  // Planners pause and resume at every step, and every append takes effect at
+  // every later step, once or twice. No engine may get an order of a planner
+  // whose claim had been replaced at the order's offset.
+  it("finds no violation", () => {
+    const found = search(claimsModel({ maxRecords: MAX_ORDERS_RECORDS }), {
+      mostStates: MAX_STATES,
     });
     expect(found.violation).to.equal(undefined);
     expect(found.exhausted).to.equal(true);
@@ -31,10 +31,10 @@
   for (const guard of guards) {
     it(`finds a violation without ${guard}`, () => {
       const model = claimsModel({
-        records: ORDERS_RECORDS,
+        maxRecords: MAX_ORDERS_RECORDS,
         guards: { [guard]: false },
       });
-      const found = search(model, { mostStates: MOST_STATES });
+      const found = search(model, { mostStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
@@ -43,13 +43,14 @@
 describe("search over publications and verdicts", function () {
   this.timeout(60_000);
 
-  // Two operators race, the judges take the claim from each other in the
-  // middle of a verdict, and every append lands at every possible moment. No
-  // version may revert another or come from a judge without the claim.
-  it("finds nothing", () => {
+  // Two operators publish concurrently, the judges take over the claim from
+  // each other before a verdict is appended, and every append takes effect at
+  // every later step. No version may revert another or come from a judge
+  // without the claim.
+  it("finds no violation", () => {
     const found = search(
-      configurationModel({ records: CONFIGURATION_RECORDS }),
-      { mostStates: MOST_STATES },
+      configurationModel({ maxRecords: MAX_CONFIGURATION_RECORDS }),
+      { mostStates: MAX_STATES },
     );
     expect(found.violation).to.equal(undefined);
     expect(found.exhausted).to.equal(true);
@@ -64,10 +65,10 @@
   for (const guard of guards) {
     it(`finds a violation without ${guard}`, () => {
       const model = configurationModel({
-        records: CONFIGURATION_RECORDS,
+        maxRecords: MAX_CONFIGURATION_RECORDS,
         guards: { [guard]: false },
       });
-      const found = search(model, { mostStates: MOST_STATES });
+      const found = search(model, { mostStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
--- a/test/model/log_model.ts
+++ b/test/model/log_model.ts
@@ -1,40 +1,43 @@
 /**
- * Any number of processes that append to one stream. What a process appends
- * follows from the prefix that it has read; it may have been paused since, so
- * a record may come from any prefix of the log, and the same one again at any
- * later time. The state is the log alone: late readers, late landings, lost
- * answers, repeats and takeovers are all orders of its records.
+ * Model of processes that append to one stream. A process derives its record
+ * from the prefix that it has read. It may have been paused since, so a record
+ * may come from any prefix of the log, and again at any later step. The state
+ * is the log alone: slow readers, delayed appends, lost answers, retries and
+ * takeovers only change the order of its records.
  */
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { numbered } from "../../src/core/identity/mod.ts";
 import type { StreamFold } from "../../src/core/journal/mod.ts";
 import type { Model } from "./search.ts";
 
-export type Log = readonly RecordBody[];
+export type LogRecords = readonly RecordBody[];
 
 export interface LogModelOptions<Fold extends StreamFold> {
   readonly makeFold: () => Fold;
   readonly processes: readonly string[];
-  /** What the process may append when it has read up to the fold's state. */
-  readonly wishes: (fold: Fold, process: string) => readonly RecordBody[];
-  /** Records on the log at the most. */
-  readonly records: number;
-  /** What is wrong with the log, all of whose prefixes are right. */
+  /** Records that the process may append after reading the fold's prefix. */
+  readonly candidateRecords: (
+    fold: Fold,
+    process: string,
+  ) => readonly RecordBody[];
+  /** Maximum number of records on the log. */
+  readonly maxRecords: number;
+  /** Describes the violation in a log whose proper prefixes have none. */
   readonly violation: (
-    log: Log,
-    foldOf: (log: Log) => Fold,
+    log: LogRecords,
+    foldOf: (log: LogRecords) => Fold,
   ) => string | undefined;
 }
 
 export function logModel<Fold extends StreamFold>(
   options: LogModelOptions<Fold>,
-): Model<Log> {
+): Model<LogRecords> {
   const folds = new Map<string, Fold>();
 
-  function foldOf(log: Log): Fold {
+  function foldOf(log: LogRecords): Fold {
     const key = JSON.stringify(log);
-    const known = folds.get(key);
-    if (known !== undefined) return known;
+    const cached = folds.get(key);
+    if (cached !== undefined) return cached;
     const fold = options.makeFold();
     log.forEach((body, offset) => fold.apply(numbered(offset), body));
     folds.set(key, fold);
@@ -45,11 +48,11 @@
     initial: [],
     key: (log) => JSON.stringify(log),
     *steps(log) {
-      if (log.length >= options.records) return;
+      if (log.length >= options.maxRecords) return;
       for (let read = 0; read <= log.length; read += 1) {
         const fold = foldOf(log.slice(0, read));
         for (const process of options.processes) {
-          for (const body of options.wishes(fold, process)) {
+          for (const body of options.candidateRecords(fold, process)) {
             const name = `${process}, having read ${read}, appends ` +
               JSON.stringify(body);
             yield { name, state: [...log, body] };
--- a/test/model/once_model.ts
+++ b/test/model/once_model.ts
@@ -1,9 +1,9 @@
 /**
- * Two requests with one key at two entries, each of which would run at its
- * own side, over a log and a network that delay, double and lose messages.
- * The steps are the product's own: the fold, the side's table and the pure
- * transitions of an acquisition. A lost message is one that is never
- * delivered: every wait may end without it.
+ * Model of two requests with the same key at two entries, each of which would
+ * run at its own side, over a log and a network that delay, duplicate and lose
+ * messages. The steps use the production code: the fold, the side's table and
+ * the pure transitions of an acquisition. A lost message is one that is never
+ * delivered; every wait may time out without it.
  */
 import type { OnceRecord } from "../../src/generated/log_records.ts";
 import type {
@@ -30,31 +30,31 @@
 } from "../../src/core/once/mod.ts";
 import type { Model, Step } from "./search.ts";
 
-/** How often each fault may happen in one run. */
-export interface OnceBudget {
+/** Maximum number of faults of each kind in one run. */
+export interface OnceFaultBudget {
   readonly duplicates: number;
   readonly restarts: number;
   readonly refusals: number;
-  /** Waits that a request may end without the message it waits for. */
+  /** Waits that may time out, per request. */
   readonly timeouts: number;
   /**
-   * Records that the requests may write. Without an end two requests can bar
-   * each other for ever, each before the other has sent.
+   * Records that the requests may append. Without a limit, two requests can bar
+   * each other indefinitely, each before the other has dispatched.
    */
-  readonly records: number;
+  readonly maxRecords: number;
 }
 
-/** Guards that a search may take out. */
+/** Options that disable one guard each. */
 export interface OnceModelGuards {
   readonly mayReplace?: OnceFoldOptions["mayReplace"];
   readonly table?: Partial<SideOnceTableGuards>;
-  /** Owns the key on the append's answer, without reading the record. */
+  /** Dispatches on the append's answer, without reading the record. */
   readonly trustsAppendAnswer?: boolean;
-  /** Says "not run" to a refusal without barring the record. */
+  /** Reports `not_run` on a refusal without barring the record. */
   readonly refusesWithoutBar?: boolean;
-  /** Takes another incarnation's refusal for "not run". */
+  /** Treats a refusal by another incarnation as `not_run`. */
   readonly trustsOtherIncarnation?: boolean;
-  /** Takes a lost dispatch for "not run". */
+  /** Treats a lost dispatch as `not_run`. */
   readonly trustsLostLink?: boolean;
 }
 
@@ -69,14 +69,14 @@
   | {
     readonly kind: "ask";
     readonly request: number;
-    readonly serial: number;
+    readonly timeouts: number;
     readonly side: number;
     readonly question: OnceQuestion;
   }
   | {
     readonly kind: "answer";
     readonly request: number;
-    readonly serial: number;
+    readonly timeouts: number;
     readonly record: number;
     readonly answer: OnceAnswer;
   }
@@ -106,9 +106,9 @@
 interface RequestState {
   phase: "acquiring" | "appending" | "asking" | "dispatched" | "done";
   acquisition: Acquisition;
-  /** Records of the log that its entry has read. */
-  read: number;
-  /** Waits given up; also tells the newest question's answer from late ones. */
+  /** Number of log records that its entry has read. */
+  recordsRead: number;
+  /** Waits that timed out; also matches an answer to the latest question. */
   timeouts: number;
   permit?: OncePermit;
   outcome?: "answered" | "not_run" | "unknown";
@@ -117,9 +117,9 @@
 
 interface SideState {
   incarnation: number;
-  /** What was asked of the table since the side's start, if it changed it. */
+  /** Operations since the side's start that changed its table. */
   operations: Operation[];
-  /** Work that the endpoint has begun and not finished. */
+  /** Work that the endpoint has started and not finished. */
   running: { request: number; permit: OncePermit; body: string }[];
 }
 
@@ -139,20 +139,20 @@
   refusals: number;
 }
 
-const KEY = scopedKey("crew", "019b76da-a800-7000-8000-000000000001")
+const SCOPED_KEY = scopedKey("crew", "019b76da-a800-7000-8000-000000000001")
   ._unsafeUnwrap();
 
-/** Time behind the grace, so that a record that was not seen is barred. */
-const BEHIND_GRACE_MILLISECONDS = 1_000;
+/** A time after the grace period, when a record that was not seen is barred. */
+const AFTER_GRACE_MILLISECONDS = 1_000;
 
 export function onceModel(
-  budget: OnceBudget,
+  budget: OnceFaultBudget,
   guards: OnceModelGuards = {},
 ): Model<OnceState> {
   return {
     initial: initialState(),
-    key: keyOf,
-    steps: (state) => new Stepper(budget, guards).steps(state),
+    key: stateKey,
+    steps: (state) => new OnceStepGenerator(budget, guards).steps(state),
     violation,
   };
 }
@@ -160,8 +160,8 @@
 function initialState(): OnceState {
   return {
     log: [],
-    requests: [newRequest(), newRequest()],
-    sides: [newSide(), newSide()],
+    requests: [createRequest(), createRequest()],
+    sides: [createSide(), createSide()],
     network: [],
     executions: [],
     duplicates: 0,
@@ -170,34 +170,34 @@
   };
 }
 
-function newRequest(): RequestState {
+function createRequest(): RequestState {
   return {
     phase: "acquiring",
-    acquisition: beginAcquisition(KEY, { fingerprint: "f" }),
-    read: 0,
+    acquisition: beginAcquisition(SCOPED_KEY, { fingerprint: "f" }),
+    recordsRead: 0,
     timeouts: 0,
   };
 }
 
-function newSide(): SideState {
+function createSide(): SideState {
   return { incarnation: 0, operations: [], running: [] };
 }
 
-/** The network is a set: its order means nothing. */
-function keyOf(state: OnceState): string {
+/** The network is a set of messages, so their order is ignored. */
+function stateKey(state: OnceState): string {
   const network = state.network.map((message) => JSON.stringify(message));
   return JSON.stringify({ ...state, network: network.sort() });
 }
 
 function violation(state: OnceState): string | undefined {
-  if (state.executions.length > 1) return "The key's work ran twice";
+  if (state.executions.length > 1) return "The key's work was executed twice";
   for (const [number, request] of state.requests.entries()) {
-    const ran = state.executions.some((one) => one.request === number);
-    if (request.outcome === "not_run" && ran) {
-      return `Request ${number} was told "not run" of work that ran`;
+    const hasExecuted = state.executions.some((one) => one.request === number);
+    if (request.outcome === "not_run" && hasExecuted) {
+      return `Request ${number} got not_run for work that was executed`;
     }
     if (request.outcome === "answered" && state.executions.length === 0) {
-      return `Request ${number} got an answer of work that never ran`;
+      return `Request ${number} was answered without an execution`;
     }
   }
   const bodies = new Set(
@@ -206,12 +206,12 @@
   return bodies.size > 1 ? "Two requests got different answers" : undefined;
 }
 
-/** Makes the steps of one state; each works on a copy. */
-class Stepper {
-  readonly #budget: OnceBudget;
+/** Generates the steps of a state; each changes a copy of it. */
+class OnceStepGenerator {
+  readonly #budget: OnceFaultBudget;
   readonly #guards: OnceModelGuards;
 
-  constructor(budget: OnceBudget, guards: OnceModelGuards) {
+  constructor(budget: OnceFaultBudget, guards: OnceModelGuards) {
     this.#budget = budget;
     this.#guards = guards;
   }
@@ -234,47 +234,55 @@
   ): Iterable<Step<OnceState>> {
     const request = state.requests[number];
     if (request.phase === "done") return;
-    if (request.read < state.log.length) {
-      yield this.#step(state, `entry ${number} reads`, (next) => {
-        next.requests[number].read += 1;
+    if (request.recordsRead < state.log.length) {
+      yield this.#createStep(state, `entry ${number} reads`, (next) => {
+        next.requests[number].recordsRead += 1;
       });
     }
     if (request.phase === "acquiring") {
-      yield this.#step(state, `request ${number} acts`, (next) => {
-        this.#act(next, number);
+      yield this.#createStep(state, `request ${number} advances`, (next) => {
+        this.#advance(next, number);
       });
     }
     if (request.phase !== "dispatched") {
-      yield this.#step(state, `request ${number} gives up`, (next) => {
-        const { acquisition, read } = next.requests[number];
-        finish(next, number, giveUp(acquisition, this.#fold(next, read)));
+      yield this.#createStep(state, `request ${number} gives up`, (next) => {
+        const { acquisition, recordsRead } = next.requests[number];
+        const fold = this.#foldUpTo(next, recordsRead);
+        applyResult(next, number, giveUp(acquisition, fold));
       });
     }
     if (request.timeouts >= this.#budget.timeouts) return;
     if (request.phase === "acquiring") return;
-    yield this.#step(state, `request ${number} waits no longer`, (next) => {
+    yield this.#createStep(state, `request ${number} times out`, (next) => {
       next.requests[number].timeouts += 1;
       this.#timeOut(next, number);
     });
-    yield* this.#notAppended(state, number);
+    yield* this.#refusedAppendSteps(state, number);
   }
 
-  /** The log refuses the append for good: the message never lands. */
-  *#notAppended(state: OnceState, number: number): Iterable<Step<OnceState>> {
+  /** The log refuses the append: it never takes effect. */
+  *#refusedAppendSteps(
+    state: OnceState,
+    number: number,
+  ): Iterable<Step<OnceState>> {
     const at = state.network.findIndex((message) =>
       message.kind === "append" && message.request === number
     );
     if (state.requests[number].phase !== "appending" || at < 0) return;
-    yield this.#step(state, `the log refuses request ${number}`, (next) => {
-      next.network.splice(at, 1);
-      const request = next.requests[number];
-      request.timeouts += 1;
-      request.phase = "acquiring";
-      takeAppended(request.acquisition, { failure: "append_not_made" });
-      const fold = this.#fold(next, request.read);
-      const result = whenLogDown(request.acquisition, fold);
-      if (result !== undefined) finish(next, number, result);
-    });
+    yield this.#createStep(
+      state,
+      `the log refuses request ${number}`,
+      (next) => {
+        next.network.splice(at, 1);
+        const request = next.requests[number];
+        request.timeouts += 1;
+        request.phase = "acquiring";
+        takeAppended(request.acquisition, { failure: "append_not_made" });
+        const fold = this.#foldUpTo(next, request.recordsRead);
+        const result = whenLogDown(request.acquisition, fold);
+        if (result !== undefined) applyResult(next, number, result);
+      },
+    );
   }
 
   #timeOut(next: OnceState, number: number): void {
@@ -283,36 +291,36 @@
       takeAppended(request.acquisition, { failure: "append_unknown" });
     }
     if (request.phase === "dispatched") {
-      this.#loseDispatch(next, number);
+      this.#handleLostDispatch(next, number);
       return;
     }
     request.phase = "acquiring";
   }
 
-  #loseDispatch(next: OnceState, number: number): void {
+  #handleLostDispatch(next: OnceState, number: number): void {
     const request = next.requests[number];
     if (this.#guards.trustsLostLink === true) {
       request.phase = "done";
       request.outcome = "not_run";
       return;
     }
-    request.acquisition = beginAcquisition(KEY, {
+    request.acquisition = beginAcquisition(SCOPED_KEY, {
       fingerprint: "f",
       lost: request.permit,
     });
     request.phase = "acquiring";
   }
 
-  #act(next: OnceState, number: number): void {
+  #advance(next: OnceState, number: number): void {
     const request = next.requests[number];
     const { acquisition } = request;
     const decision = decide(acquisition, {
-      fold: this.#fold(next, request.read),
-      now: acquisition.notSeen === undefined ? 0 : BEHIND_GRACE_MILLISECONDS,
+      fold: this.#foldUpTo(next, request.recordsRead),
+      now: acquisition.notSeen === undefined ? 0 : AFTER_GRACE_MILLISECONDS,
     });
     switch (decision.kind) {
       case "result":
-        finish(next, number, decision.result);
+        applyResult(next, number, decision.result);
         break;
       case "choose":
         acquisition.choice = {
@@ -321,7 +329,7 @@
         };
         break;
       case "append":
-        if (this.#hasWrittenAll(next)) break;
+        if (this.#hasReachedRecordLimit(next)) break;
         noteAppend(acquisition, decision.body);
         request.phase = "appending";
         next.network.push({
@@ -335,8 +343,8 @@
         next.network.push({
           kind: "ask",
           request: number,
-          serial: request.timeouts,
-          side: sideOf(decision.owner.endpoint),
+          timeouts: request.timeouts,
+          side: sideIndexOf(decision.owner.endpoint),
           question: decision.question,
         });
         break;
@@ -345,46 +353,55 @@
     }
   }
 
-  #hasWrittenAll(state: OnceState): boolean {
-    const onTheWay = state.network.filter(({ kind }) => kind === "append");
-    return state.log.length + onTheWay.length >= this.#budget.records;
+  #hasReachedRecordLimit(state: OnceState): boolean {
+    const pendingAppends = state.network.filter(({ kind }) =>
+      kind === "append"
+    );
+    return state.log.length + pendingAppends.length >= this.#budget.maxRecords;
   }
 
   *#sideSteps(state: OnceState, number: number): Iterable<Step<OnceState>> {
     const side = state.sides[number];
     for (const index of side.running.keys()) {
-      yield this.#step(state, `endpoint ${number} finishes`, (next) => {
+      yield this.#createStep(state, `endpoint ${number} finishes`, (next) => {
         const [work] = next.sides[number].running.splice(index, 1);
         next.sides[number].operations.push({ ...work, kind: "finish" });
-        next.network.push(frameOf(work, "response"));
+        next.network.push(createFrame(work, "response"));
       });
     }
     if (state.restarts >= this.#budget.restarts) return;
-    yield this.#step(state, `side ${number} restarts`, (next) => {
+    yield this.#createStep(state, `side ${number} restarts`, (next) => {
       next.restarts += 1;
-      next.sides[number] = { ...newSide(), incarnation: side.incarnation + 1 };
+      next.sides[number] = {
+        ...createSide(),
+        incarnation: side.incarnation + 1,
+      };
     });
   }
 
   *#messageSteps(state: OnceState, at: number): Iterable<Step<OnceState>> {
     const message = state.network[at];
     const name = `${message.kind} of request ${message.request}`;
-    yield this.#step(state, `${name} arrives`, (next) => {
+    yield this.#createStep(state, `${name} arrives`, (next) => {
       next.network.splice(at, 1);
       this.#deliver(next, message);
     });
     if (state.duplicates < this.#budget.duplicates) {
-      yield this.#step(state, `a copy of ${name} arrives`, (next) => {
-        next.duplicates += 1;
-        this.#deliver(next, message);
-      });
+      yield this.#createStep(
+        state,
+        `a duplicate of ${name} arrives`,
+        (next) => {
+          next.duplicates += 1;
+          this.#deliver(next, message);
+        },
+      );
     }
     if (message.kind !== "dispatch") return;
     if (state.refusals >= this.#budget.refusals) return;
-    yield this.#step(state, `${name} is refused`, (next) => {
+    yield this.#createStep(state, `${name} is refused`, (next) => {
       next.refusals += 1;
       next.network.splice(at, 1);
-      this.#refuse(next, message);
+      this.#refuseDispatch(next, message);
     });
   }
 
@@ -402,24 +419,24 @@
       }
       case "appended":
         if (!isAwaited(next, message)) break;
-        this.#takeAppended(next, message);
+        this.#applyAppended(next, message);
         break;
       case "ask":
-        this.#answer(next, message);
+        this.#answerQuestion(next, message);
         break;
       case "answer":
-        if (isAwaited(next, message)) takeSideAnswer(next, message);
+        if (isAwaited(next, message)) applySideAnswer(next, message);
         break;
       case "dispatch":
         this.#dispatch(next, message);
         break;
       case "frame":
-        if (isAwaited(next, message)) this.#takeFrame(next, message);
+        if (isAwaited(next, message)) this.#applyFrame(next, message);
         break;
     }
   }
 
-  #takeAppended(
+  #applyAppended(
     next: OnceState,
     message: Extract<Message, { kind: "appended" }>,
   ): void {
@@ -428,17 +445,22 @@
     takeAppended(request.acquisition, { offset: numbered(message.offset) });
     if (this.#guards.trustsAppendAnswer !== true) return;
     const record = next.log[message.offset];
-    send(next, message.request, {
+    sendDispatch(next, message.request, {
       key: record.key,
       record: message.offset,
       sideIncarnation: record.sideIncarnation,
     });
   }
 
-  #answer(next: OnceState, message: Extract<Message, { kind: "ask" }>): void {
-    const answer = this.#table(next.sides[message.side]).ask(message.question);
+  #answerQuestion(
+    next: OnceState,
+    message: Extract<Message, { kind: "ask" }>,
+  ): void {
+    const answer = this.#createTable(next.sides[message.side]).ask(
+      message.question,
+    );
     if (message.question.bar && answer.state === "barred") {
-      note(next.sides[message.side], {
+      recordOperation(next.sides[message.side], {
         kind: "ask",
         question: message.question,
       });
@@ -446,7 +468,7 @@
     next.network.push({
       kind: "answer",
       request: message.request,
-      serial: message.serial,
+      timeouts: message.timeouts,
       record: message.question.record,
       answer,
     });
@@ -457,15 +479,15 @@
     message: Extract<Message, { kind: "dispatch" }>,
   ): void {
     const side = next.sides[message.side];
-    const begun = this.#table(side).begin(message.permit);
+    const beginResult = this.#createTable(side).begin(message.permit);
     const work = {
       request: message.request,
       permit: message.permit,
       body: `run ${next.executions.length}`,
     };
-    if (begun === "already") return;
-    if (begun === "run") {
-      note(side, { kind: "begin", permit: message.permit });
+    if (beginResult === "already") return;
+    if (beginResult === "run") {
+      recordOperation(side, { kind: "begin", permit: message.permit });
       side.running.push(work);
       next.executions.push({
         request: message.request,
@@ -473,33 +495,35 @@
       });
       return;
     }
-    const trusted = begun !== "wrong_incarnation" ||
+    const trusted = beginResult !== "wrong_incarnation" ||
       this.#guards.trustsOtherIncarnation === true;
-    next.network.push(frameOf(work, trusted ? "not_run" : "failed"));
+    next.network.push(createFrame(work, trusted ? "not_run" : "failed"));
   }
 
-  #refuse(
+  #refuseDispatch(
     next: OnceState,
     message: Extract<Message, { kind: "dispatch" }>,
   ): void {
     const side = next.sides[message.side];
     const work = { ...message, body: "" };
     if (this.#guards.refusesWithoutBar === true) {
-      next.network.push(frameOf(work, "not_run"));
+      next.network.push(createFrame(work, "not_run"));
       return;
     }
-    const refused = this.#table(side).refuse(message.permit);
-    if (refused) note(side, { kind: "refuse", permit: message.permit });
-    next.network.push(frameOf(work, refused ? "not_run" : "failed"));
+    const refused = this.#createTable(side).refuse(message.permit);
+    if (refused) {
+      recordOperation(side, { kind: "refuse", permit: message.permit });
+    }
+    next.network.push(createFrame(work, refused ? "not_run" : "failed"));
   }
 
-  #takeFrame(
+  #applyFrame(
     next: OnceState,
     message: Extract<Message, { kind: "frame" }>,
   ): void {
     const request = next.requests[message.request];
     if (message.frame === "failed") {
-      this.#loseDispatch(next, message.request);
+      this.#handleLostDispatch(next, message.request);
       return;
     }
     request.phase = "done";
@@ -507,7 +531,7 @@
     if (message.frame === "response") request.body = message.body;
   }
 
-  #fold(state: OnceState, upTo: number): OnceFold {
+  #foldUpTo(state: OnceState, upTo: number): OnceFold {
     const fold = new OnceFold({ mayReplace: this.#guards.mayReplace });
     for (let offset = 0; offset < upTo; offset += 1) {
       fold.apply(numbered(offset), state.log[offset]);
@@ -515,7 +539,7 @@
     return fold;
   }
 
-  #table(side: SideState): SideOnceTable {
+  #createTable(side: SideState): SideOnceTable {
     const table = new SideOnceTable({
       incarnation: String(side.incarnation),
       guards: this.#guards.table,
@@ -531,22 +555,26 @@
     return table;
   }
 
-  #step(
+  #createStep(
     state: OnceState,
     name: string,
     change: (next: OnceState) => void,
   ): Step<OnceState> {
-    const next = structuredCopy(state);
+    const next = cloneState(state);
     change(next);
-    next.network = next.network.filter((message) => isOfUse(next, message));
+    next.network = next.network.filter((message) => isRelevant(next, message));
     return { name, state: next };
   }
 }
 
-function finish(next: OnceState, number: number, result: AcquireResult): void {
+function applyResult(
+  next: OnceState,
+  number: number,
+  result: AcquireResult,
+): void {
   const request = next.requests[number];
   if (result.kind === "run") {
-    send(next, number, result.permit);
+    sendDispatch(next, number, result.permit);
     return;
   }
   request.phase = "done";
@@ -554,7 +582,11 @@
   if (result.kind === "answered") request.body = result.answer.body;
 }
 
-function send(next: OnceState, number: number, permit: OncePermit): void {
+function sendDispatch(
+  next: OnceState,
+  number: number,
+  permit: OncePermit,
+): void {
   const request = next.requests[number];
   const { endpoint } = next.log[permit.record];
   request.phase = "dispatched";
@@ -562,33 +594,33 @@
   next.network.push({
     kind: "dispatch",
     request: number,
-    side: sideOf(endpoint),
+    side: sideIndexOf(endpoint),
     permit,
   });
 }
 
-function takeSideAnswer(
+function applySideAnswer(
   next: OnceState,
   message: Extract<Message, { kind: "answer" }>,
 ): void {
   const request = next.requests[message.request];
   request.phase = "acquiring";
-  const taken = takeAnswer(request.acquisition, {
+  const result = takeAnswer(request.acquisition, {
     record: numbered(message.record),
     answer: message.answer,
     now: 0,
   });
-  if (typeof taken !== "string") finish(next, message.request, taken);
+  if (typeof result !== "string") applyResult(next, message.request, result);
 }
 
-/** An operation that the table already knows changes nothing in it. */
-function note(side: SideState, operation: Operation): void {
+/** Records an operation once; repeating it does not change the table. */
+function recordOperation(side: SideState, operation: Operation): void {
   const text = JSON.stringify(operation);
   if (side.operations.some((one) => JSON.stringify(one) === text)) return;
   side.operations.push(operation);
 }
 
-/** Whether the request is still at the wait that the message ends. */
+/** Whether the request still waits for the message. */
 function isAwaited(state: OnceState, message: Message): boolean {
   const request = state.requests[message.request];
   switch (message.kind) {
@@ -596,7 +628,8 @@
       return request.phase === "appending" &&
         request.acquisition.appended === message.replaces;
     case "answer":
-      return request.phase === "asking" && request.timeouts === message.serial;
+      return request.phase === "asking" &&
+        request.timeouts === message.timeouts;
     case "frame":
       return request.phase === "dispatched" &&
         request.permit?.record === message.record;
@@ -605,15 +638,15 @@
   }
 }
 
-/** Messages that nobody will take again are left out of the state. */
-function isOfUse(state: OnceState, message: Message): boolean {
+/** Whether the message can still have an effect; others are removed. */
+function isRelevant(state: OnceState, message: Message): boolean {
   if (!isAwaited(state, message)) return false;
   if (message.kind !== "ask" || message.question.bar) return true;
   const request = state.requests[message.request];
-  return request.phase === "asking" && request.timeouts === message.serial;
+  return request.phase === "asking" && request.timeouts === message.timeouts;
 }
 
-function frameOf(
+function createFrame(
   work: { request: number; permit: OncePermit; body: string },
   frame: "response" | "not_run" | "failed",
 ): Message {
@@ -626,10 +659,10 @@
   };
 }
 
-function sideOf(endpoint: string): number {
+function sideIndexOf(endpoint: string): number {
   return Number(endpoint.slice("endpoint-".length));
 }
 
-function structuredCopy(state: OnceState): OnceState {
+function cloneState(state: OnceState): OnceState {
   return JSON.parse(JSON.stringify(state));
 }
--- a/test/model/orders_model.ts
+++ b/test/model/orders_model.ts
@@ -1,9 +1,10 @@
 /**
- * Two entries that claim and give orders to one engine over a log that takes
- * records late, and a side that hears from either entry and may be started
- * again. Claims and orders are judged by the product's own fold. The side's
- * executor waits on timers, so its rules stand here in short: take what is
- * newer, send one order at a time, and only when no other can be under way.
+ * Model of two entries that claim and issue orders to one engine over a log
+ * with delayed appends, and a side that gets orders from either entry and may
+ * restart. The production fold validates claims and orders. The side's executor
+ * depends on timers, so the model restates its rules: accept only newer orders,
+ * send one order at a time, and only when no other can be in transit or in
+ * progress.
  */
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { OrdersFold } from "../../src/core/authority/mod.ts";
@@ -11,48 +12,49 @@
 import type { Model, Step } from "./search.ts";
 
 export interface OrdersBudget {
-  readonly records: number;
+  readonly maxRecords: number;
   readonly restarts: number;
-  /** Messages to the engine that arrive a second time. */
+  /** Messages to the engine that are duplicated. */
   readonly duplicates: number;
 }
 
+/** Options that disable one guard each. */
 export interface OrdersModelGuards {
-  /** Takes every order of the log for valid. */
-  readonly countsEveryOrder?: boolean;
-  /** Sends while another order is under way. */
-  readonly sendsAtOnce?: boolean;
-  /** Takes what it hears last, newer or not. */
-  readonly takesOlder?: boolean;
-  /** A side that was started again takes the first order that it hears. */
-  readonly trustsFirstAnswer?: boolean;
+  /** Treats every order on the log as valid. */
+  readonly acceptsInvalidOrders?: boolean;
+  /** Sends an order while another is in transit or in progress. */
+  readonly allowsConcurrentOrders?: boolean;
+  /** Accepts the last order received, whether it is newer or not. */
+  readonly acceptsOlderOrders?: boolean;
+  /** A restarted side sends without waiting until all entries responded. */
+  readonly acceptsFirstEntry?: boolean;
 }
 
 interface SideState {
-  /** Offset of the newest order that it has taken; -1 for none. */
-  taken: number;
-  /** Entries that it has heard from since its start. */
-  heard: boolean[];
+  /** Offset of the newest order that it accepted; -1 for none. */
+  acceptedOrder: number;
+  /** Whether each entry has responded since the side's start. */
+  respondedEntries: boolean[];
 }
 
 export interface OrdersState {
   log: RecordBody[];
-  /** Records that have been sent to the log and may land any time. */
-  late: RecordBody[];
-  /** How much of the log each entry has read. */
-  read: number[];
+  /** Records sent to the log that may be appended at any later step. */
+  pendingAppends: RecordBody[];
+  /** Number of log records that each entry has read. */
+  recordsRead: number[];
   side: SideState;
-  /** Orders on their way to the engine. */
-  sent: number[];
-  engine: { underWay: number; newest: number; done: number };
+  /** Offsets of the orders in transit to the engine. */
+  ordersInTransit: number[];
+  engine: { inProgress: number; newest: number; completed: number };
   restarts: number;
   duplicates: number;
-  wrong?: string;
+  violation?: string;
 }
 
 const ENTRIES = ["entry-0", "entry-1"];
-const ROLES = ["prefill", "decode"] as const;
-const ENDPOINT = "engine-0";
+const ROLES_BY_ENTRY = ["prefill", "decode"] as const;
+const ENDPOINT_ID = "engine-0";
 
 export function ordersModel(
   budget: OrdersBudget,
@@ -61,26 +63,28 @@
   return {
     initial: {
       log: [],
-      late: [],
-      read: [0, 0],
-      side: { taken: -1, heard: [false, false] },
-      sent: [],
-      engine: { underWay: -1, newest: -1, done: -1 },
+      pendingAppends: [],
+      recordsRead: [0, 0],
+      side: { acceptedOrder: -1, respondedEntries: [false, false] },
+      ordersInTransit: [],
+      engine: { inProgress: -1, newest: -1, completed: -1 },
       restarts: 0,
       duplicates: 0,
     },
     key: (state) =>
       JSON.stringify({
         ...state,
-        late: state.late.map((body) => JSON.stringify(body)).sort(),
-        sent: [...state.sent].sort(),
+        pendingAppends: state.pendingAppends.map((body) => JSON.stringify(body))
+          .sort(),
+        ordersInTransit: [...state.ordersInTransit].sort(),
       }),
-    steps: (state) => new OrdersStepper(budget, guards).steps(state),
-    violation: (state) => state.wrong,
+    steps: (state) => new OrdersStepGenerator(budget, guards).steps(state),
+    violation: (state) => state.violation,
   };
 }
 
-class OrdersStepper {
+/** Generates the steps of a state; each changes a copy of it. */
+class OrdersStepGenerator {
   readonly #budget: OrdersBudget;
   readonly #guards: OrdersModelGuards;
 
@@ -91,10 +95,10 @@
 
   *steps(state: OrdersState): Iterable<Step<OrdersState>> {
     for (const entry of ENTRIES.keys()) yield* this.#entrySteps(state, entry);
-    for (const at of state.late.keys()) {
-      const name = `a ${state.late[at].kind} of the log's queue lands`;
-      yield step(state, name, (next) => {
-        next.log.push(...next.late.splice(at, 1));
+    for (const at of state.pendingAppends.keys()) {
+      const name = `a pending ${state.pendingAppends[at].kind} is appended`;
+      yield createStep(state, name, (next) => {
+        next.log.push(...next.pendingAppends.splice(at, 1));
       });
     }
     yield* this.#sideSteps(state);
@@ -102,99 +106,133 @@
   }
 
   *#entrySteps(state: OrdersState, entry: number): Iterable<Step<OrdersState>> {
-    if (state.read[entry] < state.log.length) {
-      yield step(state, `${ENTRIES[entry]} reads`, (next) => {
-        next.read[entry] += 1;
+    if (state.recordsRead[entry] < state.log.length) {
+      yield createStep(state, `${ENTRIES[entry]} reads`, (next) => {
+        next.recordsRead[entry] += 1;
       });
     }
-    if (state.log.length + state.late.length >= this.#budget.records) return;
-    const { claim, ...fold } = this.#view(state, state.read[entry]);
+    if (
+      state.log.length + state.pendingAppends.length >= this.#budget.maxRecords
+    ) return;
+    const { claim, ...fold } = this.#readLog(state, state.recordsRead[entry]);
     if (claim?.holder === ENTRIES[entry]) {
-      yield step(state, `${ENTRIES[entry]} gives an order`, (next) => {
-        next.late.push({
+      yield createStep(state, `${ENTRIES[entry]} issues an order`, (next) => {
+        next.pendingAppends.push({
           kind: "order",
           claim: claim.offset,
           number: fold.lastNumber + 1,
-          endpoint: ENDPOINT,
-          target: { role: ROLES[entry] },
+          endpoint: ENDPOINT_ID,
+          target: { role: ROLES_BY_ENTRY[entry] },
         });
       });
     } else {
-      yield step(state, `${ENTRIES[entry]} claims`, (next) => {
+      yield createStep(state, `${ENTRIES[entry]} claims`, (next) => {
         const replaces = claim?.offset ?? -1;
-        next.late.push({ kind: "claim", holder: ENTRIES[entry], replaces });
+        next.pendingAppends.push({
+          kind: "claim",
+          holder: ENTRIES[entry],
+          replaces,
+        });
       });
     }
   }
 
   *#sideSteps(state: OrdersState): Iterable<Step<OrdersState>> {
     for (const entry of ENTRIES.keys()) {
-      const { standing } = this.#view(state, state.read[entry]);
-      yield step(state, `the side hears ${ENTRIES[entry]}`, (next) => {
-        next.side.heard[entry] = true;
-        const offset = standing?.offset ?? -1;
-        if (offset > next.side.taken || this.#guards.takesOlder) {
-          next.side.taken = offset;
-        }
-      });
+      const { standing } = this.#readLog(state, state.recordsRead[entry]);
+      yield createStep(
+        state,
+        `the side gets the response of ${ENTRIES[entry]}`,
+        (next) => {
+          next.side.respondedEntries[entry] = true;
+          const offset = standing?.offset ?? -1;
+          if (
+            offset > next.side.acceptedOrder || this.#guards.acceptsOlderOrders
+          ) {
+            next.side.acceptedOrder = offset;
+          }
+        },
+      );
     }
-    if (this.#maySend(state)) {
-      yield step(state, `the side sends order ${state.side.taken}`, (next) => {
-        next.sent.push(next.side.taken);
-      });
+    if (this.#canSend(state)) {
+      yield createStep(
+        state,
+        `the side sends order ${state.side.acceptedOrder}`,
+        (next) => {
+          next.ordersInTransit.push(next.side.acceptedOrder);
+        },
+      );
     }
     if (state.restarts >= this.#budget.restarts) return;
-    yield step(state, "the side is started again", (next) => {
+    yield createStep(state, "the side restarts", (next) => {
       next.restarts += 1;
-      next.side = { taken: -1, heard: [false, false] };
+      next.side = { acceptedOrder: -1, respondedEntries: [false, false] };
     });
   }
 
-  /** The wait of the longest way of an order is an empty way here. */
-  #maySend({ side, sent, engine }: OrdersState): boolean {
-    if (side.taken < 0 || side.taken === engine.done) return false;
-    const trusts = this.#guards.trustsFirstAnswer ?? false;
-    if (!trusts && side.heard.includes(false)) return false;
-    if (sent.includes(side.taken) || engine.underWay === side.taken) {
+  /**
+   * The executor waits for the maximum transit time of an order; the model
+   * waits until no order is in transit.
+   */
+  #canSend({ side, ordersInTransit, engine }: OrdersState): boolean {
+    if (side.acceptedOrder < 0 || side.acceptedOrder === engine.completed) {
+      return false;
+    }
+    const acceptsFirstEntry = this.#guards.acceptsFirstEntry ?? false;
+    if (!acceptsFirstEntry && side.respondedEntries.includes(false)) {
       return false;
     }
-    if (this.#guards.sendsAtOnce) return true;
-    return sent.length === 0 && engine.underWay < 0;
+    if (
+      ordersInTransit.includes(side.acceptedOrder) ||
+      engine.inProgress === side.acceptedOrder
+    ) {
+      return false;
+    }
+    if (this.#guards.allowsConcurrentOrders) return true;
+    return ordersInTransit.length === 0 && engine.inProgress < 0;
   }
 
   *#engineSteps(state: OrdersState): Iterable<Step<OrdersState>> {
-    for (const at of state.sent.keys()) {
-      yield step(state, `order ${state.sent[at]} arrives`, (next) => {
-        this.#receive(next, next.sent.splice(at, 1)[0]);
-      });
+    for (const at of state.ordersInTransit.keys()) {
+      yield createStep(
+        state,
+        `order ${state.ordersInTransit[at]} arrives`,
+        (next) => {
+          this.#receive(next, next.ordersInTransit.splice(at, 1)[0]);
+        },
+      );
       if (state.duplicates >= this.#budget.duplicates) continue;
-      yield step(state, `a copy of order ${state.sent[at]} arrives`, (next) => {
-        next.duplicates += 1;
-        this.#receive(next, next.sent[at]);
-      });
+      yield createStep(
+        state,
+        `a duplicate of order ${state.ordersInTransit[at]} arrives`,
+        (next) => {
+          next.duplicates += 1;
+          this.#receive(next, next.ordersInTransit[at]);
+        },
+      );
     }
-    if (state.engine.underWay < 0) return;
-    yield step(state, "the engine finishes", (next) => {
-      next.engine.done = next.engine.underWay;
-      next.engine.underWay = -1;
+    if (state.engine.inProgress < 0) return;
+    yield createStep(state, "the engine finishes", (next) => {
+      next.engine.completed = next.engine.inProgress;
+      next.engine.inProgress = -1;
     });
   }
 
   #receive(next: OrdersState, offset: number): void {
     const { engine } = next;
     if (!this.#isValid(next, offset)) {
-      next.wrong = `Order ${offset} is void where it stands`;
+      next.violation = `Order ${offset} is void at its offset`;
     } else if (offset < engine.newest) {
-      next.wrong = `Order ${offset} came after order ${engine.newest}`;
-    } else if (engine.underWay >= 0 && engine.underWay !== offset) {
-      next.wrong =
-        `Order ${offset} came while ${engine.underWay} was under way`;
+      next.violation = `Order ${offset} arrived after order ${engine.newest}`;
+    } else if (engine.inProgress >= 0 && engine.inProgress !== offset) {
+      next.violation =
+        `Order ${offset} arrived while ${engine.inProgress} was in progress`;
     }
     engine.newest = Math.max(engine.newest, offset);
-    engine.underWay = offset;
+    engine.inProgress = offset;
   }
 
-  /** By the whole log and without guards taken out. */
+  /** Validates an order against the whole log with all guards enabled. */
   #isValid(state: OrdersState, offset: number): boolean {
     const valid = new Set<number>();
     const fold = new OrdersFold({
@@ -204,9 +242,9 @@
     return valid.has(offset);
   }
 
-  #view(state: OrdersState, upTo: number) {
+  #readLog(state: OrdersState, upTo: number) {
     const fold = new OrdersFold(
-      this.#guards.countsEveryOrder
+      this.#guards.acceptsInvalidOrders
         ? { guards: { checksClaim: false, checksNumber: false } }
         : {},
     );
@@ -215,13 +253,13 @@
     }
     return {
       claim: fold.claim,
-      lastNumber: fold.lastNumber(ENDPOINT),
-      standing: fold.standingOrder(ENDPOINT),
+      lastNumber: fold.lastNumber(ENDPOINT_ID),
+      standing: fold.standingOrder(ENDPOINT_ID),
     };
   }
 }
 
-function step(
+function createStep(
   state: OrdersState,
   name: string,
   change: (next: OrdersState) => void,
--- a/test/model/search.ts
+++ b/test/model/search.ts
@@ -1,11 +1,11 @@
-/** A system whose every interleaving is to be looked at. */
+/** A transition system whose interleavings are searched. */
 export interface Model<State> {
   readonly initial: State;
-  /** Equal for equal states; the search visits each key once. */
+  /** Canonical key of a state; the search visits each key once. */
   key(state: State): string;
-  /** Every step that could come next, each with the state behind it. */
+  /** All possible next steps, each with its resulting state. */
   steps(state: State): Iterable<Step<State>>;
-  /** What is wrong with the state; undefined where nothing is. */
+  /** Describes the violation in the state; undefined if there is none. */
   violation(state: State): string | undefined;
 }
 
@@ -17,13 +17,13 @@
 export interface SearchResult {
   readonly states: number;
   readonly transitions: number;
-  /** Steps of the longest shortest way to a state. */
+  /** Greatest distance of a visited state from the initial one, in steps. */
   readonly depth: number;
-  /** True where no state was left out. */
+  /** Whether every reachable state was visited. */
   readonly exhausted: boolean;
   readonly violation?: {
     readonly detail: string;
-    /** A shortest way there. */
+    /** Step names of a shortest path to the state. */
     readonly trace: readonly string[];
   };
 }
@@ -34,8 +34,9 @@
 }
 
 /**
- * Breadth-first search over all interleavings. It stops at the first wrong
- * state, which has a shortest trace, or when every state was visited.
+ * Searches all interleavings breadth-first. Stops at the first violation, which
+ * therefore has a shortest trace, at `mostStates` visited states, or when every
+ * state has been visited.
  */
 export function search<State>(
   model: Model<State>,
@@ -43,12 +44,12 @@
 ): SearchResult {
   const seen = new Set<string>([model.key(model.initial)]);
   const visited: Visited[] = [{ parent: -1, step: "" }];
-  let layer: [number, State][] = [[0, model.initial]];
+  let frontier: [number, State][] = [[0, model.initial]];
   let transitions = 0;
   let depth = 0;
-  while (layer.length > 0) {
-    const next: [number, State][] = [];
-    for (const [number, state] of layer) {
+  while (frontier.length > 0) {
+    const nextFrontier: [number, State][] = [];
+    for (const [number, state] of frontier) {
       for (const step of model.steps(state)) {
         transitions += 1;
         const key = model.key(step.state);
@@ -64,11 +65,11 @@
         if (seen.size >= options.mostStates) {
           return { ...counts, exhausted: false };
         }
-        next.push([visited.length - 1, step.state]);
+        nextFrontier.push([visited.length - 1, step.state]);
       }
     }
-    layer = next;
-    if (next.length > 0) depth += 1;
+    frontier = nextFrontier;
+    if (nextFrontier.length > 0) depth += 1;
   }
   return { states: seen.size, transitions, depth, exhausted: true };
 }
--- a/test/model/searches.ts
+++ b/test/model/searches.ts
@@ -1,123 +1,138 @@
-import type { OnceBudget, OnceModelGuards } from "./once_model.ts";
+import type { OnceFaultBudget, OnceModelGuards } from "./once_model.ts";
 import type { OrdersBudget, OrdersModelGuards } from "./orders_model.ts";
 
-const NO_FAULTS: OnceBudget = {
+const NO_FAULTS: OnceFaultBudget = {
   duplicates: 0,
   restarts: 0,
   refusals: 0,
   timeouts: 0,
-  records: 2,
+  maxRecords: 2,
 };
 
-/** Searches that have to find nothing; the short ones run in CI. */
+/**
+ * Searches over at-most-once execution that must find no violation. CI runs the
+ * short ones, marked `runsInTests`.
+ */
 export const ONCE_SEARCHES: Readonly<
-  Record<string, { readonly budget: OnceBudget; readonly short: boolean }>
+  Record<
+    string,
+    { readonly budget: OnceFaultBudget; readonly runsInTests: boolean }
+  >
 > = {
   "no fault, three records": {
-    budget: { ...NO_FAULTS, records: 3 },
-    short: true,
+    budget: { ...NO_FAULTS, maxRecords: 3 },
+    runsInTests: true,
+  },
+  "a refusal": { budget: { ...NO_FAULTS, refusals: 1 }, runsInTests: true },
+  "a restart": { budget: { ...NO_FAULTS, restarts: 1 }, runsInTests: true },
+  "a duplicate": {
+    budget: { ...NO_FAULTS, duplicates: 1 },
+    runsInTests: false,
   },
-  "a refusal": { budget: { ...NO_FAULTS, refusals: 1 }, short: true },
-  "a restart": { budget: { ...NO_FAULTS, restarts: 1 }, short: true },
-  "a duplicate": { budget: { ...NO_FAULTS, duplicates: 1 }, short: false },
   "a restart, three records": {
-    budget: { ...NO_FAULTS, restarts: 1, records: 3 },
-    short: false,
+    budget: { ...NO_FAULTS, restarts: 1, maxRecords: 3 },
+    runsInTests: false,
   },
   "a duplicate, three records": {
-    budget: { ...NO_FAULTS, duplicates: 1, records: 3 },
-    short: false,
+    budget: { ...NO_FAULTS, duplicates: 1, maxRecords: 3 },
+    runsInTests: false,
   },
-  "a wait given up": { budget: { ...NO_FAULTS, timeouts: 1 }, short: false },
+  "a timeout": { budget: { ...NO_FAULTS, timeouts: 1 }, runsInTests: false },
   "a duplicate and a refusal": {
     budget: { ...NO_FAULTS, duplicates: 1, refusals: 1 },
-    short: false,
+    runsInTests: false,
   },
   "a duplicate and a restart": {
     budget: { ...NO_FAULTS, duplicates: 1, restarts: 1 },
-    short: false,
+    runsInTests: false,
   },
 };
 
-/** Each guard of at-most-once execution, with the faults that it is for. */
+/** Guards of at-most-once execution, each with the faults that require it. */
 export const ONCE_GUARDS: Readonly<
-  Record<string, { budget: OnceBudget; guards: OnceModelGuards }>
+  Record<string, { budget: OnceFaultBudget; guards: OnceModelGuards }>
 > = {
   "compare-and-set of the key's record": {
     budget: NO_FAULTS,
     guards: { mayReplace: () => true },
   },
-  "the bar": { budget: NO_FAULTS, guards: { table: { bars: false } } },
+  "barring": { budget: NO_FAULTS, guards: { table: { bars: false } } },
   "the incarnation check": {
     budget: { ...NO_FAULTS, duplicates: 1, restarts: 1 },
     guards: { table: { checksIncarnation: false } },
   },
-  "the memory of runs": {
+  "the record of started runs": {
     budget: { ...NO_FAULTS, duplicates: 1 },
     guards: { table: { remembersRuns: false } },
   },
-  "reading the own record": {
+  "reading the appended record": {
     budget: NO_FAULTS,
     guards: { trustsAppendAnswer: true },
   },
-  "a bar with each refusal": {
+  "barring on each refusal": {
     budget: { ...NO_FAULTS, duplicates: 1, refusals: 1 },
     guards: { refusesWithoutBar: true },
   },
-  "no trust in another incarnation": {
+  "rejecting refusals of other incarnations": {
     budget: { ...NO_FAULTS, duplicates: 1, restarts: 1 },
     guards: { trustsOtherIncarnation: true },
   },
-  "the question behind a lost dispatch": {
+  "the question after a lost dispatch": {
     budget: { ...NO_FAULTS, timeouts: 1 },
     guards: { trustsLostLink: true },
   },
 };
 
-/** Searches over claims and orders that have to find nothing. */
+/**
+ * Searches over claims and orders that must find no violation. CI runs the
+ * short ones, marked `runsInTests`.
+ */
 export const ORDERS_SEARCHES: Readonly<
-  Record<string, { readonly budget: OrdersBudget; readonly short: boolean }>
+  Record<
+    string,
+    { readonly budget: OrdersBudget; readonly runsInTests: boolean }
+  >
 > = {
   "three records": {
-    budget: { records: 3, restarts: 0, duplicates: 0 },
-    short: true,
+    budget: { maxRecords: 3, restarts: 0, duplicates: 0 },
+    runsInTests: true,
   },
   "three records, a restart of the side": {
-    budget: { records: 3, restarts: 1, duplicates: 0 },
-    short: true,
+    budget: { maxRecords: 3, restarts: 1, duplicates: 0 },
+    runsInTests: true,
   },
   "four records": {
-    budget: { records: 4, restarts: 0, duplicates: 0 },
-    short: false,
+    budget: { maxRecords: 4, restarts: 0, duplicates: 0 },
+    runsInTests: false,
   },
   "four records, a restart of the side": {
-    budget: { records: 4, restarts: 1, duplicates: 0 },
-    short: false,
+    budget: { maxRecords: 4, restarts: 1, duplicates: 0 },
+    runsInTests: false,
   },
   "four records, a duplicate order": {
-    budget: { records: 4, restarts: 0, duplicates: 1 },
-    short: false,
+    budget: { maxRecords: 4, restarts: 0, duplicates: 1 },
+    runsInTests: false,
   },
 };
 
-/** Each guard of claims and orders, with the size that shows its absence. */
+/** Guards of claims and orders, each with a budget that requires it. */
 export const ORDERS_GUARDS: Readonly<
   Record<string, { budget: OrdersBudget; guards: OrdersModelGuards }>
 > = {
-  "the position check of claims": {
-    budget: { records: 4, restarts: 0, duplicates: 0 },
-    guards: { countsEveryOrder: true },
+  "the claim check at the record's offset": {
+    budget: { maxRecords: 4, restarts: 0, duplicates: 0 },
+    guards: { acceptsInvalidOrders: true },
   },
-  "one outstanding order": {
-    budget: { records: 3, restarts: 0, duplicates: 0 },
-    guards: { sendsAtOnce: true },
+  "a single outstanding order": {
+    budget: { maxRecords: 3, restarts: 0, duplicates: 0 },
+    guards: { allowsConcurrentOrders: true },
   },
-  "rising order numbers at the side": {
-    budget: { records: 3, restarts: 0, duplicates: 0 },
-    guards: { takesOlder: true },
+  "increasing order offsets at the side": {
+    budget: { maxRecords: 3, restarts: 0, duplicates: 0 },
+    guards: { acceptsOlderOrders: true },
   },
-  "hearing all entries at the start": {
-    budget: { records: 3, restarts: 1, duplicates: 0 },
-    guards: { trustsFirstAnswer: true },
+  "waiting for all entries at startup": {
+    budget: { maxRecords: 3, restarts: 1, duplicates: 0 },
+    guards: { acceptsFirstEntry: true },
   },
 };
