--- a/test/matrix/failures.ts
+++ b/test/matrix/failures.ts
@@ -1,45 +1,45 @@
 import { defineError } from "../../src/core/errors/mod.ts";
 
-type None = Record<never, never>;
+type NoFacts = Record<never, never>;
 
-export const NOT_SENT = defineError<None>()({
+export const LINK_NOT_SENT = defineError<NoFacts>()({
   name: "link_not_sent",
   title: "Peer not reached",
-  message: () => "Nobody listens there",
+  message: () => "No process listens at the address",
   hint: "Start the process.",
 });
 
-export const LOST = defineError<None>()({
+export const LINK_LOST = defineError<NoFacts>()({
   name: "link_lost",
-  title: "Answer lost",
-  message: () => "The connection has broken",
-  hint: "It may have acted before.",
+  title: "Connection lost",
+  message: () => "The connection closed before the answer arrived",
+  hint: "The call may have taken effect.",
 });
 
-export const LOG_UNKNOWN = defineError<None>()({
+export const LOG_UNKNOWN = defineError<NoFacts>()({
   name: "log_unknown",
   title: "Answer lost",
-  message: () => "The log service gave no answer",
-  hint: "Read forward.",
+  message: () => "The log service did not answer",
+  hint: "Read the stream to see whether the append took effect.",
 });
 
-export const ENDPOINT_CLOSED = defineError<None>()({
+export const ENDPOINT_CLOSED = defineError<NoFacts>()({
   name: "endpoint_closed",
   title: "Endpoint closed the connection",
   message: () => "The endpoint closed the connection",
-  hint: "Look at the endpoint.",
+  hint: "Check the endpoint.",
 });
 
-export const ENDPOINT_UNREACHABLE = defineError<None>()({
+export const ENDPOINT_UNREACHABLE = defineError<NoFacts>()({
   name: "endpoint_unreachable",
   title: "Endpoint unreachable",
   message: () => "The endpoint does not answer",
-  hint: "Look at the endpoint.",
+  hint: "Check the endpoint.",
 });
 
-export const ORDER_FENCED = defineError<None>()({
+export const ORDER_FENCED = defineError<NoFacts>()({
   name: "order_fenced",
   title: "Order refused",
-  message: () => "The order carries an old fencing number",
+  message: () => "The order has an outdated fencing number",
   hint: "Wait for the newer order.",
 });
--- a/test/matrix/endpoints.ts
+++ b/test/matrix/fake_endpoints.ts
@@ -30,31 +30,31 @@
 }
 
 interface Generation {
-  readonly end: (result: Result<"stop", EndpointFailure>) => void;
-  step: Subscription;
+  readonly settle: (result: Result<"stop", EndpointFailure>) => void;
+  nextStep: Subscription;
 }
 
-const MILLISECONDS_TO_FIRST_TOKEN = 60;
-const MILLISECONDS_BETWEEN_TOKENS = 30;
-const CHANGE_MILLISECONDS = 1_000;
-const CRASH_MILLISECONDS = 3_000;
-const CALL_MILLISECONDS = 150;
+const FIRST_TOKEN_MILLISECONDS = 60;
+const TOKEN_INTERVAL_MILLISECONDS = 30;
+const TARGET_CHANGE_MILLISECONDS = 1_000;
+const CRASH_RECOVERY_MILLISECONDS = 3_000;
+const CALL_DURATION_MILLISECONDS = 150;
 
-/** What the matrix needs of an endpoint besides its work. */
+/** Controls of an endpoint that inject faults. */
 export interface FakeEndpoint {
   readonly id: string;
   readonly kind: "engine" | "service";
   crash(): void;
-  /** The side's connections have closed: generations end with them. */
-  sideGone(): void;
+  /** Closes the connections of a side that exited, which ends generations. */
+  onSideExit(): void;
 }
 
-/** The tokens that an engine gives to a request; no two requests share any. */
-export function tokenOf(requestId: string, index: number): string {
+/** Returns an engine's token for a request; tokens differ between requests. */
+export function tokenText(requestId: string, index: number): string {
   return `${requestId}:${index} `;
 }
 
-/** A model engine that tells what happens to it. */
+/** A model engine that records its events. */
 export class FakeEngine implements FakeEndpoint {
   readonly kind = "engine";
   readonly #options: EngineOptions;
@@ -63,7 +63,7 @@
   #weights = "";
   #models: readonly string[] = [];
   #change: Subscription | undefined;
-  #fence = -1;
+  #highestFencingNumber = -1;
   #down = false;
 
   constructor(options: EngineOptions) {
@@ -79,7 +79,7 @@
     onToken: (text: string) => void,
   ): GenerationCall {
     let paused = false;
-    let settle!: Generation["end"];
+    let settle!: Generation["settle"];
     const finished = new Promise<Result<"stop", EndpointFailure>>(
       (resolve) => settle = resolve,
     );
@@ -87,24 +87,25 @@
       settle(err(failure(ENDPOINT_CLOSED, {})));
       return { finished, cancel() {}, pause() {}, resume() {} };
     }
-    this.#tell("endpoint_executed", factsOf(attempt));
+    this.#recordEvent("endpoint_executed", attemptFacts(attempt));
     const { work, requestId } = attempt;
     const total = work.kind === "generation" ? work.mostOutputTokens : 0;
     let index = attempt.deliveredTokens?.length ?? 0;
     const { timer } = this.#options;
     const step = () => {
-      if (!paused && index < total) onToken(tokenOf(requestId, index++));
-      if (index >= total) return this.#end(generation, ok("stop"));
-      generation.step = timer.after(MILLISECONDS_BETWEEN_TOKENS, step);
+      if (!paused && index < total) onToken(tokenText(requestId, index++));
+      if (index >= total) return this.#endGeneration(generation, ok("stop"));
+      generation.nextStep = timer.after(TOKEN_INTERVAL_MILLISECONDS, step);
     };
     const generation: Generation = {
-      end: settle,
-      step: timer.after(MILLISECONDS_TO_FIRST_TOKEN, step),
+      settle,
+      nextStep: timer.after(FIRST_TOKEN_MILLISECONDS, step),
     };
     this.#generations.add(generation);
     return {
       finished,
-      cancel: () => this.#end(generation, err(failure(ENDPOINT_CLOSED, {}))),
+      cancel: () =>
+        this.#endGeneration(generation, err(failure(ENDPOINT_CLOSED, {}))),
       pause: () => paused = true,
       resume: () => paused = false,
     };
@@ -123,76 +124,76 @@
     });
   }
 
-  /** A change cuts off what the engine is working on: that is the hazard. */
+  /** Changes the target; this aborts the engine's running generations. */
   order(
     target: EngineTarget,
     fencing: number,
   ): Result<void, EndpointFailure | Failure<"order_fenced">> {
     if (this.#down) return err(failure(ENDPOINT_UNREACHABLE, {}));
     const { timer, checksFencing, id } = this.#options;
-    const facts = { endpoint: id, order: fencing, target: textOf(target) };
-    if (checksFencing && fencing < this.#fence) {
-      this.#tell("order_refused", facts);
+    const facts = { endpoint: id, order: fencing, target: targetText(target) };
+    if (checksFencing && fencing < this.#highestFencingNumber) {
+      this.#recordEvent("order_refused", facts);
       return err(failure(ORDER_FENCED, {}));
     }
-    this.#fence = Math.max(this.#fence, fencing);
-    this.#tell("order_received", facts);
-    this.#cutOff();
+    this.#highestFencingNumber = Math.max(this.#highestFencingNumber, fencing);
+    this.#recordEvent("order_received", facts);
+    this.#abortGenerations();
     this.#change?.cancel();
-    this.#change = timer.after(CHANGE_MILLISECONDS, () => {
+    this.#change = timer.after(TARGET_CHANGE_MILLISECONDS, () => {
       this.#change = undefined;
       this.#role = target.role;
       this.#weights = target.weights ?? this.#weights;
       this.#models = target.models ?? this.#models;
-      this.#tell("order_done", facts);
+      this.#recordEvent("order_done", facts);
     });
     return ok(undefined);
   }
 
   crash(): void {
-    this.#tell("process_killed", {});
-    this.#cutOff();
+    this.#recordEvent("process_killed", {});
+    this.#abortGenerations();
     this.#change?.cancel();
     this.#change = undefined;
     this.#down = true;
-    this.#options.timer.after(CRASH_MILLISECONDS, () => {
+    this.#options.timer.after(CRASH_RECOVERY_MILLISECONDS, () => {
       this.#down = false;
       this.#weights = "";
       this.#models = [];
     });
   }
 
-  sideGone(): void {
-    this.#cutOff();
+  onSideExit(): void {
+    this.#abortGenerations();
   }
 
-  #cutOff(): void {
+  #abortGenerations(): void {
     for (const generation of [...this.#generations]) {
-      this.#end(generation, err(failure(ENDPOINT_CLOSED, {})));
+      this.#endGeneration(generation, err(failure(ENDPOINT_CLOSED, {})));
     }
   }
 
-  #end(
+  #endGeneration(
     generation: Generation,
     result: Result<"stop", EndpointFailure>,
   ): void {
     if (!this.#generations.delete(generation)) return;
-    generation.step.cancel();
-    generation.end(result);
+    generation.nextStep.cancel();
+    generation.settle(result);
   }
 
-  #tell(kind: HistoryEventKind, facts: HistoryEvent["facts"]): void {
+  #recordEvent(kind: HistoryEventKind, facts: HistoryEvent["facts"]): void {
     const { timer, id, observe } = this.#options;
     observe({ at: timer.now(), process: id, kind, facts });
   }
 }
 
-/** A plain service whose calls take effect as they arrive. */
+/** A plain service whose calls take effect when they arrive. */
 export class FakeService implements FakeEndpoint {
   readonly kind = "service";
   readonly #options: EndpointOptions;
-  readonly #open = new Set<() => void>();
-  #calls = 0;
+  readonly #openCalls = new Set<() => void>();
+  #callCount = 0;
   #downUntil = 0;
 
   constructor(options: EndpointOptions) {
@@ -210,36 +211,38 @@
     if (timer.now() < this.#downUntil) {
       return Promise.resolve(err(failure(ENDPOINT_CLOSED, {})));
     }
-    const facts = factsOf(attempt);
+    const facts = attemptFacts(attempt);
     const event = { at: timer.now(), process: id, facts };
     observe({ ...event, kind: "endpoint_executed" });
-    this.#calls += 1;
+    this.#callCount += 1;
     const body = facts.idempotent
       ? `echo ${attempt.requestId}`
-      : `${id} case ${this.#calls}`;
+      : `${id} case ${this.#callCount}`;
     return new Promise((resolve) => {
       const close = () => {
-        this.#open.delete(close);
+        this.#openCalls.delete(close);
         answer.cancel();
         resolve(err(failure(ENDPOINT_CLOSED, {})));
       };
-      const answer = timer.after(CALL_MILLISECONDS, () => {
-        this.#open.delete(close);
+      const answer = timer.after(CALL_DURATION_MILLISECONDS, () => {
+        this.#openCalls.delete(close);
         resolve(ok({ status: 200, contentType: "text/plain", body }));
       });
-      this.#open.add(close);
+      this.#openCalls.add(close);
     });
   }
 
   crash(): void {
-    this.#downUntil = this.#options.timer.now() + CRASH_MILLISECONDS;
-    for (const close of [...this.#open]) close();
+    this.#downUntil = this.#options.timer.now() + CRASH_RECOVERY_MILLISECONDS;
+    for (const close of [...this.#openCalls]) close();
   }
 
-  sideGone(): void {}
+  onSideExit(): void {}
 }
 
-function factsOf(attempt: AttemptRequest): Record<string, string | boolean> {
+function attemptFacts(
+  attempt: AttemptRequest,
+): Record<string, string | boolean> {
   const facts: Record<string, string | boolean> = {
     requestId: attempt.requestId,
     attemptId: attempt.attemptId,
@@ -250,7 +253,7 @@
   return facts;
 }
 
-/** A target as JSON with its keys in a fixed order. */
-export function textOf({ role, models, weights }: EngineTarget): string {
+/** Returns a target as JSON with its keys in a fixed order. */
+export function targetText({ role, models, weights }: EngineTarget): string {
   return JSON.stringify({ role, models, weights });
 }
--- a/test/matrix/links.ts
+++ b/test/matrix/fake_links.ts
@@ -25,36 +25,41 @@
 import type { AttemptHandle, SideCore } from "../../src/side/mod.ts";
 import type { EntryCore } from "../../src/entry/mod.ts";
 import type { FakeLog } from "../support/fake_log.ts";
-import type { FakeEngine, FakeService } from "./endpoints.ts";
-import { ENDPOINT_CLOSED, LOG_UNKNOWN, LOST, NOT_SENT } from "./failures.ts";
+import type { FakeEngine, FakeService } from "./fake_endpoints.ts";
+import {
+  ENDPOINT_CLOSED,
+  LINK_LOST,
+  LINK_NOT_SENT,
+  LOG_UNKNOWN,
+} from "./failures.ts";
 import type { ProcessGate } from "./process_gate.ts";
-import { Channel, type Wire } from "./wire.ts";
+import { type FakeNetwork, OrderedChannel } from "./fake_network.ts";
 
-/** One run of an entry or a side. */
+/** A running entry or side. */
 export interface RunningProcess<Core> {
   readonly name: string;
   readonly gate: ProcessGate;
   readonly core: Core;
 }
 
-export interface LinksOptions {
+export interface FakeLinksOptions {
   readonly timer: TimerService;
-  readonly wire: Wire;
+  readonly network: FakeNetwork;
   readonly log: FakeLog;
-  /** The run that listens at the address at present. */
+  /** Returns the process that currently listens at the address. */
   readonly sideAt: (address: string) => RunningProcess<SideCore> | undefined;
   readonly entryAt: (address: string) => RunningProcess<EntryCore> | undefined;
-  /** Told of each record that the log has taken. */
+  /** Called for each appended record. */
   readonly onAppended: (
     stream: string,
     appended: { offset: number; record: unknown },
   ) => void;
-  /** Stands in for the side's answers and frames where a guard is out. */
-  readonly alter?: LinkAlterations;
+  /** Changes messages to disable a guard. */
+  readonly overrides?: LinkOverrides;
 }
 
-/** Ways in which a test takes a guard out at the wire. */
-export interface LinkAlterations {
+/** Overrides of messages by which a test disables a guard. */
+export interface LinkOverrides {
   readonly attempt?: (
     attempt: AttemptRequest,
     side: SideCore,
@@ -66,51 +71,51 @@
   readonly frame?: (frame: AttemptFrame, requestId: string) => AttemptFrame;
 }
 
-interface OpenCall {
+interface OpenConnection {
   readonly from: string;
   readonly to: string;
-  /** The other end has gone; its connections close. */
-  readonly fail: () => void;
-  /** This end has gone; the other one sees its connections close. */
-  readonly abandon: () => void;
+  /** Called when the receiver exits. */
+  readonly failCaller: () => void;
+  /** Called when the caller exits. */
+  readonly cancelReceiver: () => void;
 }
 
-const CALL_LIMIT_MILLISECONDS = 2_000;
-const APPEND_LIMIT_MILLISECONDS = 3_000;
-/** After a last frame that does not arrive, the connection is seen to break. */
-const BROKEN_MILLISECONDS = 3_000;
-const LAST_FRAMES: ReadonlySet<string> = new Set([
+const CALL_TIMEOUT_MILLISECONDS = 2_000;
+const APPEND_TIMEOUT_MILLISECONDS = 3_000;
+/** Time until a final frame that did not arrive counts as a lost connection. */
+const FINAL_FRAME_TIMEOUT_MILLISECONDS = 3_000;
+const FINAL_FRAME_KINDS: ReadonlySet<string> = new Set([
   "end",
   "response",
   "not_run",
   "failed",
 ]);
 
-/** The links of every process of a run, over one wire. */
-export class Links {
-  readonly #options: LinksOptions;
-  readonly #open = new Set<OpenCall>();
+/** The links of all processes of a run, over one network. */
+export class FakeLinks {
+  readonly #options: FakeLinksOptions;
+  readonly #openConnections = new Set<OpenConnection>();
 
-  constructor(options: LinksOptions) {
+  constructor(options: FakeLinksOptions) {
     this.#options = options;
   }
 
-  /** A process has gone: its connections close at both ends. */
-  closeAll(name: string): void {
-    for (const call of [...this.#open]) {
-      if (call.to === name) this.#soon(call.fail);
-      if (call.from === name) this.#soon(call.abandon);
+  /** Closes both ends of the connections of a process that exited. */
+  closeConnectionsOf(name: string): void {
+    for (const connection of [...this.#openConnections]) {
+      if (connection.to === name) this.#schedule(connection.failCaller);
+      if (connection.from === name) this.#schedule(connection.cancelReceiver);
     }
   }
 
-  sides(from: string, gate: ProcessGate): SideLink {
+  createSideLink(from: string, gate: ProcessGate): SideLink {
     return {
       run: (address, attempt, onFrame) =>
         this.#run({ from, gate, address }, attempt, onFrame),
       ask: (address, question) =>
         this.#call({ from, gate, address, kind: "ask" }, () => {
           const side = this.#options.sideAt(address)?.core as SideCore;
-          return this.#options.alter?.ask?.(question, side) ??
+          return this.#options.overrides?.ask?.(question, side) ??
             side.ask(question);
         }),
       report: (address) =>
@@ -121,7 +126,7 @@
     };
   }
 
-  entries(from: string, gate: ProcessGate): EntryLink {
+  createEntryLink(from: string, gate: ProcessGate): EntryLink {
     const at = (address: PeerAddress) => this.#options.entryAt(address)?.core;
     return {
       watch: (address, question) =>
@@ -145,25 +150,29 @@
     };
   }
 
-  logOf(from: string, gate: ProcessGate): LogService {
+  createLogService(from: string, gate: ProcessGate): LogService {
     return {
       append: (stream, records) =>
-        gate.hold(this.#append(from, { stream, records })),
-      read: (stream, options) => gate.hold(this.#read(from, stream, options)),
+        gate.defer(this.#append(from, { stream, records })),
+      read: (stream, options) => gate.defer(this.#read(from, stream, options)),
     };
   }
 
-  endpointOf(
+  createEndpointLink(
     from: string,
     gate: ProcessGate,
     endpoint: FakeEngine | FakeService,
   ): EndpointLink {
-    const hop = new EndpointHop(this.#options, { from, gate, endpoint });
+    const connection = new EndpointConnection(this.#options, {
+      from,
+      gate,
+      endpoint,
+    });
     return {
-      generate: (attempt, onToken) => hop.generate(attempt, onToken),
-      call: (attempt) => hop.call(attempt),
-      observe: () => hop.observe(),
-      order: (target, fencing) => hop.order(target, fencing),
+      generate: (attempt, onToken) => connection.generate(attempt, onToken),
+      call: (attempt) => connection.call(attempt),
+      observe: () => connection.observe(),
+      order: (target, fencing) => connection.order(target, fencing),
     };
   }
 
@@ -177,42 +186,43 @@
     },
     answer: () => Answer | Promise<Answer> | undefined,
   ): Promise<Result<Answer, LinkFailure>> {
-    const { timer, wire } = this.#options;
-    const to = nameOf(call.address);
-    return call.gate.hold(
+    const { timer, network } = this.#options;
+    const to = processNameOf(call.address);
+    return call.gate.defer(
       new Promise((resolve) => {
-        const limit = CALL_LIMIT_MILLISECONDS + (call.waitMilliseconds ?? 0);
-        const open: OpenCall = {
+        const timeoutMilliseconds = CALL_TIMEOUT_MILLISECONDS +
+          (call.waitMilliseconds ?? 0);
+        const connection: OpenConnection = {
           from: call.from,
           to,
-          fail: () => end(err(failure(LOST, {}))),
-          abandon: () => end(err(failure(LOST, {}))),
+          failCaller: () => end(err(failure(LINK_LOST, {}))),
+          cancelReceiver: () => end(err(failure(LINK_LOST, {}))),
         };
         const end = (result: Result<Answer, LinkFailure>) => {
-          this.#open.delete(open);
-          alarm.cancel();
+          this.#openConnections.delete(connection);
+          timeout.cancel();
           resolve(result);
         };
-        const alarm = timer.after(limit, open.fail);
-        this.#open.add(open);
+        const timeout = timer.after(timeoutMilliseconds, connection.failCaller);
+        this.#openConnections.add(connection);
         const route = { from: call.from, to };
-        const arrive = () => {
-          const target = this.#listener(call.address);
-          if (target === undefined) return end(err(failure(NOT_SENT, {})));
-          target.gate.pass(async () => {
+        const deliver = () => {
+          const target = this.#findListener(call.address);
+          if (target === undefined) return end(err(failure(LINK_NOT_SENT, {})));
+          target.gate.run(async () => {
             const value = await answer();
             if (!target.gate.alive) return;
-            if (value === undefined) return end(err(failure(LOST, {})));
+            if (value === undefined) return end(err(failure(LINK_LOST, {})));
             const text = JSON.stringify(value);
-            wire.send({
+            network.send({
               step: `${call.kind} answer`,
               from: to,
               to: call.from,
-              arrive: () => end(ok(JSON.parse(text))),
+              deliver: () => end(ok(JSON.parse(text))),
             });
           });
         };
-        wire.send({ ...route, step: call.kind, arrive });
+        network.send({ ...route, step: call.kind, deliver });
       }),
     );
   }
@@ -222,57 +232,62 @@
     attempt: AttemptRequest,
     onFrame: (frame: AttemptFrame) => void,
   ): AttemptCall {
-    const { timer, wire } = this.#options;
+    const { timer, network } = this.#options;
     const { from, gate } = route;
-    const to = nameOf(route.address);
-    const way = new Channel();
-    const back = new Channel();
+    const to = processNameOf(route.address);
+    const requestChannel = new OrderedChannel();
+    const responseChannel = new OrderedChannel();
     let handle: AttemptHandle | undefined;
     let refused = false;
     let settle!: (result: Result<void, LinkFailure>) => void;
     const closed = new Promise<Result<void, LinkFailure>>((resolve) => {
       settle = (result) => {
-        this.#open.delete(open);
+        this.#openConnections.delete(connection);
         resolve(result);
       };
     });
-    const open: OpenCall = {
+    const connection: OpenConnection = {
       from,
       to,
-      fail: () => settle(err(failure(LOST, {}))),
-      abandon: () => handle?.cancel(),
+      failCaller: () => settle(err(failure(LINK_LOST, {}))),
+      cancelReceiver: () => handle?.cancel(),
     };
-    this.#open.add(open);
+    this.#openConnections.add(connection);
     const emit = (frame: AttemptFrame, target: RunningProcess<SideCore>) => {
       if (!target.gate.alive) return;
-      const altered = this.#options.alter?.frame?.(frame, attempt.requestId);
+      const altered = this.#options.overrides?.frame?.(
+        frame,
+        attempt.requestId,
+      );
       const text = JSON.stringify(altered ?? frame);
-      const last = LAST_FRAMES.has(frame.kind);
-      if (last) timer.after(BROKEN_MILLISECONDS, open.fail);
-      wire.send({
+      const isFinal = FINAL_FRAME_KINDS.has(frame.kind);
+      if (isFinal) {
+        timer.after(FINAL_FRAME_TIMEOUT_MILLISECONDS, connection.failCaller);
+      }
+      network.send({
         step: `frame ${frame.kind}`,
         from: to,
         to: from,
-        arrive: () =>
-          gate.pass(() => {
+        deliver: () =>
+          gate.run(() => {
             onFrame(JSON.parse(text));
-            if (last) settle(ok(undefined));
+            if (isFinal) settle(ok(undefined));
           }),
-      }, back);
+      }, responseChannel);
     };
-    wire.send({
-      step: stepOf(attempt),
+    network.send({
+      step: attemptStep(attempt),
       from,
       to,
-      arrive: () => {
+      deliver: () => {
         const target = this.#options.sideAt(route.address);
         if (target === undefined || refused) {
           refused = handle === undefined;
-          return settle(err(failure(refused ? NOT_SENT : LOST, {})));
+          return settle(err(failure(refused ? LINK_NOT_SENT : LINK_LOST, {})));
         }
-        target.gate.pass(() => {
+        target.gate.run(() => {
           const copy = JSON.parse(JSON.stringify(attempt));
-          const altered = this.#options.alter?.attempt?.(copy, target.core);
+          const altered = this.#options.overrides?.attempt?.(copy, target.core);
           const run = target.core.run(
             altered ?? copy,
             (frame) => emit(frame, target),
@@ -280,23 +295,21 @@
           handle ??= run;
         });
       },
-    }, way);
-    const tell = (name: keyof AttemptHandle) =>
-      wire.send({
+    }, requestChannel);
+    const sendControl = (name: keyof AttemptHandle) =>
+      network.send({
         step: name,
         from,
         to,
-        arrive: () => {
-          this.#options.sideAt(route.address)?.gate.pass(() =>
-            handle?.[name]()
-          );
+        deliver: () => {
+          this.#options.sideAt(route.address)?.gate.run(() => handle?.[name]());
         },
-      }, way);
+      }, requestChannel);
     return {
-      closed: gate.hold(closed),
-      cancel: () => tell("cancel"),
-      pause: () => tell("pause"),
-      resume: () => tell("resume"),
+      closed: gate.defer(closed),
+      cancel: () => sendControl("cancel"),
+      pause: () => sendControl("pause"),
+      resume: () => sendControl("resume"),
     };
   }
 
@@ -304,31 +317,31 @@
     from: string,
     call: { stream: StreamName; records: readonly unknown[] },
   ): ReturnType<LogService["append"]> {
-    const { timer, wire, log } = this.#options;
-    const step = `append ${kindOf(call.records[0])}`;
+    const { timer, network, log } = this.#options;
+    const step = `append ${recordKind(call.records[0])}`;
     return new Promise((resolve) => {
-      const alarm = timer.after(
-        APPEND_LIMIT_MILLISECONDS,
+      const timeout = timer.after(
+        APPEND_TIMEOUT_MILLISECONDS,
         () => resolve(err(failure(LOG_UNKNOWN, {}))),
       );
-      const arrive = async () => {
+      const deliver = async () => {
         const result = await log.append(call.stream, call.records);
-        if (result.isOk()) this.#tellAppended(call, result.value);
-        wire.send({
+        if (result.isOk()) this.#reportAppended(call, result.value);
+        network.send({
           step: `${step} answer`,
           from: "log",
           to: from,
-          arrive: () => {
-            alarm.cancel();
+          deliver: () => {
+            timeout.cancel();
             resolve(result);
           },
         });
       };
-      wire.send({ step, from, to: "log", arrive: () => void arrive() });
+      network.send({ step, from, to: "log", deliver: () => void deliver() });
     });
   }
 
-  #tellAppended(
+  #reportAppended(
     call: { stream: StreamName; records: readonly unknown[] },
     first: number,
   ): void {
@@ -342,10 +355,10 @@
     stream: StreamName,
     options: LogReadOptions,
   ): ReturnType<LogService["read"]> {
-    const { wire, log, timer } = this.#options;
-    if (wire.isCut(from, "log") || wire.isCut("log", from)) {
+    const { network, log, timer } = this.#options;
+    if (network.isLinkCut(from, "log") || network.isLinkCut("log", from)) {
       await new Promise<void>((resolve) => {
-        timer.after(CALL_LIMIT_MILLISECONDS, resolve);
+        timer.after(CALL_TIMEOUT_MILLISECONDS, resolve);
       });
       const name = "log_unavailable" as const;
       const failed: LogFailure = { ...failure(LOG_UNKNOWN, {}), name };
@@ -354,59 +367,59 @@
     return await log.read(stream, options);
   }
 
-  #listener(address: string): RunningProcess<unknown> | undefined {
+  #findListener(address: string): RunningProcess<unknown> | undefined {
     return this.#options.sideAt(address) ?? this.#options.entryAt(address);
   }
 
-  #soon(work: () => void): void {
-    this.#options.timer.after(1, work);
+  #schedule(callback: () => void): void {
+    this.#options.timer.after(1, callback);
   }
 }
 
-interface HopSide {
+interface EndpointClient {
   readonly from: string;
   readonly gate: ProcessGate;
   readonly endpoint: FakeEngine | FakeService;
 }
 
-/** The local hop between a side and its endpoint. */
-class EndpointHop {
-  readonly #options: LinksOptions;
-  readonly #side: HopSide;
+/** The local connection between a side and its endpoint. */
+class EndpointConnection {
+  readonly #options: FakeLinksOptions;
+  readonly #client: EndpointClient;
 
-  constructor(options: LinksOptions, side: HopSide) {
+  constructor(options: FakeLinksOptions, client: EndpointClient) {
     this.#options = options;
-    this.#side = side;
+    this.#client = client;
   }
 
   generate(
     attempt: AttemptRequest,
     onToken: (text: string) => void,
   ): GenerationCall {
-    const { from, gate } = this.#side;
-    const engine = this.#side.endpoint as FakeEngine;
+    const { from, gate } = this.#client;
+    const engine = this.#client.endpoint as FakeEngine;
     let call: GenerationCall | undefined;
     let cancelled = false;
     const finished = new Promise<Awaited<GenerationCall["finished"]>>(
       (resolve) => {
-        const arrive = () => {
+        const deliver = () => {
           if (cancelled || !gate.alive) return;
           call = engine.generate(
             attempt,
-            (text) => gate.pass(() => onToken(text)),
+            (text) => gate.run(() => onToken(text)),
           );
           void call.finished.then(resolve);
         };
-        this.#options.wire.send({
+        this.#options.network.send({
           step: "generate",
           from,
           to: engine.id,
-          arrive,
+          deliver,
         });
       },
     );
     return {
-      finished: gate.hold(finished),
+      finished: gate.defer(finished),
       cancel: () => {
         cancelled = true;
         call?.cancel();
@@ -417,60 +430,60 @@
   }
 
   call(attempt: AttemptRequest): ReturnType<EndpointLink["call"]> {
-    const service = this.#side.endpoint as FakeService;
-    return this.#ask("call", () => service.call(attempt));
+    const service = this.#client.endpoint as FakeService;
+    return this.#request("call", () => service.call(attempt));
   }
 
   order(
     target: Parameters<EndpointLink["order"]>[0],
     fencing: number,
   ): ReturnType<EndpointLink["order"]> {
-    const engine = this.#side.endpoint as FakeEngine;
-    return this.#ask("order", () => engine.order(target, fencing));
+    const engine = this.#client.endpoint as FakeEngine;
+    return this.#request("order", () => engine.order(target, fencing));
   }
 
   observe(): ReturnType<EndpointLink["observe"]> {
-    const engine = this.#side.endpoint as FakeEngine;
-    return this.#ask("observe", () => engine.observe());
+    const engine = this.#client.endpoint as FakeEngine;
+    return this.#request("observe", () => engine.observe());
   }
 
-  #ask<Value, Failed>(
+  #request<Value, Failed>(
     step: string,
     act: () =>
       | Result<Value, Failed | EndpointFailure>
       | Promise<Result<Value, Failed | EndpointFailure>>,
   ): Promise<Result<Value, Failed | EndpointFailure>> {
-    const { from, gate, endpoint } = this.#side;
-    const { wire, timer } = this.#options;
-    const asked = new Promise<Result<Value, Failed | EndpointFailure>>(
+    const { from, gate, endpoint } = this.#client;
+    const { network, timer } = this.#options;
+    const response = new Promise<Result<Value, Failed | EndpointFailure>>(
       (resolve) => {
         timer.after(
-          CALL_LIMIT_MILLISECONDS,
+          CALL_TIMEOUT_MILLISECONDS,
           () => resolve(err(failure(ENDPOINT_CLOSED, {}))),
         );
-        const arrive = async () => {
+        const deliver = async () => {
           const result = await act();
-          wire.send({
+          network.send({
             step: `${step} answer`,
             from: endpoint.id,
             to: from,
-            arrive: () => resolve(result),
+            deliver: () => resolve(result),
           });
         };
-        wire.send({
+        network.send({
           step,
           from,
           to: endpoint.id,
-          arrive: () => void arrive(),
+          deliver: () => void deliver(),
         });
       },
     );
-    return gate.hold(asked);
+    return gate.defer(response);
   }
 }
 
-/** Name of the process that listens at an address. */
-export function nameOf(address: string): string {
+/** Returns the name of the process that listens at an address. */
+export function processNameOf(address: string): string {
   return address.slice(0, address.indexOf(":"));
 }
 
@@ -478,12 +491,12 @@
   return identifier(`${name}:7000`);
 }
 
-function stepOf({ work, once }: AttemptRequest): string {
+function attemptStep({ work, once }: AttemptRequest): string {
   if (work.kind === "generation") return "attempt generation";
   if (work.idempotent) return "attempt repeatable";
   return once === undefined ? "attempt unkeyed" : "attempt keyed";
 }
 
-function kindOf(record: unknown): string {
+function recordKind(record: unknown): string {
   return (record as { body?: { kind?: string } }).body?.kind ?? "unknown";
 }
--- a/test/matrix/region.ts
+++ b/test/matrix/fake_region.ts
@@ -17,17 +17,21 @@
 import { SideCore, type SideOptions } from "../../src/side/mod.ts";
 import type { LogRecord } from "../../src/generated/log_records.ts";
 import { FakeLog } from "../support/fake_log.ts";
-import { FakeEngine, FakeService, textOf } from "./endpoints.ts";
+import { FakeEngine, FakeService, targetText } from "./fake_endpoints.ts";
 import {
   addressOf,
-  type LinkAlterations,
-  Links,
-  nameOf,
+  FakeLinks,
+  type LinkOverrides,
+  processNameOf,
   type RunningProcess,
-} from "./links.ts";
-import { ListedVms } from "./listed_vms.ts";
+} from "./fake_links.ts";
+import { FakeVmList } from "./fake_vm_list.ts";
 import { ProcessGate } from "./process_gate.ts";
-import { type Parcel, type Treatment, Wire } from "./wire.ts";
+import {
+  FakeNetwork,
+  type MessageFault,
+  type NetworkMessage,
+} from "./fake_network.ts";
 
 export const REGION = "klang-valley";
 export const ENTRIES = ["entry-0", "entry-1"];
@@ -35,13 +39,16 @@
 export const SERVICES = ["portal-0", "portal-1"];
 const ZONES: [string, ...string[]] = ["shah-alam", "petaling"];
 
-export interface RegionOptions {
+export interface FakeRegionOptions {
   readonly seed: number;
-  /** Looks at each message; where faults come from. */
-  readonly inspect: (parcel: Parcel, region: Region) => Treatment;
+  /** Called for each message when it is sent; returns its fault. */
+  readonly intercept: (
+    message: NetworkMessage,
+    region: FakeRegion,
+  ) => MessageFault;
   readonly entry?: Partial<EntryOptions>;
   readonly side?: Partial<SideOptions>;
-  readonly alter?: LinkAlterations;
+  readonly linkOverrides?: LinkOverrides;
 }
 
 const ENTRY_LIMITS: EntryOptions["limits"] = {
@@ -53,7 +60,7 @@
   mostAttempts: 4,
 };
 
-const ENTRY_TIMES: EntryOptions["times"] = {
+const ENTRY_TIMINGS: EntryOptions["times"] = {
   reportMilliseconds: 250,
   suspectMilliseconds: 1_000,
   appendDelayMilliseconds: 5,
@@ -72,7 +79,7 @@
   shutdownSeconds: 12,
 };
 
-const SIDE_TIMES: SideOptions["times"] = {
+const SIDE_TIMINGS: SideOptions["times"] = {
   reportMilliseconds: 250,
   longestOrderMilliseconds: 3_000,
   watchMilliseconds: 3_000,
@@ -81,72 +88,72 @@
   tokenSilenceMilliseconds: 2_000,
 };
 
-/** Records by which another replica of the log may be behind. */
-const LAG_RECORDS = 4;
-const PAUSE_MILLISECONDS = 12_000;
-const CUT_MILLISECONDS = 15_000;
-const RESTART_MILLISECONDS = 500;
-/** From the mark on the VM list to SIGTERM. */
-const LEAVE_MILLISECONDS = 9_000;
+/** Records by which a log replica is behind during the `behind` fault. */
+const REPLICA_LAG_RECORDS = 4;
+const PAUSE_DURATION_MILLISECONDS = 12_000;
+const OUTAGE_DURATION_MILLISECONDS = 15_000;
+const RESTART_DELAY_MILLISECONDS = 500;
+/** Time from the leaving mark on the VM list until SIGTERM. */
+const LEAVING_NOTICE_MILLISECONDS = 9_000;
 
-/** A region in one process on virtual time, with every fault at hand. */
-export class Region {
+/** A region in one process on virtual time, with injectable faults. */
+export class FakeRegion {
   readonly timer = new ManualTimerService();
   readonly history: HistoryEvent[] = [];
   readonly log: FakeLog;
-  readonly wire: Wire;
+  readonly network: FakeNetwork;
   readonly random: Random;
-  readonly #options: RegionOptions;
-  readonly #variant: Variant;
-  readonly #links: Links;
+  readonly #options: FakeRegionOptions;
+  readonly #variant: RegionVariant;
+  readonly #links: FakeLinks;
   readonly #entries = new Map<string, RunningProcess<EntryCore>>();
   readonly #sides = new Map<string, RunningProcess<SideCore>>();
   readonly #endpoints = new Map<string, FakeEngine | FakeService>();
-  readonly #runs = new Map<string, number>();
-  readonly #draining = new Set<string>();
-  readonly #vms: ListedVms;
-  readonly #leaving = new Set<string>();
+  readonly #runCounts = new Map<string, number>();
+  readonly #drainingEndpoints = new Set<string>();
+  readonly #vmList: FakeVmList;
+  readonly #leavingProcesses = new Set<string>();
   readonly #operators = new Map<
     string,
     { publisher: Publisher; fold: ConfigurationFold }
   >();
 
-  constructor(options: RegionOptions) {
+  constructor(options: FakeRegionOptions) {
     this.#options = options;
-    this.random = this.#randomOf("faults");
-    this.#variant = variantOf(options.seed);
-    this.#vms = new ListedVms(this.timer);
+    this.random = this.#createRandom("faults");
+    this.#variant = selectVariant(options.seed);
+    this.#vmList = new FakeVmList(this.timer);
     this.log = new FakeLog({
       timer: this.timer,
       latencyMilliseconds: 2,
       keepRecords: this.#variant.keepRecords,
     });
-    this.wire = new Wire({
+    this.network = new FakeNetwork({
       timer: this.timer,
-      random: this.#randomOf("wire"),
-      inspect: (parcel) => options.inspect(parcel, this),
+      random: this.#createRandom("wire"),
+      intercept: (message) => options.intercept(message, this),
     });
-    this.#links = new Links({
+    this.#links = new FakeLinks({
       timer: this.timer,
-      wire: this.wire,
+      network: this.network,
       log: this.log,
-      sideAt: (address) => this.#sides.get(nameOf(address)),
-      entryAt: (address) => this.#entries.get(nameOf(address)),
+      sideAt: (address) => this.#sides.get(processNameOf(address)),
+      entryAt: (address) => this.#entries.get(processNameOf(address)),
       onAppended: (stream, appended) => this.#onAppended(stream, appended),
-      alter: options.alter,
+      overrides: options.linkOverrides,
     });
-    this.#makeEndpoints();
+    this.#createEndpoints();
   }
 
   start(): void {
     for (const name of ENTRIES) this.#startEntry(name);
     for (const id of this.#endpoints.keys()) this.#startSide(`side-${id}`);
-    for (const name of ["operator", "operator-2"]) this.#makeOperator(name);
+    for (const name of ["operator", "operator-2"]) this.#createOperator(name);
   }
 
-  /** Ends everything, so that no timer holds the run in memory. */
-  end(): void {
-    this.tell("run_ended", "test", {});
+  /** Kills all processes, so that no timer keeps the run in memory. */
+  dispose(): void {
+    this.recordEvent("run_ended", "test", {});
     for (const { gate } of [...this.#entries.values()]) gate.kill();
     for (const { gate } of [...this.#sides.values()]) gate.kill();
   }
@@ -163,10 +170,10 @@
     return true;
   }
 
-  /** Publishes on the version that the operator has read last. */
-  async publish(operator: string, change: Change = {}) {
+  /** Publishes on the version that the operator has read. */
+  async publish(operator: string, change: ConfigurationChange = {}) {
     const { checksFencing } = this.#variant;
-    const content = contentOf({ ...change, checksFencing });
+    const content = buildConfiguration({ ...change, checksFencing });
     const { publisher, fold } = this.#operators.get(operator) as {
       publisher: Publisher;
       fold: ConfigurationFold;
@@ -182,84 +189,90 @@
   kill(name: string): void {
     const endpoint = this.#endpoints.get(name);
     if (endpoint !== undefined) return endpoint.crash();
-    const process = this.#processes(name);
+    const process = this.#findProcess(name);
     if (process === undefined) return;
-    this.tell("process_killed", name, {});
-    this.#remove(name, process.gate);
+    this.recordEvent("process_killed", name, {});
+    this.#removeProcess(name, process.gate);
   }
 
   restart(name: string): void {
-    if (this.#processes(name) === undefined) return;
+    if (this.#findProcess(name) === undefined) return;
     this.kill(name);
-    this.timer.after(RESTART_MILLISECONDS, () => this.startAgain(name));
+    this.timer.after(
+      RESTART_DELAY_MILLISECONDS,
+      () => this.startReplacement(name),
+    );
   }
 
   pause(name: string): void {
-    const process = this.#processes(name);
+    const process = this.#findProcess(name);
     if (process === undefined || !process.gate.running) return;
     process.gate.pause();
-    this.tell("process_paused", name, {});
-    this.timer.after(PAUSE_MILLISECONDS, () => {
+    this.recordEvent("process_paused", name, {});
+    this.timer.after(PAUSE_DURATION_MILLISECONDS, () => {
       if (!process.gate.alive) return;
-      this.tell("process_resumed", name, {});
+      this.recordEvent("process_resumed", name, {});
       process.gate.resume();
     });
   }
 
-  /** SIGTERM; the VM is replaced once the process has gone. */
+  /** Sends SIGTERM and replaces the VM after the process has exited. */
   async stop(name: string): Promise<void> {
-    const process = this.#processes(name);
+    const process = this.#findProcess(name);
     if (process === undefined || !process.gate.running) return;
-    this.#isLeaving(name);
+    this.#markLeaving(name);
     await process.core.stop();
     if (!process.gate.alive) return;
-    this.#remove(name, process.gate);
-    this.timer.after(RESTART_MILLISECONDS, () => this.startAgain(name));
+    this.#removeProcess(name, process.gate);
+    this.timer.after(
+      RESTART_DELAY_MILLISECONDS,
+      () => this.startReplacement(name),
+    );
   }
 
-  /** The platform marks the VM as leaving and stops it some time later. */
+  /** Marks the VM as leaving on the platform's list and stops it later. */
   leave(name: string): void {
     if (!this.isProcess(name)) return;
-    // Without the list nobody can know of it before the side's own SIGTERM.
-    if (this.#variant.listsVms) this.#isLeaving(name);
-    this.#vms.leave(name);
-    this.timer.after(LEAVE_MILLISECONDS, () => void this.stop(name));
+    // Without the list, no process learns of it before the side's SIGTERM.
+    if (this.#variant.listsVms) this.#markLeaving(name);
+    this.#vmList.markLeaving(name);
+    this.timer.after(LEAVING_NOTICE_MILLISECONDS, () => void this.stop(name));
   }
 
-  cut(from: string, to: string): void {
-    this.wire.cut(from, to);
-    this.tell("link_cut", "network", { from, to });
-    this.timer.after(CUT_MILLISECONDS, () => {
-      this.tell("link_healed", "network", { from, to });
-      this.wire.heal(from, to);
+  cutLink(from: string, to: string): void {
+    this.network.cutLink(from, to);
+    this.recordEvent("link_cut", "network", { from, to });
+    this.timer.after(OUTAGE_DURATION_MILLISECONDS, () => {
+      this.recordEvent("link_healed", "network", { from, to });
+      this.network.healLink(from, to);
     });
   }
 
-  logOutage(fault: "down" | "slow" | "behind"): void {
+  injectLogFault(fault: "down" | "slow" | "behind"): void {
     const { faults } = this.log;
-    this.tell("log_outage_began", "network", {});
+    this.recordEvent("log_outage_began", "network", {});
     if (fault === "down") faults.down = true;
     else if (fault === "slow") faults.slowMilliseconds = 2_500;
-    else faults.lagRecords = LAG_RECORDS;
-    this.timer.after(CUT_MILLISECONDS, () => {
+    else faults.lagRecords = REPLICA_LAG_RECORDS;
+    this.timer.after(OUTAGE_DURATION_MILLISECONDS, () => {
       faults.down = false;
       faults.slowMilliseconds = 0;
       faults.lagRecords = 0;
-      this.tell("log_outage_ended", "network", {});
+      this.recordEvent("log_outage_ended", "network", {});
     });
   }
 
-  /** The endpoint beside a side, or the name where it is an endpoint. */
-  endpointNear(name: string): string | undefined {
+  /** Returns the endpoint of a side, or the name if it is an endpoint. */
+  findEndpoint(name: string): string | undefined {
     const id = name.startsWith("side-") ? name.slice(5) : name;
     return this.#endpoints.has(id) ? id : undefined;
   }
 
   isProcess(name: string): boolean {
-    return this.#processes(name) !== undefined;
+    return this.#findProcess(name) !== undefined;
   }
 
-  tell(
+  recordEvent(
     kind: HistoryEventKind,
     process: string,
     facts: HistoryEvent["facts"],
@@ -267,34 +280,34 @@
     this.history.push({ at: this.timer.now(), process, kind, facts });
   }
 
-  /** Its VM goes; until a new run starts, the endpoint gets no new work. */
-  #isLeaving(name: string): void {
-    const endpoint = this.endpointNear(name);
-    if (endpoint === undefined || this.#leaving.has(name)) return;
-    this.#leaving.add(name);
-    this.tell("endpoint_leaving", "network", { endpoint });
+  /** Records that the side's endpoint is leaving until the side's next run. */
+  #markLeaving(name: string): void {
+    const endpoint = this.findEndpoint(name);
+    if (endpoint === undefined || this.#leavingProcesses.has(name)) return;
+    this.#leavingProcesses.add(name);
+    this.recordEvent("endpoint_leaving", "network", { endpoint });
   }
 
-  #processes(name: string) {
+  #findProcess(name: string) {
     return this.#entries.get(name) ?? this.#sides.get(name);
   }
 
-  #remove(name: string, gate: ProcessGate): void {
+  #removeProcess(name: string, gate: ProcessGate): void {
     gate.kill();
-    this.#vms.remove(name);
+    this.#vmList.remove(name);
     this.#entries.delete(name);
     this.#sides.delete(name);
-    this.#links.closeAll(name);
-    const endpoint = this.endpointNear(name);
-    if (endpoint !== undefined) this.#endpoints.get(endpoint)?.sideGone();
+    this.#links.closeConnectionsOf(name);
+    const endpoint = this.findEndpoint(name);
+    if (endpoint !== undefined) this.#endpoints.get(endpoint)?.onSideExit();
   }
 
-  /** Starts a new run of a process that has gone. */
-  startAgain(name: string): void {
-    if (this.#processes(name) !== undefined) return;
-    const endpoint = this.endpointNear(name);
-    if (this.#leaving.delete(name) && endpoint !== undefined) {
-      this.tell("endpoint_returned", "network", { endpoint });
+  /** Starts a new run of a process that has exited. */
+  startReplacement(name: string): void {
+    if (this.#findProcess(name) !== undefined) return;
+    const endpoint = this.findEndpoint(name);
+    if (this.#leavingProcesses.delete(name) && endpoint !== undefined) {
+      this.recordEvent("endpoint_returned", "network", { endpoint });
     }
     if (name.startsWith("entry-")) this.#startEntry(name);
     else this.#startSide(name);
@@ -302,33 +315,33 @@
 
   #startEntry(name: string): void {
     const gate = new ProcessGate();
-    const run = this.#nextRun(name);
+    const run = this.#nextRunNumber(name);
     const core = new EntryCore({
       name: identifier(name),
       incarnation: identifier(`${name} run ${run}`),
       region: identifier(REGION),
       availabilityZone: identifier(ZONES[ENTRIES.indexOf(name)]),
       timer: gate.timer(this.timer),
-      random: this.#randomOf(`${name} ${run}`),
-      log: this.#links.logOf(name, gate),
-      sides: this.#links.sides(name, gate),
-      entries: this.#links.entries(name, gate),
-      vmList: this.#variant.listsVms ? this.#vms.list() : undefined,
+      random: this.#createRandom(`${name} ${run}`),
+      log: this.#links.createLogService(name, gate),
+      sides: this.#links.createSideLink(name, gate),
+      entries: this.#links.createEntryLink(name, gate),
+      vmList: this.#variant.listsVms ? this.#vmList.list() : undefined,
       peerAddresses: ENTRIES.filter((each) => each !== name).map(addressOf),
       hash: (text) => hashToUnit(text).toString(36),
       limits: ENTRY_LIMITS,
-      times: ENTRY_TIMES,
+      times: ENTRY_TIMINGS,
       observe: (event) => this.#observe(gate, event),
       ...this.#options.entry,
     });
     this.#entries.set(name, { name, gate, core });
-    this.#vms.add(name, ZONES[ENTRIES.indexOf(name)]);
+    this.#vmList.add(name, ZONES[ENTRIES.indexOf(name)]);
     core.start();
   }
 
   #startSide(name: string): void {
     const gate = new ProcessGate();
-    const run = this.#nextRun(name);
+    const run = this.#nextRunNumber(name);
     const id = name.slice("side-".length);
     const endpoint = this.#endpoints.get(id) as FakeEngine | FakeService;
     const core = new SideCore({
@@ -338,17 +351,17 @@
       availabilityZone: identifier(zoneOf(id)),
       kind: endpoint.kind,
       timer: gate.timer(this.timer),
-      random: this.#randomOf(`${name} ${run}`),
-      endpoint: this.#links.endpointOf(name, gate, endpoint),
-      entries: this.#links.entries(name, gate),
+      random: this.#createRandom(`${name} ${run}`),
+      endpoint: this.#links.createEndpointLink(name, gate, endpoint),
+      entries: this.#links.createEntryLink(name, gate),
       entryAddresses: ENTRIES.map(addressOf),
       limits: SIDE_LIMITS,
-      times: SIDE_TIMES,
+      times: SIDE_TIMINGS,
       observe: (event) => this.#observe(gate, event),
       ...this.#options.side,
     });
     this.#sides.set(name, { name, gate, core });
-    this.#vms.add(name, zoneOf(id));
+    this.#vmList.add(name, zoneOf(id));
     core.start();
   }
 
@@ -356,7 +369,7 @@
     if (gate.alive) this.history.push(event);
   }
 
-  #makeEndpoints(): void {
+  #createEndpoints(): void {
     const { timer } = this;
     const observe = (event: HistoryEvent) => void this.history.push(event);
     for (const id of ENGINES) {
@@ -369,20 +382,20 @@
     }
   }
 
-  #makeOperator(name: string): void {
+  #createOperator(name: string): void {
     const fold = new ConfigurationFold();
     const journal = new Journal({
-      log: this.#links.logOf(name, new ProcessGate()),
+      log: this.#links.createLogService(name, new ProcessGate()),
       stream: identifier(`configuration.${REGION}`),
       fold,
       timer: this.timer,
-      random: this.#randomOf(name),
+      random: this.#createRandom(name),
       writer: identifier(name),
       incarnation: identifier(`${name} run 1`),
       appendDelayMilliseconds: 5,
       checkpointRecords: Infinity,
       writesCheckpoints: false,
-      onApplied: () => this.#tellDraining(name, fold),
+      onApplied: () => this.#recordDraining(name, fold),
     });
     journal.start();
     const publisher = new Publisher({
@@ -394,17 +407,17 @@
     this.#operators.set(name, { publisher, fold });
   }
 
-  /** What an accepted configuration says of endpoints, as an operator sees. */
-  #tellDraining(operator: string, fold: ConfigurationFold): void {
+  /** Records the draining endpoints of accepted configurations. */
+  #recordDraining(operator: string, fold: ConfigurationFold): void {
     if (operator !== "operator" || fold.inventory === undefined) return;
     for (const pool of fold.inventory.pools) {
       for (const { id, state } of pool.endpoints) {
-        const drains = state === "draining";
-        if (drains === this.#draining.has(id)) continue;
-        if (drains) this.#draining.add(id);
-        else this.#draining.delete(id);
-        const kind = drains ? "endpoint_leaving" : "endpoint_returned";
-        this.tell(kind, "network", { endpoint: id });
+        const isDraining = state === "draining";
+        if (isDraining === this.#drainingEndpoints.has(id)) continue;
+        if (isDraining) this.#drainingEndpoints.add(id);
+        else this.#drainingEndpoints.delete(id);
+        const kind = isDraining ? "endpoint_leaving" : "endpoint_returned";
+        this.recordEvent(kind, "network", { endpoint: id });
       }
     }
   }
@@ -423,26 +436,26 @@
     for (const [name, value] of Object.entries(body)) {
       if (typeof value !== "object") facts[name] = value as string;
     }
-    if (body.kind === "order") facts.target = textOf(body.target as never);
-    this.tell("log_appended", "log", {
+    if (body.kind === "order") facts.target = targetText(body.target as never);
+    this.recordEvent("log_appended", "log", {
       ...facts,
       stream,
       offset: appended.offset,
     });
   }
 
-  #nextRun(name: string): number {
-    const run = (this.#runs.get(name) ?? 0) + 1;
-    this.#runs.set(name, run);
+  #nextRunNumber(name: string): number {
+    const run = (this.#runCounts.get(name) ?? 0) + 1;
+    this.#runCounts.set(name, run);
     return run;
   }
 
-  #randomOf(name: string): Random {
+  #createRandom(name: string): Random {
     return seededRandom(hashToUnit(`${this.#options.seed} ${name}`) * 2 ** 32);
   }
 }
 
-interface Variant {
+interface RegionVariant {
   /** Whether the engines refuse orders with an old fencing number. */
   readonly checksFencing: boolean;
   /** Whether the entries have the platform's list of VMs. */
@@ -451,8 +464,8 @@
   readonly keepRecords: number;
 }
 
-/** What differs between runs besides chance, so that every seed counts. */
-function variantOf(seed: number): Variant {
+/** Varies the settings by seed, so that a range of seeds covers them. */
+function selectVariant(seed: number): RegionVariant {
   return {
     checksFencing: seed % 2 === 0,
     listsVms: seed % 5 !== 0,
@@ -460,22 +473,22 @@
   };
 }
 
-/** Endpoints are dealt out to the zones in turn. */
+/** Assigns endpoints to the zones in rotation. */
 export function zoneOf(endpoint: string): string {
   return ZONES[Number(endpoint.slice(-1)) % ZONES.length];
 }
 
-/** What a publication of a run brings. */
-export interface Change {
+/** Changes that a publication of a run makes. */
+export interface ConfigurationChange {
   readonly weights?: string;
   readonly draining?: readonly string[];
 }
 
-/** Inventory and rules of a run; draining and weights are what changes. */
-function contentOf(
-  change: Change & { checksFencing: boolean },
+/** Builds the inventory and rules of a run with the given changes. */
+function buildConfiguration(
+  change: ConfigurationChange & { checksFencing: boolean },
 ): ConfigurationContent {
-  const endpointsOf = (ids: readonly string[]) =>
+  const buildEndpoints = (ids: readonly string[]) =>
     ids.map((id) => ({
       id,
       availabilityZone: zoneOf(id),
@@ -502,7 +515,7 @@
           resumesStreams: true,
           checksFencing: change.checksFencing,
         },
-        endpoints: endpointsOf(ENGINES),
+        endpoints: buildEndpoints(ENGINES),
       }, {
         name: "member-portal",
         kind: "service",
@@ -510,7 +523,7 @@
           { method: "POST", path: "/cases", idempotent: false },
           { method: "GET", path: "/cases", idempotent: true },
         ],
-        endpoints: endpointsOf(SERVICES),
+        endpoints: buildEndpoints(SERVICES),
       }],
     },
     rules: {
--- a/test/matrix/listed_vms.ts
+++ b/test/matrix/fake_vm_list.ts
@@ -2,22 +2,22 @@
 import { identifier } from "../../src/core/identity/mod.ts";
 import type { ListedVm, VmList } from "../../src/core/links/mod.ts";
 import type { TimerService } from "../../src/core/time/mod.ts";
-import { addressOf } from "./links.ts";
+import { addressOf } from "./fake_links.ts";
 
-/** How far the platform's list is behind the truth. */
-const LAG_MILLISECONDS = 2_000;
+/** Time until a change is visible on the platform's list. */
+const LIST_DELAY_MILLISECONDS = 2_000;
 
-/** The platform's list of VMs, which shows what was true a while ago. */
-export class ListedVms {
+/** The platform's list of VMs, which shows changes with a delay. */
+export class FakeVmList {
   readonly #timer: TimerService;
   readonly #vms = new Map<string, ListedVm>();
-  readonly #past: { readonly at: number; readonly vms: ListedVm[] }[] = [];
+  readonly #snapshots: { readonly at: number; readonly vms: ListedVm[] }[] = [];
 
   constructor(timer: TimerService) {
     this.#timer = timer;
   }
 
-  /** A process runs on a VM of its own; an endpoint's side has its name. */
+  /** Adds a process's VM; the VM of a side has its endpoint's id. */
   add(process: string, availabilityZone: string): void {
     const role = process.startsWith("entry-") ? "entry" : "side";
     this.#vms.set(process, {
@@ -27,31 +27,36 @@
       availabilityZone,
       leaving: false,
     });
-    this.#remember();
+    this.#recordSnapshot();
   }
 
-  leave(process: string): void {
+  markLeaving(process: string): void {
     const vm = this.#vms.get(process);
     if (vm !== undefined) this.#vms.set(process, { ...vm, leaving: true });
-    this.#remember();
+    this.#recordSnapshot();
   }
 
   remove(process: string): void {
     this.#vms.delete(process);
-    this.#remember();
+    this.#recordSnapshot();
   }
 
   list(): VmList {
     return {
       read: () => {
-        const at = this.#timer.now() - LAG_MILLISECONDS;
-        const seen = this.#past.findLast((past) => past.at <= at);
-        return Promise.resolve(ok((seen ?? this.#past[0])?.vms ?? []));
+        const at = this.#timer.now() - LIST_DELAY_MILLISECONDS;
+        const visible = this.#snapshots.findLast((snapshot) =>
+          snapshot.at <= at
+        );
+        return Promise.resolve(ok((visible ?? this.#snapshots[0])?.vms ?? []));
       },
     };
   }
 
-  #remember(): void {
-    this.#past.push({ at: this.#timer.now(), vms: [...this.#vms.values()] });
+  #recordSnapshot(): void {
+    this.#snapshots.push({
+      at: this.#timer.now(),
+      vms: [...this.#vms.values()],
+    });
   }
 }
--- a/test/matrix/guards.ts
+++ b/test/matrix/guards.ts
@@ -1,6 +1,7 @@
 /**
- * Each guard of the coordination, taken out by arguments, with the cells that
- * it is for. A guard whose absence nobody notices is not proved by the matrix.
+ * The coordination guards, each disabled through options in the cells that it
+ * protects. The matrix covers a guard only if a run without it violates a
+ * condition.
  */
 import { AnswerAssembler } from "../../src/core/attempts/mod.ts";
 import { hashToUnit } from "../../src/core/membership/mod.ts";
@@ -8,40 +9,43 @@
 import { seededRandom } from "../../src/core/random/mod.ts";
 import type { AttemptFrame } from "../../src/generated/messages.ts";
 import { checkHistory, type Violation } from "../history/mod.ts";
-import type { LinkAlterations } from "./links.ts";
-import type { RegionOptions } from "./region.ts";
+import type { LinkOverrides } from "./fake_links.ts";
+import type { FakeRegionOptions } from "./fake_region.ts";
 import { runCells } from "./run.ts";
 import { type Cell, cellOf } from "./table.ts";
 
+/** A guard and a run that enables or disables it. */
 export interface Guard {
   readonly name: string;
-  /** A seed whose run the guard's absence is known to spoil. */
+  /** A seed whose run is known to fail without the guard. */
   readonly seed: number;
-  /** Runs once, with the guard or without it. */
+  /** Runs once with or without the guard. */
   readonly run: (
     options: { readonly seed: number; readonly without: boolean },
   ) => Promise<readonly Violation[]>;
 }
 
+/** Result of the runs without a guard. */
 export interface GuardResult {
   readonly name: string;
-  /** Seed of the first run that the checker objects to; absent: not caught. */
+  /** Seed of the first run with a violation; undefined if none has one. */
   readonly seed?: number;
   readonly violation?: Violation;
-  /** What the same run shows with the guard in place. */
+  /** Number of violations of the same run with the guard. */
   readonly withGuard: number;
 }
 
-/** Seeds that are tried until one is caught. */
-const MOST_SEEDS = 60;
+/** Maximum number of seeds to run without a guard. */
+const MAX_SEEDS = 60;
 
+/** Runs without a guard until a violation, then once with the guard. */
 export async function tryGuard(
   guard: Guard,
   options: { readonly seed?: number } = {},
 ): Promise<GuardResult> {
   const { name } = guard;
   const first = options.seed ?? guard.seed;
-  for (let seed = first; seed < first + MOST_SEEDS; seed += 1) {
+  for (let seed = first; seed < first + MAX_SEEDS; seed += 1) {
     const [violation] = await guard.run({ seed, without: true });
     if (violation === undefined) continue;
     const violations = await guard.run({ seed, without: false });
@@ -50,8 +54,8 @@
   return { name, withGuard: 0 };
 }
 
-/** A side that says "barred" and keeps no bar. */
-const WITHOUT_BAR: LinkAlterations = {
+/** Makes a side answer `barred` without recording the bar. */
+const WITHOUT_BAR: LinkOverrides = {
   ask: (question, side) => {
     const answer = side.ask({ ...question, bar: false });
     const isBar = question.bar && answer.state === "not_seen";
@@ -59,8 +63,8 @@
   },
 };
 
-/** A side that takes any run's records for its own. */
-const WITHOUT_INCARNATION: LinkAlterations = {
+/** Replaces the incarnation in questions and permits by the side's own. */
+const WITHOUT_INCARNATION: LinkOverrides = {
   ask: (question, side) =>
     side.ask({ ...question, sideIncarnation: side.report().incarnation }),
   attempt: (attempt, side) => {
@@ -70,31 +74,37 @@
   },
 };
 
-/** A call without a permit that any run of the side may execute. */
-const WITHOUT_NAMED_RUN: LinkAlterations = {
+/** Omits the incarnation of attempts, so any run of the side accepts them. */
+const WITHOUT_NAMED_INCARNATION: LinkOverrides = {
   attempt: ({ sideIncarnation: _, ...attempt }) => attempt,
 };
 
 export const GUARDS: readonly Guard[] = [
-  onCells("position check of claims", ["append order/cut_one_way"], {
+  guardForCells("claim check at the record's offset", [
+    "append order/cut_one_way",
+  ], {
     entry: {
       guards: { orders: { checksClaim: false, checksNumber: false } },
     },
   }),
-  onCells("compare-and-set of the version", ["append once/operator_race"], {
-    entry: { guards: { configuration: { checksBase: false } } },
-  }),
-  onCells("barring", ["attempt keyed/late"], {
-    alter: WITHOUT_BAR,
+  guardForCells(
+    "compare-and-set of the version",
+    ["append once/operator_race"],
+    {
+      entry: { guards: { configuration: { checksBase: false } } },
+    },
+  ),
+  guardForCells("barring", ["attempt keyed/late"], {
+    linkOverrides: WITHOUT_BAR,
     seed: 7,
   }),
-  onCells(
+  guardForCells(
     "incarnation check",
     ["attempt keyed/duplicate", "frame response/restart_sender"],
-    { alter: WITHOUT_INCARNATION },
+    { linkOverrides: WITHOUT_INCARNATION },
   ),
-  { name: "attempt ids", seed: 1, run: runFrames },
-  onCells("single outstanding order", ["order/late"], {
+  { name: "attempt id check", seed: 1, run: runInterleavedFrames },
+  guardForCells("single outstanding order", ["order/late"], {
     side: {
       guards: {
         orders: { waitsForEarlierOrders: false, waitsForChanges: false },
@@ -102,32 +112,32 @@
     },
     seed: 45,
   }),
-  onCells("drain before change", ["order/duplicate"], {
+  guardForCells("drain before change", ["order/duplicate"], {
     side: { guards: { drains: () => false } },
     seed: 1,
   }),
-  onCells("monotonic version", ["append renewal/cut_both"], {
+  guardForCells("monotonic version", ["append renewal/cut_both"], {
     side: { guards: { isNewer: (offered, inForce) => offered !== inForce } },
   }),
-  onCells(
-    "hearing all entries at the start",
+  guardForCells(
+    "waiting for all entries at startup",
     ["append once/cut_both", "watch/restart_sender"],
     { side: { guards: { waitsForAllEntries: () => false } }, seed: 4 },
   ),
-  onCells(
+  guardForCells(
     "incarnation check without a key",
     ["attempt unkeyed/duplicate", "frame response/restart_sender"],
-    { alter: WITHOUT_NAMED_RUN, seed: 12 },
+    { linkOverrides: WITHOUT_NAMED_INCARNATION, seed: 12 },
   ),
-  onCells("duplicate drop", ["attempt unkeyed/duplicate"], {
+  guardForCells("duplicate detection", ["attempt unkeyed/duplicate"], {
     side: { guards: { isRepeat: () => false } },
   }),
 ];
 
-function onCells(
+function guardForCells(
   name: string,
   cells: readonly string[],
-  without: Partial<RegionOptions>,
+  without: Partial<FakeRegionOptions>,
 ): Guard {
   return {
     name,
@@ -141,41 +151,43 @@
   };
 }
 
-const TOKENS = 6;
+const TOKENS_PER_ANSWER = 6;
 
 /**
- * Frames of an attempt that was given up come between those of the one that
- * took over, in an order drawn from the seed. The engines sample, so their
- * words differ, and only one of them may be heard from the change on.
+ * Interleaves the frames of an abandoned attempt with those of its replacement,
+ * in an order drawn from the seed. Engines sample, so the attempts' tokens
+ * differ, and only the replacement's may be delivered after the failover.
  */
-function runFrames(
+function runInterleavedFrames(
   options: { readonly seed: number; readonly without: boolean },
 ): Promise<readonly Violation[]> {
   const random = seededRandom(hashToUnit(`frames ${options.seed}`) * 2 ** 32);
   const history: HistoryEvent[] = [];
-  const tell = (kind: HistoryEvent["kind"], facts: HistoryEvent["facts"]) =>
-    void history.push({ at: history.length, process: "entry", kind, facts });
+  const recordEvent = (
+    kind: HistoryEvent["kind"],
+    facts: HistoryEvent["facts"],
+  ) => void history.push({ at: history.length, process: "entry", kind, facts });
   const assembler = new AnswerAssembler({
     onToken: (text, index) =>
-      tell("token_delivered", { requestId: "r", index, text }),
+      recordEvent("token_delivered", { requestId: "r", index, text }),
     acceptsEveryAttempt: options.without,
   });
-  const change = Math.floor(random() * TOKENS);
+  const failoverIndex = Math.floor(random() * TOKENS_PER_ANSWER);
   const text = Array.from(
-    { length: TOKENS },
-    (_, index) => wordOf(index < change ? "a" : "b", index),
+    { length: TOKENS_PER_ANSWER },
+    (_, index) => tokenText(index < failoverIndex ? "a" : "b", index),
   ).join("");
-  tell("answer_expected", { requestId: "r", text });
+  recordEvent("answer_expected", { requestId: "r", text });
   assembler.begin("a");
-  for (let index = 0; index < change; index += 1) {
+  for (let index = 0; index < failoverIndex; index += 1) {
     assembler.receive(token("a", index));
   }
   assembler.begin("b");
-  for (const frame of mixed(change, random)) {
+  for (const frame of interleaveFrames(failoverIndex, random)) {
     if (assembler.receive(frame) !== "complete") continue;
     const tokens = assembler.deliveredTokens.length;
     const reason = "stop";
-    tell("request_finished", {
+    recordEvent("request_finished", {
       requestId: "r",
       outcome: "answered",
       reason,
@@ -185,27 +197,30 @@
   return Promise.resolve(checkHistory(history));
 }
 
-/** Both attempts' remaining frames, each in its order. */
-function mixed(change: number, random: () => number): AttemptFrame[] {
-  const left = ["a", "b"].map((attemptId): AttemptFrame[] => [
+/** Interleaves the attempts' remaining frames, each attempt's in order. */
+function interleaveFrames(
+  failoverIndex: number,
+  random: () => number,
+): AttemptFrame[] {
+  const remaining = ["a", "b"].map((attemptId): AttemptFrame[] => [
     ...Array.from(
-      { length: TOKENS - change },
-      (_, index) => token(attemptId, change + index),
+      { length: TOKENS_PER_ANSWER - failoverIndex },
+      (_, index) => token(attemptId, failoverIndex + index),
     ),
-    { kind: "end", attemptId, tokens: TOKENS, reason: "stop" },
+    { kind: "end", attemptId, tokens: TOKENS_PER_ANSWER, reason: "stop" },
   ]);
   const frames: AttemptFrame[] = [];
-  while (left.some((queue) => queue.length > 0)) {
-    const frame = left[random() < 0.5 ? 0 : 1].shift();
+  while (remaining.some((queue) => queue.length > 0)) {
+    const frame = remaining[random() < 0.5 ? 0 : 1].shift();
     if (frame !== undefined) frames.push(frame);
   }
   return frames;
 }
 
 function token(attemptId: string, index: number): AttemptFrame {
-  return { kind: "token", attemptId, index, text: wordOf(attemptId, index) };
+  return { kind: "token", attemptId, index, text: tokenText(attemptId, index) };
 }
 
-function wordOf(attemptId: string, index: number): string {
+function tokenText(attemptId: string, index: number): string {
   return `${attemptId}${index} `;
 }
--- a/test/matrix/matrix_test.ts
+++ b/test/matrix/matrix_test.ts
@@ -6,9 +6,9 @@
 
 /**
  * Cells that run on every change: each step and each fault at least once. The
- * whole table takes a minute and is run by `npm run matrix`.
+ * whole table takes a minute and runs with `npm run matrix`.
  */
-const SHORT = [
+const SMOKE_CELLS = [
   "append publication/lost_answer",
   "append claim/duplicate",
   "append verdict/kill_sender",
@@ -41,15 +41,15 @@
 ];
 
 const SEED = 1;
-const PAIRS = 10;
+const PAIR_COUNT = 10;
 
 describe("fault matrix", () => {
-  describe("short part", () => {
-    for (const name of SHORT) {
-      it(`holds at ${name}`, async () => {
-        // The fault hits the step named before the stroke while callers send
-        // work and operators change the fleet; none of the nine conditions
-        // may fail, and the fault has to take hold.
+  describe("smoke cells", () => {
+    for (const name of SMOKE_CELLS) {
+      it(`finds no violation for ${name}`, async () => {
+        // Injects the fault at the step named before the slash while callers
+        // send work and operators change the fleet. None of the nine
+        // conditions may be violated, and the fault must be injected.
         const run = await runCell(cellOf(name) as Cell, { seed: SEED });
         expect(run.violations).to.deep.equal([]);
         expect(run.reached).to.equal(true);
@@ -57,7 +57,7 @@
     }
   });
 
-  it("repeats byte for byte for a seed", async () => {
+  it("produces the same trace for the same seed", async () => {
     const cell = cellOf("attempt keyed/late") as Cell;
     const first = await runCell(cell, { seed: 5 });
     const second = await runCell(cell, { seed: 5 });
@@ -66,9 +66,9 @@
     expect(other.trace).not.to.equal(first.trace);
   });
 
-  it("holds where two faults meet", async () => {
-    // Two steps are hit in one run. What survives each fault alone may fail
-    // when the way out of the first one is cut off by the second.
+  it("finds no violation for pairs of faults", async () => {
+    // Injects two faults in one run. Recovery that works for each fault alone
+    // may fail when the second fault interrupts it.
     const cell = fc.constantFrom(...allCells());
     const runs = fc.asyncProperty(
       cell,
@@ -80,13 +80,14 @@
         expect(run.violations, names).to.deep.equal([]);
       },
     );
-    await fc.assert(runs, { numRuns: PAIRS, seed: 42 });
+    await fc.assert(runs, { numRuns: PAIR_COUNT, seed: 42 });
   });
 
   describe("without a guard", () => {
     for (const guard of GUARDS) {
       it(`finds a violation without ${guard.name}`, async () => {
-        // A matrix that can't see what a guard prevents proves nothing.
+        // A matrix that misses the violation that a guard prevents would also
+        // pass without the guard.
         const result = await tryGuard(guard);
         expect(result.violation).not.to.equal(undefined);
         expect(result.withGuard).to.equal(0);
--- a/test/matrix/process_gate.ts
+++ b/test/matrix/process_gate.ts
@@ -1,13 +1,12 @@
 import type { Subscription, TimerService } from "../../src/core/time/mod.ts";
 
 /**
- * Stands between one run of a process and everything that can wake it. A
- * killed process never runs again; a paused one runs late, in order, as
- * after SIGSTOP and SIGCONT.
+ * Controls the callbacks of one run of a process. A killed process runs none; a
+ * paused one runs them in order when it resumes, as after SIGSTOP and SIGCONT.
  */
 export class ProcessGate {
   #state: "running" | "paused" | "dead" = "running";
-  readonly #late: (() => void)[] = [];
+  readonly #deferred: (() => void)[] = [];
 
   get alive(): boolean {
     return this.#state !== "dead";
@@ -17,15 +16,15 @@
     return this.#state === "running";
   }
 
-  /** Runs the work now, later or never. */
-  pass(work: () => void): void {
-    if (this.#state === "running") work();
-    else if (this.#state === "paused") this.#late.push(work);
+  /** Runs the callback now, on resume if paused, or never if killed. */
+  run(callback: () => void): void {
+    if (this.#state === "running") callback();
+    else if (this.#state === "paused") this.#deferred.push(callback);
   }
 
   kill(): void {
     this.#state = "dead";
-    this.#late.length = 0;
+    this.#deferred.length = 0;
   }
 
   pause(): void {
@@ -35,20 +34,20 @@
   resume(): void {
     if (this.#state !== "paused") return;
     this.#state = "running";
-    for (const work of this.#late.splice(0)) this.pass(work);
+    for (const callback of this.#deferred.splice(0)) this.run(callback);
   }
 
-  /** A promise that settles only while the process runs. */
-  hold<Value>(promise: Promise<Value>): Promise<Value> {
+  /** Returns a promise that resolves only while the process is running. */
+  defer<Value>(promise: Promise<Value>): Promise<Value> {
     return new Promise((resolve) => {
-      void promise.then((value) => this.pass(() => resolve(value)));
+      void promise.then((value) => this.run(() => resolve(value)));
     });
   }
 
-  /** The timer service as the process sees it. */
+  /** Wraps a timer service so that the gate controls its callbacks. */
   timer(base: TimerService): TimerService {
     const after = (delay: number, listener: () => void) =>
-      base.after(delay, () => this.pass(listener));
+      base.after(delay, () => this.run(listener));
     return {
       now: () => base.now(),
       wallClock: () => base.wallClock(),
--- a/test/matrix/restart_test.ts
+++ b/test/matrix/restart_test.ts
@@ -1,10 +1,12 @@
 import { expect } from "chai";
-import { ENTRIES, REGION, Region } from "./region.ts";
+import { ENTRIES, FakeRegion, REGION } from "./fake_region.ts";
 import { identifier } from "../../src/core/identity/mod.ts";
 
-/** Versions that the entry has put in force since it was started again. */
-async function restartEntry(garbage: readonly unknown[]): Promise<number[]> {
-  const region = new Region({ seed: 3, inspect: () => ({}) });
+/** Returns the versions that an entry puts in force after its restart. */
+async function versionsAfterRestart(
+  garbage: readonly unknown[],
+): Promise<number[]> {
+  const region = new FakeRegion({ seed: 3, intercept: () => ({}) });
   region.start();
   region.timer.after(200, () => void region.publish("operator", {}));
   region.timer.after(
@@ -17,64 +19,65 @@
     region.log.put(identifier(`configuration.${REGION}`), garbage);
   }
   const from = region.history.length;
-  region.startAgain(ENTRIES[0]);
+  region.startReplacement(ENTRIES[0]);
   await region.timer.advance(1_000);
-  region.end();
+  region.dispose();
   return region.history.slice(from)
     .filter((event) => event.kind === "configuration_in_force")
     .filter((event) => event.process === ENTRIES[0])
     .map((event) => Number(event.facts.version));
 }
 
-describe("an entry that is started again", () => {
+describe("a restarted entry", () => {
   it("puts only the newest configuration in force", async () => {
-    // The entry reads the whole stream anew. Putting each version in force
-    // as it is read, it sends work to endpoints that were drained long ago.
-    const versions = await restartEntry([]);
+    // A restarted entry reads the whole stream. If it put each version in
+    // force as it is read, it would send work to endpoints drained long ago.
+    const versions = await versionsAfterRestart([]);
     expect(versions).to.have.length(1);
     expect(versions[0]).to.be.greaterThan(4);
   });
 
-  it("does so too where the stream ends with garbage", async () => {
-    // Another tool has written something to the stream. An entry that waits
-    // for the next good record would refuse every caller until it comes.
-    const versions = await restartEntry(["garbage"]);
+  it("puts it in force if the stream ends with an invalid record", async () => {
+    // Another tool may write to the stream. An entry that waits for the next
+    // valid record would refuse every caller until one is appended.
+    const versions = await versionsAfterRestart(["garbage"]);
     expect(versions).to.have.length(1);
   });
 });
 
-/** Verdicts within seven seconds of a publication behind the pause. */
+/** Counts the verdicts within seven seconds of a publication after a pause. */
 async function verdictsAfterPause(seed: number): Promise<number> {
-  const region = new Region({ seed, inspect: () => ({}) });
+  const region = new FakeRegion({ seed, intercept: () => ({}) });
   region.start();
   region.timer.after(200, () => void region.publish("operator", {}));
   await region.timer.advance(6_000);
-  const judge = verdicts(region)[0].facts.writer as string;
-  region.pause(ENTRIES.find((name) => name !== judge) as string);
+  const claimHolder = verdictEvents(region)[0].facts.writer as string;
+  region.pause(ENTRIES.find((name) => name !== claimHolder) as string);
   await region.timer.advance(3_000);
-  region.kill(judge);
+  region.kill(claimHolder);
   await region.timer.advance(9_500);
-  const before = verdicts(region).length;
+  const before = verdictEvents(region).length;
   void region.publish("operator", { weights: "v2" });
   await region.timer.advance(7_000);
-  region.end();
-  return verdicts(region).length - before;
+  region.dispose();
+  return verdictEvents(region).length - before;
 }
 
-function verdicts(region: Region) {
+function verdictEvents(region: FakeRegion) {
   return region.history.filter(({ kind, facts }) =>
     kind === "log_appended" && facts.kind === "verdict"
   );
 }
 
-describe("an entry that wakes from a pause", () => {
-  // Whether the entry takes its own pause for the holder's rests on what it
-  // does first when it wakes; with these seeds it looks before it reads.
+describe("an entry that resumes after a pause", () => {
+  // Whether the entry mistakes its own pause for silence of the claim's holder
+  // depends on what it does first when it resumes. With these seeds it checks
+  // the claim before it reads the log.
   for (const seed of [19, 22, 30]) {
-    it(`takes a dead entry's claim within seconds, seed ${seed}`, async () => {
-      // One entry is paused, the other is killed and not replaced. When the
-      // first one wakes, an operator's publication must not wait for as long
-      // as that pause and more until somebody judges it.
+    it(`takes over a dead entry's claim in time, seed ${seed}`, async () => {
+      // One entry is paused, the other is killed and not replaced. After the
+      // first one resumes, a publication must not wait for its verdict as long
+      // as the pause lasted.
       expect(await verdictsAfterPause(seed)).to.equal(1);
     });
   }
--- a/test/matrix/run.ts
+++ b/test/matrix/run.ts
@@ -1,56 +1,58 @@
 import { hashToUnit } from "../../src/core/membership/mod.ts";
 import { seededRandom } from "../../src/core/random/mod.ts";
 import type { Violation } from "../history/mod.ts";
-import { Injector } from "./injector.ts";
-import type { RegionOptions } from "./region.ts";
+import { FaultInjector } from "./fault_injector.ts";
+import type { FakeRegionOptions } from "./fake_region.ts";
 import { runScenario } from "./scenario.ts";
 import { type Cell, cellName } from "./table.ts";
 
+/** Result of one run. */
 export interface CellRun {
   readonly cell: Cell;
   readonly seed: number;
+  /** Whether every fault of the run was injected. */
   readonly reached: boolean;
   readonly violations: readonly Violation[];
-  /** The run's events, one JSON text a line; equal texts mean equal runs. */
+  /** The run's events as JSON lines; equal runs have equal traces. */
   readonly trace: string;
 }
 
-/** Runs one cell once; everything in it follows from the seed. */
+/** Runs one cell once; the run is deterministic for a seed. */
 export function runCell(
   cell: Cell,
   options: {
     readonly seed: number;
-    readonly region?: Partial<RegionOptions>;
+    readonly region?: Partial<FakeRegionOptions>;
   },
 ): Promise<CellRun> {
   return runCells([cell], options);
 }
 
-/** Runs with the faults of several cells, which may meet. */
+/** Runs once with the faults of several cells, which may overlap. */
 export async function runCells(
   cells: readonly Cell[],
   options: {
     readonly seed: number;
-    readonly region?: Partial<RegionOptions>;
+    readonly region?: Partial<FakeRegionOptions>;
   },
 ): Promise<CellRun> {
   const { seed } = options;
   const names = cells.map(cellName).join(" + ");
   const random = seededRandom(hashToUnit(`${seed} ${names}`) * 2 ** 32);
-  const injectors = cells.map((cell) => new Injector(cell, { random }));
+  const injectors = cells.map((cell) => new FaultInjector(cell, { random }));
   const result = await runScenario({
     ...options.region,
     seed,
-    inspect: (parcel, region) =>
+    intercept: (message, region) =>
       Object.assign(
         {},
-        ...injectors.map((injector) => injector.inspect(parcel, region)),
+        ...injectors.map((injector) => injector.intercept(message, region)),
       ),
   });
   return {
     cell: cells[0],
     seed,
-    reached: injectors.every((injector) => injector.tookHold),
+    reached: injectors.every((injector) => injector.isInjected),
     violations: result.violations,
     trace: result.history.map((event) => JSON.stringify(event)).join("\n"),
   };
--- a/test/matrix/scenario.ts
+++ b/test/matrix/scenario.ts
@@ -2,99 +2,109 @@
 import type { AnswerSink, CallerRequest } from "../../src/core/requests/mod.ts";
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
 import { checkHistory, type Violation } from "../history/mod.ts";
-import { tokenOf } from "./endpoints.ts";
-import { ENTRIES, Region, type RegionOptions } from "./region.ts";
+import { tokenText } from "./fake_endpoints.ts";
+import { ENTRIES, FakeRegion, type FakeRegionOptions } from "./fake_region.ts";
 
-export interface RunResult {
+/** Events and violations of one run. */
+export interface ScenarioResult {
   readonly violations: readonly Violation[];
   readonly history: readonly HistoryEvent[];
 }
 
-const TRAFFIC_FROM_MILLISECONDS = 8_000;
-const TRAFFIC_UNTIL_MILLISECONDS = 20_000;
-const BETWEEN_REQUESTS_MILLISECONDS = 160;
-const CHANGE_AT_MILLISECONDS = 11_000;
-const RETURN_AT_MILLISECONDS = 17_000;
-const END_MILLISECONDS = 52_000;
-const TOKENS = 12;
-const RETRY_MILLISECONDS = 1_500;
-const MOST_TRIES = 4;
-/** Even, so that the double goes through the other entry than try 1. */
-const LAST_TRY = 100;
-/** A key is a UUID of version 7 whose time is the run's. */
-const KEY_BEGIN = "019b76da-a800-7000-8000-";
+const TRAFFIC_START_MILLISECONDS = 8_000;
+const TRAFFIC_END_MILLISECONDS = 20_000;
+const REQUEST_INTERVAL_MILLISECONDS = 160;
+const DRAIN_AT_MILLISECONDS = 11_000;
+const UNDRAIN_AT_MILLISECONDS = 17_000;
+const RUN_DURATION_MILLISECONDS = 52_000;
+const TOKENS_PER_ANSWER = 12;
+const RETRY_DELAY_MILLISECONDS = 1_500;
+const MAX_TRIES = 4;
+/** Even, so that the concurrent call uses a different entry than try 1. */
+const CONCURRENT_TRY = 100;
+/** Keys are UUIDs of version 7 with the time of the run. */
+const KEY_PREFIX = "019b76da-a800-7000-8000-";
 
-/** `doubled` is a keyed call that goes to both entries at once. */
-type Kind = "generation" | "keyed" | "doubled" | "unkeyed" | "repeatable";
+/** `concurrent` is a keyed call that is sent to both entries at once. */
+type CallKind =
+  | "generation"
+  | "keyed"
+  | "concurrent"
+  | "unkeyed"
+  | "repeatable";
 
-const KINDS: readonly Kind[] = [
+const CALL_KINDS: readonly CallKind[] = [
   "generation",
   "keyed",
   "generation",
   "unkeyed",
-  "doubled",
+  "concurrent",
   "repeatable",
 ];
 
 /**
- * One run: a region starts and gets its first configuration; callers send
- * work of every kind while a publication drains a service and brings new
- * weights to all engines; a further one takes the drain back and brings other
- * weights, while the engines are still on the way to the first.
+ * Runs one scenario. A region starts and gets its first configuration. Callers
+ * send work of every kind while a publication drains a service and changes the
+ * weights of all engines. Another publication ends the drain and changes the
+ * weights again while the engines are still applying the first change.
  */
-export async function runScenario(options: RegionOptions): Promise<RunResult> {
-  const region = new Region(options);
+export async function runScenario(
+  options: FakeRegionOptions,
+): Promise<ScenarioResult> {
+  const region = new FakeRegion(options);
   region.start();
-  const callers = new Callers(region);
+  const callers = new FakeCallers(region);
   const { timer } = region;
   timer.after(200, () => void region.publish("operator", {}));
   const draining = { weights: "v2", draining: ["portal-1"] };
   timer.after(
-    CHANGE_AT_MILLISECONDS,
+    DRAIN_AT_MILLISECONDS,
     () => void region.publish("operator", draining),
   );
   timer.after(
-    RETURN_AT_MILLISECONDS,
+    UNDRAIN_AT_MILLISECONDS,
     () => void region.publish("operator", { weights: "v3" }),
   );
   for (
-    let at = TRAFFIC_FROM_MILLISECONDS;
-    at < TRAFFIC_UNTIL_MILLISECONDS;
-    at += BETWEEN_REQUESTS_MILLISECONDS
+    let at = TRAFFIC_START_MILLISECONDS;
+    at < TRAFFIC_END_MILLISECONDS;
+    at += REQUEST_INTERVAL_MILLISECONDS
   ) timer.after(at, () => callers.send());
-  await timer.advance(END_MILLISECONDS);
-  region.end();
+  await timer.advance(RUN_DURATION_MILLISECONDS);
+  region.dispose();
   return { history: region.history, violations: checkHistory(region.history) };
 }
 
-/** Callers that try a keyed call again, through the other entry. */
-class Callers {
-  readonly #region: Region;
-  #sent = 0;
+/** Callers that retry keyed calls through the other entry. */
+class FakeCallers {
+  readonly #region: FakeRegion;
+  #callCount = 0;
 
-  constructor(region: Region) {
+  constructor(region: FakeRegion) {
     this.#region = region;
   }
 
   send(): void {
-    const number = this.#sent++;
-    const kind = KINDS[number % KINDS.length];
+    const number = this.#callCount++;
+    const kind = CALL_KINDS[number % CALL_KINDS.length];
     this.#try({ number, kind, tries: 1 });
-    if (kind === "doubled") this.#try({ number, kind, tries: LAST_TRY });
+    if (kind === "concurrent") {
+      this.#try({ number, kind, tries: CONCURRENT_TRY });
+    }
   }
 
-  #try(call: { number: number; kind: Kind; tries: number }): void {
+  #try(call: { number: number; kind: CallKind; tries: number }): void {
     const { number, kind, tries } = call;
     const requestId = `request-${number}.${tries}`;
-    this.#expect(requestId, kind);
+    this.#recordExpectedAnswer(requestId, kind);
     const entry = ENTRIES[(number + tries) % ENTRIES.length];
-    const request = requestOf(requestId, call);
+    const request = buildRequest(requestId, call);
     let settled = false;
-    const again = () => {
-      if (settled || !isKeyed(kind) || tries >= MOST_TRIES) return;
+    const retry = () => {
+      if (settled || !isKeyed(kind) || tries >= MAX_TRIES) return;
       settled = true;
       this.#region.timer.after(
-        RETRY_MILLISECONDS,
+        RETRY_DELAY_MILLISECONDS,
         () => this.#try({ ...call, tries: tries + 1 }),
       );
     };
@@ -102,32 +112,35 @@
       token: () => true,
       response() {},
       finish: (outcome) => {
-        if (outcome.kind !== "answered") again();
+        if (outcome.kind !== "answered") retry();
         settled = true;
       },
     };
-    if (!this.#region.submit(entry, request, sink)) return again();
-    // A caller whose entry has gone silent does not wait for ever.
-    this.#region.timer.after(4_000, again);
+    if (!this.#region.submit(entry, request, sink)) return retry();
+    // Retries if the entry does not answer.
+    this.#region.timer.after(4_000, retry);
   }
 
-  #expect(requestId: string, kind: Kind): void {
+  #recordExpectedAnswer(requestId: string, kind: CallKind): void {
     const text = kind === "generation"
-      ? Array.from({ length: TOKENS }, (_, at) => tokenOf(requestId, at))
+      ? Array.from(
+        { length: TOKENS_PER_ANSWER },
+        (_, at) => tokenText(requestId, at),
+      )
         .join("")
       : `echo ${requestId}`;
     if (kind !== "generation" && kind !== "repeatable") return;
-    this.#region.tell("answer_expected", "caller", { requestId, text });
+    this.#region.recordEvent("answer_expected", "caller", { requestId, text });
   }
 }
 
-function isKeyed(kind: Kind): boolean {
-  return kind === "keyed" || kind === "doubled";
+function isKeyed(kind: CallKind): boolean {
+  return kind === "keyed" || kind === "concurrent";
 }
 
-function requestOf(
+function buildRequest(
   requestId: string,
-  call: { number: number; kind: Kind },
+  call: { number: number; kind: CallKind },
 ): CallerRequest {
   const { number, kind } = call;
   const request: CallerRequest = {
@@ -139,7 +152,7 @@
         kind: "generation",
         model: "triage",
         messages: [{ role: "user", content: `Question ${number}` }],
-        mostOutputTokens: TOKENS,
+        mostOutputTokens: TOKENS_PER_ANSWER,
       }
       : {
         kind: "service",
@@ -150,6 +163,6 @@
       },
   };
   if (!isKeyed(kind)) return request;
-  const key = KEY_BEGIN + String(number).padStart(12, "0");
+  const key = KEY_PREFIX + String(number).padStart(12, "0");
   return { ...request, idempotencyKey: identifier(key) };
 }
--- a/test/matrix/table.ts
+++ b/test/matrix/table.ts
@@ -1,56 +1,58 @@
-/** The steps and faults of the matrix, and which of them meet. */
+/** The steps and faults of the matrix, and which faults apply to a step. */
 
-type Role = "entry" | "side" | "endpoint" | "log" | "operator";
+type StepParty = "entry" | "side" | "endpoint" | "log" | "operator";
 
+/** A kind of message at which faults are injected. */
 export interface MatrixStep {
   readonly name: string;
-  readonly from: Role;
-  readonly to: Role;
-  /** Messages of this step that are hit, counted from 1; one is drawn. */
+  readonly from: StepParty;
+  readonly to: StepParty;
+  /** Candidate messages of this step, counted from 1; the seed selects one. */
   readonly occurrences: readonly number[];
-  /** Whether an answer to this message exists that can get lost. */
-  readonly answered: boolean;
+  /** Whether the message has an answer that can be lost. */
+  readonly hasAnswer: boolean;
 }
 
-function step(
+function defineStep(
   name: string,
   route: string,
   occurrences: readonly number[] = [1, 2, 5, 9],
 ): MatrixStep {
-  const [from, to] = route.split(" > ") as [Role, Role];
-  const answered = !name.startsWith("attempt") && !name.includes("frame") &&
+  const [from, to] = route.split(" > ") as [StepParty, StepParty];
+  const hasAnswer = !name.startsWith("attempt") && !name.includes("frame") &&
     !name.endsWith("answer") && name !== "generate";
-  return { name, from, to, occurrences, answered };
+  return { name, from, to, occurrences, hasAnswer };
 }
 
-/** Every message by which the system sends, appends, orders and serves. */
+/** All messages for requests, log appends, orders, watches and reports. */
 export const STEPS: readonly MatrixStep[] = [
-  step("append publication", "operator > log", [2, 3]),
-  step("append claim", "entry > log", [1, 2]),
-  step("append verdict", "entry > log", [2, 3]),
-  step("append renewal", "entry > log", [16, 21, 30]),
-  step("append order", "entry > log", [1]),
-  step("append once", "entry > log"),
-  step("append checkpoint", "entry > log", [1, 2, 5]),
-  step("attempt generation", "entry > side"),
-  step("attempt keyed", "entry > side"),
-  step("attempt unkeyed", "entry > side"),
-  step("attempt repeatable", "entry > side"),
-  step("generate", "side > endpoint"),
-  step("call", "side > endpoint"),
-  step("frame token", "side > entry", [3, 30, 70]),
-  step("frame end", "side > entry"),
-  step("frame response", "side > entry"),
-  step("ask", "entry > side"),
-  step("ask answer", "side > entry"),
-  step("order", "side > endpoint", [1, 2, 3]),
-  step("order answer", "endpoint > side", [1, 2, 3]),
-  step("watch", "side > entry", [20, 45, 60]),
-  step("watch answer", "entry > side", [15, 40, 55]),
-  step("report", "entry > side", [70, 120, 160]),
-  step("status", "entry > entry", [9, 12, 18]),
+  defineStep("append publication", "operator > log", [2, 3]),
+  defineStep("append claim", "entry > log", [1, 2]),
+  defineStep("append verdict", "entry > log", [2, 3]),
+  defineStep("append renewal", "entry > log", [16, 21, 30]),
+  defineStep("append order", "entry > log", [1]),
+  defineStep("append once", "entry > log"),
+  defineStep("append checkpoint", "entry > log", [1, 2, 5]),
+  defineStep("attempt generation", "entry > side"),
+  defineStep("attempt keyed", "entry > side"),
+  defineStep("attempt unkeyed", "entry > side"),
+  defineStep("attempt repeatable", "entry > side"),
+  defineStep("generate", "side > endpoint"),
+  defineStep("call", "side > endpoint"),
+  defineStep("frame token", "side > entry", [3, 30, 70]),
+  defineStep("frame end", "side > entry"),
+  defineStep("frame response", "side > entry"),
+  defineStep("ask", "entry > side"),
+  defineStep("ask answer", "side > entry"),
+  defineStep("order", "side > endpoint", [1, 2, 3]),
+  defineStep("order answer", "endpoint > side", [1, 2, 3]),
+  defineStep("watch", "side > entry", [20, 45, 60]),
+  defineStep("watch answer", "entry > side", [15, 40, 55]),
+  defineStep("report", "entry > side", [70, 120, 160]),
+  defineStep("status", "entry > entry", [9, 12, 18]),
 ];
 
+/** Names of the injectable faults. */
 export const FAULTS = [
   "kill_sender",
   "kill_receiver",
@@ -79,6 +81,7 @@
 
 export type Fault = (typeof FAULTS)[number];
 
+/** A fault at a step. */
 export interface Cell {
   readonly step: MatrixStep;
   readonly fault: Fault;
@@ -88,10 +91,10 @@
   return `${cell.step.name}/${cell.fault}`;
 }
 
-/** Every fault at every step where both exist. */
+/** Returns a cell for each step and each fault that applies to it. */
 export function allCells(): Cell[] {
   return STEPS.flatMap((each) =>
-    FAULTS.filter((fault) => meets(each, fault))
+    FAULTS.filter((fault) => isApplicable(each, fault))
       .map((fault) => ({ step: each, fault }))
   );
 }
@@ -100,7 +103,7 @@
   return allCells().find((cell) => cellName(cell) === name);
 }
 
-function meets(step: MatrixStep, fault: Fault): boolean {
+function isApplicable(step: MatrixStep, fault: Fault): boolean {
   switch (fault) {
     case "kill_sender":
     case "restart_sender":
@@ -123,18 +126,18 @@
       return step.from !== "operator" && step.from !== "endpoint" &&
         step.to !== "endpoint";
     case "lost_answer":
-      return step.answered;
+      return step.hasAnswer;
     case "endpoint_crash":
       return step.from === "side" || step.to === "side";
     case "duplicate":
-      // A call to a plain service goes over one connection of HTTP, which
-      // brings nothing twice; a service that is not idempotent has no guard.
+      // A call to a plain service uses one HTTP connection, which does not
+      // duplicate requests; a non-idempotent service has no guard against it.
       return step.name !== "call";
     default:
       return true;
   }
 }
 
-function isProcess(role: Role): boolean {
-  return role === "entry" || role === "side";
+function isProcess(party: StepParty): boolean {
+  return party === "entry" || party === "side";
 }
--- a/test/model/orders_model.ts
+++ b/test/model/orders_model.ts
@@ -139,13 +139,13 @@
 
   *#sideSteps(state: OrdersState): Iterable<Step<OrdersState>> {
     for (const entry of ENTRIES.keys()) {
-      const { standing } = this.#readLog(state, state.recordsRead[entry]);
+      const { standingOrder } = this.#readLog(state, state.recordsRead[entry]);
       yield createStep(
         state,
         `the side gets the response of ${ENTRIES[entry]}`,
         (next) => {
           next.side.respondedEntries[entry] = true;
-          const offset = standing?.offset ?? -1;
+          const offset = standingOrder?.offset ?? -1;
           if (
             offset > next.side.acceptedOrder || this.#guards.acceptsOlderOrders
           ) {
@@ -254,7 +254,7 @@
     return {
       claim: fold.claim,
       lastNumber: fold.lastNumber(ENDPOINT_ID),
-      standing: fold.standingOrder(ENDPOINT_ID),
+      standingOrder: fold.standingOrder(ENDPOINT_ID),
     };
   }
 }
