--- a/test/history/configuration.ts
+++ b/test/history/configuration.ts
@@ -65,14 +65,12 @@
   const last = new Map<string, HistoryEvent>();
   return events.flatMap((event) => {
     if (event.kind !== "configuration_in_force") return [];
-    const earlier = last.get(event.process);
+    const prior = last.get(event.process);
     last.set(event.process, event);
-    if (earlier === undefined) return [];
-    if (factNumber(event, "version") >= factNumber(earlier, "version")) {
-      return [];
-    }
+    if (prior === undefined) return [];
+    if (factNumber(event, "version") >= factNumber(prior, "version")) return [];
     return [
-      configurationViolation("Version in force decreased", [earlier, event]),
+      configurationViolation("Version in force decreased", [prior, event]),
     ];
   });
 }
--- a/test/matrix/fake_links.ts
+++ b/test/matrix/fake_links.ts
@@ -83,7 +83,7 @@
 const CALL_TIMEOUT_MILLISECONDS = 2_000;
 const APPEND_TIMEOUT_MILLISECONDS = 3_000;
 /** Time until a final frame that did not arrive counts as a lost connection. */
-const FINAL_FRAME_TIMEOUT_MILLISECONDS = 3_000;
+const FRAME_LOSS_MILLISECONDS = 3_000;
 const FINAL_FRAME_KINDS: ReadonlySet<string> = new Set([
   "end",
   "response",
@@ -261,9 +261,7 @@
       );
       const text = JSON.stringify(altered ?? frame);
       const isFinal = FINAL_FRAME_KINDS.has(frame.kind);
-      if (isFinal) {
-        timer.after(FINAL_FRAME_TIMEOUT_MILLISECONDS, connection.failCaller);
-      }
+      if (isFinal) timer.after(FRAME_LOSS_MILLISECONDS, connection.failCaller);
       network.send({
         step: `frame ${frame.kind}`,
         from: to,
--- a/test/matrix/scenario.ts
+++ b/test/matrix/scenario.ts
@@ -20,25 +20,20 @@
 const TOKENS_PER_ANSWER = 12;
 const RETRY_DELAY_MILLISECONDS = 1_500;
 const MAX_TRIES = 4;
-/** Even, so that the concurrent call uses a different entry than try 1. */
-const CONCURRENT_TRY = 100;
+/** Even, so that the parallel call uses a different entry than try 1. */
+const PARALLEL_TRY = 100;
 /** Keys are UUIDs of version 7 with the time of the run. */
 const KEY_PREFIX = "019b76da-a800-7000-8000-";
 
-/** `concurrent` is a keyed call that is sent to both entries at once. */
-type CallKind =
-  | "generation"
-  | "keyed"
-  | "concurrent"
-  | "unkeyed"
-  | "repeatable";
+/** `parallel` is a keyed call that is sent to both entries at once. */
+type CallKind = "generation" | "keyed" | "parallel" | "unkeyed" | "repeatable";
 
 const CALL_KINDS: readonly CallKind[] = [
   "generation",
   "keyed",
   "generation",
   "unkeyed",
-  "concurrent",
+  "parallel",
   "repeatable",
 ];
 
@@ -88,9 +83,7 @@
     const number = this.#callCount++;
     const kind = CALL_KINDS[number % CALL_KINDS.length];
     this.#try({ number, kind, tries: 1 });
-    if (kind === "concurrent") {
-      this.#try({ number, kind, tries: CONCURRENT_TRY });
-    }
+    if (kind === "parallel") this.#try({ number, kind, tries: PARALLEL_TRY });
   }
 
   #try(call: { number: number; kind: CallKind; tries: number }): void {
@@ -135,7 +128,7 @@
 }
 
 function isKeyed(kind: CallKind): boolean {
-  return kind === "keyed" || kind === "concurrent";
+  return kind === "keyed" || kind === "parallel";
 }
 
 function buildRequest(
--- a/test/model/configuration_model.ts
+++ b/test/model/configuration_model.ts
@@ -72,17 +72,17 @@
     if (body.kind !== "verdict" || body.claim !== claim) {
       return `version ${currentVersion} took effect without a valid verdict`;
     }
-    const publication = log[body.publication];
-    if (publication?.kind !== "publication") {
+    const record = log[body.publication];
+    if (record?.kind !== "publication") {
       return "a verdict without a publication";
     }
-    if (publication.base !== version) {
+    if (record.base !== version) {
       return `version ${currentVersion} reverts version ${version}`;
     }
-    if (accepted.has(publication.publicationId)) {
-      return `publication ${publication.publicationId} took effect twice`;
+    if (accepted.has(record.publicationId)) {
+      return `publication ${record.publicationId} took effect twice`;
     }
-    accepted.add(publication.publicationId);
+    accepted.add(record.publicationId);
     version = currentVersion;
   }
   return undefined;
--- a/test/model/once_model.ts
+++ b/test/model/once_model.ts
@@ -247,8 +247,11 @@
     if (request.phase !== "dispatched") {
       yield this.#createStep(state, `request ${number} gives up`, (next) => {
         const { acquisition, recordsRead } = next.requests[number];
-        const fold = this.#foldUpTo(next, recordsRead);
-        applyResult(next, number, giveUp(acquisition, fold));
+        applyResult(
+          next,
+          number,
+          giveUp(acquisition, this.#foldUpTo(next, recordsRead)),
+        );
       });
     }
     if (request.timeouts >= this.#budget.timeouts) return;
@@ -460,7 +463,7 @@
       message.question,
     );
     if (message.question.bar && answer.state === "barred") {
-      recordOperation(next.sides[message.side], {
+      addOperation(next.sides[message.side], {
         kind: "ask",
         question: message.question,
       });
@@ -487,7 +490,7 @@
     };
     if (beginResult === "already") return;
     if (beginResult === "run") {
-      recordOperation(side, { kind: "begin", permit: message.permit });
+      addOperation(side, { kind: "begin", permit: message.permit });
       side.running.push(work);
       next.executions.push({
         request: message.request,
@@ -511,9 +514,7 @@
       return;
     }
     const refused = this.#createTable(side).refuse(message.permit);
-    if (refused) {
-      recordOperation(side, { kind: "refuse", permit: message.permit });
-    }
+    if (refused) addOperation(side, { kind: "refuse", permit: message.permit });
     next.network.push(createFrame(work, refused ? "not_run" : "failed"));
   }
 
@@ -614,7 +615,7 @@
 }
 
 /** Records an operation once; repeating it does not change the table. */
-function recordOperation(side: SideState, operation: Operation): void {
+function addOperation(side: SideState, operation: Operation): void {
   const text = JSON.stringify(operation);
   if (side.operations.some((one) => JSON.stringify(one) === text)) return;
   side.operations.push(operation);
--- a/test/model/orders_model.ts
+++ b/test/model/orders_model.ts
@@ -32,9 +32,9 @@
 
 interface SideState {
   /** Offset of the newest order that it accepted; -1 for none. */
-  acceptedOrder: number;
+  accepted: number;
   /** Whether each entry has responded since the side's start. */
-  respondedEntries: boolean[];
+  responded: boolean[];
 }
 
 export interface OrdersState {
@@ -65,7 +65,7 @@
       log: [],
       pendingAppends: [],
       recordsRead: [0, 0],
-      side: { acceptedOrder: -1, respondedEntries: [false, false] },
+      side: { accepted: -1, responded: [false, false] },
       ordersInTransit: [],
       engine: { inProgress: -1, newest: -1, completed: -1 },
       restarts: 0,
@@ -144,12 +144,12 @@
         state,
         `the side gets the response of ${ENTRIES[entry]}`,
         (next) => {
-          next.side.respondedEntries[entry] = true;
+          next.side.responded[entry] = true;
           const offset = standingOrder?.offset ?? -1;
           if (
-            offset > next.side.acceptedOrder || this.#guards.acceptsOlderOrders
+            offset > next.side.accepted || this.#guards.acceptsOlderOrders
           ) {
-            next.side.acceptedOrder = offset;
+            next.side.accepted = offset;
           }
         },
       );
@@ -157,16 +157,16 @@
     if (this.#canSend(state)) {
       yield createStep(
         state,
-        `the side sends order ${state.side.acceptedOrder}`,
+        `the side sends order ${state.side.accepted}`,
         (next) => {
-          next.ordersInTransit.push(next.side.acceptedOrder);
+          next.ordersInTransit.push(next.side.accepted);
         },
       );
     }
     if (state.restarts >= this.#budget.restarts) return;
     yield createStep(state, "the side restarts", (next) => {
       next.restarts += 1;
-      next.side = { acceptedOrder: -1, respondedEntries: [false, false] };
+      next.side = { accepted: -1, responded: [false, false] };
     });
   }
 
@@ -175,16 +175,12 @@
    * waits until no order is in transit.
    */
   #canSend({ side, ordersInTransit, engine }: OrdersState): boolean {
-    if (side.acceptedOrder < 0 || side.acceptedOrder === engine.completed) {
-      return false;
-    }
+    if (side.accepted < 0 || side.accepted === engine.completed) return false;
     const acceptsFirstEntry = this.#guards.acceptsFirstEntry ?? false;
-    if (!acceptsFirstEntry && side.respondedEntries.includes(false)) {
-      return false;
-    }
+    if (!acceptsFirstEntry && side.responded.includes(false)) return false;
     if (
-      ordersInTransit.includes(side.acceptedOrder) ||
-      engine.inProgress === side.acceptedOrder
+      ordersInTransit.includes(side.accepted) ||
+      engine.inProgress === side.accepted
     ) {
       return false;
     }
