--- a/test/model/configuration_model.ts
+++ b/test/model/configuration_model.ts
@@ -73,9 +73,7 @@
       return `version ${currentVersion} took effect without a valid verdict`;
     }
     const record = log[body.publication];
-    if (record?.kind !== "publication") {
-      return "a verdict without a publication";
-    }
+    if (record?.kind !== "publication") return "verdict without publication";
     if (record.base !== version) {
       return `version ${currentVersion} reverts version ${version}`;
     }
