--- a/test/model/claims_model.ts
+++ b/test/model/claims_model.ts
@@ -4,7 +4,7 @@
  */
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { OrdersFold, type OrdersGuards } from "../../src/core/authority/mod.ts";
-import { logModel, type LogRecords } from "./log_model.ts";
+import { createLogModel, type LogRecords } from "./log_model.ts";
 import type { Model } from "./search.ts";
 
 const ENDPOINT_ID = "triage-1";
@@ -19,8 +19,10 @@
   readonly guards?: Partial<OrdersGuards>;
 }
 
-export function claimsModel(options: ClaimsModelOptions): Model<LogRecords> {
-  return logModel({
+export function createClaimsModel(
+  options: ClaimsModelOptions,
+): Model<LogRecords> {
+  return createLogModel({
     makeFold: () => new OrdersFold({ guards: options.guards }),
     processes: Object.keys(ROLES),
     candidateRecords,
--- a/test/model/configuration_model.ts
+++ b/test/model/configuration_model.ts
@@ -8,7 +8,7 @@
   ConfigurationFold,
   type ConfigurationGuards,
 } from "../../src/core/configuration/mod.ts";
-import { logModel, type LogRecords } from "./log_model.ts";
+import { createLogModel, type LogRecords } from "./log_model.ts";
 import type { Model } from "./search.ts";
 
 const OPERATORS: readonly string[] = ["x", "y"];
@@ -20,10 +20,10 @@
   readonly guards?: Partial<ConfigurationGuards>;
 }
 
-export function configurationModel(
+export function createConfigurationModel(
   options: ConfigurationModelOptions,
 ): Model<LogRecords> {
-  return logModel({
+  return createLogModel({
     makeFold: () => new ConfigurationFold({ guards: options.guards }),
     processes: [...OPERATORS, ...JUDGES],
     candidateRecords,
--- a/test/model/coordination_model_test.ts
+++ b/test/model/coordination_model_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import type { OrdersGuards } from "../../src/core/authority/mod.ts";
 import type { ConfigurationGuards } from "../../src/core/configuration/mod.ts";
-import { configurationModel } from "./configuration_model.ts";
-import { claimsModel } from "./claims_model.ts";
+import { createConfigurationModel } from "./configuration_model.ts";
+import { createClaimsModel } from "./claims_model.ts";
 import { search } from "./search.ts";
 
 const MAX_STATES = 400_000;
@@ -16,9 +16,12 @@
   // every later step, once or twice. No engine may get an order of a planner
   // whose claim had been replaced at the order's offset.
   it("finds no violation", () => {
-    const found = search(claimsModel({ maxRecords: MAX_ORDERS_RECORDS }), {
-      mostStates: MAX_STATES,
-    });
+    const found = search(
+      createClaimsModel({ maxRecords: MAX_ORDERS_RECORDS }),
+      {
+        mostStates: MAX_STATES,
+      },
+    );
     expect(found.violation).to.equal(undefined);
     expect(found.exhausted).to.equal(true);
   });
@@ -30,7 +33,7 @@
   ];
   for (const guard of guards) {
     it(`finds a violation without ${guard}`, () => {
-      const model = claimsModel({
+      const model = createClaimsModel({
         maxRecords: MAX_ORDERS_RECORDS,
         guards: { [guard]: false },
       });
@@ -49,7 +52,7 @@
   // without the claim.
   it("finds no violation", () => {
     const found = search(
-      configurationModel({ maxRecords: MAX_CONFIGURATION_RECORDS }),
+      createConfigurationModel({ maxRecords: MAX_CONFIGURATION_RECORDS }),
       { mostStates: MAX_STATES },
     );
     expect(found.violation).to.equal(undefined);
@@ -64,7 +67,7 @@
   ];
   for (const guard of guards) {
     it(`finds a violation without ${guard}`, () => {
-      const model = configurationModel({
+      const model = createConfigurationModel({
         maxRecords: MAX_CONFIGURATION_RECORDS,
         guards: { [guard]: false },
       });
--- a/test/model/log_model.ts
+++ b/test/model/log_model.ts
@@ -29,7 +29,7 @@
   ) => string | undefined;
 }
 
-export function logModel<Fold extends StreamFold>(
+export function createLogModel<Fold extends StreamFold>(
   options: LogModelOptions<Fold>,
 ): Model<LogRecords> {
   const folds = new Map<string, Fold>();
