--- a/test/model/search.ts
+++ b/test/model/search.ts
@@ -35,7 +35,7 @@
 
 /**
  * Searches all interleavings breadth-first. Stops at the first violation, which
- * therefore has a shortest trace, at `mostStates` visited states, or when every
+ * therefore has a shortest trace, at the limit of visited states, or when every
  * state has been visited.
  */
 export function search<State>(
