--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -14,9 +14,9 @@
 const BUNDLE = "dist/filbertshore.cjs";
 const BLOB = "dist/filbertshore.blob";
 const BINARY = "dist/filbertshore";
-const UNFINISHED_BINARY = "dist/filbertshore.unfinished";
+const TEMPORARY_BINARY = "dist/filbertshore.unfinished";
 /** The mark that Node's executable carries for this purpose. */
-const FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
+const SEA_FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 /**
  * A bundle has no `import.meta`, yet libraries ask it for their own place when
@@ -61,12 +61,12 @@
  * fails, and a process that starts meanwhile would find half a file.
  */
 async function makeBinary(): Promise<void> {
-  copyFileSync(process.execPath, UNFINISHED_BINARY);
-  chmodSync(UNFINISHED_BINARY, 0o755);
-  await inject(UNFINISHED_BINARY, "NODE_SEA_BLOB", await makeBlob(), {
-    sentinelFuse: FUSE,
+  copyFileSync(process.execPath, TEMPORARY_BINARY);
+  chmodSync(TEMPORARY_BINARY, 0o755);
+  await inject(TEMPORARY_BINARY, "NODE_SEA_BLOB", await makeBlob(), {
+    sentinelFuse: SEA_FUSE,
   });
-  renameSync(UNFINISHED_BINARY, BINARY);
+  renameSync(TEMPORARY_BINARY, BINARY);
 }
 
 mkdirSync("dist", { recursive: true });
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -14,11 +14,11 @@
 const KILLED_ENDPOINT = "triage-llm-03";
 const DRAINED_ENDPOINT = "triage-llm-05";
 /** Streams are about a third through when the faults come. */
-const FAULTS_AFTER_MILLISECONDS = 900;
+const FAULT_DELAY_MILLISECONDS = 900;
 /** The platform starts a process anew about as soon. */
-const RESTART_AFTER_MILLISECONDS = 1_500;
+const RESTART_DELAY_MILLISECONDS = 1_500;
 /** Something hangs if the demo is not over by then. */
-const LONGEST_DEMO_MILLISECONDS = 120_000;
+const DEMO_TIMEOUT_MILLISECONDS = 120_000;
 
 interface Tally {
   readonly requests: number;
@@ -34,26 +34,26 @@
   process.env.FILBERTSHORE_BINARY = binary;
   const deployment = new DemoDeployment(binary);
   try {
-    return await show(deployment);
+    return await runDemo(deployment);
   } finally {
     await deployment.close();
   }
 }
 
-async function show(deployment: DemoDeployment): Promise<number> {
+async function runDemo(deployment: DemoDeployment): Promise<number> {
   console.log("Starting stand-ins, two entries and thirteen sides");
   await deployment.start();
   console.log(await deployment.publish());
   await deployment.waitUntilReady();
   console.log(`\n${await deployment.status()}\n`);
   const calls = startCalls(deployment);
-  await sleep(FAULTS_AFTER_MILLISECONDS);
+  await sleep(FAULT_DELAY_MILLISECONDS);
   console.log(`Killing the side of ${KILLED_ENDPOINT}`);
   const side = deployment.sides.find((each) =>
     each.endpoint === KILLED_ENDPOINT
   );
   side?.kill();
-  setTimeout(() => side?.restart(), RESTART_AFTER_MILLISECONDS);
+  setTimeout(() => side?.restart(), RESTART_DELAY_MILLISECONDS);
   console.log(`Draining ${DRAINED_ENDPOINT} by a publication`);
   const drained = deployment.publish({ [DRAINED_ENDPOINT]: "draining" })
     .catch((error: Error) => error.message);
@@ -67,14 +67,14 @@
     0,
   );
   console.log(`\nStreams that went on at another engine: ${resumed}`);
-  const tally = count(results, deployment);
+  const tally = tallyResults(results, deployment);
   console.log(JSON.stringify({ demo: tally }));
   return tally.lost === 0 && tally.doubled === 0 ? 0 : 1;
 }
 
 function startCalls(deployment: DemoDeployment): Promise<CallerResult>[] {
-  const [one, other] = deployment.entryUrls;
-  const entryOf = (index: number) => index % 2 === 0 ? one : other;
+  const [firstUrl, secondUrl] = deployment.entryUrls;
+  const entryOf = (index: number) => index % 2 === 0 ? firstUrl : secondUrl;
   const urgent = range(URGENT_CALLERS).map((index) =>
     callStream({
       caller: `urgent-${index}`,
@@ -96,7 +96,9 @@
     await sleep(index * 100);
     return callBooking({
       caller: `case-${index}`,
-      entryUrls: index % 2 === 0 ? [one, other] : [other, one],
+      entryUrls: index % 2 === 0
+        ? [firstUrl, secondUrl]
+        : [secondUrl, firstUrl],
       body: JSON.stringify({ pile: index }),
     });
   });
@@ -104,14 +106,14 @@
 }
 
 /** Counts by what the portals really ran, not by what callers were told. */
-function count(
+function tallyResults(
   results: readonly CallerResult[],
   deployment: DemoDeployment,
 ): Tally {
   const runsOf = (key: string) =>
     deployment.portals.reduce((sum, portal) => sum + portal.runsOf(key), 0);
-  const withResult = (wanted: CallerResult["result"]) =>
-    results.filter(({ result }) => result === wanted);
+  const withResult = (expected: CallerResult["result"]) =>
+    results.filter(({ result }) => result === expected);
   const falselyRefused = withResult("refused").filter(({ key }) =>
     key !== undefined && runsOf(key) > 0
   );
@@ -139,5 +141,5 @@
 setTimeout(() => {
   console.error("The demo hangs");
   process.exit(1);
-}, LONGEST_DEMO_MILLISECONDS).unref();
+}, DEMO_TIMEOUT_MILLISECONDS).unref();
 process.exit(await main());
--- a/scripts/demo/callers.ts
+++ b/scripts/demo/callers.ts
@@ -13,7 +13,7 @@
 }
 
 /** A caller that waits longer than this has lost its answer. */
-const PATIENCE_MILLISECONDS = 40_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 40_000;
 
 export interface StreamCall {
   readonly caller: string;
@@ -36,20 +36,24 @@
         max_tokens: 2_000,
         stream: true,
       }),
-      signal: AbortSignal.timeout(PATIENCE_MILLISECONDS),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
     });
-    if (response.status !== 200) return await refusal(call.caller, response);
-    const got = await readStream(response);
+    if (response.status !== 200) {
+      return await toRefusalResult(call.caller, response);
+    }
+    const received = await readStream(response);
     const expected = expectedAnswer("triage-llm", messages, 2_000).tokens;
     const seconds = ((performance.now() - started) / 1000).toFixed(1);
-    if (!got.ended) return lost(call.caller, "the stream had no end");
-    if (got.text !== expected.join("")) {
-      return lost(call.caller, "the answer is not the whole answer");
+    if (!received.ended) {
+      return toLostResult(call.caller, "the stream had no end");
+    }
+    if (received.text !== expected.join("")) {
+      return toLostResult(call.caller, "the answer is not the whole answer");
     }
     const detail = `whole answer, ${expected.length} tokens in ${seconds} s`;
     return { caller: call.caller, result: "complete", detail };
   } catch (error) {
-    return lost(call.caller, String(error));
+    return toLostResult(call.caller, String(error));
   }
 }
 
@@ -72,7 +76,7 @@
     );
     const answers = [first, repeat].filter((each) => each.status === 201);
     if (answers.length === 0) {
-      return { ...problemResult(call.caller, first), key };
+      return { ...toProblemResult(call.caller, first), key };
     }
     const numbers = new Set(
       answers.map((each) => JSON.parse(each.body).number),
@@ -81,7 +85,7 @@
     const result = numbers.size === 1 ? "complete" : "lost";
     return { caller: call.caller, result, detail, key };
   } catch (error) {
-    return { ...lost(call.caller, String(error)), key };
+    return { ...toLostResult(call.caller, String(error)), key };
   }
 }
 
@@ -101,7 +105,7 @@
       "idempotency-key": call.key,
     },
     body: call.body,
-    signal: AbortSignal.timeout(PATIENCE_MILLISECONDS),
+    signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
   });
   return { status: response.status, body: await response.text() };
 }
@@ -118,28 +122,28 @@
     },
   });
   const decoder = new TextDecoder();
-  for await (const piece of response.body as AsyncIterable<Uint8Array>) {
-    parser.feed(decoder.decode(piece, { stream: true }));
+  for await (const chunk of response.body as AsyncIterable<Uint8Array>) {
+    parser.feed(decoder.decode(chunk, { stream: true }));
   }
   return { text, ended };
 }
 
-async function refusal(
+async function toRefusalResult(
   caller: string,
   response: Response,
 ): Promise<CallerResult> {
   const body = await response.text();
-  return problemResult(caller, { status: response.status, body });
+  return toProblemResult(caller, { status: response.status, body });
 }
 
 /** Only a refusal that says "not run" is one; all else is a lost answer. */
-function problemResult(caller: string, answer: Answer): CallerResult {
+function toProblemResult(caller: string, answer: Answer): CallerResult {
   const problem = JSON.parse(answer.body);
   const detail = `${answer.status} ${problem.title}: ${problem.detail}`;
   const result = problem.outcome === "not_run" ? "refused" : "lost";
   return { caller, result, detail };
 }
 
-function lost(caller: string, detail: string): CallerResult {
+function toLostResult(caller: string, detail: string): CallerResult {
   return { caller, result: "lost", detail };
 }
--- a/scripts/demo/deployment.ts
+++ b/scripts/demo/deployment.ts
@@ -18,7 +18,7 @@
 const EXAMPLE = "examples/koperasi";
 const HOST = "127.0.0.1";
 /** Quicker than in earnest, so that nobody waits for a demo. */
-const TIMES = {
+const COORDINATION = {
   reportMilliseconds: 250,
   suspectMilliseconds: 1_000,
   claimSilenceMilliseconds: 1_000,
@@ -117,16 +117,16 @@
     zone: string,
     ports: { callers: number; peers: number },
   ): void {
-    const own = `${HOST}:${ports.peers}`;
+    const ownAddress = `${HOST}:${ports.peers}`;
     const file = this.#fleet.writeToml(`entry-${zone}.toml`, {
       name: `entry-${zone}`,
       region: this.#inventory.region,
       availabilityZone: zone,
       callers: { host: HOST, port: ports.callers },
       peers: { host: HOST, port: ports.peers },
-      peerAddresses: this.#peers.filter((peer) => peer !== own),
+      peerAddresses: this.#peers.filter((peer) => peer !== ownAddress),
       platform: this.#platform,
-      coordination: TIMES,
+      coordination: COORDINATION,
     });
     this.#fleet.startProgram(["entry", "--settings", file]);
     this.entryUrls.push(`http://${HOST}:${ports.callers}`);
@@ -145,7 +145,7 @@
       target: `http://${HOST}:${target}`,
       entries: this.#peers,
       peers: { host: HOST, port },
-      coordination: TIMES,
+      coordination: COORDINATION,
     });
     const start = () => this.#fleet.startProgram(["side", "--settings", file]);
     const { child } = start();
@@ -177,11 +177,11 @@
     return await standIn.listen();
   }
 
-  #command(name: string, arguments_: readonly string[]): Promise<string> {
+  #command(name: string, args: readonly string[]): Promise<string> {
     const settings = join(this.#fleet.folder, "operator.toml");
-    const all = [name, "--settings", settings, ...arguments_];
+    const commandArgs = [name, "--settings", settings, ...args];
     return new Promise((resolve, reject) => {
-      execFile(this.#binary, all, (error, stdout, stderr) => {
+      execFile(this.#binary, commandArgs, (error, stdout, stderr) => {
         if (error === null) resolve(stdout.trim());
         else reject(new Error(`${name}: ${stdout}${stderr}`));
       });
--- a/scripts/generate.ts
+++ b/scripts/generate.ts
@@ -10,14 +10,14 @@
 
 const SCHEMA_FOLDER = "src/schema";
 const GENERATED_FOLDER = "src/generated";
-const NOTE = "Made by `npm run generate` from src/schema; do not edit.";
+const BANNER = "Made by `npm run generate` from src/schema; do not edit.";
 
 /**
  * Types whose values come from outside the process and are checked there. A
  * validator for each type of every schema made the generated file two and a half
  * times as long.
  */
-const CHECKED_TYPES: ReadonlySet<string> = new Set([
+const VALIDATED_TYPES: ReadonlySet<string> = new Set([
   "AppendAnswer",
   "AttemptRequest",
   "ChatCompletionRequest",
@@ -53,35 +53,35 @@
 async function makeTypes(schema: SchemaFile): Promise<string> {
   const source = await compile(structuredClone(schema) as never, schema.title, {
     additionalProperties: false,
-    bannerComment: `// ${NOTE}`,
+    bannerComment: `// ${BANNER}`,
     unreachableDefinitions: true,
     format: false,
   });
-  return withoutNumberedNames(source);
+  return mergeNumberedTypes(source);
 }
 
 /**
  * The generator numbers a definition's second mention (`Pool1`) although both
  * are the same type; the numbered twins only confuse readers.
  */
-function withoutNumberedNames(source: string): string {
+function mergeNumberedTypes(source: string): string {
   const names = new Set(
     [...source.matchAll(/export (?:interface|type) (\w+)/g)].map((match) =>
       match[1]
     ),
   );
-  const twins = [...names].filter((name) =>
+  const duplicates = [...names].filter((name) =>
     /\d$/.test(name) && names.has(name.replace(/\d+$/, ""))
   );
   let result = source;
-  for (const twin of twins) {
+  for (const duplicate of duplicates) {
     const declaration = new RegExp(
-      `(?:/\\*\\*(?:(?!\\*/)[\\s\\S])*\\*/\\n)?export (?:interface ${twin} \\{[\\s\\S]*?\\n\\}|type ${twin} =[\\s\\S]*?(?=\\n(?:export|/\\*\\*)|$))\\n?`,
+      `(?:/\\*\\*(?:(?!\\*/)[\\s\\S])*\\*/\\n)?export (?:interface ${duplicate} \\{[\\s\\S]*?\\n\\}|type ${duplicate} =[\\s\\S]*?(?=\\n(?:export|/\\*\\*)|$))\\n?`,
     );
     result = result.replace(declaration, "");
     result = result.replaceAll(
-      new RegExp(`\\b${twin}\\b`, "g"),
-      twin.replace(/\d+$/, ""),
+      new RegExp(`\\b${duplicate}\\b`, "g"),
+      duplicate.replace(/\d+$/, ""),
     );
   }
   return result;
@@ -105,23 +105,23 @@
     for (
       const name of [schema.title, ...Object.keys(schema.definitions ?? {})]
     ) {
-      if (!CHECKED_TYPES.has(name)) continue;
+      if (!VALIDATED_TYPES.has(name)) continue;
       references[`validate${name}`] = name === schema.title
         ? schema.$id
         : `${schema.$id}#/definitions/${name}`;
     }
   }
-  if (Object.keys(references).length !== CHECKED_TYPES.size) {
+  if (Object.keys(references).length !== VALIDATED_TYPES.size) {
     throw new TypeError("A type that is to be checked is in no schema");
   }
   const standalone = standaloneModule as unknown as {
     default: (ajv: unknown, references: Record<string, string>) => string;
   };
-  const code = `// ${NOTE}\n${standalone.default(ajv, references)}\n`;
+  const code = `// ${BANNER}\n${standalone.default(ajv, references)}\n`;
   const lines = Object.keys(references).map((name) =>
     `export declare const ${name}: Validator;`
   );
-  const declarations = `// ${NOTE}
+  const declarations = `// ${BANNER}
 /** A problem found in a value. */
 export interface ValidationProblem {
   readonly instancePath: string;
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -23,86 +23,101 @@
 }
 
 /** One reading of a prompt: what was predicted and what it took. */
-interface Reading {
-  readonly predicted: number;
+interface Prefill {
+  readonly predictedMilliseconds: number;
   readonly late: boolean;
-  took?: number;
+  measuredMilliseconds?: number;
 }
 
 /** Time in which losses are counted together, seconds. */
-const SPAN_SECONDS = 2;
-const MILLISECONDS = 1_000;
+const WINDOW_SECONDS = 2;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 class Losses {
-  readonly #readings = new Map<string, Reading>();
-  readonly #readingsOf = new Map<string, Reading[]>();
-  readonly #firstBytes = new Map<string, number[]>();
-  readonly #handovers = new Map<string, number[]>();
-  readonly #lost = new Map<string, Map<number, number>>();
-  #start: number | undefined;
-
-  take(line: DecisionLine): void {
+  readonly #prefills = new Map<string, Prefill>();
+  readonly #prefillsByRoute = new Map<string, Prefill[]>();
+  readonly #firstBytesByRoute = new Map<string, number[]>();
+  readonly #handoversByRoute = new Map<string, number[]>();
+  readonly #lossesByReason = new Map<string, Map<number, number>>();
+  #startMilliseconds: number | undefined;
+
+  add(line: DecisionLine): void {
     const at = Date.parse(line.time);
-    this.#start ??= at;
-    const span = Math.floor((at - this.#start) / MILLISECONDS / SPAN_SECONDS);
+    this.#startMilliseconds ??= at;
+    const window = Math.floor(
+      (at - this.#startMilliseconds) / MILLISECONDS_PER_SECOND / WINDOW_SECONDS,
+    );
     const { decision, requestId, route } = line;
-    if (decision === "placed" && line.step === "prefill") this.#placed(line);
-    if (decision === "prompt_read") this.#read(line);
+    if (decision === "placed" && line.step === "prefill") {
+      this.#addPlacement(line);
+    }
+    if (decision === "prompt_read") this.#addMeasurement(line);
     if (decision === "answered") {
-      const first = line.firstByteMilliseconds ?? 0;
-      listIn(this.#firstBytes, route).push(first);
-      const took = this.#readings.get(requestId)?.took;
-      if (took !== undefined) listIn(this.#handovers, route).push(first - took);
+      const firstByteMilliseconds = line.firstByteMilliseconds ?? 0;
+      listIn(this.#firstBytesByRoute, route).push(firstByteMilliseconds);
+      const prefillMilliseconds = this.#prefills.get(requestId)
+        ?.measuredMilliseconds;
+      if (prefillMilliseconds !== undefined) {
+        listIn(this.#handoversByRoute, route).push(
+          firstByteMilliseconds - prefillMilliseconds,
+        );
+      }
     }
     if (["refused", "cut", "caller_gone"].includes(decision)) {
-      this.#lose(`${decision} ${line.reason ?? ""}`, span);
+      this.#countLoss(`${decision} ${line.reason ?? ""}`, window);
     }
   }
 
-  #placed(line: DecisionLine): void {
-    const reading: Reading = {
-      predicted: (line.backlogMilliseconds ?? 0) +
+  #addPlacement(line: DecisionLine): void {
+    const prefill: Prefill = {
+      predictedMilliseconds: (line.backlogMilliseconds ?? 0) +
         (line.workMilliseconds ?? 0),
       late: line.late === true,
     };
-    this.#readings.set(line.requestId, reading);
-    listIn(this.#readingsOf, line.route).push(reading);
+    this.#prefills.set(line.requestId, prefill);
+    listIn(this.#prefillsByRoute, line.route).push(prefill);
   }
 
-  #read(line: DecisionLine): void {
-    const reading = this.#readings.get(line.requestId);
-    if (reading !== undefined) reading.took = line.milliseconds;
+  #addMeasurement(line: DecisionLine): void {
+    const prefill = this.#prefills.get(line.requestId);
+    if (prefill !== undefined) prefill.measuredMilliseconds = line.milliseconds;
   }
 
-  #lose(reason: string, span: number): void {
-    let spans = this.#lost.get(reason);
-    if (spans === undefined) this.#lost.set(reason, spans = new Map());
-    spans.set(span, (spans.get(span) ?? 0) + 1);
+  #countLoss(reason: string, window: number): void {
+    let windows = this.#lossesByReason.get(reason);
+    if (windows === undefined) {
+      this.#lossesByReason.set(reason, windows = new Map());
+    }
+    windows.set(window, (windows.get(window) ?? 0) + 1);
   }
 
   print(): void {
     console.log("Lost, by reason and seconds from the first line");
-    for (const [reason, spans] of [...this.#lost].sort(byTotal)) {
-      const cells = [...spans].sort(([one], [other]) => one - other)
-        .map(([span, count]) => `${span * SPAN_SECONDS}s:${count}`);
-      console.log(`  ${reason} (${total(spans)}): ${cells.join(" ")}`);
+    for (const [reason, windows] of [...this.#lossesByReason].sort(byTotal)) {
+      const cells = [...windows].sort(([one], [other]) => one - other)
+        .map(([window, count]) => `${window * WINDOW_SECONDS}s:${count}`);
+      console.log(`  ${reason} (${total(windows)}): ${cells.join(" ")}`);
     }
     console.log("\nReading, ms: predicted; measured");
-    for (const [route, readings] of this.#readingsOf) {
+    for (const [route, prefills] of this.#prefillsByRoute) {
       for (const late of [false, true]) {
-        const done = readings.filter((each) =>
-          each.late === late && each.took !== undefined
+        const measured = prefills.filter((each) =>
+          each.late === late && each.measuredMilliseconds !== undefined
         );
-        if (done.length === 0) continue;
+        if (measured.length === 0) continue;
         console.log(
-          `  ${route} ${late ? "late" : "on time"} (${done.length}): ` +
-            `${quantiles(done.map((each) => each.predicted))}; ` +
-            `${quantiles(done.map((each) => each.took ?? 0))}`,
+          `  ${route} ${late ? "late" : "on time"} (${measured.length}): ` +
+            `${
+              quantiles(measured.map((each) => each.predictedMilliseconds))
+            }; ` +
+            `${
+              quantiles(measured.map((each) => each.measuredMilliseconds ?? 0))
+            }`,
         );
       }
     }
-    printQuantiles("First byte, ms", this.#firstBytes);
-    printQuantiles("First byte less reading, ms", this.#handovers);
+    printQuantiles("First byte, ms", this.#firstBytesByRoute);
+    printQuantiles("First byte less reading, ms", this.#handoversByRoute);
   }
 }
 
@@ -130,13 +145,16 @@
   return list;
 }
 
-type Spans = ReadonlyMap<number, number>;
+type WindowCounts = ReadonlyMap<number, number>;
 
-function total(spans: Spans): number {
-  return [...spans.values()].reduce((sum, count) => sum + count, 0);
+function total(windows: WindowCounts): number {
+  return [...windows.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function byTotal([, one]: [string, Spans], [, other]: [string, Spans]): number {
+function byTotal(
+  [, one]: [string, WindowCounts],
+  [, other]: [string, WindowCounts],
+): number {
   return total(other) - total(one);
 }
 
@@ -150,7 +168,7 @@
   const start = text.indexOf('{"level"');
   if (start < 0 || !text.includes('"decision"')) continue;
   try {
-    losses.take(JSON.parse(text.slice(start)));
+    losses.add(JSON.parse(text.slice(start)));
   } catch {
     console.error(`Not a whole line: ${text.slice(0, 80)}`);
   }
--- a/scripts/matrix.ts
+++ b/scripts/matrix.ts
@@ -42,15 +42,15 @@
   for (const cell of cells) {
     const tally: CellTally = { runs: 0, violations: 0, reached: 0 };
     for (let run = 0; run < options.runs; run += 1) {
-      count(tally, await runCell(cell, { seed: firstSeed + run }));
+      addRun(tally, await runCell(cell, { seed: firstSeed + run }));
     }
     tallies.set(cellName(cell), tally);
   }
   printTable(tallies);
-  return printSum([...tallies.values()]);
+  return printTotals([...tallies.values()]);
 }
 
-function count(tally: CellTally, run: CellRun): void {
+function addRun(tally: CellTally, run: CellRun): void {
   tally.runs += 1;
   if (run.reached) tally.reached += 1;
   if (run.violations.length === 0) return;
@@ -64,8 +64,10 @@
 /** A number is runs in which the fault took hold; `!` marks violations. */
 function printTable(tallies: ReadonlyMap<string, CellTally>): void {
   FAULTS.forEach((fault, index) => console.log(`${index + 1}: ${fault}`));
-  const head = FAULTS.map((_, index) => String(index + 1).padStart(4)).join("");
-  console.log("step".padEnd(20) + head);
+  const header = FAULTS.map((_, index) => String(index + 1).padStart(4)).join(
+    "",
+  );
+  console.log("step".padEnd(20) + header);
   for (const step of STEPS) {
     const row = FAULTS.map((fault) => {
       const tally = tallies.get(cellName({ step, fault }));
@@ -77,7 +79,7 @@
   }
 }
 
-function printSum(tallies: readonly CellTally[]): boolean {
+function printTotals(tallies: readonly CellTally[]): boolean {
   const sum = (value: (tally: CellTally) => number) =>
     tallies.reduce((total, tally) => total + value(tally), 0);
   const violations = sum((tally) => tally.violations);
@@ -91,7 +93,7 @@
   return violations === 0;
 }
 
-async function repeat(name: string): Promise<boolean> {
+async function replay(name: string): Promise<boolean> {
   const cell = cellOf(name);
   if (cell === undefined) {
     console.error(`Cannot find cell "${name}"`);
@@ -114,10 +116,10 @@
 async function runPairs(count: number): Promise<boolean> {
   const random = seededRandom(hashToUnit(`pairs ${firstSeed}`) * 2 ** 32);
   const cells = allCells();
-  const draw = () => cells[Math.floor(random() * cells.length)];
+  const drawCell = () => cells[Math.floor(random() * cells.length)];
   const pairs = { runs: 0, violations: 0, bothTookHold: 0 };
   for (let number = 0; number < count; number += 1) {
-    const pair = [draw(), draw()];
+    const pair = [drawCell(), drawCell()];
     const seed = firstSeed + number;
     const run = await runCells(pair, { seed });
     pairs.runs += 1;
@@ -151,7 +153,7 @@
 function run(): Promise<boolean> {
   if (options.withoutGuards) return runWithoutGuards();
   if (options.pairs !== undefined) return runPairs(options.pairs);
-  if (options.cell !== undefined) return repeat(options.cell);
+  if (options.cell !== undefined) return replay(options.cell);
   const { step, fault } = options;
   return runAll(
     allCells()
@@ -160,5 +162,5 @@
   );
 }
 
-const good = await run();
-process.exitCode = good ? 0 : 1;
+const passed = await run();
+process.exitCode = passed ? 0 : 1;
--- a/scripts/search.ts
+++ b/scripts/search.ts
@@ -14,9 +14,9 @@
 } from "../test/model/searches.ts";
 
 /** Bounds the memory of one search to about a gigabyte. */
-const MOST_STATES = 450_000;
+const MAX_STATES = 450_000;
 
-const sum = {
+const totals = {
   searches: 0,
   states: 0,
   transitions: 0,
@@ -28,39 +28,40 @@
 
 function report(name: string, result: SearchResult): void {
   const { states, transitions, depth, exhausted, violation } = result;
-  const end = violation?.detail ?? (exhausted ? "nothing found" : "cut short");
+  const outcome = violation?.detail ??
+    (exhausted ? "nothing found" : "cut short");
   const counts = `${states} states, ${transitions} transitions, depth ${depth}`;
-  console.log(`${name}: ${counts}: ${end}`);
+  console.log(`${name}: ${counts}: ${outcome}`);
 }
 
-function runClean(name: string, result: SearchResult): void {
+function recordSearch(name: string, result: SearchResult): void {
   report(name, result);
-  sum.searches += 1;
-  sum.states += result.states;
-  sum.transitions += result.transitions;
-  if (result.violation !== undefined) sum.violations += 1;
-  else if (!result.exhausted) sum.cutShort += 1;
+  totals.searches += 1;
+  totals.states += result.states;
+  totals.transitions += result.transitions;
+  if (result.violation !== undefined) totals.violations += 1;
+  else if (!result.exhausted) totals.cutShort += 1;
 }
 
-function runGuard(name: string, result: SearchResult): void {
+function recordGuard(name: string, result: SearchResult): void {
   report(`without ${name}`, result);
-  sum.guards += 1;
-  if (result.violation !== undefined) sum.caught += 1;
+  totals.guards += 1;
+  if (result.violation !== undefined) totals.caught += 1;
 }
 
-const size = { mostStates: MOST_STATES };
+const limits = { mostStates: MAX_STATES };
 for (const [name, { budget }] of Object.entries(ORDERS_SEARCHES)) {
-  runClean(`orders, ${name}`, search(ordersModel(budget), size));
+  recordSearch(`orders, ${name}`, search(ordersModel(budget), limits));
 }
 for (const [name, { budget }] of Object.entries(ONCE_SEARCHES)) {
-  runClean(`once, ${name}`, search(onceModel(budget), size));
+  recordSearch(`once, ${name}`, search(onceModel(budget), limits));
 }
 for (const [name, { budget, guards }] of Object.entries(ORDERS_GUARDS)) {
-  runGuard(name, search(ordersModel(budget, guards), size));
+  recordGuard(name, search(ordersModel(budget, guards), limits));
 }
 for (const [name, { budget, guards }] of Object.entries(ONCE_GUARDS)) {
-  runGuard(name, search(onceModel(budget, guards), size));
+  recordGuard(name, search(onceModel(budget, guards), limits));
 }
-console.log(JSON.stringify({ search: sum }));
-const good = sum.violations === 0 && sum.caught === sum.guards;
-process.exitCode = good ? 0 : 1;
+console.log(JSON.stringify({ search: totals }));
+const passed = totals.violations === 0 && totals.caught === totals.guards;
+process.exitCode = passed ? 0 : 1;
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -37,5 +37,5 @@
     crashes: crashes.length,
   },
 }));
-const bad = wrong + doubled + invented + crashes.length;
-process.exit(bad === 0 ? 0 : 1);
+const violations = wrong + doubled + invented + crashes.length;
+process.exit(violations === 0 ? 0 : 1);
--- a/scripts/soak_platform.ts
+++ b/scripts/soak_platform.ts
@@ -26,7 +26,7 @@
   },
 });
 
-function keepLogs(folder: string, seed: number, result: SoakResult): void {
+function saveLogs(folder: string, seed: number, result: SoakResult): void {
   mkdirSync(folder, { recursive: true });
   for (const [name, text] of result.logs) {
     writeFileSync(join(folder, `${seed}-${name}.log`), text);
@@ -40,7 +40,7 @@
   readonly seconds: number;
 }
 
-function wantedRuns(): readonly Run[] {
+function requestedRuns(): readonly Run[] {
   if (values.regressions) return REGRESSION_SEEDS;
   const first = Number(values.seed);
   const seconds = Number(values.seconds);
@@ -56,8 +56,8 @@
   process.once(signal, () => process.exit(1));
 }
 
-let bad = 0;
-for (const { seed, seconds } of wantedRuns()) {
+let failedRuns = 0;
+for (const { seed, seconds } of requestedRuns()) {
   const result = await soak({
     seed,
     seconds,
@@ -74,7 +74,7 @@
     first: violations.slice(0, 3),
   }));
   if (violations.length === 0) continue;
-  bad += 1;
-  if (values.logs !== undefined) keepLogs(values.logs, seed, result);
+  failedRuns += 1;
+  if (values.logs !== undefined) saveLogs(values.logs, seed, result);
 }
-process.exit(bad === 0 ? 0 : 1);
+process.exit(failedRuns === 0 ? 0 : 1);
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -32,7 +32,7 @@
   "platform/**/*_test.ts",
 ];
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
-const MOST_KNOWN_RED = 3;
+const MAX_KNOWN_RED = 3;
 
 /** Titles of the tests that fail for a fault not mended yet. */
 function readKnownRed(): string[] {
@@ -40,8 +40,8 @@
   const titles = readFileSync(KNOWN_RED_FILE, "utf8").split("\n")
     .filter((line) => line.trim() !== "")
     .map((line) => line.split(" | ")[0].trim());
-  if (titles.length > MOST_KNOWN_RED) {
-    console.error(`${KNOWN_RED_FILE} lists more than ${MOST_KNOWN_RED} tests`);
+  if (titles.length > MAX_KNOWN_RED) {
+    console.error(`${KNOWN_RED_FILE} lists more than ${MAX_KNOWN_RED} tests`);
     process.exit(1);
   }
   return titles;
@@ -52,10 +52,10 @@
     const run = spawnSync("npm", ["run", "-s", script], {
       encoding: "utf8",
     });
-    const good = run.status === 0;
-    tally[good ? "passed" : "failed"] += 1;
-    console.log(`${good ? "passed" : "FAILED"}: ${name}`);
-    if (!good) console.log(run.stdout + run.stderr);
+    const passed = run.status === 0;
+    tally[passed ? "passed" : "failed"] += 1;
+    console.log(`${passed ? "passed" : "FAILED"}: ${name}`);
+    if (!passed) console.log(run.stdout + run.stderr);
   }
 }
 
--- a/test/boundaries/platform_names_test.ts
+++ b/test/boundaries/platform_names_test.ts
@@ -7,7 +7,7 @@
   /server-leaving|x-(response-seal|kv-source|request-priority|expect-instance|not-executed|server-load|token-count|prompt-prefix|deadline-ms)|filbertshore\/(order|report|readyz|log-|kv-)|log-(append|newest|read)|keyed\.|path_prefix|fencing_token|handle_id|x-tenant|x-duty-holder|x-fencing-token|api_keys|store-era|window_seq/i;
 const FOLDERS = ["src", "test", "bench", "scripts", "examples"];
 /** This file has to name them. */
-const OWN_NAME = "platform_names_test.ts";
+const THIS_FILE = "platform_names_test.ts";
 
 function filesIn(folder: string): string[] {
   return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
@@ -20,7 +20,7 @@
 describe("the boundary around the platform", () => {
   it("keeps the platform's names in one folder", () => {
     const outside = FOLDERS.flatMap(filesIn).filter((path) =>
-      !path.endsWith(OWN_NAME) &&
+      !path.endsWith(THIS_FILE) &&
       PLATFORM_NAMES.test(readFileSync(path, "utf8"))
     );
     expect(outside).to.deep.equal([]);
--- a/test/embedding/package_test.ts
+++ b/test/embedding/package_test.ts
@@ -66,8 +66,8 @@
   }
 }
 
-function run(arguments_: readonly string[], folder: string): string {
-  return execFileSync(process.execPath, arguments_, {
+function run(args: readonly string[], folder: string): string {
+  return execFileSync(process.execPath, args, {
     cwd: folder,
     encoding: "utf8",
   });
@@ -98,8 +98,12 @@
     const manifest = JSON.parse(
       readFileSync(join(installed, "package.json"), "utf8"),
     );
-    const face = manifest.exports["."];
-    const named = [face.types, face.default, manifest.bin.filbertshore];
+    const rootExport = manifest.exports["."];
+    const named = [
+      rootExport.types,
+      rootExport.default,
+      manifest.bin.filbertshore,
+    ];
     for (const file of named) {
       expect(readFileSync(join(installed, file)).length).to.be.greaterThan(0);
     }
@@ -112,10 +116,11 @@
     for (const name of files.filter((each) => each.endsWith(".d.ts"))) {
       const text = readFileSync(join(types, name), "utf8");
       for (const [, target] of text.matchAll(/from "(\.[^"]+)\.ts"/g)) {
-        const wanted = join(types, name, "..", `${target}.d.ts`);
-        expect(present.has(wanted), `${name} refers to ${target}`).to.equal(
-          true,
-        );
+        const declarationFile = join(types, name, "..", `${target}.d.ts`);
+        expect(present.has(declarationFile), `${name} refers to ${target}`).to
+          .equal(
+            true,
+          );
       }
     }
   });
--- a/test/operations/operations_test.ts
+++ b/test/operations/operations_test.ts
@@ -70,8 +70,8 @@
       );
     });
 
-    for (const [program, ...words] of programCommands()) {
-      const flags = words.filter((word) => word.startsWith("--"));
+    for (const [program, ...args] of programCommands()) {
+      const flags = args.filter((word) => word.startsWith("--"));
       it(`${program} takes ${flags.join(" ")}`, async function () {
         this.timeout(TIMEOUT_MILLISECONDS);
         const { code, output } = await runCommand([program, "--help"]);
@@ -91,11 +91,11 @@
     it("pass the check with the example's files as they stand", async function () {
       this.timeout(TIMEOUT_MILLISECONDS);
       const check = programCommands().find(([program]) => program === "check");
-      const words = check ?? [];
-      for (const word of words.filter((each) => each.endsWith(".toml"))) {
+      const args = check ?? [];
+      for (const word of args.filter((each) => each.endsWith(".toml"))) {
         expect(existsSync(word), word).to.equal(true);
       }
-      const { code, output } = await runCommand(words);
+      const { code, output } = await runCommand(args);
       expect(code, output).to.equal(0);
     });
   });
--- a/test/process/binary_test.ts
+++ b/test/process/binary_test.ts
@@ -19,8 +19,8 @@
 
   after(() => rmSync(folder, { recursive: true }));
 
-  function run(...arguments_: string[]) {
-    return spawnSync(binary, arguments_, { encoding: "utf8", timeout: 10_000 });
+  function run(...args: string[]) {
+    return spawnSync(binary, args, { encoding: "utf8", timeout: 10_000 });
   }
 
   // The bundle works from its sources and the binary made of it does not: a
@@ -37,9 +37,9 @@
   // A unit file names a command or an option wrongly. Exit code 2 tells the
   // operator that no restart will help.
   it("ends with code 2 on arguments that can't be used", () => {
-    for (const words of [["nonsense"], ["check"], ["entry"], []]) {
-      const result = run(...words);
-      expect(result.status, words.join(" ")).to.equal(2);
+    for (const args of [["nonsense"], ["check"], ["entry"], []]) {
+      const result = run(...args);
+      expect(result.status, args.join(" ")).to.equal(2);
       expect(result.stderr).to.not.include("    at ");
     }
   });
--- a/test/process/examples_test.ts
+++ b/test/process/examples_test.ts
@@ -7,13 +7,15 @@
   loadSettings,
 } from "../../src/adapters/settings/mod.ts";
 
-const SIZES: Readonly<Record<string, Readonly<Record<string, number>>>> = {
+const REPLICA_COUNTS: Readonly<
+  Record<string, Readonly<Record<string, number>>>
+> = {
   koperasi: { "triage-llm": 10, "member-portal": 3 },
   federatie: { "relining-assistant": 6, "member-portal": 4 },
 };
 
 describe("The example deployments", () => {
-  for (const [name, pools] of Object.entries(SIZES)) {
+  for (const [name, pools] of Object.entries(REPLICA_COUNTS)) {
     describe(name, () => {
       const folder = `examples/${name}`;
 
@@ -45,7 +47,7 @@
         const inventory = parse(
           readFileSync(`${folder}/inventory.toml`, "utf8"),
         ) as unknown as Inventory;
-        const named = inventory.pools.flatMap((pool) =>
+        const expectedSides = inventory.pools.flatMap((pool) =>
           pool.endpoints.map((each) => `${each.id} at ${each.side}`)
         );
         const settings = readdirSync(`${folder}/sides`).map((file) =>
@@ -53,7 +55,7 @@
         ).map(({ endpoint, peers }) =>
           `${endpoint} at ${peers.host}:${peers.port}`
         );
-        expect(settings).to.have.members(named);
+        expect(settings).to.have.members(expectedSides);
         for (const file of readdirSync(`${folder}/entries`)) {
           loadSettings(`${folder}/entries/${file}`, "entry")._unsafeUnwrap();
         }
--- a/test/process/install_missing_test.ts
+++ b/test/process/install_missing_test.ts
@@ -54,9 +54,9 @@
   // missing, though every version is the same.
   it("goes by versions, not by the files' times", () => {
     const { packages } = JSON.parse(readFileSync("package-lock.json", "utf8"));
-    const mark = join(shared, ".package-lock.json");
-    writeFileSync(mark, JSON.stringify({ packages }));
-    utimesSync(mark, 0, 0);
+    const installedLock = join(shared, ".package-lock.json");
+    writeFileSync(installedLock, JSON.stringify({ packages }));
+    utimesSync(installedLock, 0, 0);
     expect(run().status).to.equal(0);
     expect(existsSync(join(shared, "in_use"))).to.equal(true);
   });
--- a/test/process/doors_test.ts
+++ b/test/process/malformed_input_test.ts
@@ -4,9 +4,9 @@
 import { builtBinary } from "../support/built_binary.ts";
 import {
   chatBody,
+  completeAnswer,
   promptFor,
   streamChat,
-  wholeAnswer,
 } from "../support/chat_caller.ts";
 import { rawRequest, sendRaw, statusCodes } from "../support/raw_http.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
@@ -44,7 +44,7 @@
   afterEach(async () => {
     const prompt = promptFor("after bad input", 20);
     const answer = await streamChat(deployment.entries[0].url, { prompt });
-    expect(answer.tokens).to.deep.equal(wholeAnswer(prompt).tokens);
+    expect(answer.tokens).to.deep.equal(completeAnswer(prompt).tokens);
     for (const { process: started } of deployment.entries) {
       expect(started.child.exitCode).to.equal(null);
     }
@@ -153,7 +153,7 @@
       await fc.assert(
         fc.asyncProperty(fc.nat(text.length), async (length) => {
           const port = entryPort;
-          await sendRaw(text.slice(0, length), { port, hangUp: true });
+          await sendRaw(text.slice(0, length), { port, closeAfterSend: true });
         }),
         { numRuns: 60 },
       );
@@ -228,13 +228,13 @@
   });
 
   describe("an endpoint that misbehaves", () => {
-    const misbehaviours = [
+    const endpointFaults = [
       ["closes in mid-token", { closeAfterTokens: 10 }],
       ["sends garbage", { garbageAfterTokens: 10 }],
       ["ends without an end", { shortAfterTokens: 10 }],
       ["sends without end", { floodAfterTokens: 10 }],
     ] as const;
-    for (const [what, fault] of misbehaviours) {
+    for (const [what, fault] of endpointFaults) {
       // Its answer goes on at another engine; taken for an end, the caller
       // would get a short answer that looks whole.
       it(`costs no caller a token where it ${what}`, async () => {
@@ -255,7 +255,7 @@
             streamChat(deployment.entries[0].url, { prompt })
           ),
         );
-        const left = await Promise.all(
+        const consumed = await Promise.all(
           deployment.engines.slice(0, 2).map(
             async ({ url }) => {
               const answer = await fetch(`${url}/control`);
@@ -266,11 +266,11 @@
             },
           ),
         );
-        expect(left, "the fault came about").to.include(true);
+        expect(consumed, "the fault came about").to.include(true);
         answers.forEach((answer, index) => {
           expect(answer.problem).to.equal(undefined);
           expect(answer.tokens).to.deep.equal(
-            wholeAnswer(prompts[index]).tokens,
+            completeAnswer(prompts[index]).tokens,
           );
         });
       });
@@ -279,7 +279,7 @@
 
   /** Engines that still run for callers that have gone. */
   async function expectIdleEngines(): Promise<void> {
-    const until = performance.now() + 5_000;
+    const deadline = performance.now() + 5_000;
     for (;;) {
       const running = await Promise.all(deployment.engines.map(
         async ({ url }) => {
@@ -288,7 +288,9 @@
         },
       ));
       if (running.every((each) => each === 0)) return;
-      if (performance.now() > until) expect(running).to.deep.equal([0, 0, 0]);
+      if (performance.now() > deadline) {
+        expect(running).to.deep.equal([0, 0, 0]);
+      }
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
   }
@@ -296,7 +298,7 @@
 
 /** Random bytes, and random bytes behind the start of a real request. */
 async function fuzz(port: () => number): Promise<void> {
-  const starts = [
+  const prefixes = [
     "",
     "GET ",
     "POST /rpc HTTP/1.1\r\n",
@@ -305,10 +307,10 @@
   ];
   await fc.assert(
     fc.asyncProperty(
-      fc.constantFrom(...starts),
+      fc.constantFrom(...prefixes),
       fc.uint8Array({ maxLength: 300 }),
-      async (start, bytes) => {
-        const all = Buffer.concat([Buffer.from(start), bytes]);
+      async (prefix, bytes) => {
+        const all = Buffer.concat([Buffer.from(prefix), bytes]);
         await sendRaw(all, { port: port(), waitMilliseconds: 30 });
       },
     ),
--- a/test/process/operator_commands_test.ts
+++ b/test/process/operator_commands_test.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import { expect } from "chai";
 import { builtBinary } from "../support/built_binary.ts";
-import { type CommandEnd, Operator } from "../support/operator_commands.ts";
+import { type CommandResult, Operator } from "../support/operator_commands.ts";
 import { waitFor } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 
@@ -41,9 +41,9 @@
   }
 
   it("publish waits until every process has the version in force", async () => {
-    const end = await operator.publish({ "triage-0": "draining" });
-    const facts = JSON.parse(end.output);
-    expect(end.code).to.equal(0);
+    const result = await operator.publish({ "triage-0": "draining" });
+    const facts = JSON.parse(result.output);
+    expect(result.code).to.equal(0);
     expect([facts.have, facts.all]).to.deep.equal([5, 5]);
     const status = await operator.run("status", ["--json"]);
     const fleet = JSON.parse(status.output);
@@ -75,7 +75,7 @@
       ]),
     ]);
     expect(ends.map(({ code }) => code).sort()).to.deep.equal([0, 1]);
-    const loser = ends.find(({ code }) => code === 1) as CommandEnd;
+    const loser = ends.find(({ code }) => code === 1) as CommandResult;
     const winner = loser === ends[0] ? "siti" : "aminah";
     expect(JSON.parse(loser.output).outcome).to.equal("publication_rejected");
     expect(loser.output).to.include(`by ${winner} came first`);
@@ -86,8 +86,8 @@
   it("finds a publication whose answer was lost", async () => {
     await logControl({ lostAnswers: 1 });
     const before = await publications();
-    const end = await operator.publish({ "triage-0": "draining" });
-    expect(end.code, end.output).to.equal(0);
+    const result = await operator.publish({ "triage-0": "draining" });
+    expect(result.code, result.output).to.equal(0);
     expect(await publications()).to.equal(before + 1);
   });
 
@@ -100,16 +100,16 @@
       `${deployment.logUrl}/streams/configuration.klang-valley/records`,
       { method: "POST", body: JSON.stringify({ records: [null, "x", {}] }) },
     );
-    const end = await operator.publish({ "triage-0": "draining" });
-    expect(end.code, end.output).to.equal(0);
+    const result = await operator.publish({ "triage-0": "draining" });
+    expect(result.code, result.output).to.equal(0);
   });
 
   it("says that nothing was made while the log is down", async () => {
     await logControl({ down: "refuse" });
-    const words = ["--base", "latest", "--wait-seconds", "2"];
-    const end = await operator.publish({ "triage-0": "draining" }, words);
-    expect(end.code, end.output).to.equal(1);
-    expect(JSON.parse(end.output).outcome).to.equal("not_made");
+    const args = ["--base", "latest", "--wait-seconds", "2"];
+    const result = await operator.publish({ "triage-0": "draining" }, args);
+    expect(result.code, result.output).to.equal(1);
+    expect(JSON.parse(result.output).outcome).to.equal("not_made");
     await logControl({ down: "no" });
     await waitFor(async () => {
       const again = await operator.publish({ "triage-0": "draining" });
@@ -133,38 +133,38 @@
   // A base that the command looks up itself would always fit and undo that.
   it("asks which version the files were made on", async () => {
     const before = await publications();
-    const end = await operator.publish({ "triage-0": "draining" }, []);
-    expect(end.code).to.equal(2);
-    expect(JSON.parse(end.output).version).to.be.above(0);
+    const result = await operator.publish({ "triage-0": "draining" }, []);
+    expect(result.code).to.equal(2);
+    expect(JSON.parse(result.output).version).to.be.above(0);
     expect(await publications()).to.equal(before);
   });
 
   it("names the processes that have not told of a version", async () => {
     deployment.engines[1].side.child.kill("SIGKILL");
-    const words = ["--base", "latest", "--wait-seconds", "2"];
-    const end = await operator.publish({ "triage-0": "draining" }, words);
-    expect(end.code).to.equal(5);
-    expect(JSON.parse(end.output).missing).to.deep.equal(["side-triage-1"]);
+    const args = ["--base", "latest", "--wait-seconds", "2"];
+    const result = await operator.publish({ "triage-0": "draining" }, args);
+    expect(result.code).to.equal(5);
+    expect(JSON.parse(result.output).missing).to.deep.equal(["side-triage-1"]);
   });
 
   it("status tells of an entry that does not answer", async () => {
     deployment.entries[1].process.child.kill("SIGKILL");
     await deployment.entries[1].process.exited;
-    const end = await operator.run("status");
-    expect(end.code).to.equal(1);
-    expect(end.output).to.include(`${deployment.entries[1].peers}`);
-    expect(end.output).to.include("triage-0");
+    const result = await operator.run("status");
+    expect(result.code).to.equal(1);
+    expect(result.output).to.include(`${deployment.entries[1].peers}`);
+    expect(result.output).to.include("triage-0");
   });
 
   it("publish refuses files that can't be used and appends nothing", async () => {
     const before = await publications();
     const file = deployment.fleet.writeToml("bad.toml", { region: "x" });
-    const end = await operator.run("publish", [
+    const result = await operator.run("publish", [
       ...["--inventory", file, "--rules", file],
     ]);
-    expect(end.code).to.equal(2);
-    expect(end.output).to.include("bad.toml: pools: found nothing");
-    expect(end.output).to.include("bad.toml: region: found an unknown key");
+    expect(result.code).to.equal(2);
+    expect(result.output).to.include("bad.toml: pools: found nothing");
+    expect(result.output).to.include("bad.toml: region: found an unknown key");
     expect(await publications()).to.equal(before);
   });
 });
--- a/test/process/planned_and_unplanned_stops_test.ts
+++ b/test/process/planned_and_unplanned_stops_test.ts
@@ -3,7 +3,11 @@
 import { expect } from "chai";
 import { countRuns } from "../stand_ins/plain_service.ts";
 import { builtBinary } from "../support/built_binary.ts";
-import { promptFor, streamChat, wholeAnswer } from "../support/chat_caller.ts";
+import {
+  completeAnswer,
+  promptFor,
+  streamChat,
+} from "../support/chat_caller.ts";
 import { waitFor } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 import { uuidv7 } from "../support/uuid.ts";
@@ -46,12 +50,17 @@
     );
     // An answer that ends before it is under way tells why; waiting on for it
     // would only say that time has passed.
-    let over: unknown;
-    void answers.then((all) => over = all, (cause) => over = String(cause));
+    let settledResult: unknown;
+    void answers.then(
+      (all) => settledResult = all,
+      (cause) => settledResult = String(cause),
+    );
     const underWay = waitFor(() => {
       const ready = tokensOf.every((tokens) => tokens >= 20);
-      if (!ready && over !== undefined) {
-        throw new Error(`Streams ended early: ${JSON.stringify(over)}`);
+      if (!ready && settledResult !== undefined) {
+        throw new Error(
+          `Streams ended early: ${JSON.stringify(settledResult)}`,
+        );
       }
       return ready;
     }, {
@@ -61,13 +70,13 @@
     return { prompts, answers, underWay };
   }
 
-  async function expectWhole(streams: ReturnType<typeof startStreams>) {
+  async function expectComplete(streams: ReturnType<typeof startStreams>) {
     const answers = await streams.answers;
     answers.forEach((answer, index) => {
       expect(answer.problem).to.equal(undefined);
       expect(answer.ended).to.equal(true);
       expect(answer.tokens).to.deep.equal(
-        wholeAnswer(streams.prompts[index]).tokens,
+        completeAnswer(streams.prompts[index]).tokens,
       );
     });
   }
@@ -84,7 +93,7 @@
         .then((answer) => answer.status, () => 0);
       return health !== 200;
     }, { what: "the balancer to see that the entry drains" });
-    await expectWhole(streams);
+    await expectComplete(streams);
     expect(await entry.process.exited).to.equal(0);
   });
 
@@ -95,7 +104,7 @@
     await streams.underWay;
     const [engine] = deployment.engines;
     engine.side.child.kill("SIGTERM");
-    await expectWhole(streams);
+    await expectComplete(streams);
     expect(await engine.side.exited).to.equal(0);
   });
 
@@ -105,7 +114,7 @@
     const streams = startStreams(9, deployment.entries[0].url);
     await streams.underWay;
     deployment.engines[0].side.child.kill("SIGKILL");
-    await expectWhole(streams);
+    await expectComplete(streams);
   });
 
   // An engine dies in the middle of answers while its side lives.
@@ -113,31 +122,31 @@
     const streams = startStreams(9, deployment.entries[0].url);
     await streams.underWay;
     deployment.engines[1].endpoint.child.kill("SIGKILL");
-    await expectWhole(streams);
+    await expectComplete(streams);
   });
 
   // The platform replaces all VMs one after the other while callers keep on
   // asking. Each new side has to get work again, or the last replacement
   // leaves nobody to answer.
   it("sides are replaced one after the other under load", async () => {
-    let over = false;
+    let finished = false;
     const callers = deployment.entries.flatMap(({ url }) =>
       [1, 2, 3].map(async (caller) => {
-        const wrong: unknown[] = [];
-        for (let count = 0; !over; count++) {
+        const incomplete: unknown[] = [];
+        for (let count = 0; !finished; count++) {
           const prompt = promptFor(`${url} ${caller} ${count}`, 40);
           const answer = await streamChat(url, { prompt });
-          const { tokens } = wholeAnswer(prompt);
-          const isWhole = answer.problem === undefined &&
+          const { tokens } = completeAnswer(prompt);
+          const isComplete = answer.problem === undefined &&
             answer.tokens.join("") === tokens.join("");
-          if (!isWhole) wrong.push({ url, prompt, ...answer });
+          if (!isComplete) incomplete.push({ url, prompt, ...answer });
         }
-        return wrong;
+        return incomplete;
       })
     );
     // A caller that fails while the sides are replaced is told below: thrown
     // at once, it would end the test while its replacements go on.
-    const failures = Promise.allSettled(callers);
+    const callerResults = Promise.allSettled(callers);
     for (const { id, side } of deployment.engines) {
       await pause(600);
       side.child.kill("SIGKILL");
@@ -150,14 +159,14 @@
       ]);
       await pause(1_500);
     }
-    over = true;
-    for (const caller of await failures) {
+    finished = true;
+    for (const caller of await callerResults) {
       expect(caller).to.deep.equal({ status: "fulfilled", value: [] });
     }
     const before = await generations();
     // An endpoint that has failed is taken back step by step.
     await waitFor(async () => {
-      await expectWhole(startStreams(24, deployment.entries[0].url));
+      await expectComplete(startStreams(24, deployment.entries[0].url));
       const after = await generations();
       return after.every((count, index) => count > before[index]);
     }, { what: "every replaced side to get work" });
--- a/test/process/platform_faults_test.ts
+++ b/test/process/platform_faults_test.ts
@@ -152,15 +152,15 @@
   it("a publication comes into force although its judge was killed", async function () {
     this.timeout(30_000);
     const judge = judgeOf(deployment);
-    const rest = deployment.entries.filter((entry) => entry !== judge);
-    const before = await status(rest[0]);
+    const others = deployment.entries.filter((entry) => entry !== judge);
+    const before = await status(others[0]);
     judge.process.child.kill("SIGKILL");
     const published = performance.now();
     await deployment.publishRaw(
       deployment.content({ [deployment.engines[0].id]: "draining" }),
       before.configurationVersion,
     );
-    await waitFor(() => inForceAbove(before.configurationVersion, rest), {
+    await waitFor(() => inForceAbove(before.configurationVersion, others), {
       what: "the publication to be in force",
       milliseconds: IN_FORCE_MILLISECONDS,
     });
@@ -250,12 +250,12 @@
       });
     }
     const key = uuidv7();
-    const cut = book(first, key).catch(() => undefined);
+    const interrupted = book(first, key).catch(() => undefined);
     await waitFor(async () => await runsOf(key) === 1, {
       what: "the booking to run",
     });
     first.process.child.kill("SIGKILL");
-    await cut;
+    await interrupted;
     const repeat = await book(second, key);
     expect(repeat.status, repeat.body).to.equal(201);
     expect(await runsOf(key)).to.equal(1);
--- a/test/process/random_faults_test.ts
+++ b/test/process/random_faults_test.ts
@@ -4,7 +4,11 @@
 import { type Random, seededRandom } from "../../src/core/random/mod.ts";
 import { countRuns } from "../stand_ins/plain_service.ts";
 import { builtBinary } from "../support/built_binary.ts";
-import { promptFor, streamChat, wholeAnswer } from "../support/chat_caller.ts";
+import {
+  completeAnswer,
+  promptFor,
+  streamChat,
+} from "../support/chat_caller.ts";
 import type { StartedProcess } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 import { uuidv7 } from "../support/uuid.ts";
@@ -12,9 +16,9 @@
 const SEED = 20261202;
 const RUN_MILLISECONDS = 12_000;
 /** The last faults come so long before the end that all have passed by then. */
-const QUIET_MILLISECONDS = 3_500;
+const FAULT_FREE_MILLISECONDS = 3_500;
 /** Sides that are away at once, of seven. */
-const MOST_AWAY = 2;
+const MAX_UNAVAILABLE = 2;
 
 interface Booking {
   readonly key: string;
@@ -25,7 +29,7 @@
   this.timeout(90_000);
   const deployment = new SmallDeployment();
   const sides = new Map<string, StartedProcess>();
-  const away = new Set<string>();
+  const unavailable = new Set<string>();
   const random = seededRandom(SEED);
 
   before(async () => {
@@ -56,7 +60,7 @@
     const [streams] = await Promise.all([
       Promise.all(range(8).map((caller) => streamUntil(end, caller))),
       Promise.all(range(6).map(() => bookUntil(end, bookings))),
-      bringFaults(end - QUIET_MILLISECONDS),
+      injectFaults(end - FAULT_FREE_MILLISECONDS),
     ]);
     expect(streams.flat()).to.include(true);
     const runs = await allRuns();
@@ -73,26 +77,26 @@
     const answer = await streamChat(deployment.entries[0].url, {
       prompt: last,
     });
-    expect(answer.tokens).to.deep.equal(wholeAnswer(last).tokens);
+    expect(answer.tokens).to.deep.equal(completeAnswer(last).tokens);
   });
 
   /** For each stream, whether it was whole; a part of one has to be right. */
   async function streamUntil(end: number, caller: number): Promise<boolean[]> {
-    const whole: boolean[] = [];
+    const complete: boolean[] = [];
     for (let count = 0; performance.now() < end; count++) {
       const prompt = promptFor(`caller ${caller} asks ${count}`, 60);
       const entry = pick(deployment.entries, random);
       const answer = await streamChat(entry.url, { prompt });
-      const { tokens } = wholeAnswer(prompt);
+      const { tokens } = completeAnswer(prompt);
       expect(answer.tokens).to.deep.equal(
         tokens.slice(0, answer.tokens.length),
       );
       if (answer.ended) expect(answer.tokens).to.deep.equal(tokens);
       else expect(answer.problem).to.not.equal(undefined);
-      whole.push(answer.ended);
+      complete.push(answer.ended);
       await pause(20);
     }
-    return whole;
+    return complete;
   }
 
   async function bookUntil(end: number, bookings: Booking[]): Promise<void> {
@@ -117,57 +121,63 @@
     return answer.outcome ?? "answered";
   }
 
-  async function bringFaults(end: number): Promise<void> {
-    const faults = [killSide, stopSide, pauseSide, breakEngine, troubleLog];
-    const open: Promise<void>[] = [];
+  async function injectFaults(end: number): Promise<void> {
+    const faults = [
+      killSide,
+      stopSide,
+      pauseSide,
+      injectEngineFault,
+      injectLogFault,
+    ];
+    const pending: Promise<void>[] = [];
     while (performance.now() < end) {
-      open.push(pick(faults, random)());
+      pending.push(pick(faults, random)());
       await pause(200 + 400 * random());
     }
-    await Promise.all(open);
+    await Promise.all(pending);
   }
 
   function killSide(): Promise<void> {
-    return whileAway(async (id, side) => {
+    return whileUnavailable(async (id, side) => {
       side.child.kill("SIGKILL");
       await pause(500);
-      startAgain(id);
+      restartSide(id);
     });
   }
 
   function stopSide(): Promise<void> {
-    return whileAway(async (id, side) => {
+    return whileUnavailable(async (id, side) => {
       side.child.kill("SIGTERM");
       expect(await side.exited).to.equal(0);
-      startAgain(id);
+      restartSide(id);
     });
   }
 
   function pauseSide(): Promise<void> {
-    return whileAway(async (_, side) => {
+    return whileUnavailable(async (_, side) => {
       side.child.kill("SIGSTOP");
       await pause(1_500);
       side.child.kill("SIGCONT");
     });
   }
 
-  async function whileAway(
-    act: (id: string, side: StartedProcess) => Promise<void>,
+  async function whileUnavailable(
+    action: (id: string, side: StartedProcess) => Promise<void>,
   ): Promise<void> {
     const id = pick([...sides.keys()], random);
-    if (away.has(id) || away.size >= MOST_AWAY) return;
-    away.add(id);
-    await act(id, sides.get(id) as StartedProcess);
+    if (unavailable.has(id) || unavailable.size >= MAX_UNAVAILABLE) return;
+    unavailable.add(id);
+    await action(id, sides.get(id) as StartedProcess);
     await pause(600);
-    away.delete(id);
+    unavailable.delete(id);
   }
 
-  function startAgain(id: string): void {
+  function restartSide(id: string): void {
     const file = join(deployment.fleet.folder, `${id}.toml`);
     sides.set(id, deployment.fleet.startProgram(["side", "--settings", file]));
   }
 
-  async function breakEngine(): Promise<void> {
+  async function injectEngineFault(): Promise<void> {
     const fault = pick(
       [{ closeAfterTokens: 7 }, { garbageAfterTokens: 7 }],
       random,
@@ -175,12 +185,12 @@
     await control(pick(deployment.engines, random).url, fault);
   }
 
-  async function troubleLog(): Promise<void> {
-    const trouble = pick(
+  async function injectLogFault(): Promise<void> {
+    const fault = pick(
       [{ down: "refuse" }, { delayMilliseconds: 200 }, { lostAnswers: 2 }],
       random,
     );
-    await control(deployment.logUrl, trouble);
+    await control(deployment.logUrl, fault);
     await pause(700);
     await control(deployment.logUrl, { down: "no", delayMilliseconds: 0 });
   }
--- a/test/process/slow_caller_test.ts
+++ b/test/process/slow_caller_test.ts
@@ -2,14 +2,18 @@
 import process from "node:process";
 import { expect } from "chai";
 import { builtBinary } from "../support/built_binary.ts";
-import { promptFor, streamChat, wholeAnswer } from "../support/chat_caller.ts";
+import {
+  completeAnswer,
+  promptFor,
+  streamChat,
+} from "../support/chat_caller.ts";
 import { rawRequest } from "../support/raw_http.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 
 /** Far more than the sockets' own buffers on the way can take. */
 const TOKENS = 400_000;
 /** What a process may take more while a caller reads nothing. */
-const MOST_GROWTH_BYTES = 60 * 1024 * 1024;
+const MAX_GROWTH_BYTES = 60 * 1024 * 1024;
 
 describe("A caller that reads slowly", function () {
   this.timeout(60_000);
@@ -38,21 +42,21 @@
     const [engine] = deployment.engines;
     const side = `http://${engine.sideAddress}`;
     const before = [await memoryOf(entry.url), await memoryOf(side)];
-    socket = openAndReadNothing(Number(new URL(entry.url).port));
-    const given = await waitUntilStill(() => tokensOf(engine.url));
-    expect(given).to.be.within(1, TOKENS - 1);
+    socket = sendWithoutReading(Number(new URL(entry.url).port));
+    const emitted = await waitUntilStable(() => tokensOf(engine.url));
+    expect(emitted).to.be.within(1, TOKENS - 1);
     const growth = [
       await memoryOf(entry.url) - before[0],
       await memoryOf(side) - before[1],
     ];
-    expect(Math.max(...growth)).to.be.below(MOST_GROWTH_BYTES);
+    expect(Math.max(...growth)).to.be.below(MAX_GROWTH_BYTES);
     const prompt = promptFor("beside the slow one", 50);
     const answer = await streamChat(entry.url, { prompt });
-    expect(answer.tokens).to.deep.equal(wholeAnswer(prompt).tokens);
+    expect(answer.tokens).to.deep.equal(completeAnswer(prompt).tokens);
   });
 });
 
-function openAndReadNothing(port: number): Socket {
+function sendWithoutReading(port: number): Socket {
   const body = JSON.stringify({
     model: "triage-llm",
     messages: [{ role: "user", content: promptFor("slow", TOKENS) }],
@@ -82,7 +86,7 @@
 }
 
 /** The value once it has stood for a second. */
-async function waitUntilStill(read: () => Promise<number>): Promise<number> {
+async function waitUntilStable(read: () => Promise<number>): Promise<number> {
   let last = -1;
   for (let seconds = 0; seconds < 40; seconds++) {
     const value = await read();
--- a/test/process/telemetry_test.ts
+++ b/test/process/telemetry_test.ts
@@ -49,18 +49,18 @@
       headers: { traceparent: `00-${TRACE}-${CALLER_SPAN}-01` },
     });
     expect(answer.ended).to.equal(true);
-    const wanted = [
+    const expectedNames = [
       "entry.receive",
       "entry.queue",
       "entry.dispatch",
       "side.attempt",
       "endpoint.call",
     ];
-    await waitFor(() => spans().length >= wanted.length, {
+    await waitFor(() => spans().length >= expectedNames.length, {
       what: "the spans to be written",
     });
     const byName = new Map(spans().map((span) => [span.name, span]));
-    expect([...byName.keys()]).to.have.members(wanted);
+    expect([...byName.keys()]).to.have.members(expectedNames);
     const parentOf = (name: string) => byName.get(name)?.parentSpanId;
     expect(parentOf("entry.receive")).to.equal(CALLER_SPAN);
     expect(parentOf("side.attempt"))
--- a/test/region/planner_test.ts
+++ b/test/region/planner_test.ts
@@ -32,7 +32,7 @@
     expect((await published).isOk()).to.equal(true);
   }
 
-  function holder(): number {
+  function claimHolder(): number {
     const { claim } = region.fleet.entries[0].status();
     return region.fleet.entries.findIndex((entry) =>
       claim?.holder.startsWith(`${entry.status().entry}#`)
@@ -61,11 +61,11 @@
   // its orders are carried out. Nobody tends the region by hand; another entry
   // has to take over, and what was ordered must not be ordered again.
   it("is followed by another entry that continues what it began", async () => {
-    const planning = holder();
+    const holderBefore = claimHolder();
     await fixRole("decode");
-    region.fleet.entries[planning].halt();
+    region.fleet.entries[holderBefore].halt();
     await region.timer.advance(120_000);
-    expect(holder()).not.to.equal(planning);
+    expect(claimHolder()).not.to.equal(holderBefore);
     expect(await roleOfEngine()).to.equal("decode");
     expect(ordersSent("decode")).to.equal(1);
   });
--- a/test/region/spread_test.ts
+++ b/test/region/spread_test.ts
@@ -19,8 +19,8 @@
       if (index % 8 === 0) await region.timer.advance(20);
     }
     await region.timer.advance(3_000);
-    const given = region.engines.map((engine) => engine.generations);
+    const generations = region.engines.map((engine) => engine.generations);
     region.fleet.halt();
-    expect(Math.min(...given)).to.be.above(0);
+    expect(Math.min(...generations)).to.be.above(0);
   });
 });
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,5 +1,9 @@
 import type { Random } from "../../src/core/random/mod.ts";
-import { promptFor, streamChat, wholeAnswer } from "../support/chat_caller.ts";
+import {
+  completeAnswer,
+  promptFor,
+  streamChat,
+} from "../support/chat_caller.ts";
 import { uuidv7 } from "../support/uuid.ts";
 
 export interface CallerOptions {
@@ -17,43 +21,43 @@
     this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
   }
 
-  of(what: string): number {
+  count(what: string): number {
     return this.counts.get(what) ?? 0;
   }
 }
 
-const MOST_TOKENS = 170;
+const MAX_TOKENS = 170;
 const RETRY_MILLISECONDS = 200;
-const MOST_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 const ANSWER_TIMEOUT_MILLISECONDS = 15_000;
 
 /** Asks for streams and holds each against the whole answer. */
-export async function askUntil(
+export async function streamUntil(
   end: number,
   options: CallerOptions & { readonly name: string },
 ): Promise<void> {
   for (let index = 0; performance.now() < end; index++) {
-    const tokens = 20 + Math.floor(options.random() * (MOST_TOKENS - 20));
+    const tokens = 20 + Math.floor(options.random() * (MAX_TOKENS - 20));
     const prompt = promptFor(`${options.name}-${index}`, tokens);
-    options.tally.add(await askOnce(prompt, options));
+    options.tally.add(await streamOnce(prompt, options));
   }
 }
 
-async function askOnce(
+async function streamOnce(
   prompt: string,
   options: CallerOptions,
 ): Promise<string> {
-  const whole = wholeAnswer(prompt).tokens;
+  const expected = completeAnswer(prompt).tokens;
   try {
     const answer = await streamChat(options.entryUrl(), { prompt });
     if (answer.status !== 200) {
       await pause(RETRY_MILLISECONDS);
       return `stream refused as ${answer.problem?.outcome}`;
     }
-    const given = answer.tokens.join("");
-    if (!whole.join("").startsWith(given)) return "stream wrong";
+    const received = answer.tokens.join("");
+    if (!expected.join("").startsWith(received)) return "stream wrong";
     if (!answer.ended) return "stream cut and said so";
-    return answer.tokens.length === whole.length
+    return answer.tokens.length === expected.length
       ? "stream whole"
       : "stream wrong";
   } catch {
@@ -73,7 +77,7 @@
   while (performance.now() < end) {
     const key = uuidv7();
     options.bookings.set(key, undefined);
-    for (let tries = 0; tries < MOST_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (await bookOnce(key, options)) break;
       if (performance.now() >= end) return;
       await pause(RETRY_MILLISECONDS);
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -13,9 +13,9 @@
   readonly onFault: (name: string) => void;
 }
 
-const SHORTEST_PAUSE_MILLISECONDS = 300;
-const LONGEST_PAUSE_MILLISECONDS = 1_500;
-const LONGEST_FAULT_MILLISECONDS = 2_800;
+const MIN_PAUSE_MILLISECONDS = 300;
+const MAX_PAUSE_MILLISECONDS = 1_500;
+const MAX_FAULT_MILLISECONDS = 2_800;
 /** An entry that has just started is not asked before it can know anything. */
 const ENTRY_START_MILLISECONDS = 1_500;
 
@@ -31,7 +31,7 @@
 
   async runUntil(end: number): Promise<void> {
     while (performance.now() < end) {
-      await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_PAUSE_MILLISECONDS);
+      await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_PAUSE_MILLISECONDS);
       const [name, fault] = this.#pick(this.#faults);
       this.#options.onFault(name);
       await fault();
@@ -39,26 +39,26 @@
   }
 
   readonly #faults: readonly [string, () => Promise<void>][] = [
-    ["side killed", () => this.#endSide("SIGKILL")],
-    ["side stopped", () => this.#endSide("SIGTERM")],
-    ["side frozen", () => this.#freeze(this.#pickEndpoint().side)],
-    ["entry killed", () => this.#endEntry("SIGKILL")],
-    ["entry stopped", () => this.#endEntry("SIGTERM")],
-    ["entry frozen", () => this.#freezeEntry()],
-    ["log refuses", () => this.#breakLog({ down: "refuse" })],
-    ["log cuts", () => this.#breakLog({ down: "cut" })],
-    ["log loses answers", () => this.#breakLog({ lostAnswers: 3 })],
+    ["side killed", () => this.#terminateSide("SIGKILL")],
+    ["side stopped", () => this.#terminateSide("SIGTERM")],
+    ["side frozen", () => this.#suspend(this.#pickEndpoint().side)],
+    ["entry killed", () => this.#terminateEntry("SIGKILL")],
+    ["entry stopped", () => this.#terminateEntry("SIGTERM")],
+    ["entry frozen", () => this.#suspendEntry()],
+    ["log refuses", () => this.#injectLogFault({ down: "refuse" })],
+    ["log cuts", () => this.#injectLogFault({ down: "cut" })],
+    ["log loses answers", () => this.#injectLogFault({ lostAnswers: 3 })],
   ];
 
-  async #endSide(signal: NodeJS.Signals): Promise<void> {
+  async #terminateSide(signal: NodeJS.Signals): Promise<void> {
     const endpoint = this.#pickEndpoint();
     endpoint.side.child.kill(signal);
     await endpoint.side.exited;
-    await this.#wait(0, SHORTEST_PAUSE_MILLISECONDS);
+    await this.#wait(0, MIN_PAUSE_MILLISECONDS);
     this.#options.deployment.restartSide(endpoint);
   }
 
-  async #endEntry(signal: NodeJS.Signals): Promise<void> {
+  async #terminateEntry(signal: NodeJS.Signals): Promise<void> {
     const entry = this.#pick(this.#options.deployment.entries);
     this.unhealthy.add(entry);
     entry.process.child.kill(signal);
@@ -68,22 +68,22 @@
     this.unhealthy.delete(entry);
   }
 
-  async #freezeEntry(): Promise<void> {
+  async #suspendEntry(): Promise<void> {
     const entry = this.#pick(this.#options.deployment.entries);
     this.unhealthy.add(entry);
-    await this.#freeze(entry.process);
+    await this.#suspend(entry.process);
     this.unhealthy.delete(entry);
   }
 
-  async #freeze({ child }: StartedProcess): Promise<void> {
+  async #suspend({ child }: StartedProcess): Promise<void> {
     child.kill("SIGSTOP");
-    await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_FAULT_MILLISECONDS);
+    await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_FAULT_MILLISECONDS);
     child.kill("SIGCONT");
   }
 
-  async #breakLog(faults: Record<string, unknown>): Promise<void> {
+  async #injectLogFault(faults: Record<string, unknown>): Promise<void> {
     await this.#setLog(faults);
-    await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_FAULT_MILLISECONDS);
+    await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_FAULT_MILLISECONDS);
     await this.#setLog({ down: "no", lostAnswers: 0 });
   }
 
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,6 +1,6 @@
 import { seededRandom } from "../../src/core/random/mod.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
-import { askUntil, type Bookings, bookUntil, Tally } from "./callers.ts";
+import { type Bookings, bookUntil, streamUntil, Tally } from "./callers.ts";
 import { FaultInjector } from "./faults.ts";
 
 export interface SoakOptions {
@@ -24,12 +24,12 @@
   readonly crashes: readonly string[];
 }
 
-const ASKING_CALLERS = 8;
+const STREAM_CALLERS = 8;
 const BOOKING_CALLERS = 4;
 /** Time without faults at the end, so that what is open can end. */
-const CALM_SECONDS = 8;
+const FAULT_FREE_SECONDS = 8;
 const KEY_LENGTH = 36;
-const CRASH = /TypeError|ReferenceError|Unhandled|ERR_[A-Z_]+\b/;
+const CRASH_PATTERN = /TypeError|ReferenceError|Unhandled|ERR_[A-Z_]+\b/;
 
 /**
  * Callers against the whole system as processes, while one thing after another
@@ -63,37 +63,37 @@
   const entryUrl = () => {
     const { entries } = deployment;
     const healthy = entries.filter((each) => !injector.unhealthy.has(each));
-    const all = healthy.length > 0 ? healthy : entries;
-    return all[Math.floor(random() * all.length)].url;
+    const candidates = healthy.length > 0 ? healthy : entries;
+    return candidates[Math.floor(random() * candidates.length)].url;
   };
   const end = performance.now() + options.seconds * 1000;
   const caller = { random, entryUrl, tally };
   await Promise.all([
-    injector.runUntil(end - CALM_SECONDS * 1000),
+    injector.runUntil(end - FAULT_FREE_SECONDS * 1000),
     ...Array.from(
-      { length: ASKING_CALLERS },
-      (_, index) => askUntil(end, { ...caller, name: `caller-${index}` }),
+      { length: STREAM_CALLERS },
+      (_, index) => streamUntil(end, { ...caller, name: `caller-${index}` }),
     ),
     ...Array.from(
       { length: BOOKING_CALLERS },
       () => bookUntil(end, { ...caller, bookings }),
     ),
   ]);
-  return await judge(deployment, { tally, bookings });
+  return await evaluate(deployment, { tally, bookings });
 }
 
-async function judge(
+async function evaluate(
   deployment: SmallDeployment,
-  given: { tally: Tally; bookings: Bookings },
+  observed: { tally: Tally; bookings: Bookings },
 ): Promise<SoakResult> {
-  const { tally, bookings } = given;
+  const { tally, bookings } = observed;
   const runs = await runsByKey(deployment);
   const keys = [...bookings.keys()];
   const faults = [...tally.counts].filter(([name]) => name.startsWith("fault"));
   return {
     counts: tally.counts,
     faults: faults.reduce((sum, [, count]) => sum + count, 0),
-    wrong: tally.of("stream wrong"),
+    wrong: tally.count("stream wrong"),
     doubled: keys.filter((key) => (runs.get(key) ?? 0) > 1).length,
     invented: keys.filter((key) => bookings.get(key) && !runs.has(key)).length,
     crashes: crashesOf(deployment),
@@ -122,6 +122,6 @@
   );
   const entries = deployment.entries.map((each) => each.process);
   return [...sides, ...entries].map((each) => each.output())
-    .filter((output) => CRASH.test(output))
+    .filter((output) => CRASH_PATTERN.test(output))
     .map((output) => output.slice(-2_000));
 }
--- a/test/stand_ins/engine_answers.ts
+++ b/test/stand_ins/engine_answers.ts
@@ -56,12 +56,14 @@
   readonly reason: "stop" | "length";
   readonly #seed: number;
 
-  constructor(model: string, text: string, mostTokens: number) {
+  constructor(model: string, text: string, maxTokens: number) {
     this.#seed = hash(`${model}\n${text}`);
-    const wanted = /answer-tokens=(\d+)/.exec(text)?.[1];
-    const natural = wanted === undefined ? 8 + this.#seed % 40 : Number(wanted);
-    this.length = Math.min(natural, mostTokens);
-    this.reason = natural > mostTokens ? "length" : "stop";
+    const requestedLength = /answer-tokens=(\d+)/.exec(text)?.[1];
+    const uncappedLength = requestedLength === undefined
+      ? 8 + this.#seed % 40
+      : Number(requestedLength);
+    this.length = Math.min(uncappedLength, maxTokens);
+    this.reason = uncappedLength > maxTokens ? "length" : "stop";
   }
 
   token(index: number): string {
@@ -74,9 +76,9 @@
 export function expectedAnswer(
   model: string,
   messages: readonly Readonly<Record<string, unknown>>[],
-  mostTokens = 4096,
+  maxTokens = 4096,
 ): ExpectedAnswer {
-  const answer = new Answer(model, promptText(messages), mostTokens);
+  const answer = new Answer(model, promptText(messages), maxTokens);
   const tokens = Array.from(
     { length: answer.length },
     (_, index) => answer.token(index),
--- a/test/stand_ins/engine_batch.ts
+++ b/test/stand_ins/engine_batch.ts
@@ -43,19 +43,19 @@
 
   add(sequence: Sequence): void {
     let index = this.waiting.length;
-    while (index > 0 && comesBefore(sequence, this.waiting[index - 1])) {
+    while (index > 0 && hasPrecedence(sequence, this.waiting[index - 1])) {
       index--;
     }
     this.waiting.splice(index, 0, sequence);
-    this.#fill();
-    this.#start();
+    this.#fillSlots();
+    this.#startTimer();
   }
 
   remove(sequence: Sequence): boolean {
     const index = this.waiting.indexOf(sequence);
     if (index >= 0) this.waiting.splice(index, 1);
     const removed = this.running.delete(sequence) || index >= 0;
-    this.#fill();
+    this.#fillSlots();
     return removed;
   }
 
@@ -66,7 +66,7 @@
     this.running.clear();
   }
 
-  #fill(): void {
+  #fillSlots(): void {
     while (
       this.running.size < this.options.slots && this.waiting.length > 0
     ) {
@@ -74,7 +74,7 @@
     }
   }
 
-  #start(): void {
+  #startTimer(): void {
     if (this.#timer !== undefined) return;
     this.#steppedAt = performance.now();
     const period = Math.max(1, this.options.millisecondsBetweenTokens);
@@ -108,7 +108,7 @@
       }
       if (!sequence.blocked()) this.#emit(sequence);
     }
-    this.#fill();
+    this.#fillSlots();
   }
 
   #emit(sequence: Sequence): void {
@@ -122,7 +122,7 @@
   }
 }
 
-function comesBefore(one: Sequence, other: Sequence): boolean {
+function hasPrecedence(one: Sequence, other: Sequence): boolean {
   return one.priority < other.priority ||
     (one.priority === other.priority && one.arrival < other.arrival);
 }
--- a/test/stand_ins/engine_cache.ts
+++ b/test/stand_ins/engine_cache.ts
@@ -26,25 +26,29 @@
 
 /** Least recently used blocks go first; every third event is lost. */
 export class PrefixCache {
-  readonly #mostBlocks: number;
+  readonly #capacityBlocks: number;
   readonly #blocks = new Set<string>();
   readonly #events: CacheEvent[] = [];
   #sequence = 0;
 
-  constructor(options: { mostTokens: number }) {
-    this.#mostBlocks = Math.max(1, Math.floor(options.mostTokens / 16));
+  constructor(options: { capacityTokens: number }) {
+    this.#capacityBlocks = Math.max(1, Math.floor(options.capacityTokens / 16));
   }
 
   /** Share of the prompt that is there already, 0 to 1; keeps the rest. */
-  use(text: string): number {
+  lookUpAndStore(text: string): number {
     const blocks = prefixBlocks(text);
-    let known = 0;
-    while (known < blocks.length && this.#blocks.has(blocks[known])) known++;
-    this.keep(blocks);
-    return text.length === 0 ? 0 : known * BLOCK_CHARACTERS / text.length;
+    let cachedBlocks = 0;
+    while (
+      cachedBlocks < blocks.length && this.#blocks.has(blocks[cachedBlocks])
+    ) cachedBlocks++;
+    this.store(blocks);
+    return text.length === 0
+      ? 0
+      : cachedBlocks * BLOCK_CHARACTERS / text.length;
   }
 
-  keep(blocks: readonly string[]): void {
+  store(blocks: readonly string[]): void {
     const added = blocks.filter((block) => !this.#blocks.has(block));
     for (const block of blocks) {
       this.#blocks.delete(block);
@@ -52,11 +56,11 @@
     }
     const dropped: string[] = [];
     for (const block of this.#blocks) {
-      if (this.#blocks.size <= this.#mostBlocks) break;
+      if (this.#blocks.size <= this.#capacityBlocks) break;
       this.#blocks.delete(block);
       dropped.push(block);
     }
-    if (added.length + dropped.length > 0) this.#tell(added, dropped);
+    if (added.length + dropped.length > 0) this.#recordEvent(added, dropped);
   }
 
   /** Events older than the lag, without the lost ones. */
@@ -67,7 +71,7 @@
     );
   }
 
-  #tell(added: readonly string[], dropped: readonly string[]): void {
+  #recordEvent(added: readonly string[], dropped: readonly string[]): void {
     const sequence = this.#sequence++;
     if (sequence % 3 === 2) return;
     this.#events.push({ sequence, at: performance.now(), added, dropped });
--- a/test/stand_ins/engine_faults.ts
+++ b/test/stand_ins/engine_faults.ts
@@ -40,28 +40,28 @@
  * Brings a fault about where its time has come; true where it did. Each fault
  * hits one stream.
  */
-export function failStream(
+export function injectStreamFault(
   response: ServerResponse,
-  options: { given: number; faults: ModelEngineFaults },
+  options: { emittedTokens: number; faults: ModelEngineFaults },
 ): boolean {
-  const { given, faults } = options;
-  if (given === faults.closeAfterTokens) {
+  const { emittedTokens, faults } = options;
+  if (emittedTokens === faults.closeAfterTokens) {
     faults.closeAfterTokens = -1;
     response.write('data: {"choices":[{"delta":{"con');
     setTimeout(() => response.destroy(), 5);
     return true;
   }
-  if (given === faults.garbageAfterTokens) {
+  if (emittedTokens === faults.garbageAfterTokens) {
     faults.garbageAfterTokens = -1;
     response.end("data: {]garbage\n\n");
     return true;
   }
-  if (given === faults.shortAfterTokens) {
+  if (emittedTokens === faults.shortAfterTokens) {
     faults.shortAfterTokens = -1;
     response.end();
     return true;
   }
-  if (given === faults.floodAfterTokens) {
+  if (emittedTokens === faults.floodAfterTokens) {
     faults.floodAfterTokens = -1;
     flood(response);
     return true;
@@ -71,11 +71,11 @@
 
 /** Sends one event without an end until the other side has had enough. */
 function flood(response: ServerResponse): void {
-  const piece = "x".repeat(64 * 1024);
+  const chunk = "x".repeat(64 * 1024);
   response.write("data: ");
-  const push = () => {
-    while (!response.destroyed && response.write(piece)) { /* go on */ }
+  const writeUntilBlocked = () => {
+    while (!response.destroyed && response.write(chunk)) { /* go on */ }
   };
-  response.on("drain", push);
-  push();
+  response.on("drain", writeUntilBlocked);
+  writeUntilBlocked();
 }
--- a/test/stand_ins/engine_orders.ts
+++ b/test/stand_ins/engine_orders.ts
@@ -20,7 +20,7 @@
   readonly checksFencing: boolean;
   readonly changeMilliseconds: number;
   onChangeStart(): void;
-  onHalfDone(): void;
+  onHalfway(): void;
 }
 
 /** Target states, changes that take their time, and fencing where it checks. */
@@ -31,29 +31,32 @@
   /** Orders that came while a different one was being carried out. */
   conflicts = 0;
   readonly #options: EngineOrdersOptions;
-  #newest = -1;
-  #wanted: EngineState;
+  #highestFencingToken = -1;
+  #target: EngineState;
   #timers: NodeJS.Timeout[] = [];
 
   constructor(state: EngineState, options: EngineOrdersOptions) {
     this.state = state;
-    this.#wanted = state;
+    this.#target = state;
     this.#options = options;
   }
 
   onRequest(response: ServerResponse, body: Record<string, unknown>): void {
     const target = (body.target ?? {}) as Partial<EngineState>;
     const fencing = Number(body.fencing);
-    const stale = this.#options.checksFencing && fencing < this.#newest;
+    const stale = this.#options.checksFencing &&
+      fencing < this.#highestFencingToken;
     this.received.push({
       at: performance.now(),
       fencing,
       target,
       taken: !stale,
     });
-    if (stale) return sendJson(response, 409, { newest: this.#newest });
-    this.#newest = Math.max(this.#newest, fencing);
-    this.#take({ ...this.#wanted, ...target });
+    if (stale) {
+      return sendJson(response, 409, { newest: this.#highestFencingToken });
+    }
+    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
+    this.#applyTarget({ ...this.#target, ...target });
     sendJson(response, 202, { changing: this.changing });
   }
 
@@ -61,25 +64,25 @@
     for (const timer of this.#timers) clearTimeout(timer);
   }
 
-  #take(wanted: EngineState): void {
-    if (isSame(wanted, this.#wanted)) return;
+  #applyTarget(target: EngineState): void {
+    if (isSameState(target, this.#target)) return;
     if (this.changing) this.conflicts += 1;
     this.stop();
-    this.#wanted = wanted;
+    this.#target = target;
     this.changing = true;
     this.#options.onChangeStart();
-    const whole = this.#options.changeMilliseconds;
+    const duration = this.#options.changeMilliseconds;
     this.#timers = [
-      setTimeout(() => this.#options.onHalfDone(), whole / 2),
+      setTimeout(() => this.#options.onHalfway(), duration / 2),
       setTimeout(() => {
-        this.state = wanted;
+        this.state = target;
         this.changing = false;
-      }, whole),
+      }, duration),
     ];
   }
 }
 
-function isSame(one: EngineState, other: EngineState): boolean {
+function isSameState(one: EngineState, other: EngineState): boolean {
   return one.role === other.role && one.weights === other.weights &&
     one.models.join("\n") === other.models.join("\n");
 }
--- a/test/stand_ins/log_service.ts
+++ b/test/stand_ins/log_service.ts
@@ -26,14 +26,14 @@
   readonly appendsPerSecond?: number;
 }
 
-interface Stored {
+interface StoredRecord {
   readonly value: unknown;
   readonly at: number;
 }
 
 class Stream {
   oldest = 0;
-  readonly records: Stored[] = [];
+  readonly records: StoredRecord[] = [];
 
   get head(): number {
     return this.oldest + this.records.length;
@@ -48,21 +48,21 @@
     lostAnswers: 0,
     headLagMilliseconds: 0,
   };
-  readonly #mostRecords: number;
+  readonly #maxRecords: number;
   readonly #appendsPerSecond: number;
   readonly #streams = new Map<string, Stream>();
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
   readonly #server = new StandInServer((request, response, url) =>
     this.#handle(request, response, url)
   );
-  #allowance: number;
-  #allowanceAt = performance.now();
-  #appends = 0;
+  #rateTokens: number;
+  #refilledAt = performance.now();
+  #appendCount = 0;
 
   constructor(options: LogServiceOptions = {}) {
-    this.#mostRecords = options.mostRecords ?? 100_000;
+    this.#maxRecords = options.mostRecords ?? 100_000;
     this.#appendsPerSecond = options.appendsPerSecond ?? 400;
-    this.#allowance = this.#appendsPerSecond;
+    this.#rateTokens = this.#appendsPerSecond;
   }
 
   listen(port?: number): Promise<number> {
@@ -80,12 +80,12 @@
     const offset = stream.head;
     const at = performance.now();
     for (const value of records) stream.records.push({ value, at });
-    const excess = stream.records.length - this.#mostRecords;
+    const excess = stream.records.length - this.#maxRecords;
     if (excess > 0) {
       stream.records.splice(0, excess);
       stream.oldest += excess;
     }
-    this.#appends += 1;
+    this.#appendCount += 1;
     this.#wake();
     return offset;
   }
@@ -125,7 +125,7 @@
     if (!Array.isArray(records) || records.length === 0) {
       return sendJson(response, 400, {});
     }
-    if (!this.#takeAllowance()) return sendJson(response, 429, {});
+    if (!this.#consumeToken()) return sendJson(response, 429, {});
     const offset = this.append(name, records);
     if (this.faults.lostAnswers > 0) {
       this.faults.lostAnswers -= 1;
@@ -142,12 +142,12 @@
   ): Promise<void> {
     const from = Number(query.get("from") ?? 0);
     const limit = Math.min(Number(query.get("limit") ?? 1000), 10_000);
-    const until = performance.now() + Number(query.get("wait") ?? 0);
+    const deadline = performance.now() + Number(query.get("wait") ?? 0);
     const stream = this.#stream(name);
     while (this.#visibleHead(stream) <= from && this.faults.down === "no") {
-      const left = until - performance.now();
-      if (left <= 0 || response.destroyed) break;
-      await this.#waitForRecord(left);
+      const remaining = deadline - performance.now();
+      if (remaining <= 0 || response.destroyed) break;
+      await this.#waitForRecord(remaining);
     }
     if (this.faults.down !== "no") return void response.destroy();
     const head = this.#visibleHead(stream);
@@ -177,7 +177,7 @@
     }));
     sendJson(response, 200, {
       faults: this.faults,
-      appends: this.#appends,
+      appends: this.#appendCount,
       streams,
     });
   }
@@ -200,36 +200,36 @@
     return stream.oldest + visible;
   }
 
-  #takeAllowance(): boolean {
+  #consumeToken(): boolean {
     const now = performance.now();
-    const refill = (now - this.#allowanceAt) / 1000 * this.#appendsPerSecond;
-    this.#allowance = Math.min(
+    const refill = (now - this.#refilledAt) / 1000 * this.#appendsPerSecond;
+    this.#rateTokens = Math.min(
       this.#appendsPerSecond,
-      this.#allowance + refill,
+      this.#rateTokens + refill,
     );
-    this.#allowanceAt = now;
-    if (this.#allowance < 1) return false;
-    this.#allowance -= 1;
+    this.#refilledAt = now;
+    if (this.#rateTokens < 1) return false;
+    this.#rateTokens -= 1;
     return true;
   }
 
   /** Wakes at the next append; a lagging head is looked at now and then. */
   #waitForRecord(milliseconds: number): Promise<void> {
     const lag = this.faults.headLagMilliseconds;
-    const longest = lag > 0 ? Math.min(milliseconds, 10) : milliseconds;
+    const maxWait = lag > 0 ? Math.min(milliseconds, 10) : milliseconds;
     return new Promise((resolve) => {
       const wake = () => {
         clearTimeout(handle);
-        this.#waiting.delete(wake);
+        this.#waiters.delete(wake);
         resolve();
       };
-      const handle = setTimeout(wake, longest);
-      this.#waiting.add(wake);
+      const handle = setTimeout(wake, maxWait);
+      this.#waiters.add(wake);
     });
   }
 
   #wake(): void {
-    for (const wake of [...this.#waiting]) wake();
+    for (const wake of [...this.#waiters]) wake();
   }
 }
 
--- a/test/stand_ins/model_engine.ts
+++ b/test/stand_ins/model_engine.ts
@@ -10,7 +10,7 @@
 import { prefixBlocks, PrefixCache } from "./engine_cache.ts";
 import {
   chunkOf,
-  failStream,
+  injectStreamFault,
   type ModelEngineFaults,
   NO_ENGINE_FAULTS,
 } from "./engine_faults.ts";
@@ -64,12 +64,12 @@
   readonly #cache: PrefixCache;
   readonly #options: ModelEngineOptions;
   readonly #samples: LoadSample[] = [];
-  readonly #open = new Map<Sequence, ServerResponse>();
+  readonly #openResponses = new Map<Sequence, ServerResponse>();
   readonly #exported = new Map<string, readonly string[]>();
   readonly #server = new StandInServer((request, response, url) =>
     this.#handle(request, response, url)
   );
-  #arrivals = 0;
+  #arrivalCount = 0;
   #sampler: NodeJS.Timeout | undefined;
   /** Called where the engine crashes; a process ends itself here. */
   onCrash: () => void = () => void this.close();
@@ -82,7 +82,7 @@
       millisecondsBetweenTokens: options.millisecondsBetweenTokens ?? 5,
     });
     this.#cache = new PrefixCache({
-      mostTokens: options.keyValueCacheTokens ?? 100_000,
+      capacityTokens: options.keyValueCacheTokens ?? 100_000,
     });
     this.orders = new EngineOrders({
       role: options.role ?? "mixed",
@@ -91,8 +91,8 @@
     }, {
       checksFencing: options.checksFencing ?? false,
       changeMilliseconds: options.roleChangeMilliseconds ?? 500,
-      onChangeStart: () => this.#cutByChange(),
-      onHalfDone: () => {
+      onChangeStart: () => this.#abortForRoleChange(),
+      onHalfway: () => {
         if (this.faults.crashInChange) this.onCrash();
       },
     });
@@ -142,7 +142,7 @@
   }
 
   #generate(response: ServerResponse, body: CompletionRequest): void {
-    const { model = "", messages = [], max_tokens: mostTokens = 4096 } = body;
+    const { model = "", messages = [], max_tokens: maxTokens = 4096 } = body;
     if (this.faults.silent) return;
     if (this.faults.refuseStatus > 0) {
       return sendJson(response, this.faults.refuseStatus, {});
@@ -153,9 +153,9 @@
     }
     const resumed = body.resume_tokens ?? [];
     const text = promptText(messages);
-    const answer = new Answer(model, text, mostTokens);
-    const known = this.#cache.use(text + resumed.join(""));
-    const total = promptTokens(text) + resumed.length;
+    const answer = new Answer(model, text, maxTokens);
+    const cachedShare = this.#cache.lookUpAndStore(text + resumed.join(""));
+    const contextTokens = promptTokens(text) + resumed.length;
     this.counts.generations += 1;
     if (resumed.length > 0) this.counts.resumed += 1;
     response.writeHead(200, {
@@ -163,56 +163,58 @@
       "cache-control": "no-store",
     });
     response.flushHeaders();
-    this.#run(response, {
+    this.#startSequence(response, {
       priority: body.priority ?? 0,
       answer,
-      prefillLeft: total * (1 - known),
+      prefillLeft: contextTokens * (1 - cachedShare),
       next: Math.min(resumed.length, answer.length),
     });
   }
 
-  #run(
+  #startSequence(
     response: ServerResponse,
     parts: Pick<Sequence, "priority" | "answer" | "prefillLeft" | "next">,
   ): void {
-    let given = 0;
+    let emittedTokens = 0;
     const sequence: Sequence = {
       ...parts,
-      arrival: this.#arrivals++,
+      arrival: this.#arrivalCount++,
       blocked: () => response.writableNeedDrain,
       onToken: (text) => {
-        if (failStream(response, { given, faults: this.faults })) {
-          return void this.#drop(sequence);
+        if (
+          injectStreamFault(response, { emittedTokens, faults: this.faults })
+        ) {
+          return void this.#dropSequence(sequence);
         }
-        given += 1;
+        emittedTokens += 1;
         this.counts.tokens += 1;
         response.write(chunkOf(text, null));
       },
       onEnd: (reason) => {
-        this.#open.delete(sequence);
+        this.#openResponses.delete(sequence);
         if (response.destroyed) return;
         this.counts.finished += 1;
         response.end(`${chunkOf("", reason)}data: [DONE]\n\n`);
       },
     };
-    this.#open.set(sequence, response);
+    this.#openResponses.set(sequence, response);
     response.on("close", () => {
       if (this.batch.remove(sequence)) this.counts.cancelled += 1;
-      this.#open.delete(sequence);
+      this.#openResponses.delete(sequence);
     });
     this.batch.add(sequence);
   }
 
-  #drop(sequence: Sequence): void {
+  #dropSequence(sequence: Sequence): void {
     this.batch.remove(sequence);
-    this.#open.delete(sequence);
+    this.#openResponses.delete(sequence);
   }
 
   /** A change of role ends whatever still runs: the side has to drain. */
-  #cutByChange(): void {
-    for (const [sequence, response] of [...this.#open]) {
+  #abortForRoleChange(): void {
+    for (const [sequence, response] of [...this.#openResponses]) {
       this.counts.cutByChange += 1;
-      this.#drop(sequence);
+      this.#dropSequence(sequence);
       response.destroy();
     }
   }
@@ -230,15 +232,17 @@
   #status(): Record<string, unknown> {
     const now = performance.now();
     const lag = this.#options.reportLagMilliseconds ?? 0;
-    const late = lag === 0
+    const delayedSample = lag === 0
       ? undefined
       : this.#samples.findLast((sample) => sample.at <= now - lag);
     return {
       ...this.orders.state,
       changing: this.orders.changing,
-      running: late?.running ?? this.batch.running.size,
-      waiting: late?.waiting ?? this.batch.waiting.length,
-      age_milliseconds: late === undefined ? 0 : now - late.at,
+      running: delayedSample?.running ?? this.batch.running.size,
+      waiting: delayedSample?.waiting ?? this.batch.waiting.length,
+      age_milliseconds: delayedSample === undefined
+        ? 0
+        : now - delayedSample.at,
     };
   }
 
@@ -254,7 +258,7 @@
     response: ServerResponse,
     body: { blocks?: readonly string[] },
   ): void {
-    this.#cache.keep(body.blocks ?? []);
+    this.#cache.store(body.blocks ?? []);
     sendJson(response, 200, {});
   }
 
--- a/test/stand_ins/plain_service.ts
+++ b/test/stand_ins/plain_service.ts
@@ -40,7 +40,7 @@
   readonly #server = new StandInServer((request, response, url) =>
     this.#handle(request, response, url)
   );
-  #count = 0;
+  #runCount = 0;
 
   constructor(options: PlainServiceOptions = {}) {
     this.#prefix = options.prefix ?? "case";
@@ -77,9 +77,9 @@
     const body = await readBody(request);
     const key = String(request.headers["idempotency-key"] ?? "");
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
-    this.#count += 1;
+    this.#runCount += 1;
     const answer = {
-      number: `${this.#prefix}-${this.#count}`,
+      number: `${this.#prefix}-${this.#runCount}`,
       method: request.method,
       path: url.pathname,
       received: body,
--- a/test/stand_ins/stand_in_server.ts
+++ b/test/stand_ins/stand_in_server.ts
@@ -61,7 +61,7 @@
 export async function readBody(request: IncomingMessage): Promise<string> {
   let body = "";
   request.setEncoding("utf8");
-  for await (const piece of request) body += piece;
+  for await (const chunk of request) body += chunk;
   return body;
 }
 
@@ -104,7 +104,7 @@
   if (program === undefined || pathToFileURL(program).href !== moduleUrl) {
     return;
   }
-  const options = readArguments(process.argv.slice(2));
+  const options = parseArguments(process.argv.slice(2));
   const standIn = make(options);
   const port = await standIn.listen(Number(options.port ?? 0));
   console.log(JSON.stringify({ listening: port }));
@@ -114,14 +114,14 @@
   process.on("disconnect", () => process.exit(0));
 }
 
-function readArguments(words: readonly string[]): Record<string, unknown> {
+function parseArguments(args: readonly string[]): Record<string, unknown> {
   const options: Record<string, unknown> = {};
-  for (let index = 0; index + 1 < words.length; index += 2) {
-    const name = words[index].replace(/^--/, "");
+  for (let index = 0; index + 1 < args.length; index += 2) {
+    const name = args[index].replace(/^--/, "");
     try {
-      options[name] = JSON.parse(words[index + 1]);
+      options[name] = JSON.parse(args[index + 1]);
     } catch {
-      options[name] = words[index + 1];
+      options[name] = args[index + 1];
     }
   }
   return options;
--- a/test/stand_ins/vm_list.ts
+++ b/test/stand_ins/vm_list.ts
@@ -33,11 +33,11 @@
       if (typeof change.lagMilliseconds === "number") {
         this.lagMilliseconds = change.lagMilliseconds;
       }
-      return sendJson(response, 200, { vms: this.#visible() });
+      return sendJson(response, 200, { vms: this.#visibleVms() });
     }
     if (this.down) return sendJson(response, 503, {});
     if (url.pathname !== "/vms") return sendJson(response, 404, {});
-    const vms = this.#visible();
+    const vms = this.#visibleVms();
     const entityTag = `"${
       this.#versions.findIndex((each) => each.vms === vms)
     }"`;
@@ -66,9 +66,10 @@
     this.#versions.push({ at: performance.now(), vms });
   }
 
-  #visible(): readonly StandInVm[] {
-    const newest = performance.now() - this.lagMilliseconds;
-    return this.#versions.findLast((version) => version.at <= newest)?.vms ??
+  #visibleVms(): readonly StandInVm[] {
+    const visibleUntil = performance.now() - this.lagMilliseconds;
+    return this.#versions.findLast((version) => version.at <= visibleUntil)
+      ?.vms ??
       [];
   }
 }
--- a/test/stand_ins/weight_store.ts
+++ b/test/stand_ins/weight_store.ts
@@ -13,11 +13,11 @@
   readonly #requestsPerSecond: number;
   readonly #versions: Readonly<Record<string, readonly string[]>>;
   #windowStart = 0;
-  #inWindow = 0;
+  #requestsInWindow = 0;
   readonly #server = new StandInServer((_request, response, url) => {
     const model = /^\/models\/([^/]+)\/versions$/.exec(url.pathname)?.[1];
     const name = model === undefined ? "" : decodeURIComponent(model);
-    if (!this.#takeAllowance()) {
+    if (!this.#isWithinRate()) {
       this.refused += 1;
       response.setHeader("retry-after", "1");
       return sendJson(response, 429, {});
@@ -40,14 +40,14 @@
     return this.#server.close();
   }
 
-  #takeAllowance(): boolean {
+  #isWithinRate(): boolean {
     const now = performance.now();
     if (now - this.#windowStart >= 1000) {
       this.#windowStart = now;
-      this.#inWindow = 0;
+      this.#requestsInWindow = 0;
     }
-    this.#inWindow += 1;
-    return this.#inWindow <= this.#requestsPerSecond;
+    this.#requestsInWindow += 1;
+    return this.#requestsInWindow <= this.#requestsPerSecond;
   }
 }
 
--- a/test/support/built_binary.ts
+++ b/test/support/built_binary.ts
@@ -5,9 +5,11 @@
 
 const BINARY = "dist/filbertshore";
 
-/** Path of the single binary; built anew where a source is newer. */
+/** Returns the path of the single binary; rebuilds it if a source is newer. */
 export function builtBinary(): string {
-  if (existsSync(BINARY) && newest("src") <= statSync(BINARY).mtimeMs) {
+  if (
+    existsSync(BINARY) && latestModification("src") <= statSync(BINARY).mtimeMs
+  ) {
     return BINARY;
   }
   const build = spawnSync(process.execPath, [
@@ -19,11 +21,16 @@
   return BINARY;
 }
 
-/** Time of the last change below a folder, milliseconds. */
-function newest(folder: string): number {
+/**
+ * Latest modification time of any file in a folder, milliseconds since the
+ * epoch.
+ */
+function latestModification(folder: string): number {
   const times = readdirSync(folder, { withFileTypes: true }).map((entry) => {
     const path = join(folder, entry.name);
-    return entry.isDirectory() ? newest(path) : statSync(path).mtimeMs;
+    return entry.isDirectory()
+      ? latestModification(path)
+      : statSync(path).mtimeMs;
   });
   return Math.max(0, ...times);
 }
--- a/test/support/chat_caller.ts
+++ b/test/support/chat_caller.ts
@@ -4,41 +4,41 @@
   expectedAnswer,
 } from "../stand_ins/engine_answers.ts";
 
-/** What a caller of a stream got. */
+/** The streamed response that a caller received. */
 export interface StreamedAnswer {
   readonly status: number;
   readonly tokens: readonly string[];
-  /** True where the stream had its explicit end. */
+  /** Whether the stream had its explicit end marker. */
   readonly ended: boolean;
-  /** Problem in place of the answer or of its end. */
+  /** Problem received in place of the answer or of its end. */
   readonly problem?: { readonly outcome: string; readonly title: string };
 }
 
 const MODEL = "triage-llm";
-const MOST_TOKENS = 4_000;
+const MAX_TOKENS = 4_000;
 
-/** A prompt whose answer has the given number of tokens. */
+/** Builds a prompt whose answer has the given number of tokens. */
 export function promptFor(name: string, tokens: number): string {
   return `${name} answer-tokens=${tokens}`;
 }
 
-/** The whole answer to a prompt. */
-export function wholeAnswer(prompt: string): ExpectedAnswer {
+/** The complete expected answer to a prompt. */
+export function completeAnswer(prompt: string): ExpectedAnswer {
   return expectedAnswer(
     MODEL,
     [{ role: "user", content: prompt }],
-    MOST_TOKENS,
+    MAX_TOKENS,
   );
 }
 
 export interface StreamOptions {
   readonly prompt: string;
-  /** Called with the number of tokens so far. */
+  /** Called after each token with the number of tokens so far. */
   readonly onToken?: (count: number) => void;
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** Asks an entry for a stream and reads it to its end. */
+/** Requests a stream from an entry and reads it to its end. */
 export async function streamChat(
   entryUrl: string,
   options: StreamOptions,
@@ -60,7 +60,7 @@
   return JSON.stringify({
     model: MODEL,
     messages: [{ role: "user", content: prompt }],
-    max_tokens: MOST_TOKENS,
+    max_tokens: MAX_TOKENS,
     stream: true,
   });
 }
@@ -85,8 +85,8 @@
     },
   });
   const decoder = new TextDecoder();
-  for await (const piece of response.body as AsyncIterable<Uint8Array>) {
-    parser.feed(decoder.decode(piece, { stream: true }));
+  for await (const chunk of response.body as AsyncIterable<Uint8Array>) {
+    parser.feed(decoder.decode(chunk, { stream: true }));
   }
   return { status: response.status, tokens, ended, problem };
 }
--- a/test/support/coordination.ts
+++ b/test/support/coordination.ts
@@ -1,4 +1,4 @@
-/** One entry's coordination parts over a log in memory, as tests need them. */
+/** Coordination components of an entry over an in-memory log, for tests. */
 import {
   type Claim,
   ClaimKeeper,
@@ -34,11 +34,11 @@
   readonly name: string;
   readonly run?: number;
   readonly journal?: Partial<JournalOptions>;
-  /** Makes the connection; the log's own where it is left out. */
+  /** Opens the log connection; `log.connect` by default. */
   readonly connect?: (faults: LogFaults) => LogService;
 }
 
-/** A journal with its own connection, whose faults a test can set. */
+/** A journal with its own log connection, whose faults a test can set. */
 export interface TestJournal<Fold extends StreamFold> {
   readonly journal: Journal;
   readonly fold: Fold;
@@ -56,7 +56,8 @@
   const run = options.run ?? 1;
   const incarnation = identifier<Incarnation>(`${options.name}-run-${run}`);
   const journal = new Journal({
-    log: (options.connect ?? ((own) => options.log.connect(own)))(faults),
+    log: (options.connect ?? ((connectionFaults) =>
+      options.log.connect(connectionFaults)))(faults),
     stream: options.stream,
     fold,
     timer: options.timer,
@@ -74,7 +75,10 @@
   readonly keeper: ClaimKeeper;
 };
 
-/** An entry that follows the configuration and judges while it may. */
+/**
+ * An entry that follows the configuration stream and judges publications while
+ * it holds the claim.
+ */
 export function makeJudge(options: TestProcessOptions): TestJudge {
   const fold = new ConfigurationFold();
   const parts = makeJournal(fold, {
@@ -106,7 +110,7 @@
   readonly keeper: ClaimKeeper;
 };
 
-/** An entry that follows the orders and holds the claim while it may. */
+/** An entry that follows the orders stream and competes for its claim. */
 export function makePlanner(
   options: TestProcessOptions & { fold?: OrdersFoldOptions },
 ): TestPlanner {
@@ -137,7 +141,7 @@
   });
 }
 
-/** A small configuration that passes every check. */
+/** A small valid configuration. */
 export function sampleContent(weights = "v1"): ConfigurationContent {
   return {
     inventory: {
@@ -169,7 +173,7 @@
   };
 }
 
-/** Names that differ little must not draw the same numbers. */
+/** Hashes the name, so that similar names yield unrelated random sequences. */
 function seedOf(name: string): number {
   return hashToUnit(name) * 2 ** 32 | 0;
 }
--- a/test/support/entry_fleet.ts
+++ b/test/support/entry_fleet.ts
@@ -17,9 +17,9 @@
 } from "../../src/entry/forwarding/mod.ts";
 import { RecordingSink, SentAttempt } from "./forwarding_bench.ts";
 
-/** One way between two entries, milliseconds. */
-const LEAST_WAY_MILLISECONDS = 0.5;
-const WAY_SPREAD_MILLISECONDS = 1;
+/** Latency of a datagram between two entries, one way. */
+const MIN_LATENCY_MILLISECONDS = 0.5;
+const LATENCY_SPREAD_MILLISECONDS = 1;
 const LINK_LOST = { name: "link_lost", title: "", message: "", hint: "" };
 
 export interface EntryFleetOptions {
@@ -27,34 +27,33 @@
   readonly zones: number;
   readonly configuration: ForwardingConfiguration;
   readonly endpoints: readonly RegisteredEndpoint[];
-  /** Share of datagrams that are lost. */
+  /** Share of datagrams that are lost, 0 to 1. */
   readonly lostShare?: number;
 }
 
 /**
- * Whole entries on virtual time that hear each other by datagrams, which take
- * their time, overtake each other and get lost.
+ * Complete entries on virtual time that exchange datagrams, which are delayed,
+ * reordered and lost.
  */
 export class EntryFleet {
   readonly timer = new ManualTimerService();
   readonly entries: ForwardingEntry[];
-  /** Entries whose datagrams go nowhere and come from nowhere. */
+  /** Indexes of entries that are partitioned from all others. */
   readonly cutOff = new Set<number>();
   onSend: ((attempt: SentAttempt) => void) | undefined;
-  /** Datagrams that were sent. */
+  /** Number of datagrams sent. */
   datagrams = 0;
   readonly #options: EntryFleetOptions;
   readonly #random: Random = seededRandom(3);
-  readonly #lostShare: number;
-  /** How often entries have been started again. */
+  readonly #lossRate: number;
   #restarts = 0;
 
   constructor(options: EntryFleetOptions) {
     this.#options = options;
-    this.#lostShare = options.lostShare ?? 0;
+    this.#lossRate = options.lostShare ?? 0;
     const indexes = Array.from({ length: options.entries }, (_, each) => each);
     this.entries = indexes.map((index) => this.#makeEntry(index, options));
-    for (const index of indexes) this.#introduce(index);
+    for (const index of indexes) this.#setPeers(index);
     for (const entry of this.entries) {
       entry.takeConfiguration(options.configuration);
       for (const endpoint of options.endpoints) entry.registry.put(endpoint);
@@ -62,20 +61,23 @@
     }
   }
 
-  /** A new process takes the entry's place and knows what the store tells. */
+  /**
+   * Replaces an entry by a new process that knows only the registered
+   * endpoints.
+   */
   restart(index: number): void {
     const endpoints = [...this.entries[index].registry.all];
     this.entries[index].close();
     this.#restarts += 1;
     const entry = this.#makeEntry(index, this.#options);
     this.entries[index] = entry;
-    this.#introduce(index);
+    this.#setPeers(index);
     entry.takeConfiguration(this.#options.configuration);
     for (const endpoint of endpoints) entry.registry.put(endpoint);
     entry.start();
   }
 
-  #introduce(index: number): void {
+  #setPeers(index: number): void {
     const others = this.entries.flatMap((_, other) =>
       other === index ? [] : [[`entry-${other}`, `${other}`] as const]
     );
@@ -105,7 +107,7 @@
       digestOf,
       sendToPeers: (addresses, { method, params }) => {
         for (const address of addresses) {
-          this.#carry(index, Number(address), method, params);
+          this.#deliver(index, Number(address), method, params);
         }
       },
       observe() {},
@@ -125,15 +127,15 @@
     });
   }
 
-  #carry(from: number, to: number, method: string, params: unknown): void {
+  #deliver(from: number, to: number, method: string, params: unknown): void {
     this.datagrams += 1;
     const isLost = this.cutOff.has(from) || this.cutOff.has(to) ||
-      this.#random() < this.#lostShare;
+      this.#random() < this.#lossRate;
     if (isLost) return;
     const text = JSON.stringify(params);
-    const way = LEAST_WAY_MILLISECONDS +
-      WAY_SPREAD_MILLISECONDS * this.#random();
-    this.timer.after(way, () => {
+    const latency = MIN_LATENCY_MILLISECONDS +
+      LATENCY_SPREAD_MILLISECONDS * this.#random();
+    this.timer.after(latency, () => {
       this.entries[to].takeNotification(method, JSON.parse(text));
     });
   }
@@ -146,12 +148,12 @@
     const answer = new Promise<Awaited<Exchange["answer"]>>((resolve) => {
       attempt = new SentAttempt(request, options, resolve);
     });
-    const made = attempt as unknown as SentAttempt;
-    this.onSend?.(made);
-    return { answer, abort: () => made.aborted = true };
+    const sentAttempt = attempt as unknown as SentAttempt;
+    this.onSend?.(sentAttempt);
+    return { answer, abort: () => sentAttempt.aborted = true };
   }
 
-  /** Hands a request to an entry; gives what its caller gets. */
+  /** Submits a request to an entry and returns the sink of its caller. */
   ask(entry: number, request: SentAttempt["request"]): RecordingSink {
     const sink = new RecordingSink();
     this.entries[entry].handle(request, sink);
--- a/test/support/fake_engine.ts
+++ b/test/support/fake_engine.ts
@@ -31,27 +31,28 @@
   hint: "Look at the engine.",
 });
 
-/** What goes wrong at the engine or on the way to it. */
+/** Faults of the engine and of the connection to it. */
 export interface EngineFaults {
-  /** Orders to come that are carried out although their answer is lost. */
+  /** Number of next orders that take effect but whose response is lost. */
   lostAnswers: number;
-  /** Orders to come that get lost on the way. */
+  /** Number of next orders that are lost on the way to the engine. */
   lostOrders: number;
-  /** Orders to come that arrive later, while the sender hears nothing. */
+  /** Number of next orders that arrive late and get no response. */
   lateOrders: number;
+  /** Delay of late orders, milliseconds. */
   lateMilliseconds: number;
-  /** Orders to come that the engine refuses to start. */
+  /** Number of next orders that the engine refuses to start. */
   refusals: number;
-  /** How old the engine's figures are, milliseconds. */
+  /** Age of the state that the engine reports, milliseconds. */
   ageMilliseconds: number;
-  /** The engine does not answer. */
+  /** Whether the engine is unreachable. */
   down: boolean;
 }
 
 export interface FakeEngineOptions {
   readonly timer: TimerService;
   readonly checksFencing: boolean;
-  /** How long a change takes, milliseconds. */
+  /** Duration of a state change, milliseconds. */
   readonly changeMilliseconds: number;
 }
 
@@ -64,7 +65,9 @@
 
 const LATENCY_MILLISECONDS = 2;
 
-/** An engine that takes orders, with faults, on the timer that it is given. */
+/**
+ * An engine that accepts orders, with injectable faults, on the given timer.
+ */
 export class FakeEngine {
   readonly #options: FakeEngineOptions;
   readonly faults: EngineFaults = {
@@ -76,43 +79,53 @@
     ageMilliseconds: 0,
     down: false,
   };
-  /** Fencing numbers of the orders that reached the engine, in order. */
+  /**
+   * Fencing tokens of the orders that reached the engine, in order of arrival.
+   */
   readonly received: number[] = [];
-  /** What went against the rule that orders never conflict. */
+  /** Violations of the rule that orders never conflict. */
   readonly conflicts: string[] = [];
-  readonly #past: { at: number; state: EngineState }[] = [];
+  readonly #history: { at: number; state: EngineState }[] = [];
   #state: EngineState = {
     role: "mixed",
     models: [],
     weights: "",
     changing: false,
   };
-  #fence = -1;
-  #change = 0;
+  #highestFencingToken = -1;
+  #changeCount = 0;
 
   constructor(options: FakeEngineOptions) {
     this.#options = options;
-    this.#remember();
+    this.#recordState();
   }
 
   get state(): Readonly<EngineState> {
     return this.#state;
   }
 
-  /** Ends what is under way; the engine is back later with nothing loaded. */
+  /**
+   * Aborts any change; the engine returns after the given time with nothing
+   * loaded.
+   */
   crash(downMilliseconds: number): void {
-    this.#change += 1;
+    this.#changeCount += 1;
     this.faults.down = true;
     this.#options.timer.after(downMilliseconds, () => {
       this.faults.down = false;
-      this.#set({ role: "mixed", models: [], weights: "", changing: false });
+      this.#setState({
+        role: "mixed",
+        models: [],
+        weights: "",
+        changing: false,
+      });
     });
   }
 
-  /** The part of a link that orders and observations go over. */
+  /** A link that supports only orders and observations. */
   link(): EndpointLink {
     const unused = () => {
-      throw new Error("This engine takes orders only");
+      throw new Error("FakeEngine supports only observe and order");
     };
     return {
       generate: unused,
@@ -127,8 +140,9 @@
     if (this.faults.down) return err(failure(UNREACHABLE, {}));
     const { ageMilliseconds } = this.faults;
     const at = this.#options.timer.now() - ageMilliseconds;
-    const seen = this.#past.findLast((past) => past.at <= at) ?? this.#past[0];
-    return ok({ ...seen.state, running: 0, waiting: 0, ageMilliseconds });
+    const reported = this.#history.findLast((past) => past.at <= at) ??
+      this.#history[0];
+    return ok({ ...reported.state, running: 0, waiting: 0, ageMilliseconds });
   }
 
   async #order(
@@ -138,37 +152,43 @@
     const { timer } = this.#options;
     await pause(timer, LATENCY_MILLISECONDS);
     if (this.faults.down) return err(failure(UNREACHABLE, {}));
-    if (take(this.faults, "lostOrders")) return await new Promise(() => {});
-    if (take(this.faults, "lateOrders")) {
+    if (consumeFault(this.faults, "lostOrders")) {
+      return await new Promise(() => {});
+    }
+    if (consumeFault(this.faults, "lateOrders")) {
       const { lateMilliseconds } = this.faults;
       timer.after(lateMilliseconds, () => this.#receive(target, fencing));
       return await new Promise(() => {});
     }
-    if (take(this.faults, "refusals")) return err(failure(REFUSED, {}));
+    if (consumeFault(this.faults, "refusals")) return err(failure(REFUSED, {}));
     if (!this.#receive(target, fencing)) return err(failure(FENCED, {}));
-    if (take(this.faults, "lostAnswers")) return await new Promise(() => {});
+    if (consumeFault(this.faults, "lostAnswers")) {
+      return await new Promise(() => {});
+    }
     return ok(undefined);
   }
 
   #receive(target: EngineTarget, fencing: number): boolean {
     const newest = Math.max(-1, ...this.received);
-    if (this.#options.checksFencing && fencing < this.#fence) return false;
-    this.#fence = Math.max(this.#fence, fencing);
+    if (this.#options.checksFencing && fencing < this.#highestFencingToken) {
+      return false;
+    }
+    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
     if (fencing < newest) this.conflicts.push(`${fencing} after ${newest}`);
     if (this.#state.changing && fencing !== newest) {
-      this.conflicts.push(`${fencing} while ${newest} is under way`);
+      this.conflicts.push(`${fencing} while ${newest} is in progress`);
     }
     this.received.push(fencing);
-    this.#begin(target);
+    this.#startChange(target);
     return true;
   }
 
-  #begin(target: EngineTarget): void {
-    const change = ++this.#change;
-    this.#set({ ...this.#state, changing: true });
+  #startChange(target: EngineTarget): void {
+    const change = ++this.#changeCount;
+    this.#setState({ ...this.#state, changing: true });
     this.#options.timer.after(this.#options.changeMilliseconds, () => {
-      if (change !== this.#change) return;
-      this.#set({
+      if (change !== this.#changeCount) return;
+      this.#setState({
         role: target.role,
         models: target.models ?? [],
         weights: target.weights ?? "",
@@ -177,17 +197,17 @@
     });
   }
 
-  #set(state: EngineState): void {
+  #setState(state: EngineState): void {
     this.#state = state;
-    this.#remember();
+    this.#recordState();
   }
 
-  #remember(): void {
-    this.#past.push({ at: this.#options.timer.now(), state: this.#state });
+  #recordState(): void {
+    this.#history.push({ at: this.#options.timer.now(), state: this.#state });
   }
 }
 
-function take(
+function consumeFault(
   faults: EngineFaults,
   name: "lostAnswers" | "lostOrders" | "lateOrders" | "refusals",
 ): boolean {
--- a/test/support/fake_log.ts
+++ b/test/support/fake_log.ts
@@ -27,33 +27,33 @@
   hint: "Read forward to see whether the append took effect.",
 });
 
-/** What goes wrong on one connection; a test changes it while it runs. */
+/** Faults of one connection; a test may change them while it runs. */
 export interface LogFaults {
-  /** Calls fail at once without effect. */
+  /** Calls fail immediately and have no effect. */
   down: boolean;
-  /** Calls never come back; appends have no effect. */
+  /** Calls never settle; appends have no effect. */
   silent: boolean;
-  /** Added to every call's way there, milliseconds. */
+  /** Added to the request latency of every call, milliseconds. */
   slowMilliseconds: number;
-  /** Appends to come that take effect although their answer is lost. */
+  /** Number of next appends that take effect but whose response is lost. */
   lostAnswers: number;
-  /** Appends to come that have no effect and no answer. */
+  /** Number of next appends that are lost on the way to the service. */
   lostRequests: number;
-  /** Appends to come whose answer is lost and that land later. */
+  /** Number of next appends whose response is lost and which apply later. */
   lateAppends: number;
-  /** How much later such appends land, milliseconds. */
+  /** Delay after which a late append applies, milliseconds. */
   lateMilliseconds: number;
-  /** Records by which the answering replica is behind. */
+  /** Number of records by which the replica that serves reads lags. */
   lagRecords: number;
 }
 
 export interface FakeLogOptions {
   readonly timer: TimerService;
-  /** Time that an append or read takes, milliseconds. */
+  /** Round-trip time of an append or read, milliseconds. */
   readonly latencyMilliseconds?: number;
-  /** Appends that the service takes in a second; further ones queue. */
+  /** Append throughput per second; further appends queue. */
   readonly appendsPerSecond?: number;
-  /** Records that each stream keeps; older ones expire. */
+  /** Number of records retained in each stream; older ones expire. */
   readonly keepRecords?: number;
 }
 
@@ -66,27 +66,32 @@
 const DEFAULT_LATENCY_MILLISECONDS = 5;
 
 /**
- * The platform's log in memory, on the timer that it is given. Each process
- * of a test takes its own connection, whose faults are set on their own.
+ * In-memory log service on the given timer. Each process of a test opens its
+ * own connection, whose faults are set independently.
  */
 export class FakeLog implements LogService {
   readonly #options: FakeLogOptions;
   readonly #streams = new Map<string, StreamState>();
-  readonly #shared: LogService;
-  /** Faults of the connection that `append` and `read` of this object use. */
+  readonly #defaultConnection: LogService;
+  /**
+   * Faults of the default connection, used by `append` and `read` of this
+   * object.
+   */
   readonly faults: LogFaults = noFaults();
-  /** Appends that took effect, by stream. */
+  /** Number of appends that took effect, by stream. */
   readonly appendCalls = new Map<string, number>();
-  /** Calls that reached the service. */
+  /** Number of reads that reached the service. */
   readCalls = 0;
-  #appendsDoneAt = 0;
+  #appendsBusyUntil = 0;
 
   constructor(options: FakeLogOptions) {
     this.#options = options;
-    this.#shared = this.connect(this.faults);
+    this.#defaultConnection = this.connect(this.faults);
   }
 
-  /** A connection of one process; change `faults` while the test runs. */
+  /**
+   * Opens a connection for one process; `faults` may change during the test.
+   */
   connect(faults: LogFaults = noFaults()): LogService {
     return {
       append: (stream, records) => this.#append(faults, { stream, records }),
@@ -98,28 +103,28 @@
     stream: StreamName,
     records: readonly unknown[],
   ): Promise<Result<LogOffset, LogFailure>> {
-    return this.#shared.append(stream, records);
+    return this.#defaultConnection.append(stream, records);
   }
 
   read(
     stream: StreamName,
     options: LogReadOptions,
   ): Promise<Result<LogPage, LogFailure>> {
-    return this.#shared.read(stream, options);
+    return this.#defaultConnection.read(stream, options);
   }
 
-  /** Everything that the stream keeps, as a test looks at it. */
+  /** All records retained in the stream. */
   records(stream: StreamName): readonly LogItem[] {
     return this.#stream(stream).items;
   }
 
-  /** Offset behind the newest record. */
+  /** Offset after the newest record. */
   head(stream: StreamName): number {
     const state = this.#stream(stream);
     return state.oldest + state.items.length;
   }
 
-  /** Lets every record below `oldest` expire. */
+  /** Expires every record below the offset `oldest`. */
   expire(stream: StreamName, oldest: number): void {
     const state = this.#stream(stream);
     const count = Math.min(oldest - state.oldest, state.items.length);
@@ -128,16 +133,19 @@
     state.oldest += count;
   }
 
-  /** Puts records on the stream at once, as another tool might. */
+  /** Appends records immediately and without faults, as another tool might. */
   put(stream: StreamName, records: readonly unknown[]): LogOffset {
     const state = this.#stream(stream);
     const first = state.oldest + state.items.length;
     records.forEach((value, index) => {
-      state.items.push({ offset: numbered(first + index), value: copy(value) });
+      state.items.push({
+        offset: numbered(first + index),
+        value: jsonCopy(value),
+      });
     });
-    const keep = this.#options.keepRecords ?? Infinity;
-    if (state.items.length > keep) {
-      this.expire(stream, state.oldest + state.items.length - keep);
+    const retained = this.#options.keepRecords ?? Infinity;
+    if (state.items.length > retained) {
+      this.expire(stream, state.oldest + state.items.length - retained);
     }
     this.appendCalls.set(stream, (this.appendCalls.get(stream) ?? 0) + 1);
     for (const wake of [...state.waiters]) wake();
@@ -150,19 +158,19 @@
   ): Promise<Result<LogOffset, LogFailure>> {
     if (faults.down) return err(failure(UNAVAILABLE, {}));
     if (faults.silent) return await never();
-    const records = call.records.map(copy);
-    await this.#pass(this.#latency / 2 + faults.slowMilliseconds);
-    if (take(faults, "lostRequests")) return err(failure(UNKNOWN, {}));
-    if (take(faults, "lateAppends")) {
+    const records = call.records.map(jsonCopy);
+    await this.#sleep(this.#latency / 2 + faults.slowMilliseconds);
+    if (consumeFault(faults, "lostRequests")) return err(failure(UNKNOWN, {}));
+    if (consumeFault(faults, "lateAppends")) {
       this.#options.timer.after(faults.lateMilliseconds, () => {
         this.put(call.stream, records);
       });
       return err(failure(UNKNOWN, {}));
     }
-    await this.#takeTurn();
+    await this.#waitForThroughput();
     const first = this.put(call.stream, records);
-    await this.#pass(this.#latency / 2);
-    if (take(faults, "lostAnswers")) return err(failure(UNKNOWN, {}));
+    await this.#sleep(this.#latency / 2);
+    if (consumeFault(faults, "lostAnswers")) return err(failure(UNKNOWN, {}));
     return ok(first);
   }
 
@@ -173,20 +181,21 @@
     if (faults.down) return err(failure(UNAVAILABLE, {}));
     if (faults.silent) return await never();
     this.readCalls += 1;
-    await this.#pass(this.#latency / 2 + faults.slowMilliseconds);
+    await this.#sleep(this.#latency / 2 + faults.slowMilliseconds);
     const state = this.#stream(call.stream);
     const deadline = this.#options.timer.now() + call.options.waitMilliseconds;
     for (;;) {
       if (faults.down) return err(failure(UNAVAILABLE, {}));
       const page = this.#page(state, { ...call.options, faults });
-      const left = deadline - this.#options.timer.now();
+      const remainingMilliseconds = deadline - this.#options.timer.now();
       if (
-        page.records.length > 0 || left <= 0 || page.oldest > call.options.from
+        page.records.length > 0 || remainingMilliseconds <= 0 ||
+        page.oldest > call.options.from
       ) {
-        await this.#pass(this.#latency / 2);
+        await this.#sleep(this.#latency / 2);
         return ok(page);
       }
-      await this.#woken(state, left);
+      await this.#waitForAppend(state, remainingMilliseconds);
     }
   }
 
@@ -210,32 +219,32 @@
     };
   }
 
-  #woken(state: StreamState, mostMilliseconds: number): Promise<void> {
+  #waitForAppend(state: StreamState, maxMilliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = () => {
         state.waiters.delete(wake);
-        alarm.cancel();
+        timeout.cancel();
         resolve();
       };
-      const alarm = this.#options.timer.after(mostMilliseconds, wake);
+      const timeout = this.#options.timer.after(maxMilliseconds, wake);
       state.waiters.add(wake);
     });
   }
 
-  /** Waits until the service has taken the appends before this one. */
-  #takeTurn(): Promise<void> {
+  /** Waits until the service has processed the appends before this one. */
+  #waitForThroughput(): Promise<void> {
     const { appendsPerSecond, timer } = this.#options;
     if (appendsPerSecond === undefined) return Promise.resolve();
-    const start = Math.max(timer.now(), this.#appendsDoneAt);
-    this.#appendsDoneAt = start + 1_000 / appendsPerSecond;
-    return this.#pass(this.#appendsDoneAt - timer.now());
+    const start = Math.max(timer.now(), this.#appendsBusyUntil);
+    this.#appendsBusyUntil = start + 1_000 / appendsPerSecond;
+    return this.#sleep(this.#appendsBusyUntil - timer.now());
   }
 
   get #latency(): number {
     return this.#options.latencyMilliseconds ?? DEFAULT_LATENCY_MILLISECONDS;
   }
 
-  #pass(milliseconds: number): Promise<void> {
+  #sleep(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       this.#options.timer.after(milliseconds, resolve);
     });
@@ -250,7 +259,7 @@
   }
 }
 
-/** A connection on which nothing goes wrong. */
+/** Settings of a connection without faults. */
 export function noFaults(): LogFaults {
   return {
     down: false,
@@ -264,7 +273,7 @@
   };
 }
 
-function take(
+function consumeFault(
   faults: LogFaults,
   name: "lostAnswers" | "lostRequests" | "lateAppends",
 ): boolean {
@@ -273,8 +282,8 @@
   return true;
 }
 
-/** Records travel as JSON, so that no two processes share an object. */
-function copy(value: unknown): unknown {
+/** Copies a record through JSON, so that no two processes share an object. */
+function jsonCopy(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value));
 }
 
--- a/test/support/forwarding_bench.ts
+++ b/test/support/forwarding_bench.ts
@@ -47,12 +47,12 @@
   hint: "",
 });
 
-/** One send as the fake door saw it; the test answers it. */
+/** One attempt that was sent to an endpoint; the test supplies the response. */
 export class SentAttempt {
   readonly request: ForwardedRequest;
   readonly options: AttemptOptions & { readonly address: string };
   aborted = false;
-  #onPiece: (piece: Buffer) => void = () => {};
+  #onChunk: (piece: Buffer) => void = () => {};
   #onEnd: (end: BodyEnd) => void = () => {};
   #settle: (answer: Result<EndpointAnswer, ExchangeFailure>) => void;
   paused = false;
@@ -67,7 +67,7 @@
     this.#settle = settle;
   }
 
-  /** Gives the answer's head. */
+  /** Delivers the response head. */
   async head(values: Partial<AnswerHead> = {}): Promise<void> {
     const head: AnswerHead = {
       status: 200,
@@ -79,7 +79,7 @@
     this.#settle(ok({
       head,
       read: (onPiece, onEnd) => {
-        this.#onPiece = onPiece;
+        this.#onChunk = onPiece;
         this.#onEnd = onEnd;
       },
       pause: () => this.paused = true,
@@ -89,16 +89,16 @@
   }
 
   async piece(text: string): Promise<void> {
-    this.#onPiece(Buffer.from(text));
+    this.#onChunk(Buffer.from(text));
     await settled();
   }
 
-  async end(how: BodyEnd = "whole"): Promise<void> {
-    this.#onEnd(how);
+  async end(ending: BodyEnd = "whole"): Promise<void> {
+    this.#onEnd(ending);
     await settled();
   }
 
-  /** Head, body and end in one. */
+  /** Delivers a complete response: head, body and end. */
   async answer(body: string, values: Partial<AnswerHead> = {}): Promise<void> {
     await this.head(values);
     await this.piece(body);
@@ -115,7 +115,7 @@
   }
 }
 
-/** What a caller got. */
+/** Records the response that a caller receives. */
 export class RecordingSink implements CallerSink {
   gone = false;
   status: number | undefined;
@@ -123,7 +123,7 @@
   body = "";
   ended: "whole" | "cut" | undefined;
   refusal: Refusal | undefined;
-  /** False: the caller reads slowly. */
+  /** Result of `write`; false simulates a caller that reads slowly. */
   readsFast = true;
   #onGone: (() => void)[] = [];
   #onDrain: (() => void)[] = [];
@@ -161,18 +161,20 @@
   }
 }
 
-/** The forwarding path on virtual time, before a door that the test plays. */
+/** The forwarding path on virtual time; the test plays the endpoints. */
 export class ForwardingBench {
   readonly timer = new ManualTimerService();
   readonly sent: SentAttempt[] = [];
   readonly released: string[] = [];
-  /** Workspaces of requests that began to run, and when. */
+  /** Workspace and start time of each request that began to run. */
   readonly began: (readonly [workspace: string, at: number])[] = [];
   readonly decisions: Record<string, unknown>[] = [];
   readonly parts: ForwardingParts;
-  /** How late the entry's loop is, milliseconds. */
+  /** Event loop delay of the entry, milliseconds. */
   loopDelay = 0;
-  /** Called for each send; without it the test answers by itself. */
+  /**
+   * Called for each attempt; if undefined, the test responds through `sent`.
+   */
   onSend: ((attempt: SentAttempt) => void) | undefined;
   #routes: RouteTable;
 
@@ -192,7 +194,7 @@
     const { estimates = knownEstimates() } = options;
     const slowness = new EngineSlowness(timer);
     this.#routes = new RouteTable(configuration);
-    const door: EndpointDoor = {
+    const endpointClient: EndpointDoor = {
       send: (request, attempt) => this.#send(request, attempt),
       keptHandle: (body) => body.length > 0 ? body.toString() : undefined,
       listKept: () => Promise.resolve(undefined),
@@ -235,7 +237,7 @@
       loopDelay: () => this.loopDelay,
       isLoadStale: () => false,
       refreshLoad: () => Promise.resolve(),
-      door,
+      door: endpointClient,
       digestOf,
       observe: (decision, facts) => {
         this.decisions.push({ decision, ...facts });
@@ -247,12 +249,12 @@
     };
   }
 
-  /** Puts another configuration in force. */
+  /** Replaces the configuration that is in force. */
   takeConfiguration(configuration: ForwardingConfiguration): void {
     this.#routes = new RouteTable(configuration);
   }
 
-  /** Takes a request; gives what its caller gets. */
+  /** Forwards a request and returns the sink of its caller. */
   async take(request: ForwardedRequest): Promise<RecordingSink> {
     const sink = new RecordingSink();
     void forward(this.parts, { request, sink });
@@ -270,14 +272,14 @@
         attempt = new SentAttempt(request, options, resolve);
       },
     );
-    const made = attempt as unknown as SentAttempt;
-    this.sent.push(made);
-    this.onSend?.(made);
-    return { answer, abort: () => made.aborted = true };
+    const sentAttempt = attempt as unknown as SentAttempt;
+    this.sent.push(sentAttempt);
+    this.onSend?.(sentAttempt);
+    return { answer, abort: () => sentAttempt.aborted = true };
   }
 }
 
-/** Lets every promise callback that is ready run. */
+/** Resolves after all pending promise callbacks have run. */
 export function settled(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/forwarding_engines.ts
+++ b/test/support/forwarding_engines.ts
@@ -1,13 +1,12 @@
 import type { ManualTimerService } from "../../src/core/time/mod.ts";
 import type { SentAttempt } from "./forwarding_bench.ts";
 
-/** Figures of the engines that the tests play. */
 const DEFAULT_TOKENS_PER_MILLISECOND = 310;
 const DECODE_MILLISECONDS = 50;
 const URGENT_DECODE_MILLISECONDS = 2_000;
 const DEFAULT_SLOTS = 32;
 
-/** What attempts are sent to. */
+/** Source of the attempts that the engines serve. */
 export interface EnginesHost {
   readonly timer: ManualTimerService;
   onSend: ((attempt: SentAttempt) => void) | undefined;
@@ -15,35 +14,36 @@
 
 export interface PlayedEnginesOptions {
   readonly tokensPerMillisecond?: number;
-  /** Answers that an engine makes at once. */
+  /** Number of answers that an engine decodes concurrently. */
   readonly slots?: number;
 }
 
-interface Reading {
+interface QueuedPrefill {
   readonly attempt: SentAttempt;
   readonly priority: number;
 }
 
 /**
- * Engines as small as the decisions need them: one that reads takes prompts
- * one after another, the most urgent first, and reads kept parts for free; one
- * that decodes has slots and rejects what finds none.
+ * Minimal simulated engines. A prefill engine processes one prompt at a time in
+ * order of priority, and prompt parts in its cache cost no time. A decode engine
+ * has a fixed number of slots and rejects attempts when all are in use.
  */
 export class PlayedEngines {
   readonly #timer: ManualTimerService;
   readonly #tokensPerMillisecond: number;
   readonly #slots: number;
-  readonly #queues = new Map<string, Reading[]>();
-  readonly #busy = new Set<string>();
-  readonly #kept = new Map<string, Set<string>>();
-  readonly #running = new Map<string, number>();
-  /** Attempts that an engine has taken and not ended. */
-  readonly #open = new Map<string, Set<SentAttempt>>();
+  readonly #queues = new Map<string, QueuedPrefill[]>();
+  readonly #prefilling = new Set<string>();
+  readonly #cachedParts = new Map<string, Set<string>>();
+  readonly #decoding = new Map<string, number>();
+  /** Attempts accepted and not yet ended, by engine. */
+  readonly #openAttempts = new Map<string, Set<SentAttempt>>();
   readonly #down = new Set<string>();
-  /** How often each request has begun to run, by its id. */
+  /** Number of times that each request began to run, by request id. */
   readonly runs = new Map<string, number>();
-  /** Most readings that stood at an engine at once, by engine. */
+  /** Longest prefill queue so far, by engine. */
   readonly mostReadings = new Map<string, number>();
+  /** Total prefill time of all engines, milliseconds. */
   readMilliseconds = 0;
 
   constructor(host: EnginesHost, options: PlayedEnginesOptions = {}) {
@@ -51,34 +51,36 @@
     this.#tokensPerMillisecond = options.tokensPerMillisecond ??
       DEFAULT_TOKENS_PER_MILLISECOND;
     this.#slots = options.slots ?? DEFAULT_SLOTS;
-    host.onSend = (attempt) => this.#take(attempt);
+    host.onSend = (attempt) => this.#handleAttempt(attempt);
   }
 
-  /** The engine dies: it takes no connection, and what it had open is lost. */
+  /**
+   * Crashes an engine: it refuses connections, and its open attempts are lost.
+   */
   kill(engine: string): void {
     this.#down.add(engine);
-    for (const attempt of this.#open.get(engine) ?? []) {
+    for (const attempt of this.#openAttempts.get(engine) ?? []) {
       void attempt.fail("exchange_lost");
       void attempt.end("cut");
     }
-    this.#open.delete(engine);
+    this.#openAttempts.delete(engine);
     this.#queues.delete(engine);
-    this.#kept.delete(engine);
-    this.#running.delete(engine);
+    this.#cachedParts.delete(engine);
+    this.#decoding.delete(engine);
   }
 
-  #take(attempt: SentAttempt): void {
+  #handleAttempt(attempt: SentAttempt): void {
     const engine = String(attempt.options.endpoint);
     if (this.#down.has(engine)) {
       return void attempt.fail("exchange_not_sent");
     }
     const { prompt } = attempt.request;
     if (prompt === undefined) return;
-    if (attempt.options.prefillOnly) this.#queue(attempt);
+    if (attempt.options.prefillOnly) this.#enqueuePrefill(attempt);
     else this.#decode(attempt, prompt.inputTokens < 1_000);
   }
 
-  #queue(attempt: SentAttempt): void {
+  #enqueuePrefill(attempt: SentAttempt): void {
     const engine = String(attempt.options.endpoint);
     const queue = this.#queues.get(engine) ?? [];
     this.#queues.set(engine, queue);
@@ -86,53 +88,53 @@
       attempt,
       priority: attempt.options.priority ?? 5,
     });
-    this.#opened(engine, attempt);
-    const most = this.mostReadings.get(engine) ?? 0;
-    this.mostReadings.set(engine, Math.max(most, queue.length));
-    this.#next(engine);
+    this.#markOpen(engine, attempt);
+    const longest = this.mostReadings.get(engine) ?? 0;
+    this.mostReadings.set(engine, Math.max(longest, queue.length));
+    this.#startNextPrefill(engine);
   }
 
-  #next(engine: string): void {
+  #startNextPrefill(engine: string): void {
     const queue = this.#queues.get(engine) ?? [];
-    if (this.#busy.has(engine) || queue.length === 0) return;
+    if (this.#prefilling.has(engine) || queue.length === 0) return;
     queue.sort((one, other) => one.priority - other.priority);
-    const { attempt } = queue.shift() as Reading;
-    if (attempt.aborted) return this.#next(engine);
-    this.#busy.add(engine);
-    const kept = this.#kept.get(engine) ?? new Set();
-    this.#kept.set(engine, kept);
+    const { attempt } = queue.shift() as QueuedPrefill;
+    if (attempt.aborted) return this.#startNextPrefill(engine);
+    this.#prefilling.add(engine);
+    const cached = this.#cachedParts.get(engine) ?? new Set();
+    this.#cachedParts.set(engine, cached);
     const parts = attempt.request.prompt?.parts ?? [];
     let tokens = 0;
     for (const part of parts) {
-      if (!kept.has(part.id)) tokens += part.tokens;
-      kept.add(part.id);
+      if (!cached.has(part.id)) tokens += part.tokens;
+      cached.add(part.id);
     }
     const milliseconds = tokens / this.#tokensPerMillisecond;
     this.readMilliseconds += milliseconds;
     this.#timer.after(milliseconds, () => {
-      this.#busy.delete(engine);
-      if (!this.#closed(engine, attempt)) return;
+      this.#prefilling.delete(engine);
+      if (!this.#markClosed(engine, attempt)) return;
       void attempt.answer("handle");
-      this.#next(engine);
+      this.#startNextPrefill(engine);
     });
   }
 
-  #opened(engine: string, attempt: SentAttempt): void {
-    const open = this.#open.get(engine) ?? new Set();
-    this.#open.set(engine, open.add(attempt));
+  #markOpen(engine: string, attempt: SentAttempt): void {
+    const open = this.#openAttempts.get(engine) ?? new Set();
+    this.#openAttempts.set(engine, open.add(attempt));
   }
 
-  /** False where the engine has died meanwhile. */
-  #closed(engine: string, attempt: SentAttempt): boolean {
-    return this.#open.get(engine)?.delete(attempt) === true;
+  /** Ends an attempt; false if the engine has crashed in the meantime. */
+  #markClosed(engine: string, attempt: SentAttempt): boolean {
+    return this.#openAttempts.get(engine)?.delete(attempt) === true;
   }
 
   #decode(attempt: SentAttempt, isUrgent: boolean): void {
     const engine = String(attempt.options.endpoint);
-    const running = this.#running.get(engine) ?? 0;
+    const running = this.#decoding.get(engine) ?? 0;
     if (running >= this.#slots) return void attempt.notRun();
-    this.#running.set(engine, running + 1);
-    this.#opened(engine, attempt);
+    this.#decoding.set(engine, running + 1);
+    this.#markOpen(engine, attempt);
     const { id } = attempt.request;
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
     void attempt.head().then(() => attempt.piece("id: 1\ndata: x\n\n"));
@@ -140,8 +142,8 @@
       ? URGENT_DECODE_MILLISECONDS
       : DECODE_MILLISECONDS;
     this.#timer.after(milliseconds, () => {
-      if (!this.#closed(engine, attempt)) return;
-      this.#running.set(engine, (this.#running.get(engine) ?? 1) - 1);
+      if (!this.#markClosed(engine, attempt)) return;
+      this.#decoding.set(engine, (this.#decoding.get(engine) ?? 1) - 1);
       void attempt.end();
     });
   }
--- a/test/support/forwarding_values.ts
+++ b/test/support/forwarding_values.ts
@@ -1,4 +1,4 @@
-/** Values for tests of the forwarding decisions. */
+/** Test values for the forwarding path. */
 import {
   type AvailabilityZoneId,
   type EndpointId,
@@ -49,7 +49,7 @@
   },
 });
 
-/** What entries have learned of engines that read 310 tokens a ms. */
+/** Learned estimates of engines that prefill 310 tokens per millisecond. */
 export function knownEstimates(): EngineEstimates {
   const estimates = new EngineEstimates();
   estimates.peerTold([ENGINES, 96, 0, 1 / 310, 0.0921]);
@@ -96,7 +96,7 @@
   return makeEndpoint(id, { pool: ENGINES, slots: 32, role, ...values });
 }
 
-/** A prompt of two shared parts and one of its own. */
+/** Makes a prompt of two shared parts and one part of its own. */
 export function makePrompt(
   subject: string,
   tokens: { readonly shared?: number; readonly own?: number } = {},
--- a/test/support/free_port.ts
+++ b/test/support/free_port.ts
@@ -1,32 +1,32 @@
 import { createServer } from "node:net";
 
 /**
- * Below the range from which the machine takes ports for connections that go
- * out: one of those could take the port between this look and the program's
- * start, and the program would end with "address in use".
+ * Ports stay below the ephemeral range of the operating system. An outgoing
+ * connection could otherwise take the port between this check and the start of
+ * the program, which would then exit with "address in use".
  */
 const LOWEST_PORT = 10_000;
 const HIGHEST_PORT = 32_000;
-const MOST_TRIES = 100;
+const MAX_ATTEMPTS = 100;
 
 /**
- * Ports that have been given out. A program listens some time after its port
- * was drawn, so that nobody holds it yet when the next one is drawn: of the
- * fifteen ports of a deployment two are the same in one of 200 by reckoning,
- * and a whole run of the tests starts some fifty deployments.
+ * Ports that are already allocated. A program listens only some time after its
+ * port is drawn, so the port still appears free at the next draw. Without this
+ * set, two of a deployment's fifteen ports would be equal in one of 200
+ * deployments, and a full test run starts about fifty.
  */
-const given = new Set<number>();
+const allocatedPorts = new Set<number>();
 
-/** A port of the loopback that nobody listens on and nobody was given. */
+/** Returns a loopback port that is not in use and not yet allocated. */
 export async function freePort(): Promise<number> {
-  for (let tries = 0; tries < MOST_TRIES; tries++) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const range = HIGHEST_PORT - LOWEST_PORT;
     const port = LOWEST_PORT + Math.floor(Math.random() * range);
-    if (given.has(port)) continue;
-    given.add(port);
+    if (allocatedPorts.has(port)) continue;
+    allocatedPorts.add(port);
     if (await isFree(port)) return port;
   }
-  throw new Error(`No free port among ${MOST_TRIES}`);
+  throw new Error(`Found no free port in ${MAX_ATTEMPTS} attempts`);
 }
 
 function isFree(port: number): Promise<boolean> {
--- a/test/support/in_process.ts
+++ b/test/support/in_process.ts
@@ -27,14 +27,14 @@
 const REGION = "klang-valley";
 
 /**
- * A region in one process on virtual time: entries, engines with their sides,
- * and the log, for tests and benches. One model a pool; the endpoints are dealt
- * out to pools and zones in turn.
+ * A region in one process on virtual time, for tests and benchmarks: entries,
+ * engines with their sides, and the log. Each pool serves one model. Endpoints
+ * are assigned to pools and availability zones round-robin.
  */
 export class InProcessRegion {
   readonly timer = new ManualTimerService();
   readonly log: FakeLog;
-  /** Faults of each process's connection to the log, by process. */
+  /** Fault settings of each process's log connection, by process name. */
   readonly logFaults = new Map<string, ReturnType<typeof noFaults>>();
   readonly engines: MemoryEngine[] = [];
   readonly endpoints: FleetEndpoint[] = [];
@@ -68,16 +68,21 @@
     });
   }
 
-  /** Starts all, publishes the inventory and waits until it is in force. */
+  /**
+   * Starts the fleet, publishes the inventory and waits until it is in force.
+   */
   async start(): Promise<void> {
     this.fleet.start();
     const published = this.fleet.publish(this.content(), 0);
     await this.timer.advance(40_000);
-    const verdict = await published;
-    if (verdict.isErr()) throw new Error(verdict.error.message);
+    const result = await published;
+    if (result.isErr()) throw new Error(result.error.message);
   }
 
-  /** Inventory and rules with the endpoints' states; no planner. */
+  /**
+   * Inventory and rules with the given endpoint states; the planner is
+   * disabled.
+   */
   content(states: Readonly<Record<string, "draining">> = {}) {
     const content: ConfigurationContent = {
       inventory: {
@@ -97,7 +102,7 @@
     return content;
   }
 
-  /** Sends a generation to an entry; gives its request. */
+  /** Submits a generation request to an entry and returns the request. */
   generate(
     options: { entry: number; workspace: string; model?: number },
     sink: AnswerSink,
--- a/test/support/list_fold.ts
+++ b/test/support/list_fold.ts
@@ -2,7 +2,7 @@
 import type { LogOffset } from "../../src/core/identity/mod.ts";
 import type { StreamFold } from "../../src/core/journal/mod.ts";
 
-/** Remembers the holders of the claims that it was given, in order. */
+/** Fold that lists the holders of all claims on the stream, in order. */
 export class ListFold implements StreamFold {
   taken: string[] = [];
 
--- a/test/support/operator_commands.ts
+++ b/test/support/operator_commands.ts
@@ -2,16 +2,16 @@
 import { builtBinary } from "./built_binary.ts";
 import type { SmallDeployment } from "./small_deployment.ts";
 
-/** How a command ended. */
-export interface CommandEnd {
+/** Exit code and combined output of a command. */
+export interface CommandResult {
   readonly code: number | null;
   readonly output: string;
 }
 
-/** Runs a command of the binary to its end. */
-export function runCommand(words: readonly string[]): Promise<CommandEnd> {
+/** Runs a command of the binary and resolves when it exits. */
+export function runCommand(args: readonly string[]): Promise<CommandResult> {
   return new Promise((resolve) => {
-    const child = spawn(builtBinary(), words, { timeout: 30_000 });
+    const child = spawn(builtBinary(), args, { timeout: 30_000 });
     let output = "";
     child.stdout.on("data", (piece) => output += piece);
     child.stderr.on("data", (piece) => output += piece);
@@ -19,7 +19,7 @@
   });
 }
 
-/** Operators' commands against a deployment, with files of its own. */
+/** Runs operator commands against a deployment with its own settings file. */
 export class Operator {
   readonly #deployment: SmallDeployment;
   readonly #settings: string;
@@ -33,13 +33,13 @@
   }
 
   /**
-   * Publishes the deployment's content with states of endpoints changed, on
-   * whatever is in force unless the extra words name a base.
+   * Publishes the deployment's content with the given endpoint states. The base
+   * is the latest version unless `extraArgs` name one.
    */
   publish(
     states: Readonly<Record<string, string>>,
-    extra: readonly string[] = ["--base", "latest"],
-  ): Promise<CommandEnd> {
+    extraArgs: readonly string[] = ["--base", "latest"],
+  ): Promise<CommandResult> {
     const { inventory, rules } = this.#deployment.content(states) as Record<
       "inventory" | "rules",
       Record<string, unknown>
@@ -52,14 +52,14 @@
       "--rules",
       fleet.writeToml(`rules-${name}.toml`, rules),
       "--json",
-      ...extra,
+      ...extraArgs,
     ]);
   }
 
   run(
     command: string,
-    words: readonly string[] = [],
-  ): Promise<CommandEnd> {
-    return runCommand([command, "--settings", this.#settings, ...words]);
+    args: readonly string[] = [],
+  ): Promise<CommandResult> {
+    return runCommand([command, "--settings", this.#settings, ...args]);
   }
 }
--- a/test/support/process_fleet.ts
+++ b/test/support/process_fleet.ts
@@ -6,34 +6,39 @@
 import { stringify } from "smol-toml";
 import { freePort } from "./free_port.ts";
 
-/** A program of the system or a stand-in that a test has started. */
+/** A process of the system, or a stand-in, that a test has started. */
 export interface StartedProcess {
   readonly child: ChildProcess;
-  /** What it has printed so far. */
+  /** Combined stdout and stderr so far. */
   output(): string;
-  /** Settles with the exit code, or null where a signal ended it. */
+  /** Resolves with the exit code, or null if a signal ended the process. */
   readonly exited: Promise<number | null>;
 }
 
-/** Folder, ports and processes of one test; `close` ends them all by id. */
+/**
+ * Temporary folder and processes of one test; `close` kills all processes and
+ * deletes the folder.
+ */
 export class ProcessFleet {
   readonly folder = mkdtempSync(join(tmpdir(), "filbertshore-"));
   readonly #started: StartedProcess[] = [];
 
-  /** Starts the command line of the system with the given arguments. */
-  startProgram(arguments_: readonly string[]): StartedProcess {
+  /**
+   * Starts the system's command line, or `FILBERTSHORE_BINARY` if it is set.
+   */
+  startProgram(args: readonly string[]): StartedProcess {
     const program = process.env.FILBERTSHORE_BINARY;
     return program === undefined
       ? this.#start(process.execPath, [
         "--import",
         "tsx",
         "src/cli/main.ts",
-        ...arguments_,
+        ...args,
       ])
-      : this.#start(program, arguments_);
+      : this.#start(program, args);
   }
 
-  /** Starts a stand-in; gives its process and the URL that it listens on. */
+  /** Starts a stand-in and returns its process and its URL once it listens. */
   async startStandIn(
     name: string,
     options: Record<string, unknown> = {},
@@ -52,7 +57,7 @@
       ...extra,
     ]);
     const url = `http://127.0.0.1:${port}`;
-    // Its port alone would also stand in the message that it is taken.
+    // The port alone also appears in an "address in use" error.
     const listening = JSON.stringify({ listening: port });
     await waitFor(() => started.output().includes(listening), {
       what: `${name} to listen`,
@@ -61,7 +66,7 @@
     return { url, started };
   }
 
-  /** Writes a settings file; gives its path. */
+  /** Writes a settings file and returns its path. */
   writeToml(name: string, value: Record<string, unknown>): string {
     const path = join(this.folder, name);
     writeFileSync(path, stringify(value));
@@ -74,8 +79,8 @@
     rmSync(this.folder, { recursive: true });
   }
 
-  #start(command: string, arguments_: readonly string[]): StartedProcess {
-    const child = spawn(command, arguments_, {
+  #start(command: string, args: readonly string[]): StartedProcess {
+    const child = spawn(command, args, {
       stdio: ["ignore", "pipe", "pipe"],
     });
     let output = "";
@@ -93,13 +98,15 @@
 const POLL_MILLISECONDS = 20;
 const DEFAULT_WAIT_MILLISECONDS = 15_000;
 
-/** Waits until the condition holds; throws what was waited for otherwise. */
+/**
+ * Polls until the condition holds; throws an error that names it on timeout.
+ */
 export async function waitFor(
   condition: () => boolean | Promise<boolean>,
   options: {
     what: string;
     milliseconds?: number;
-    /** What was there in the end, for the error. */
+    /** Returns the observed state, for the error message. */
     found?: () => unknown;
   },
 ): Promise<void> {
@@ -108,7 +115,9 @@
   while (!(await condition())) {
     if (performance.now() > end) {
       const found = JSON.stringify(options.found?.());
-      throw new Error(`Waited ${limit} ms for ${options.what}: ${found}`);
+      throw new Error(
+        `Timed out after ${limit} ms waiting for ${options.what}: ${found}`,
+      );
     }
     await new Promise((resolve) => setTimeout(resolve, POLL_MILLISECONDS));
   }
--- a/test/support/raw_http.ts
+++ b/test/support/raw_http.ts
@@ -2,12 +2,14 @@
 
 export interface RawOptions {
   readonly port: number;
-  /** Closes the connection right after the bytes have been sent. */
-  readonly hangUp?: boolean;
+  /** Whether to close the connection as soon as the bytes are sent. */
+  readonly closeAfterSend?: boolean;
   readonly waitMilliseconds?: number;
 }
 
-/** Sends bytes as they are; gives what came back until the other side closed. */
+/**
+ * Sends raw bytes and returns everything received until the connection closes.
+ */
 export function sendRaw(
   bytes: string | Uint8Array,
   options: RawOptions,
@@ -21,7 +23,7 @@
     );
     socket.on("connect", () => {
       socket.write(bytes, () => {
-        if (options.hangUp) socket.destroy();
+        if (options.closeAfterSend) socket.destroy();
       });
     });
     socket.on("data", (piece) => received += piece.toString("latin1"));
@@ -33,14 +35,16 @@
   });
 }
 
-/** Status codes of all answers that stand in what was received. */
+/** Status codes of all responses in the received text. */
 export function statusCodes(received: string): number[] {
   return [...received.matchAll(/^HTTP\/1\.1 (\d{3})/gm)].map((match) =>
     Number(match[1])
   );
 }
 
-/** A request as text; headers stand as they are given, also twice. */
+/**
+ * Formats a request as text; headers are kept as given, including duplicates.
+ */
 export function rawRequest(
   line: string,
   headers: readonly string[],
--- a/test/support/scripted_replica.ts
+++ b/test/support/scripted_replica.ts
@@ -1,10 +1,10 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** What a replica does with a connection, once for each request's head. */
+/** Called with each complete request; writes the response to the socket. */
 export type Script = (socket: Socket, request: string) => void;
 
-/** A replica that answers with bytes as a test wrote them. */
+/** A replica that responds with the raw bytes that a test supplies. */
 export class ScriptedReplica {
   readonly requests: string[] = [];
   readonly sockets = new Set<Socket>();
@@ -39,17 +39,17 @@
     socket.on("close", () => this.sockets.delete(socket));
     socket.on("error", () => {});
     let received = "";
-    socket.on("data", (piece) => {
-      received += piece.toString("latin1");
+    socket.on("data", (chunk) => {
+      received += chunk.toString("latin1");
       for (;;) {
-        const end = received.indexOf("\r\n\r\n");
-        if (end < 0) return;
-        const head = received.slice(0, end);
-        const length = /content-length: (\d+)/i.exec(head)?.[1];
-        const whole = end + 4 + Number(length ?? 0);
-        if (received.length < whole) return;
-        const request = received.slice(0, whole);
-        received = received.slice(whole);
+        const headEnd = received.indexOf("\r\n\r\n");
+        if (headEnd < 0) return;
+        const head = received.slice(0, headEnd);
+        const contentLength = /content-length: (\d+)/i.exec(head)?.[1];
+        const requestLength = headEnd + 4 + Number(contentLength ?? 0);
+        if (received.length < requestLength) return;
+        const request = received.slice(0, requestLength);
+        received = received.slice(requestLength);
         this.requests.push(request);
         this.#script(socket, request);
       }
@@ -57,7 +57,7 @@
   }
 }
 
-/** An answer as bytes. */
+/** Formats a response with status 200 as text. */
 export function answerBytes(
   body: string,
   options: { readonly requestId?: string; readonly headers?: string } = {},
--- a/test/support/small_deployment.ts
+++ b/test/support/small_deployment.ts
@@ -7,14 +7,14 @@
   readonly entries?: number;
   readonly engines?: number;
   readonly services?: number;
-  /** Options of every engine stand-in. */
+  /** Options passed to every engine stand-in. */
   readonly engine?: Record<string, unknown>;
   readonly coordination?: Record<string, number>;
-  /** True: each process writes its spans to a file in the fleet's folder. */
+  /** Whether each process writes its spans to a file in the fleet's folder. */
   readonly traced?: boolean;
 }
 
-/** An endpoint of the deployment with the processes that stand for it. */
+/** An endpoint of the deployment: its stand-in process and its side. */
 export interface DeployedEndpoint {
   readonly id: string;
   readonly url: string;
@@ -34,7 +34,10 @@
 const ZONES = ["shah-alam", "petaling", "klang-port"];
 const REGION = "klang-valley";
 
-/** The whole system as processes on the loopback, with stand-ins around it. */
+/**
+ * The complete system as processes on the loopback, with stand-ins for its
+ * surroundings.
+ */
 export class SmallDeployment {
   readonly fleet = new ProcessFleet();
   readonly engines: DeployedEndpoint[] = [];
@@ -58,7 +61,9 @@
     await this.waitUntilReady();
   }
 
-  /** Appends a publication as another tool would, without our command. */
+  /**
+   * Appends a publication directly to the log, bypassing the `publish` command.
+   */
   async publishRaw(content: unknown, base: number): Promise<void> {
     const record = {
       writer: "test",
@@ -72,7 +77,7 @@
     });
   }
 
-  /** Inventory and rules of the deployment, with the endpoints' states. */
+  /** Inventory and rules of the deployment with the given endpoint states. */
   content(states: Readonly<Record<string, string>> = {}): unknown {
     const endpointsOf = (endpoints: DeployedEndpoint[]) =>
       endpoints.map((each, index) => ({
@@ -115,7 +120,7 @@
         found: () => this.#outputs(),
       });
     }
-    // Sides report once a second; work goes to those that have.
+    // Entries dispatch only to endpoints whose side has reported.
     const endpoints = [...this.engines, ...this.services];
     for (const { id, side } of endpoints) {
       await waitFor(() => side.output().includes("Configuration is in force"), {
@@ -126,7 +131,7 @@
     await new Promise((resolve) => setTimeout(resolve, 300));
   }
 
-  /** Starts the side of an endpoint again, as its VM's platform would. */
+  /** Restarts the side of an endpoint, as the platform does after an exit. */
   restartSide(endpoint: DeployedEndpoint): void {
     endpoint.side = this.fleet.startProgram([
       "side",
@@ -147,15 +152,17 @@
     await this.fleet.close();
   }
 
-  /** What every process of the system has printed, for a failure's report. */
+  /** Output of every process of the system, for failure messages. */
   #outputs(): Record<string, string> {
-    const named = [
+    const outputSources = [
       ...this.entries.map((each) => [each.url, each.process] as const),
       ...[...this.engines, ...this.services]
         .map((each) => [each.id, each.side] as const),
     ];
     return Object.fromEntries(
-      named.map(([name, started]) => [name, started.output()]),
+      outputSources.map((
+        [name, startedProcess],
+      ) => [name, startedProcess.output()]),
     );
   }
 
@@ -176,7 +183,7 @@
         peerAddresses: peers.filter((_, other) => other !== index),
         platform: { logService: this.logUrl },
         traces: this.#traces(name, options),
-        coordination: { ...FAST_TIMES, ...options.coordination },
+        coordination: { ...FAST_COORDINATION, ...options.coordination },
       });
       this.entries.push({
         url: `http://127.0.0.1:${ports[2 * index]}`,
@@ -197,9 +204,9 @@
 
   async #startEndpoint(
     kind: "engine" | "service",
-    given: { index: number; options: SmallDeploymentOptions },
+    parameters: { index: number; options: SmallDeploymentOptions },
   ): Promise<void> {
-    const { index, options } = given;
+    const { index, options } = parameters;
     const engine = kind === "engine";
     const id = engine ? `triage-${index}` : `portal-${index}`;
     const standIn = await this.fleet.startStandIn(
@@ -218,7 +225,7 @@
       peers: { host: "127.0.0.1", port },
       entries: this.entries.map((entry) => entry.peers),
       traces: this.#traces(id, options),
-      coordination: { ...FAST_TIMES, ...options.coordination },
+      coordination: { ...FAST_COORDINATION, ...options.coordination },
     });
     const deployed = {
       id,
@@ -232,7 +239,7 @@
   }
 }
 
-const FAST_TIMES = {
+const FAST_COORDINATION = {
   reportMilliseconds: 200,
   suspectMilliseconds: 1_000,
   appendDelayMilliseconds: 5,
--- a/test/support/usage_fleet.ts
+++ b/test/support/usage_fleet.ts
@@ -12,7 +12,7 @@
 
 export const LEASE_MILLISECONDS = 3_000;
 export const WINDOW_MILLISECONDS = 5_000;
-const DUE_MILLISECONDS = 10_000;
+const REPORT_DUE_MILLISECONDS = 10_000;
 const STEP_MILLISECONDS = 10;
 
 interface Member {
@@ -20,21 +20,23 @@
   incarnation: number;
   keeper: UsageKeeper;
   isAlive: boolean;
-  /** No path to the store and to the receiver of reports. */
+  /**
+   * Whether the member is partitioned from the store and the report receiver.
+   */
   isCut: boolean;
-  /** What it has asked for is answered only when it is thawed. */
+  /** Whether the member is suspended: its calls settle only once it resumes. */
   isFrozen: boolean;
 }
 
-/** Keepers on virtual time that hear each other by datagrams. */
+/** Usage keepers on virtual time that exchange datagrams. */
 export class UsageFleet {
   readonly timer = new ManualTimerService();
   readonly platform = new UsagePlatform(this.timer);
   readonly members: Member[];
-  /** Requests that began, by window and workspace. */
-  readonly truth = new Map<number, Map<string, number>>();
+  /** Number of requests that began, by window and workspace. */
+  readonly expectedCounts = new Map<number, Map<string, number>>();
   readonly #random = seededRandom(5);
-  readonly #lostShare: number;
+  readonly #lossRate: number;
 
   constructor(
     { entries, lostShare = 0 }: {
@@ -42,7 +44,7 @@
       readonly lostShare?: number;
     },
   ) {
-    this.#lostShare = lostShare;
+    this.#lossRate = lostShare;
     this.members = Array.from({ length: entries }, (_, index) => {
       const name = identifier<ProcessId>(`entry-${index}`);
       const member = {
@@ -53,31 +55,31 @@
         isFrozen: false,
       };
       return Object.assign(member, {
-        keeper: this.#make(member, { isFirstStart: true }),
+        keeper: this.#makeKeeper(member, { isFirstStart: true }),
       });
     });
     for (const { keeper } of this.members) keeper.start();
   }
 
-  #make(
+  #makeKeeper(
     member: Omit<Member, "keeper">,
     { isFirstStart }: { readonly isFirstStart: boolean },
   ): UsageKeeper {
     const { incarnation } = member;
-    const isThisRun = () =>
+    const isCurrentRun = () =>
       member.isAlive && member.incarnation === incarnation;
     return new UsageKeeper({
       self: member.name,
       incarnation: String(incarnation),
       timer: this.timer,
       logger: SILENT_LOGGER,
-      link: this.platform.linkOf({
-        isCut: () => member.isCut || !isThisRun(),
+      link: this.platform.linkFor({
+        isCut: () => member.isCut || !isCurrentRun(),
         isFrozen: () => member.isFrozen,
       }),
       leaseMilliseconds: LEASE_MILLISECONDS,
       windowMilliseconds: WINDOW_MILLISECONDS,
-      dueMilliseconds: DUE_MILLISECONDS,
+      dueMilliseconds: REPORT_DUE_MILLISECONDS,
       isFirstStart,
       ranking: () =>
         this.members.filter(({ isAlive }) => isAlive).map(({ name }) => name),
@@ -85,18 +87,18 @@
         this.members.map(({ name }) => name)
           .filter((name) => name !== member.name),
       send: (peer, { method, params }) =>
-        isThisRun() && this.#carry(peer, method, params),
+        isCurrentRun() && this.#deliver(peer, method, params),
       broadcast: (method, params) => {
-        if (!isThisRun()) return;
+        if (!isCurrentRun()) return;
         for (const { name } of this.members) {
-          if (name !== member.name) this.#carry(name, method, params);
+          if (name !== member.name) this.#deliver(name, method, params);
         }
       },
     });
   }
 
-  #carry(to: ProcessId, method: string, params: unknown): void {
-    if (this.#random() < this.#lostShare) return;
+  #deliver(to: ProcessId, method: string, params: unknown): void {
+    if (this.#random() < this.#lossRate) return;
     const copy = JSON.parse(JSON.stringify(params));
     this.timer.after(1 + this.#random(), () => {
       const member = this.members.find(({ name }) => name === to);
@@ -104,23 +106,23 @@
     });
   }
 
-  /** Serves requests of two workspaces for so long, milliseconds. */
+  /** Starts requests of two workspaces for the given time, milliseconds. */
   async serve(milliseconds: number): Promise<void> {
     for (let time = 0; time < milliseconds; time += STEP_MILLISECONDS) {
       const alive = this.members.filter(({ isAlive }) => isAlive);
-      if (alive.length > 0) this.#begin(alive);
+      if (alive.length > 0) this.#startRequest(alive);
       await this.timer.advance(STEP_MILLISECONDS);
       await settled();
     }
   }
 
-  #begin(alive: readonly Member[]): void {
+  #startRequest(alive: readonly Member[]): void {
     const member = alive[Math.floor(this.#random() * alive.length)];
     const workspace = this.#random() < 0.8 ? "large" : "small";
     const window = Math.floor(this.timer.wallClock() / WINDOW_MILLISECONDS);
-    const counts = this.truth.get(window) ?? new Map<string, number>();
+    const counts = this.expectedCounts.get(window) ?? new Map<string, number>();
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
-    this.truth.set(window, counts);
+    this.expectedCounts.set(window, counts);
     member.keeper.began(
       identifier<WorkspaceId>(workspace),
       this.timer.now(),
@@ -135,27 +137,27 @@
     const member = this.members[index];
     member.incarnation += 1;
     member.isAlive = true;
-    member.keeper = this.#make(member, { isFirstStart: false });
+    member.keeper = this.#makeKeeper(member, { isFirstStart: false });
     member.keeper.start();
   }
 
-  /** Share by which each reported window is off at its worst workspace. */
+  /** Largest relative error of any workspace's count in a reported window. */
   worstError(): number {
-    let worst = 0;
+    let worstError = 0;
     for (const [window, counts] of this.platform.reported) {
-      for (const [workspace, count] of this.truth.get(window) ?? []) {
+      for (const [workspace, count] of this.expectedCounts.get(window) ?? []) {
         const error = Math.abs((counts[workspace] ?? 0) - count) / count;
-        worst = Math.max(worst, error);
+        worstError = Math.max(worstError, error);
       }
     }
-    return worst;
+    return worstError;
   }
 
-  /** Windows whose reports are overdue and missing. */
+  /** Windows whose report is overdue. */
   missing(): number[] {
-    const overdue = this.timer.wallClock() - DUE_MILLISECONDS;
-    return [...this.truth.keys()].filter((window) =>
-      (window + 1) * WINDOW_MILLISECONDS < overdue &&
+    const dueTime = this.timer.wallClock() - REPORT_DUE_MILLISECONDS;
+    return [...this.expectedCounts.keys()].filter((window) =>
+      (window + 1) * WINDOW_MILLISECONDS < dueTime &&
       !this.platform.reported.has(window)
     );
   }
--- a/test/support/usage_platform.ts
+++ b/test/support/usage_platform.ts
@@ -18,10 +18,10 @@
   hint: "",
 };
 
-/** How soon a thawed entry goes on. */
-const THAW_MILLISECONDS = 50;
+/** Interval at which a suspended entry checks whether it is resumed. */
+const SUSPENDED_POLL_MILLISECONDS = 50;
 
-export interface TakenReport {
+export interface AcceptedReport {
   readonly window: number;
   readonly counts: Readonly<Record<string, number>>;
   readonly holder: string;
@@ -29,30 +29,36 @@
   readonly at: number;
 }
 
-/** The store's log of claims and the receiver of reports, as all entries see them. */
+/**
+ * The store's log of claims and the receiver of usage reports, shared by all
+ * entries.
+ */
 export class UsagePlatform {
   readonly claims: UsageClaim[] = [];
-  /** Reports that were accepted, repeats too. */
-  readonly taken: TakenReport[] = [];
-  /** What the receiver answers while it is not well. */
+  /** Accepted reports, including repeats. */
+  readonly taken: AcceptedReport[] = [];
+  /** Outcome that the receiver returns for every report, if set. */
   failsWith: ReportOutcome | undefined;
-  /** Reports take effect, and their answers are lost. */
+  /** Whether responses to reports are lost after the reports take effect. */
   losesAnswers = false;
-  /** Answers of the store come so late. */
+  /** Latency of the store's responses, milliseconds. */
   storeMilliseconds = 0;
-  /** Reports get no answer and take effect so much later; 0: at once. */
+  /**
+   * If above 0, reports get no response and take effect after this delay,
+   * milliseconds.
+   */
   lateMilliseconds = 0;
-  /** True: higher fencing tokens than the call's are not looked at. */
+  /** Whether the receiver accepts reports whose fencing token is outdated. */
   checksNoFencing = false;
   readonly #timer: ManualTimerService;
-  #highest = -1;
+  #highestFencingToken = -1;
   #epoch = 0;
 
   constructor(timer: ManualTimerService) {
     this.#timer = timer;
   }
 
-  /** The store comes back from a copy without the newest claims. */
+  /** Restores the store from a backup that lacks the newest `lost` claims. */
   restore({ lost }: { readonly lost: number }): void {
     this.claims.length = Math.max(0, this.claims.length - lost);
     this.#epoch += 1;
@@ -63,17 +69,18 @@
   }
 
   /**
-   * The platform as one entry reaches it: not at all while it is cut off, and
-   * with answers that it takes up only once it is thawed.
+   * The platform as seen by one entry. Calls fail while the entry is
+   * partitioned, and their responses arrive only once the entry is not
+   * suspended.
    */
-  linkOf(
+  linkFor(
     { isCut, isFrozen }: {
       readonly isCut: () => boolean;
       readonly isFrozen: () => boolean;
     },
   ): UsageLink {
-    const thaw = async () => {
-      while (isFrozen()) await this.#wait(THAW_MILLISECONDS);
+    const waitUntilResumed = async () => {
+      while (isFrozen()) await this.#sleep(SUSPENDED_POLL_MILLISECONDS);
     };
     return {
       readClaim: async () => {
@@ -82,39 +89,43 @@
         const offset = this.#positionOf(this.claims.length - 1);
         const claim = newest && { ...newest, offset };
         const end = this.#positionOf(this.claims.length);
-        await this.#wait(this.storeMilliseconds);
-        await thaw();
+        await this.#sleep(this.storeMilliseconds);
+        await waitUntilResumed();
         return ok({ claim, end });
       },
       appendClaim: async (claim, at) => {
         if (isCut()) return err(UNAVAILABLE);
         if (at !== this.#positionOf(this.claims.length)) return ok(undefined);
         this.claims.push({ ...claim, offset: at });
-        await this.#wait(this.storeMilliseconds);
-        await thaw();
+        await this.#sleep(this.storeMilliseconds);
+        await waitUntilResumed();
         return ok(at);
       },
       report: async (report, options) => {
         if (isCut()) return "unknown";
         if (this.failsWith) return this.failsWith;
-        if (this.lateMilliseconds === 0) return this.#take(report, options);
-        void this.#wait(this.lateMilliseconds)
-          .then(() => this.#take(report, options));
+        if (this.lateMilliseconds === 0) {
+          return this.#receiveReport(report, options);
+        }
+        void this.#sleep(this.lateMilliseconds)
+          .then(() => this.#receiveReport(report, options));
         return await Promise.resolve("unknown");
       },
     };
   }
 
-  async #wait(milliseconds: number): Promise<void> {
+  async #sleep(milliseconds: number): Promise<void> {
     if (milliseconds > 0) await pause(this.#timer, milliseconds);
   }
 
-  #take(
+  #receiveReport(
     { counts, window }: UsageReport,
     { fencing, holder }: { readonly fencing: number; readonly holder: string },
   ): ReportOutcome {
-    if (!this.checksNoFencing && fencing < this.#highest) return "refused";
-    this.#highest = Math.max(this.#highest, fencing);
+    if (!this.checksNoFencing && fencing < this.#highestFencingToken) {
+      return "refused";
+    }
+    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
     this.taken.push({
       window,
       counts: Object.fromEntries(counts),
@@ -125,41 +136,45 @@
     return this.losesAnswers ? "unknown" : "accepted";
   }
 
-  /** Windows that were reported, each with its counts. */
+  /** Counts of the reported windows, by window. */
   get reported(): ReadonlyMap<number, Readonly<Record<string, number>>> {
     return new Map(this.taken.map(({ window, counts }) => [window, counts]));
   }
 
-  /** What breaks the rules on calls of one holder at a time. */
+  /** Violations of the rule that one holder at a time sends reports. */
   violations(leaseMilliseconds: number): string[] {
     return [
-      ...this.#differingRepeats(),
+      ...this.#inconsistentRepeats(),
       ...this.#sharedTokens(),
-      ...this.#fallingTokens(),
+      ...this.#decreasingTokens(),
       ...this.#alternatingHolders(leaseMilliseconds),
     ];
   }
 
-  #differingRepeats(): string[] {
+  #inconsistentRepeats(): string[] {
     const first = new Map<number, string>();
     return this.taken.flatMap(({ counts, window }) => {
       const text = JSON.stringify(counts);
-      const known = first.get(window) ?? text;
-      first.set(window, known);
-      return known === text ? [] : [`window ${window}: ${known}, then ${text}`];
+      const firstCounts = first.get(window) ?? text;
+      first.set(window, firstCounts);
+      return firstCounts === text
+        ? []
+        : [`window ${window}: ${firstCounts}, then ${text}`];
     });
   }
 
   #sharedTokens(): string[] {
     const holders = new Map<number, string>();
     return this.taken.flatMap(({ fencing, holder }) => {
-      const known = holders.get(fencing) ?? holder;
-      holders.set(fencing, known);
-      return known === holder ? [] : [`token ${fencing}: ${known}, ${holder}`];
+      const firstHolder = holders.get(fencing) ?? holder;
+      holders.set(fencing, firstHolder);
+      return firstHolder === holder
+        ? []
+        : [`token ${fencing}: ${firstHolder}, ${holder}`];
     });
   }
 
-  #fallingTokens(): string[] {
+  #decreasingTokens(): string[] {
     return this.taken.flatMap(({ fencing }, index) => {
       const before = this.taken[index - 1]?.fencing ?? -1;
       return fencing >= before ? [] : [`token ${fencing} after ${before}`];
--- a/test/support/uuid.ts
+++ b/test/support/uuid.ts
@@ -1,2 +1,2 @@
-/** Keys with their time in them, as callers send them. */
+/** Time-ordered UUIDs, as callers use them for idempotency keys. */
 export { v7 as uuidv7 } from "uuid";
