--- a/test/stand_ins/engine_answers.ts
+++ b/test/stand_ins/engine_answers.ts
@@ -1,6 +1,6 @@
-/** The stand-in engine's answers: the same prompt gives the same answer. */
+/** Answers of the stand-in engine, a pure function of model and prompt. */
 
-/** A whole answer as the engine would give it. */
+/** A complete answer of the engine. */
 export interface ExpectedAnswer {
   readonly tokens: readonly string[];
   readonly reason: "stop" | "length";
@@ -25,7 +25,7 @@
   "drain",
 ];
 
-/** FNV-1a over UTF-16 units; spreads prompts, nothing more is asked of it. */
+/** FNV-1a over UTF-16 code units; not a cryptographic hash. */
 function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index++) {
@@ -36,8 +36,8 @@
 }
 
 /**
- * The text of a prompt. `answer-tokens=N` in it sets the answer's length, so
- * that a test decides how long a stream runs.
+ * Concatenates the messages of a prompt. `answer-tokens=N` in the text sets the
+ * length of the answer, so that a test controls how long a stream runs.
  */
 export function promptText(
   messages: readonly Readonly<Record<string, unknown>>[],
@@ -45,12 +45,12 @@
   return messages.map((message) => String(message.content ?? "")).join("\n");
 }
 
-/** Four characters to a token, as a rule of thumb. */
+/** Estimates the number of tokens of a prompt at four characters per token. */
 export function promptTokens(text: string): number {
   return Math.max(1, Math.ceil(text.length / 4));
 }
 
-/** One answer, token by token, without keeping it. */
+/** One answer whose tokens are computed on demand. */
 export class Answer {
   readonly length: number;
   readonly reason: "stop" | "length";
@@ -72,7 +72,10 @@
   }
 }
 
-/** What a caller has to get for a prompt, however it was served. */
+/**
+ * The answer that a caller must receive for a prompt, whichever engines served
+ * it.
+ */
 export function expectedAnswer(
   model: string,
   messages: readonly Readonly<Record<string, unknown>>[],
--- a/test/stand_ins/engine_batch.ts
+++ b/test/stand_ins/engine_batch.ts
@@ -1,19 +1,24 @@
-/** The stand-in engine's batch: slots, prefill, decode, priorities. */
+/**
+ * Continuous batching of the stand-in engine: slots, prefill, decode,
+ * priorities.
+ */
 import type { Answer } from "./engine_answers.ts";
 
-/** One generation that waits or runs. */
+/** A waiting or running generation. */
 export interface Sequence {
+  /** Smaller numbers run first. */
   readonly priority: number;
+  /** Order of arrival, which decides between equal priorities. */
   readonly arrival: number;
   readonly answer: Answer;
-  /** Prompt tokens that are still to be computed. */
+  /** Prompt tokens not yet prefilled. */
   prefillLeft: number;
   /** Index of the next token of the answer. */
   next: number;
-  /** Takes a token; false while the caller reads slowly. */
+  /** Called with each token of the answer. */
   onToken(text: string): void;
   onEnd(reason: "stop" | "length"): void;
-  /** True while the caller's connection takes no more. */
+  /** Whether the caller's connection applies backpressure. */
   blocked(): boolean;
 }
 
@@ -24,13 +29,13 @@
 }
 
 /**
- * Continuous batching on one timer: at each step the waiting sequences of the
- * smallest priority number take free slots, prefill gets its share of the
- * step, and each running sequence gives one token.
+ * Batches sequences on one timer. At each step, waiting sequences fill the free
+ * slots in order of priority, pending prefills share the prefill rate, and each
+ * prefilled sequence emits one token.
  */
 export class EngineBatch {
   readonly options: BatchOptions;
-  /** Above 1: the engine is slower by this factor. */
+  /** Factor by which the engine is slower than configured; 1 is normal. */
   slowFactor = 1;
   readonly waiting: Sequence[] = [];
   readonly running = new Set<Sequence>();
@@ -84,7 +89,7 @@
   #onTimer(): void {
     const step = this.options.millisecondsBetweenTokens * this.slowFactor;
     const now = performance.now();
-    // A process that was paused does not make up for it in one burst.
+    // Limits the catch-up after a pause of the process to 20 steps.
     this.#steppedAt = Math.max(this.#steppedAt, now - 20 * step);
     while (this.#steppedAt + step <= now) {
       this.#steppedAt += step;
--- a/test/stand_ins/engine_cache.ts
+++ b/test/stand_ins/engine_cache.ts
@@ -1,9 +1,9 @@
-/** The stand-in engine's prefix cache. */
+/** Prefix cache of the stand-in engine. */
 
-/** Characters of a block; about sixteen tokens. */
+/** Characters per block, about sixteen tokens. */
 const BLOCK_CHARACTERS = 64;
 
-/** What the cache tells of itself, late and with gaps. */
+/** A change of the cache, as reported late and with gaps. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly at: number;
@@ -11,7 +11,7 @@
   readonly dropped: readonly string[];
 }
 
-/** Names of a prompt's leading blocks, shortest prefix first. */
+/** Hashes of all prefixes of a prompt at block boundaries, shortest first. */
 export function prefixBlocks(text: string): string[] {
   const blocks: string[] = [];
   let value = 0x811c9dc5;
@@ -24,7 +24,7 @@
   return blocks;
 }
 
-/** Least recently used blocks go first; every third event is lost. */
+/** LRU cache of prefix blocks; every third event is lost. */
 export class PrefixCache {
   readonly #capacityBlocks: number;
   readonly #blocks = new Set<string>();
@@ -35,7 +35,9 @@
     this.#capacityBlocks = Math.max(1, Math.floor(options.capacityTokens / 16));
   }
 
-  /** Share of the prompt that is there already, 0 to 1; keeps the rest. */
+  /**
+   * Returns the cached share of the prompt, 0 to 1, and stores all its blocks.
+   */
   lookUpAndStore(text: string): number {
     const blocks = prefixBlocks(text);
     let cachedBlocks = 0;
@@ -63,7 +65,10 @@
     if (added.length + dropped.length > 0) this.#recordEvent(added, dropped);
   }
 
-  /** Events older than the lag, without the lost ones. */
+  /**
+   * Events from a sequence number on that are older than the lag, without lost
+   * ones.
+   */
   events(options: { from: number; lagMilliseconds: number }): CacheEvent[] {
     const newest = performance.now() - options.lagMilliseconds;
     return this.#events.filter((event) =>
--- a/test/stand_ins/engine_faults.ts
+++ b/test/stand_ins/engine_faults.ts
@@ -1,25 +1,31 @@
-/** How the stand-in engine misbehaves in the middle of a stream. */
+/** Fault injection into the streams of the stand-in engine. */
 import type { ServerResponse } from "node:http";
 
-/** Faults that can be switched while it runs; -1 switches one off. */
+/**
+ * Faults that can be set while the engine runs; a token count of -1 disables
+ * one.
+ */
 export interface ModelEngineFaults {
-  /** The next stream is cut in mid-token behind so many tokens. */
+  /** Cuts the next stream within an event after this many tokens. */
   closeAfterTokens: number;
-  /** The next stream turns into garbage behind so many tokens. */
+  /** Ends the next stream with invalid data after this many tokens. */
   garbageAfterTokens: number;
-  /** The next stream ends without reason and end mark. */
+  /**
+   * Ends the next stream after this many tokens without finish reason and end
+   * marker.
+   */
   shortAfterTokens: number;
-  /** The next stream sends without end behind so many tokens. */
+  /** Sends one endless event in the next stream after this many tokens. */
   floodAfterTokens: number;
-  /** New generations get this status; 0 for none. */
+  /** Status with which new generations are refused; 0 disables the fault. */
   refuseStatus: number;
-  /** New generations are taken and never answered. */
+  /** Whether new generations are accepted and never answered. */
   silent: boolean;
-  /** The process ends when the next order's change is half done. */
+  /** Whether the engine crashes halfway through a state change. */
   crashInChange: boolean;
 }
 
-/** The engine as it should be. */
+/** Settings of an engine without faults. */
 export const NO_ENGINE_FAULTS: Readonly<ModelEngineFaults> = {
   closeAfterTokens: -1,
   garbageAfterTokens: -1,
@@ -30,15 +36,15 @@
   crashInChange: false,
 };
 
-/** One event of a stream. */
+/** Formats one event of a stream. */
 export function chunkOf(content: string, reason: string | null): string {
   const choice = { index: 0, delta: { content }, finish_reason: reason };
   return `data: ${JSON.stringify({ choices: [choice] })}\n\n`;
 }
 
 /**
- * Brings a fault about where its time has come; true where it did. Each fault
- * hits one stream.
+ * Injects the fault that is due after the given number of tokens, if any, and
+ * returns whether it did. Each fault affects one stream.
  */
 export function injectStreamFault(
   response: ServerResponse,
@@ -69,12 +75,14 @@
   return false;
 }
 
-/** Sends one event without an end until the other side has had enough. */
+/** Sends one endless event until the client closes the connection. */
 function flood(response: ServerResponse): void {
   const chunk = "x".repeat(64 * 1024);
   response.write("data: ");
   const writeUntilBlocked = () => {
-    while (!response.destroyed && response.write(chunk)) { /* go on */ }
+    while (
+      !response.destroyed && response.write(chunk)
+    ) { /* write until backpressure */ }
   };
   response.on("drain", writeUntilBlocked);
   writeUntilBlocked();
--- a/test/stand_ins/engine_orders.ts
+++ b/test/stand_ins/engine_orders.ts
@@ -1,4 +1,4 @@
-/** How the stand-in engine takes orders. */
+/** Order handling of the stand-in engine. */
 import type { ServerResponse } from "node:http";
 import { sendJson } from "./stand_in_server.ts";
 
@@ -8,11 +8,12 @@
   weights: string;
 }
 
-/** One order as it came. */
+/** An order as received. */
 export interface ReceivedOrder {
   readonly at: number;
   readonly fencing: number;
   readonly target: Partial<EngineState>;
+  /** False if the order was rejected for an outdated fencing token. */
   readonly taken: boolean;
 }
 
@@ -23,12 +24,16 @@
   onHalfway(): void;
 }
 
-/** Target states, changes that take their time, and fencing where it checks. */
+/**
+ * Applies target states with a delay and checks fencing tokens if configured.
+ */
 export class EngineOrders {
   state: EngineState;
   changing = false;
   readonly received: ReceivedOrder[] = [];
-  /** Orders that came while a different one was being carried out. */
+  /**
+   * Number of orders that arrived while a different one was being carried out.
+   */
   conflicts = 0;
   readonly #options: EngineOrdersOptions;
   #highestFencingToken = -1;
--- a/test/stand_ins/log_service.ts
+++ b/test/stand_ins/log_service.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's log service. */
+/** Stand-in for the platform's log service. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
   delay,
@@ -8,20 +8,23 @@
   StandInServer,
 } from "./stand_in_server.ts";
 
-/** Faults that can be switched while it runs; absent ones keep their value. */
+/**
+ * Faults that `POST /control` sets while the service runs; absent fields keep
+ * their value.
+ */
 export interface LogServiceFaults {
-  /** `refuse`: status 503 without effect. `cut`: connections are closed. */
+  /** `refuse`: responds with 503 and no effect. `cut`: closes connections. */
   down: "no" | "refuse" | "cut";
-  /** Every call takes this much longer. */
+  /** Added latency of every call. */
   delayMilliseconds: number;
-  /** So many of the next appends take effect and lose their answer. */
+  /** Number of next appends that take effect but whose response is lost. */
   lostAnswers: number;
-  /** Readers see a record only when it is this old. */
+  /** Age from which a record is visible to readers. */
   headLagMilliseconds: number;
 }
 
 export interface LogServiceOptions {
-  /** Records that a stream keeps; older ones expire. */
+  /** Number of records retained in each stream; older ones expire. */
   readonly mostRecords?: number;
   readonly appendsPerSecond?: number;
 }
@@ -40,7 +43,10 @@
   }
 }
 
-/** Offsets, long poll, retention, and faults by `POST /control`. */
+/**
+ * Log service with offsets, long poll, retention, and faults set by `POST
+ * /control`.
+ */
 export class LogServiceStandIn {
   readonly faults: LogServiceFaults = {
     down: "no",
@@ -74,7 +80,7 @@
     return this.#server.close();
   }
 
-  /** Appends without a socket, as another operator's tool would. */
+  /** Appends records directly, as another tool of the operator might. */
   append(name: string, records: readonly unknown[]): number {
     const stream = this.#stream(name);
     const offset = stream.head;
@@ -90,7 +96,7 @@
     return offset;
   }
 
-  /** All records that a stream keeps. */
+  /** All records retained in a stream. */
   records(name: string): unknown[] {
     return this.#stream(name).records.map((record) => record.value);
   }
@@ -213,7 +219,7 @@
     return true;
   }
 
-  /** Wakes at the next append; a lagging head is looked at now and then. */
+  /** Waits for the next append; while the head lags, polls every 10 ms. */
   #waitForRecord(milliseconds: number): Promise<void> {
     const lag = this.faults.headLagMilliseconds;
     const maxWait = lag > 0 ? Math.min(milliseconds, 10) : milliseconds;
--- a/test/stand_ins/model_engine.ts
+++ b/test/stand_ins/model_engine.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a model engine, such as a replica of triage-llm. */
+/** Stand-in for a model engine, such as a replica of triage-llm. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import process from "node:process";
 import { Answer, promptText, promptTokens } from "./engine_answers.ts";
@@ -47,10 +47,13 @@
   readonly waiting: number;
 }
 
-/** A replica that batches, caches, resumes, cancels, and takes orders. */
+/**
+ * A replica that batches, caches prefixes, resumes streams, cancels, and
+ * carries out orders.
+ */
 export class ModelEngineStandIn {
   readonly faults: ModelEngineFaults = { ...NO_ENGINE_FAULTS };
-  /** What it has done, for tests. */
+  /** Counters for tests, also served by `/control`. */
   readonly counts = {
     generations: 0,
     finished: 0,
@@ -71,7 +74,7 @@
   );
   #arrivalCount = 0;
   #sampler: NodeJS.Timeout | undefined;
-  /** Called where the engine crashes; a process ends itself here. */
+  /** Called when the engine crashes; exits the process if the engine is one. */
   onCrash: () => void = () => void this.close();
 
   constructor(options: ModelEngineOptions = {}) {
@@ -210,7 +213,10 @@
     this.#openResponses.delete(sequence);
   }
 
-  /** A change of role ends whatever still runs: the side has to drain. */
+  /**
+   * Aborts all running generations at a role change; draining first is the
+   * side's task.
+   */
   #abortForRoleChange(): void {
     for (const [sequence, response] of [...this.#openResponses]) {
       this.counts.cutByChange += 1;
@@ -228,7 +234,7 @@
     if (this.#samples.length > 500) this.#samples.shift();
   }
 
-  /** State as it is, load as it was a while ago. */
+  /** Current state, and load as it was `reportLagMilliseconds` ago. */
   #status(): Record<string, unknown> {
     const now = performance.now();
     const lag = this.#options.reportLagMilliseconds ?? 0;
--- a/test/stand_ins/plain_service.ts
+++ b/test/stand_ins/plain_service.ts
@@ -1,4 +1,4 @@
-/** Stand-in of a plain service, such as member-portal. */
+/** Stand-in for a plain service, such as member-portal. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
   delay,
@@ -10,23 +10,23 @@
 } from "./stand_in_server.ts";
 
 export interface PlainServiceFaults {
-  /** Time that a run takes. */
+  /** Duration of a run. */
   delayMilliseconds: number;
-  /** So many of the next runs take effect and lose their answer. */
+  /** Number of next runs that take effect but whose response is lost. */
   lostAnswers: number;
-  /** So many of the next runs close in the middle of their answer. */
+  /** Number of next runs whose connection closes within the response body. */
   cutAnswers: number;
-  /** Size of a padding in every answer. */
+  /** Size of the padding in every response. */
   paddingBytes: number;
 }
 
 export interface PlainServiceOptions {
-  /** Prefix of the numbers that it gives. */
+  /** Prefix of the numbers that the service issues. */
   readonly prefix?: string;
   readonly delayMilliseconds?: number;
 }
 
-/** Runs whatever it gets and counts every run by its idempotency key. */
+/** Runs every request and counts the runs by idempotency key. */
 export class PlainServiceStandIn {
   readonly faults: PlainServiceFaults = {
     delayMilliseconds: 0,
@@ -34,7 +34,7 @@
     cutAnswers: 0,
     paddingBytes: 0,
   };
-  /** Runs by key; those without a key stand under the empty string. */
+  /** Number of runs by key; runs without a key count under the empty string. */
   readonly runs = new Map<string, number>();
   readonly #prefix: string;
   readonly #server = new StandInServer((request, response, url) =>
@@ -47,7 +47,10 @@
     this.faults.delayMilliseconds = options.delayMilliseconds ?? 0;
   }
 
-  /** Runs of a caller's key; the system puts the workspace before it. */
+  /**
+   * Number of runs of a caller's key; the system prefixes keys with the
+   * workspace.
+   */
   runsOf(callerKey: string): number {
     return countRuns(Object.fromEntries(this.runs), callerKey);
   }
@@ -103,7 +106,10 @@
   }
 }
 
-/** Runs of a caller's key among runs by the key that the service was given. */
+/**
+ * Number of runs of a caller's key, from runs by the key that the service
+ * received.
+ */
 export function countRuns(
   runs: Readonly<Record<string, number>>,
   callerKey: string,
--- a/test/stand_ins/stand_in_server.ts
+++ b/test/stand_ins/stand_in_server.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins share: a small HTTP server and a command line. */
+/** HTTP server and command line shared by the stand-ins. */
 import {
   createServer,
   type IncomingMessage,
@@ -9,14 +9,14 @@
 import process from "node:process";
 import { pathToFileURL } from "node:url";
 
-/** Answers one request; the path is without its query. */
+/** Handles one request; `url.pathname` is the path without the query. */
 export type Handler = (
   request: IncomingMessage,
   response: ServerResponse,
   url: URL,
 ) => Promise<void> | void;
 
-/** An HTTP server on a free port of the loopback that can also crash. */
+/** An HTTP server on a loopback port; closing it simulates a crash. */
 export class StandInServer {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Listens on the port, or on a free one for 0; gives the port. */
+  /** Listens on the port, or on a free one if it is 0, and returns the port. */
   listen(port = 0): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -47,7 +47,7 @@
     });
   }
 
-  /** Stops listening and cuts every connection, as a crash does. */
+  /** Stops listening and destroys every connection, as a crash does. */
   close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
@@ -57,7 +57,7 @@
   }
 }
 
-/** Reads a whole body; stand-ins are not meant for hostile callers. */
+/** Reads a complete body, without a size limit. */
 export async function readBody(request: IncomingMessage): Promise<string> {
   let body = "";
   request.setEncoding("utf8");
@@ -85,16 +85,16 @@
   response.end(body);
 }
 
-/** What a stand-in's own process needs of its class. */
+/** Interface of a stand-in that runs as its own process. */
 export interface StandIn {
   listen(port?: number): Promise<number>;
   close(): Promise<void>;
 }
 
 /**
- * Runs the stand-in where its module is the program that was started:
- * `--port N` and options as `--name value`, which are read as JSON where they
- * are JSON. Prints `{"listening": PORT}` when it listens.
+ * Runs the stand-in if its module is the main program. Arguments are `--port N`
+ * and options as `--name value`, parsed as JSON or else taken as text. Prints
+ * `{"listening": PORT}` once the stand-in listens.
  */
 export async function runAsProgram(
   moduleUrl: string,
--- a/test/stand_ins/vm_list.ts
+++ b/test/stand_ins/vm_list.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform's list of VMs. */
+/** Stand-in for the platform's list of VMs. */
 import {
   readJson,
   runAsProgram,
@@ -6,7 +6,7 @@
   StandInServer,
 } from "./stand_in_server.ts";
 
-/** One VM as the platform tells of it. */
+/** A VM as the platform lists it. */
 export interface StandInVm {
   readonly id: string;
   readonly address: string;
@@ -19,9 +19,11 @@
   readonly lagMilliseconds?: number;
 }
 
-/** Shows the list as it was some time ago; `POST /control` changes it. */
+/**
+ * Serves the list as it was `lagMilliseconds` ago; `POST /control` changes it.
+ */
 export class VmListStandIn {
-  /** True: answers with status 503. */
+  /** Whether requests are answered with status 503. */
   down = false;
   lagMilliseconds: number;
   readonly #versions: { at: number; vms: readonly StandInVm[] }[] = [];
@@ -61,7 +63,7 @@
     return this.#server.close();
   }
 
-  /** Replaces the list; readers see it when the lag has passed. */
+  /** Replaces the list; the change is visible after the lag. */
   set(vms: readonly StandInVm[]): void {
     this.#versions.push({ at: performance.now(), vms });
   }
--- a/test/stand_ins/weight_store.ts
+++ b/test/stand_ins/weight_store.ts
@@ -1,13 +1,16 @@
-/** Stand-in of the platform's weight store. */
+/** Stand-in for the platform's weight store. */
 import { runAsProgram, sendJson, StandInServer } from "./stand_in_server.ts";
 
 export interface WeightStoreOptions {
   readonly requestsPerSecond?: number;
-  /** Versions by model, newest last. */
+  /** Versions of the weights by model, newest last. */
   readonly versions?: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Tells versions of weights; refuses with 429 above its rate. */
+/**
+ * Serves the versions of model weights; responds with 429 above its request
+ * rate.
+ */
 export class WeightStoreStandIn {
   refused = 0;
   readonly #requestsPerSecond: number;
