--- a/scripts/generate.ts
+++ b/scripts/generate.ts
@@ -14,8 +14,8 @@
 
 /**
  * Types whose values come from outside the process and are checked there. A
- * validator for each type of every schema made the generated file two and a half
- * times as long.
+ * validator for each type of every schema made the generated file two and a
+ * half times as long.
  */
 const VALIDATED_TYPES: ReadonlySet<string> = new Set([
   "AppendAnswer",
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run losses -- FILE`: says where requests were lost, from the log lines of
- * entries. The lines may carry other text before their JSON; lines of other
+ * `npm run losses -- FILE`: says where requests were lost, from the log lines
+ * of entries. The lines may carry other text before their JSON; lines of other
  * programs are passed over. Prints refusals and cuts by reason and second,
  * predicted against measured reading by route, and where first bytes took long.
  */
--- a/test/process/binary_test.ts
+++ b/test/process/binary_test.ts
@@ -23,9 +23,9 @@
     return spawnSync(binary, args, { encoding: "utf8", timeout: 10_000 });
   }
 
-  // The bundle works from its sources and the binary made of it does not: a
-  // library asks for the place of its own file, which a binary has none of.
-  it("starts, tells its version and helps with every command", () => {
+  // The bundle runs but the binary made from it may not: a library may read the
+  // path of its own file, which does not exist in a single binary.
+  it("prints its version and the help of every command", () => {
     expect(run("--version").stdout.trim()).to.equal("0.1.0");
     for (const command of COMMANDS) {
       const help = run(command, "--help");
@@ -34,9 +34,9 @@
     }
   });
 
-  // A unit file names a command or an option wrongly. Exit code 2 tells the
-  // operator that no restart will help.
-  it("ends with code 2 on arguments that can't be used", () => {
+  // A unit file has a misspelled command or option. Exit code 2 shows the
+  // operator that a restart does not help.
+  it("exits with code 2 on invalid arguments", () => {
     for (const args of [["nonsense"], ["check"], ["entry"], []]) {
       const result = run(...args);
       expect(result.status, args.join(" ")).to.equal(2);
@@ -45,9 +45,9 @@
   });
 
   for (const command of ["entry", "side"]) {
-    // An operator mistypes a key. A process that started with a default in its
-    // place would run with a limit that nobody meant.
-    it(`ends with code 2 and every problem of an ${command}'s settings`, () => {
+    // An operator misspells a key. If the process started with the default
+    // instead, it would run with an unintended limit.
+    it(`exits with code 2 and all problems of the ${command} settings`, () => {
       const file = join(folder, `${command}.toml`);
       writeFileSync(file, 'name = "X!"\nregoin = "klang-valley"\n');
       const result = run(command, "--settings", file);
--- a/test/process/examples_test.ts
+++ b/test/process/examples_test.ts
@@ -19,7 +19,7 @@
     describe(name, () => {
       const folder = `examples/${name}`;
 
-      it("can be published", () => {
+      it("has a valid inventory and rules", () => {
         const content = loadConfiguration({
           inventory: `${folder}/inventory.toml`,
           rules: `${folder}/rules.toml`,
@@ -27,7 +27,7 @@
         expect(content.isOk() || content.error).to.equal(true);
       });
 
-      it("has the operators' replica counts, spread over all zones", () => {
+      it("has the specified replica counts, spread over all availability zones", () => {
         const inventory = parse(
           readFileSync(`${folder}/inventory.toml`, "utf8"),
         ) as unknown as Inventory;
@@ -41,8 +41,9 @@
         }
       });
 
-      // A side that is started with a neighbour's file would take its place at
-      // its endpoint; the inventory and the files have to name the same ones.
+      // A side that is started with the settings of another endpoint would
+      // serve that endpoint, so the inventory and the settings must name the
+      // same ones.
       it("has settings for each process that the inventory names", () => {
         const inventory = parse(
           readFileSync(`${folder}/inventory.toml`, "utf8"),
--- a/test/process/install_missing_test.ts
+++ b/test/process/install_missing_test.ts
@@ -17,7 +17,7 @@
 
 const SCRIPT = resolve("scripts/install_missing.mjs");
 
-describe("Installing what is missing", () => {
+describe("Installing missing packages", () => {
   let folder: string;
   let shared: string;
 
@@ -33,7 +33,7 @@
   afterEach(() => rmSync(folder, { recursive: true }));
 
   function run() {
-    // Without a registry nothing is fetched, whatever the script decides.
+    // The unreachable registry prevents downloads, whatever the script decides.
     return spawnSync(process.execPath, [SCRIPT], {
       cwd: folder,
       encoding: "utf8",
@@ -41,18 +41,19 @@
     });
   }
 
-  // Two checkouts share their packages by a link. npm empties the folder
-  // before it installs, under the programs that the other one runs.
-  it("never empties packages that another checkout uses", () => {
+  // Two checkouts share their packages by a symbolic link. npm empties the
+  // folder before it installs, which breaks programs running in the other
+  // checkout.
+  it("never empties a package folder shared with another checkout", () => {
     const result = run();
     expect(result.status).to.equal(1);
     expect(result.stderr).to.include("node_modules is a link");
     expect(existsSync(join(shared, "in_use"))).to.equal(true);
   });
 
-  // A checkout writes the lock file anew. By its time everything would be
-  // missing, though every version is the same.
-  it("goes by versions, not by the files' times", () => {
+  // A checkout rewrites the lock file. A comparison of modification times would
+  // then reinstall everything although all versions are equal.
+  it("compares versions instead of modification times", () => {
     const { packages } = JSON.parse(readFileSync("package-lock.json", "utf8"));
     const installedLock = join(shared, ".package-lock.json");
     writeFileSync(installedLock, JSON.stringify({ packages }));
--- a/test/process/malformed_input_test.ts
+++ b/test/process/malformed_input_test.ts
@@ -16,7 +16,7 @@
 const CLOSE = "Connection: close";
 const SMUGGLED = rawRequest("GET /metrics", [HOST, CLOSE]);
 
-describe("What bad input gets at the doors", function () {
+describe("Malformed input to the listeners", function () {
   this.timeout(60_000);
   const deployment = new SmallDeployment();
   let entryPort: number;
@@ -40,7 +40,9 @@
     await deployment.close();
   });
 
-  /** Whatever came before, everybody else is still served in full. */
+  /**
+   * After each test, other callers are still served and no process has exited.
+   */
   afterEach(async () => {
     const prompt = promptFor("after bad input", 20);
     const answer = await streamChat(deployment.entries[0].url, { prompt });
@@ -53,21 +55,21 @@
     }
   });
 
-  describe("the callers' door", () => {
+  describe("the caller listener", () => {
     const refused = [
-      ["JSON that is cut off", '{"model":"triage-llm"', 400],
-      ["another type than text", '{"model":7,"messages":[]}', 400],
+      ["truncated JSON", '{"model":"triage-llm"', 400],
+      ["a model that is no string", '{"model":7,"messages":[]}', 400],
       ["no messages", '{"model":"triage-llm"}', 400],
       ["JSON that is no object", "[]", 400],
       [
-        "a model that nobody serves",
+        "an unknown model",
         '{"model":"none","messages":[{"role":"user","content":"x"}]}',
         404,
       ],
       ["a body that is too large", `"${"x".repeat(2 * 1024 * 1024)}"`, 400],
     ] as const;
     for (const [what, body, status] of refused) {
-      it(`refuses ${what} with a problem that says not run`, async () => {
+      it(`refuses ${what} with the outcome not_run`, async () => {
         const received = await sendRaw(
           rawRequest(CHAT_LINE, [
             HOST,
@@ -99,7 +101,7 @@
       });
     }
 
-    it("refuses a deadline that can't be met at once", async () => {
+    it("refuses immediately a deadline that can't be met", async () => {
       const started = performance.now();
       const answer = await streamChat(deployment.entries[0].url, {
         prompt: promptFor("impossible", 20),
@@ -110,22 +112,22 @@
     });
 
     const smuggled = [
-      ["two lengths", ["Content-Length: 5", "Content-Length: 60"]],
-      ["a length and chunks", [
+      ["two content lengths", ["Content-Length: 5", "Content-Length: 60"]],
+      ["a content length and chunked encoding", [
         "Content-Length: 5",
         "Transfer-Encoding: chunked",
       ]],
-      ["an encoding with a trailing word", [
+      ["a transfer encoding that does not end in chunked", [
         "Transfer-Encoding: chunked, identity",
       ]],
-      ["a blank before the colon", ["Content-Length : 5"]],
-      ["a length with a sign", ["Content-Length: +5"]],
+      ["a space before the colon", ["Content-Length : 5"]],
+      ["a content length with a sign", ["Content-Length: +5"]],
       ["a folded header", ["X-First: a\r\n Content-Length: 5"]],
     ] as const;
     for (const [what, headers] of smuggled) {
-      // Two parties read the end of one request at different places, and the
-      // rest of it becomes a request that nobody has checked.
-      it(`gives no second answer to ${what}`, async () => {
+      // Request smuggling: if two parties disagree on where a request ends, its
+      // rest is handled as another request that was never checked.
+      it(`sends no second response to ${what}`, async () => {
         const text = rawRequest(CHAT_LINE, [HOST, ...headers], `0\r\n\r\n`);
         const received = await sendRaw(text + SMUGGLED, { port: entryPort });
         expect(received).to.not.include("filbertshore_");
@@ -134,7 +136,7 @@
       });
     }
 
-    it("refuses a head that is too large", async () => {
+    it("refuses a request head that is too large", async () => {
       const headers = [HOST, `X-Long: ${"x".repeat(64 * 1024)}`];
       const received = await sendRaw(rawRequest("GET /health", headers), {
         port: entryPort,
@@ -142,9 +144,9 @@
       expect(statusCodes(received)[0]).to.be.within(400, 431);
     });
 
-    // The line breaks while the caller still sends, or in the middle of the
-    // answer. What was begun for it has to be given back.
-    it("takes a caller that hangs up at any byte", async () => {
+    // The connection closes while the caller still sends, or in the middle of
+    // the answer. The engines must stop the work that was started for it.
+    it("survives a caller that disconnects at any byte", async () => {
       const body = chatBody(promptFor("hangs up", 2_000));
       const text = rawRequest(CHAT_LINE, [
         HOST,
@@ -161,20 +163,20 @@
       await expectIdleEngines();
     });
 
-    it("takes any bytes", async () => {
+    it("survives arbitrary bytes", async () => {
       await fuzz(() => entryPort);
     });
   });
 
-  describe("the doors between processes", () => {
-    it("take any bytes", async () => {
+  describe("the listeners between processes", () => {
+    it("survive arbitrary bytes", async () => {
       await fuzz(() => sidePort);
       await fuzz(() => entryPeerPort);
     });
 
-    // A process of another version, or no process of the system at all, sends
-    // what only looks like a message.
-    it("take any JSON", async () => {
+    // A process of another version or a foreign client sends JSON that is no
+    // valid message.
+    it("survive arbitrary JSON", async () => {
       const paths = ["/rpc", "/attempts"];
       await fc.assert(
         fc.asyncProperty(
@@ -188,13 +190,13 @@
         ),
         {
           numRuns: 100,
-          // A batch with nothing in it once ended the process.
+          // A batch whose only element is null once crashed the process.
           examples: [["[null]", "/rpc", "side"], ["[null]", "/rpc", "entry"]],
         },
       );
     });
 
-    it("take calls whose parameters do not fit", async () => {
+    it("survive calls with invalid parameters", async () => {
       const methods = [
         "side.report",
         "side.ask",
@@ -227,7 +229,7 @@
     });
   });
 
-  describe("an endpoint that misbehaves", () => {
+  describe("a faulty endpoint", () => {
     const endpointFaults = [
       ["closes in mid-token", { closeAfterTokens: 10 }],
       ["sends garbage", { garbageAfterTokens: 10 }],
@@ -235,9 +237,10 @@
       ["sends without end", { floodAfterTokens: 10 }],
     ] as const;
     for (const [what, fault] of endpointFaults) {
-      // Its answer goes on at another engine; taken for an end, the caller
-      // would get a short answer that looks whole.
-      it(`costs no caller a token where it ${what}`, async () => {
+      // The answer must resume at another engine. If the fault were taken for
+      // the end of the answer, the caller would get a truncated answer that
+      // looks complete.
+      it(`loses no token when it ${what}`, async () => {
         await Promise.all(
           deployment.engines.slice(0, 2).map(({ url }) =>
             fetch(`${url}/control`, {
@@ -266,7 +269,7 @@
             },
           ),
         );
-        expect(consumed, "the fault came about").to.include(true);
+        expect(consumed, "the fault was injected").to.include(true);
         answers.forEach((answer, index) => {
           expect(answer.problem).to.equal(undefined);
           expect(answer.tokens).to.deep.equal(
@@ -277,7 +280,9 @@
     }
   });
 
-  /** Engines that still run for callers that have gone. */
+  /**
+   * Waits until no engine runs a generation for a caller that has disconnected.
+   */
   async function expectIdleEngines(): Promise<void> {
     const deadline = performance.now() + 5_000;
     for (;;) {
@@ -296,7 +301,7 @@
   }
 });
 
-/** Random bytes, and random bytes behind the start of a real request. */
+/** Sends random bytes, alone and after the start of a valid request. */
 async function fuzz(port: () => number): Promise<void> {
   const prefixes = [
     "",
--- a/test/process/operator_commands_test.ts
+++ b/test/process/operator_commands_test.ts
@@ -5,7 +5,7 @@
 import { waitFor } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 
-describe("Operators' commands against running processes", function () {
+describe("Operator commands against running processes", function () {
   this.timeout(60_000);
   let deployment: SmallDeployment;
   let operator: Operator;
@@ -40,7 +40,7 @@
       .length;
   }
 
-  it("publish waits until every process has the version in force", async () => {
+  it("publish waits until the version is in force at every process", async () => {
     const result = await operator.publish({ "triage-0": "draining" });
     const facts = JSON.parse(result.output);
     expect(result.code).to.equal(0);
@@ -55,9 +55,9 @@
     expect(drained.state).to.equal("draining");
   });
 
-  // Two operators drain different engines at the same moment. If both took
-  // effect, the second would silently undo the first.
-  it("of two that publish at once one wins, and the other hears who", async () => {
+  // Two operators drain different engines concurrently. If both publications
+  // were accepted, the second would silently undo the first.
+  it("publish rejects one of two concurrent publications and names the winner", async () => {
     const before = JSON.parse(
       (await operator.run("status", ["--json"])).output,
     );
@@ -81,9 +81,10 @@
     expect(loser.output).to.include(`by ${winner} came first`);
   });
 
-  // The log takes the publication and its answer is lost. Appended once more
-  // blindly, it would be beaten by itself and the operator told that it failed.
-  it("finds a publication whose answer was lost", async () => {
+  // The log appends the publication and its response is lost. A blind second
+  // append would conflict with the first and be reported to the operator as
+  // rejected.
+  it("publish finds its publication after a lost response", async () => {
     await logControl({ lostAnswers: 1 });
     const before = await publications();
     const result = await operator.publish({ "triage-0": "draining" });
@@ -91,9 +92,9 @@
     expect(await publications()).to.equal(before + 1);
   });
 
-  // The operator's own tool appends an inventory that makes no sense. It must
-  // not come into force anywhere, and the next change has to go through.
-  it("goes on after garbage on the configuration stream", async () => {
+  // Another tool appends invalid records. They must not come into force at any
+  // process, and the next publication must succeed.
+  it("publish works after invalid records on the configuration stream", async () => {
     await deployment.publishRaw({ inventory: "none" }, 3);
     await deployment.publishRaw(17, 3);
     await fetch(
@@ -104,7 +105,7 @@
     expect(result.code, result.output).to.equal(0);
   });
 
-  it("says that nothing was made while the log is down", async () => {
+  it("publish reports not_made while the log is down", async () => {
     await logControl({ down: "refuse" });
     const args = ["--base", "latest", "--wait-seconds", "2"];
     const result = await operator.publish({ "triage-0": "draining" }, args);
@@ -114,12 +115,12 @@
     await waitFor(async () => {
       const again = await operator.publish({ "triage-0": "draining" });
       return again.code === 0;
-    }, { what: "the change to go through once the log is back" });
+    }, { what: "the publication to succeed after the outage of the log" });
   });
 
-  // The operator's shell dies before it has seen the verdict. Asked again by
-  // its id, the command tells what became of it and appends nothing.
-  it("finds out by its id what became of a publication", async () => {
+  // The operator's shell exits before the result arrives. A second run with the
+  // same publication id reports the result and appends nothing.
+  it("publish reports the result of an earlier publication by its id", async () => {
     const id = ["--base", "latest", "--publication-id", "drain-triage-0"];
     const first = await operator.publish({ "triage-0": "draining" }, id);
     const before = await publications();
@@ -129,9 +130,9 @@
     expect(await publications()).to.equal(before);
   });
 
-  // An operator's file was made an hour ago and somebody has published since.
-  // A base that the command looks up itself would always fit and undo that.
-  it("asks which version the files were made on", async () => {
+  // An operator's files may predate the newest publication. If the command took
+  // the latest version as the base, it would silently undo that publication.
+  it("publish requires the version that the files are based on", async () => {
     const before = await publications();
     const result = await operator.publish({ "triage-0": "draining" }, []);
     expect(result.code).to.equal(2);
@@ -139,7 +140,7 @@
     expect(await publications()).to.equal(before);
   });
 
-  it("names the processes that have not told of a version", async () => {
+  it("publish names the processes that have not reported the version", async () => {
     deployment.engines[1].side.child.kill("SIGKILL");
     const args = ["--base", "latest", "--wait-seconds", "2"];
     const result = await operator.publish({ "triage-0": "draining" }, args);
@@ -147,7 +148,7 @@
     expect(JSON.parse(result.output).missing).to.deep.equal(["side-triage-1"]);
   });
 
-  it("status tells of an entry that does not answer", async () => {
+  it("status reports an entry that does not respond", async () => {
     deployment.entries[1].process.child.kill("SIGKILL");
     await deployment.entries[1].process.exited;
     const result = await operator.run("status");
@@ -156,7 +157,7 @@
     expect(result.output).to.include("triage-0");
   });
 
-  it("publish refuses files that can't be used and appends nothing", async () => {
+  it("publish refuses invalid files and appends nothing", async () => {
     const before = await publications();
     const file = deployment.fleet.writeToml("bad.toml", { region: "x" });
     const result = await operator.run("publish", [
--- a/test/process/planned_and_unplanned_stops_test.ts
+++ b/test/process/planned_and_unplanned_stops_test.ts
@@ -33,7 +33,7 @@
     await deployment.close();
   });
 
-  /** Starts streams; `underWay` settles when each has some of its tokens. */
+  /** Starts streams; `underWay` resolves when each has at least 20 tokens. */
   function startStreams(count: number, entryUrl: string) {
     const prompts = Array.from(
       { length: count },
@@ -48,8 +48,8 @@
         })
       ),
     );
-    // An answer that ends before it is under way tells why; waiting on for it
-    // would only say that time has passed.
+    // A stream that ends early carries the cause; a timeout of `waitFor` would
+    // hide it.
     let settledResult: unknown;
     void answers.then(
       (all) => settledResult = all,
@@ -81,9 +81,9 @@
     });
   }
 
-  // The platform replaces an entry VM. Cut off there, every caller on it would
-  // hear silence in the middle of an answer.
-  it("an entry that is told to stop finishes its streams first", async () => {
+  // The platform replaces an entry VM. Without a drain, all its streams would
+  // break off in the middle of an answer.
+  it("an entry that receives SIGTERM finishes its streams first", async () => {
     const [entry] = deployment.entries;
     const streams = startStreams(6, entry.url);
     await streams.underWay;
@@ -92,14 +92,14 @@
       const health = await fetch(`${entry.url}/health`)
         .then((answer) => answer.status, () => 0);
       return health !== 200;
-    }, { what: "the balancer to see that the entry drains" });
+    }, { what: "the health check to show that the entry drains" });
     await expectComplete(streams);
     expect(await entry.process.exited).to.equal(0);
   });
 
-  // The platform replaces an endpoint VM. Its side has to finish what runs or
-  // hand it on, and take nothing new.
-  it("a side that is told to stop cuts no stream", async () => {
+  // The platform replaces an endpoint VM. Its side must finish or hand over its
+  // running streams and accept no new ones.
+  it("a side that receives SIGTERM cuts no stream", async () => {
     const streams = startStreams(9, deployment.entries[0].url);
     await streams.underWay;
     const [engine] = deployment.engines;
@@ -108,27 +108,26 @@
     expect(await engine.side.exited).to.equal(0);
   });
 
-  // A side's process dies in the middle of answers. The entry goes on at
-  // another engine behind the tokens that callers already have.
-  it("a side that is killed costs no token and repeats none", async () => {
+  // A side's process is killed in the middle of answers. The entry resumes them
+  // at another engine after the tokens that were already delivered.
+  it("a killed side loses no token and repeats none", async () => {
     const streams = startStreams(9, deployment.entries[0].url);
     await streams.underWay;
     deployment.engines[0].side.child.kill("SIGKILL");
     await expectComplete(streams);
   });
 
-  // An engine dies in the middle of answers while its side lives.
-  it("an engine that crashes costs no token and repeats none", async () => {
+  // An engine crashes in the middle of answers while its side keeps running.
+  it("a crashed engine loses no token and repeats none", async () => {
     const streams = startStreams(9, deployment.entries[0].url);
     await streams.underWay;
     deployment.engines[1].endpoint.child.kill("SIGKILL");
     await expectComplete(streams);
   });
 
-  // The platform replaces all VMs one after the other while callers keep on
-  // asking. Each new side has to get work again, or the last replacement
-  // leaves nobody to answer.
-  it("sides are replaced one after the other under load", async () => {
+  // The platform replaces all VMs one at a time under load. Each new side must
+  // get work again; otherwise no endpoint is left after the last replacement.
+  it("sides are replaced one at a time under load", async () => {
     let finished = false;
     const callers = deployment.entries.flatMap(({ url }) =>
       [1, 2, 3].map(async (caller) => {
@@ -144,8 +143,8 @@
         return incomplete;
       })
     );
-    // A caller that fails while the sides are replaced is told below: thrown
-    // at once, it would end the test while its replacements go on.
+    // Failures of callers are checked after the replacements: an immediate
+    // rejection would end the test while they still run.
     const callerResults = Promise.allSettled(callers);
     for (const { id, side } of deployment.engines) {
       await pause(600);
@@ -164,7 +163,7 @@
       expect(caller).to.deep.equal({ status: "fulfilled", value: [] });
     }
     const before = await generations();
-    // An endpoint that has failed is taken back step by step.
+    // Traffic returns gradually to an endpoint that has failed.
     await waitFor(async () => {
       await expectComplete(startStreams(24, deployment.entries[0].url));
       const after = await generations();
@@ -182,8 +181,8 @@
     }));
   }
 
-  // The side beside the portal dies after the booking has been passed on.
-  // Whether it took effect nobody can tell, and "not run" would make the
+  // The side of the portal is killed after it has sent the booking. Whether the
+  // booking took effect is unknown, and the outcome "not run" would make the
   // caller book a second time.
   it("a killed side never makes a booking run twice", async () => {
     await Promise.all(
--- a/test/process/platform_faults_test.ts
+++ b/test/process/platform_faults_test.ts
@@ -6,7 +6,7 @@
 } from "../support/small_deployment.ts";
 import { uuidv7 } from "../support/uuid.ts";
 
-/** Time within which an accepted configuration is in force everywhere. */
+/** Time within which an accepted configuration is in force at all processes. */
 const IN_FORCE_MILLISECONDS = 9_000;
 
 interface Status {
@@ -91,7 +91,7 @@
     });
   }
 
-  /** True once every entry and every side has a version above the given. */
+  /** Whether every entry and every side has a version above the given one. */
   async function inForceAbove(
     version: number,
     entries: readonly DeployedEntry[],
@@ -106,8 +106,8 @@
     return true;
   }
 
-  // The log service is down. A booking whose key can't be recorded must not be
-  // sent; generations need no log and go on.
+  // During an outage of the log service, a booking must not be sent because its
+  // key can't be recorded. Generations don't need the log and continue.
   it("an outage of the log refuses bookings as not run and nothing else", async () => {
     await setLog({ down: "refuse" });
     const key = uuidv7();
@@ -132,14 +132,14 @@
         last = await book(deployment.entries[0], key);
         return last.status < 300;
       },
-      { what: "the log to be used again", found: () => last },
+      { what: "a booking to succeed after the outage", found: () => last },
     );
     expect(await runsOf(key)).to.equal(1);
   });
 
-  // The log takes the record and its answer is lost on the way back. Appending
-  // it again or giving up would book twice or not at all.
-  it("a lost answer of the log is found again and books once", async () => {
+  // The log appends the record and its response is lost. A second append would
+  // book twice, and giving up would not book at all.
+  it("a lost response of the log leads to one booking", async () => {
     await setLog({ lostAnswers: 1 });
     const key = uuidv7();
     const booking = await book(deployment.entries[0], key);
@@ -147,9 +147,9 @@
     expect(await runsOf(key)).to.equal(1);
   });
 
-  // The entry that judges publications is killed. Nobody hands its claim over,
-  // and an operator publishes in the same moment.
-  it("a publication comes into force although its judge was killed", async function () {
+  // The entry that judges publications is killed without releasing its claim
+  // while an operator publishes.
+  it("a publication comes into force after its judge was killed", async function () {
     this.timeout(30_000);
     const judge = judgeOf(deployment);
     const others = deployment.entries.filter((entry) => entry !== judge);
@@ -167,11 +167,11 @@
     expect(performance.now() - published).to.be.below(IN_FORCE_MILLISECONDS);
   });
 
-  // The entry that judges is frozen past every limit. Another takes over and a
-  // publication comes into force. Then the frozen one wakes up and still
-  // believes in its claim; what it writes must have no effect, and it must
-  // come to what the others have.
-  it("an entry that wakes from a long freeze changes nothing", async function () {
+  // The entry that judges is suspended beyond every timeout, another takes the
+  // claim over, and a publication comes into force. The resumed entry still
+  // assumes that it holds the claim: its writes must have no effect, and it
+  // must converge to the configuration of the others.
+  it("an entry that resumes after a long suspension changes nothing", async function () {
     this.timeout(60_000);
     const judge = judgeOf(deployment);
     const [other] = deployment.entries.filter((entry) => entry !== judge);
@@ -189,16 +189,16 @@
     judge.process.child.kill("SIGCONT");
     await waitFor(
       async () => (await status(judge)).configurationVersion === after,
-      { what: "the woken entry to follow" },
+      { what: "the resumed entry to catch up" },
     );
     await new Promise((resolve) => setTimeout(resolve, 2_000));
     expect((await status(other)).configurationVersion).to.equal(after);
     expect((await status(judge)).configurationVersion).to.equal(after);
   });
 
-  // Two operators publish against the same version. If both were taken, the
+  // Two operators publish on the same base version. If both were accepted, the
   // second would silently undo the first.
-  it("of two racing publications exactly one comes into force", async () => {
+  it("of two concurrent publications exactly one comes into force", async () => {
     const [entry] = deployment.entries;
     const before = (await status(entry)).configurationVersion;
     const [one, other] = deployment.engines.map((each) => each.id);
@@ -210,16 +210,16 @@
       ),
     ]);
     await waitFor(() => inForceAbove(before, deployment.entries), {
-      what: "one of them to be in force",
+      what: "one of the publications to be in force",
     });
     const { sides } = await status(entry);
     const draining = sides.filter((side) => side.state === "draining");
     expect(draining).to.have.length(1);
   });
 
-  // An operator publishes that an endpoint is draining. It finishes what it
-  // has; new bookings after a few seconds would be lost when it goes.
-  it("a draining endpoint gets no new work after a few seconds", async () => {
+  // A draining endpoint finishes its open work. Bookings sent to it afterwards
+  // would be lost when it shuts down.
+  it("a draining endpoint gets no new work once the drain is in force", async () => {
     const [leaving] = deployment.services;
     const { configurationVersion } = await status(deployment.entries[0]);
     await deployment.publishRaw(
@@ -238,8 +238,8 @@
     }
   });
 
-  // The entry dies between sending a booking and answering. The caller repeats
-  // the key through another entry and must get the one booking that was made.
+  // The entry is killed between sending a booking and answering. The caller
+  // repeats the key through another entry and must get the same booking.
   it("a booking whose entry was killed is made once", async function () {
     this.timeout(30_000);
     const [first, second] = deployment.entries;
@@ -261,9 +261,9 @@
     expect(await runsOf(key)).to.equal(1);
   });
 
-  // A side is frozen past every limit while it works on a booking, and wakes
-  // up. The repeat must not run it on the other endpoint meanwhile.
-  it("a booking whose side was frozen is made once", async function () {
+  // A side is suspended beyond every timeout during a booking and then resumes.
+  // A repeat of the booking must not run on the other endpoint.
+  it("a booking whose side was suspended is made once", async function () {
     this.timeout(40_000);
     const key = uuidv7();
     for (const { url } of deployment.services) {
@@ -288,7 +288,7 @@
   });
 });
 
-/** The entry that has the claim on the configuration's stream. */
+/** The entry that holds the claim on the configuration stream, by its log. */
 function judgeOf(deployment: SmallDeployment): DeployedEntry {
   return deployment.entries.find((entry) =>
     /"stream":"configuration[^}]*has the claim/.test(entry.process.output())
--- a/test/process/random_faults_test.ts
+++ b/test/process/random_faults_test.ts
@@ -15,9 +15,9 @@
 
 const SEED = 20261202;
 const RUN_MILLISECONDS = 12_000;
-/** The last faults come so long before the end that all have passed by then. */
+/** Time without new faults at the end, in which all open faults pass. */
 const FAULT_FREE_MILLISECONDS = 3_500;
-/** Sides that are away at once, of seven. */
+/** Limit of concurrently unavailable sides, of seven. */
 const MAX_UNAVAILABLE = 2;
 
 interface Booking {
@@ -25,7 +25,7 @@
   readonly outcome: "answered" | "not_run" | "unknown";
 }
 
-describe("Random faults while callers ask", function () {
+describe("Random faults under load", function () {
   this.timeout(90_000);
   const deployment = new SmallDeployment();
   const sides = new Map<string, StartedProcess>();
@@ -51,10 +51,11 @@
     await deployment.close();
   });
 
-  // Sides die, stop and pause, engines break off, the log is down, slow and
-  // loses answers, several of these at once. Callers may be refused or told
-  // that the outcome is unknown; what they are told has to be true.
-  it("no answer is cut short, nothing runs twice, every refusal is true", async () => {
+  // Sides are killed, stopped and suspended, engines break streams off, and the
+  // log is down, slow or loses responses, several of these concurrently.
+  // Callers may be refused or get an unknown outcome, but every reported
+  // outcome must match what ran.
+  it("truncates no answer, runs nothing twice and reports true outcomes", async () => {
     const end = performance.now() + RUN_MILLISECONDS;
     const bookings: Booking[] = [];
     const [streams] = await Promise.all([
@@ -80,7 +81,10 @@
     expect(answer.tokens).to.deep.equal(completeAnswer(last).tokens);
   });
 
-  /** For each stream, whether it was whole; a part of one has to be right. */
+  /**
+   * Whether each stream was complete; an incomplete one must be a correct
+   * prefix.
+   */
   async function streamUntil(end: number, caller: number): Promise<boolean[]> {
     const complete: boolean[] = [];
     for (let count = 0; performance.now() < end; count++) {
@@ -104,7 +108,7 @@
       const key = uuidv7();
       const first = await book(key);
       bookings.push({ key, outcome: first });
-      // A caller repeats what it does not know, and now and then what it does.
+      // Repeats the key after an answer and after an unknown outcome.
       if (first !== "not_run") await book(key);
       await pause(20);
     }
--- a/test/process/slow_caller_test.ts
+++ b/test/process/slow_caller_test.ts
@@ -10,9 +10,9 @@
 import { rawRequest } from "../support/raw_http.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 
-/** Far more than the sockets' own buffers on the way can take. */
+/** Far more than all socket buffers on the path can hold. */
 const TOKENS = 400_000;
-/** What a process may take more while a caller reads nothing. */
+/** Limit of a process's memory growth while a caller reads nothing. */
 const MAX_GROWTH_BYTES = 60 * 1024 * 1024;
 
 describe("A caller that reads slowly", function () {
@@ -34,10 +34,10 @@
     await deployment.close();
   });
 
-  // The caller's line is slow and the engine is fast. If side or entry went on
-  // reading, one answer after the other would pile up in their memory until
-  // the platform kills them, with everybody's answers.
-  it("is held back at the engine, and others are served", async () => {
+  // The caller reads slowly and the engine is fast. Without backpressure, side
+  // and entry would buffer whole answers until the platform kills them for
+  // their memory use, along with the answers of all other callers.
+  it("applies backpressure up to the engine while others are served", async () => {
     const [entry] = deployment.entries;
     const [engine] = deployment.engines;
     const side = `http://${engine.sideAddress}`;
@@ -79,13 +79,13 @@
   return counts.tokens;
 }
 
-/** Resident memory by the process's own metrics, bytes. */
+/** Resident memory according to the process's metrics, bytes. */
 async function memoryOf(url: string): Promise<number> {
   const text = await (await fetch(`${url}/metrics`)).text();
   return Number(/^process_resident_memory_bytes (\S+)$/m.exec(text)?.[1]);
 }
 
-/** The value once it has stood for a second. */
+/** Returns the value once it has not changed for a second. */
 async function waitUntilStable(read: () => Promise<number>): Promise<number> {
   let last = -1;
   for (let seconds = 0; seconds < 40; seconds++) {
--- a/test/process/telemetry_test.ts
+++ b/test/process/telemetry_test.ts
@@ -69,7 +69,7 @@
       .to.equal(byName.get("side.attempt")?.spanId);
   });
 
-  it("counts goodput by the class that the rules decided", async () => {
+  it("counts goodput by the class that the rules assign", async () => {
     const [, entry] = deployment.entries;
     await streamChat(entry.url, {
       prompt: promptFor("counted", 30),
--- a/test/process/whole_path_test.ts
+++ b/test/process/whole_path_test.ts
@@ -8,7 +8,7 @@
   messages: [{ role: "user", content: "Lorry dumping by the river in Klang" }],
 };
 
-describe("The whole path as processes", () => {
+describe("The complete request path as processes", () => {
   const deployment = new SmallDeployment();
 
   before(async function () {
@@ -19,7 +19,7 @@
   after(() => deployment.close());
 
   describe("a generation", () => {
-    it("gives the same whole answer through both entries", async () => {
+    it("returns the same complete answer through both entries", async () => {
       const answers = await Promise.all(
         deployment.entries.map(({ url }) => chat(url, CHAT)),
       );
@@ -28,7 +28,7 @@
       expect(texts[1]).to.equal(texts[0]);
     });
 
-    it("streams token by token up to an explicit end", async () => {
+    it("streams its tokens up to an explicit end", async () => {
       const whole = await chat(deployment.entries[0].url, CHAT);
       const events = await stream(deployment.entries[0].url, CHAT);
       expect(events.at(-1)).to.equal("[DONE]");
@@ -39,10 +39,9 @@
     });
   });
 
-  describe("a call that may have its effect once only", () => {
-    // The caller's connection breaks and it sends the same key again, through
-    // another entry. Without the record of the key the case would get two
-    // numbers.
+  describe("a non-idempotent call with a key", () => {
+    // A caller whose connection broke repeats the key through another entry.
+    // Without a record of the key, the case would get two numbers.
     it("runs once, and the repeat gets the first answer", async () => {
       const key = uuidv7();
       const [first, second] = [
@@ -53,7 +52,7 @@
       expect(second).to.deep.equal(first);
     });
 
-    it("is told apart from another call with the same key", async () => {
+    it("is refused if its key was used with another body", async () => {
       const key = uuidv7();
       await book(deployment.entries[0].url, key);
       const other = await book(deployment.entries[0].url, key, "other body");
@@ -63,7 +62,7 @@
   });
 
   describe("a request that can't be served", () => {
-    it("is refused at once with a problem that says not run", async () => {
+    it("is refused with the outcome not_run", async () => {
       const answer = await fetch(
         `${deployment.entries[0].url}/v1/chat/completions`,
         { method: "POST", body: JSON.stringify({ ...CHAT, model: "none" }) },
--- a/test/support/forwarding_engines.ts
+++ b/test/support/forwarding_engines.ts
@@ -25,8 +25,8 @@
 
 /**
  * Minimal simulated engines. A prefill engine processes one prompt at a time in
- * order of priority, and prompt parts in its cache cost no time. A decode engine
- * has a fixed number of slots and rejects attempts when all are in use.
+ * order of priority, and prompt parts in its cache cost no time. A decode
+ * engine has a fixed number of slots and rejects attempts when all are in use.
  */
 export class PlayedEngines {
   readonly #timer: ManualTimerService;
