--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,4 +1,6 @@
-/** Bundles the command line into one file and makes the single binary of it. */
+/**
+ * Bundles the command line into one file and builds the single binary from it.
+ */
 import { execFileSync } from "node:child_process";
 import {
   chmodSync,
@@ -15,12 +17,13 @@
 const BLOB = "dist/filbertshore.blob";
 const BINARY = "dist/filbertshore";
 const TEMPORARY_BINARY = "dist/filbertshore.unfinished";
-/** The mark that Node's executable carries for this purpose. */
+/** Fuse of Node.js single executable applications, which `inject` switches. */
 const SEA_FUSE = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 
 /**
- * A bundle has no `import.meta`, yet libraries ask it for their own place when
- * they load: without this the binary ends before it has read its arguments.
+ * Replaces `import.meta.url`, which a CommonJS bundle lacks. Libraries read it
+ * when they load, and without a value the binary exits before it has parsed its
+ * arguments.
  */
 const MODULE_URL = "moduleUrl";
 
@@ -57,8 +60,9 @@
 }
 
 /**
- * Made beside its place and moved there: copying onto a binary that runs
- * fails, and a process that starts meanwhile would find half a file.
+ * Writes the binary to a temporary path and renames it: overwriting a running
+ * binary fails, and a process that starts during the copy would load an
+ * incomplete file.
  */
 async function makeBinary(): Promise<void> {
   copyFileSync(process.execPath, TEMPORARY_BINARY);
--- a/scripts/build_library.ts
+++ b/scripts/build_library.ts
@@ -1,4 +1,4 @@
-/** Makes the package that embedders install: one module and its types. */
+/** Builds the package that embedders install: one module and its types. */
 import { execFileSync } from "node:child_process";
 import { build } from "esbuild";
 
@@ -6,7 +6,7 @@
   entryPoints: ["src/mod.ts"],
   outfile: "dist/mod.js",
   bundle: true,
-  // An embedder's `neverthrow` and the package's own must be the same one.
+  // The package must share its `neverthrow` instance with the embedder.
   packages: "external",
   platform: "neutral",
   target: "es2022",
--- a/scripts/build_platform.ts
+++ b/scripts/build_platform.ts
@@ -1,4 +1,4 @@
-/** Bundles the program for the users' platform into one file. */
+/** Bundles the platform program into one file. */
 import { build } from "esbuild";
 
 await build({
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,7 +1,7 @@
 /**
- * Shows the system at work: two entries and the Koperasi's thirteen endpoints
- * with their sides, on stand-ins of engines, portal and platform. One side is
- * killed and one endpoint drained while callers wait for their answers.
+ * Demonstrates the system: two entries and the thirteen endpoints of the
+ * Koperasi example with their sides, on stand-ins for engines, portal and
+ * platform. Kills one side and drains one endpoint under load.
  */
 import process from "node:process";
 import { builtBinary } from "../test/support/built_binary.ts";
@@ -13,11 +13,11 @@
 const BOOKING_CALLERS = 20;
 const KILLED_ENDPOINT = "triage-llm-03";
 const DRAINED_ENDPOINT = "triage-llm-05";
-/** Streams are about a third through when the faults come. */
+/** Delay until the faults; streams are then about one third complete. */
 const FAULT_DELAY_MILLISECONDS = 900;
-/** The platform starts a process anew about as soon. */
+/** Delay until the killed side restarts, similar to that of the platform. */
 const RESTART_DELAY_MILLISECONDS = 1_500;
-/** Something hangs if the demo is not over by then. */
+/** Time limit of the demo, after which it exits with an error. */
 const DEMO_TIMEOUT_MILLISECONDS = 120_000;
 
 interface Tally {
@@ -66,7 +66,7 @@
     (sum, engine) => sum + engine.counts.resumed,
     0,
   );
-  console.log(`\nStreams that went on at another engine: ${resumed}`);
+  console.log(`\nStreams resumed at another engine: ${resumed}`);
   const tally = tallyResults(results, deployment);
   console.log(JSON.stringify({ demo: tally }));
   return tally.lost === 0 && tally.doubled === 0 ? 0 : 1;
@@ -105,7 +105,7 @@
   return [...urgent, ...summaries, ...bookings];
 }
 
-/** Counts by what the portals really ran, not by what callers were told. */
+/** Tallies the results against the runs that the portals counted. */
 function tallyResults(
   results: readonly CallerResult[],
   deployment: DemoDeployment,
@@ -139,7 +139,9 @@
 }
 
 setTimeout(() => {
-  console.error("The demo hangs");
+  console.error(
+    `The demo did not finish within ${DEMO_TIMEOUT_MILLISECONDS} ms`,
+  );
   process.exit(1);
 }, DEMO_TIMEOUT_MILLISECONDS).unref();
 process.exit(await main());
--- a/scripts/demo/callers.ts
+++ b/scripts/demo/callers.ts
@@ -1,18 +1,18 @@
-/** Callers of the demo: what each sends and what it got. */
+/** Callers of the demo: the requests that they send and their results. */
 import { createParser } from "eventsource-parser";
 import { v7 as newTimeOrderedId } from "uuid";
 import { expectedAnswer } from "../../test/stand_ins/engine_answers.ts";
 
-/** What one caller got, in words and for the count. */
+/** Result of one caller, with a detail for the output. */
 export interface CallerResult {
   readonly caller: string;
   readonly result: "complete" | "refused" | "lost";
   readonly detail: string;
-  /** Key of a call that may run once only. */
+  /** Idempotency key of a call that must not run twice. */
   readonly key?: string;
 }
 
-/** A caller that waits longer than this has lost its answer. */
+/** Time after which a caller counts its answer as lost. */
 const REQUEST_TIMEOUT_MILLISECONDS = 40_000;
 
 export interface StreamCall {
@@ -22,7 +22,7 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** Asks the model for a stream and compares it with the whole answer. */
+/** Requests a stream and compares it with the complete answer. */
 export async function callStream(call: StreamCall): Promise<CallerResult> {
   const messages = [{ role: "user", content: call.prompt }];
   const started = performance.now();
@@ -45,12 +45,15 @@
     const expected = expectedAnswer("triage-llm", messages, 2_000).tokens;
     const seconds = ((performance.now() - started) / 1000).toFixed(1);
     if (!received.ended) {
-      return toLostResult(call.caller, "the stream had no end");
+      return toLostResult(call.caller, "the stream had no end marker");
     }
     if (received.text !== expected.join("")) {
-      return toLostResult(call.caller, "the answer is not the whole answer");
+      return toLostResult(
+        call.caller,
+        "the answer differs from the expected one",
+      );
     }
-    const detail = `whole answer, ${expected.length} tokens in ${seconds} s`;
+    const detail = `complete answer, ${expected.length} tokens in ${seconds} s`;
     return { caller: call.caller, result: "complete", detail };
   } catch (error) {
     return toLostResult(call.caller, String(error));
@@ -59,14 +62,14 @@
 
 export interface BookingCall {
   readonly caller: string;
-  /** The first entry gets the call, the second a repeat of it meanwhile. */
+  /** Entry of the call and entry of its concurrent repeat. */
   readonly entryUrls: readonly [string, string];
   readonly body: string;
 }
 
 /**
- * Asks for a case number and repeats the call through the other entry before
- * the first answer is there, as a caller on a bad line does.
+ * Requests a case number and repeats the call through another entry before the
+ * first answer arrives, as a caller with a bad connection does.
  */
 export async function callBooking(call: BookingCall): Promise<CallerResult> {
   const key = newTimeOrderedId();
@@ -136,7 +139,9 @@
   return toProblemResult(caller, { status: response.status, body });
 }
 
-/** Only a refusal that says "not run" is one; all else is a lost answer. */
+/**
+ * Counts a problem as refused only if its outcome is not_run, and else as lost.
+ */
 function toProblemResult(caller: string, answer: Answer): CallerResult {
   const problem = JSON.parse(answer.body);
   const detail = `${answer.status} ${problem.title}: ${problem.detail}`;
--- a/scripts/demo/deployment.ts
+++ b/scripts/demo/deployment.ts
@@ -1,4 +1,4 @@
-/** The Koperasi's deployment on the loopback. */
+/** The Koperasi example's deployment on the loopback interface. */
 import { execFile } from "node:child_process";
 import { readFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -17,7 +17,7 @@
 
 const EXAMPLE = "examples/koperasi";
 const HOST = "127.0.0.1";
-/** Quicker than in earnest, so that nobody waits for a demo. */
+/** Shorter than the defaults, so that the demo runs quickly. */
 const COORDINATION = {
   reportMilliseconds: 250,
   suspectMilliseconds: 1_000,
@@ -30,11 +30,14 @@
   readonly address: string;
   /** Kills the process, as a crash does. */
   kill(): void;
-  /** Starts it anew, as the platform does. */
+  /** Starts the process again, as the platform does after an exit. */
   restart(): void;
 }
 
-/** Stand-ins in this process, entries and sides as processes of the binary. */
+/**
+ * Stand-ins within this process, and entries and sides as processes of the
+ * binary.
+ */
 export class DemoDeployment {
   readonly entryUrls: string[] = [];
   readonly sides: DemoSide[] = [];
@@ -54,7 +57,7 @@
     this.#binary = binary;
   }
 
-  /** Starts everything; nothing is published yet. */
+  /** Starts all processes and stand-ins without publishing a configuration. */
   async start(): Promise<void> {
     const logPort = await this.#log.listen();
     this.#platform = { logService: `http://${HOST}:${logPort}` };
@@ -76,7 +79,7 @@
     });
   }
 
-  /** Publishes the inventory with the binary; gives what it printed. */
+  /** Publishes the inventory with the binary and returns its output. */
   async publish(
     states: Readonly<Record<string, "serving" | "draining">> = {},
   ): Promise<string> {
@@ -93,7 +96,7 @@
     ]);
   }
 
-  /** What `filbertshore status` prints. */
+  /** Returns the output of `filbertshore status`. */
   status(): Promise<string> {
     return this.#command("status", []);
   }
--- a/scripts/generate.ts
+++ b/scripts/generate.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the types and validators in `src/generated` from `src/schema`.
- * With `--check` it writes nothing and fails where a file is not current.
+ * Generates the types and validators in `src/generated` from `src/schema`.
+ * With `--check`, writes nothing and fails if a generated file is out of date.
  */
 import { mkdirSync, readdirSync, readFileSync, writeFileSync } from "node:fs";
 import process from "node:process";
@@ -13,9 +13,8 @@
 const BANNER = "Made by `npm run generate` from src/schema; do not edit.";
 
 /**
- * Types whose values come from outside the process and are checked there. A
- * validator for each type of every schema made the generated file two and a
- * half times as long.
+ * Types that get a validator: those whose values come from outside the process.
+ * Validators for all types would make the generated file 2.5 times as long.
  */
 const VALIDATED_TYPES: ReadonlySet<string> = new Set([
   "AppendAnswer",
@@ -61,8 +60,8 @@
 }
 
 /**
- * The generator numbers a definition's second mention (`Pool1`) although both
- * are the same type; the numbered twins only confuse readers.
+ * Replaces numbered duplicates of a type. The generator emits a further type
+ * (`Pool1`) for another reference to the same definition.
  */
 function mergeNumberedTypes(source: string): string {
   const names = new Set(
@@ -112,7 +111,7 @@
     }
   }
   if (Object.keys(references).length !== VALIDATED_TYPES.size) {
-    throw new TypeError("A type that is to be checked is in no schema");
+    throw new TypeError("VALIDATED_TYPES names a type that no schema defines");
   }
   const standalone = standaloneModule as unknown as {
     default: (ajv: unknown, references: Record<string, string>) => string;
@@ -165,7 +164,7 @@
 if (process.argv.includes("--check")) {
   const stale = staleFiles(files);
   for (const path of stale) {
-    console.error(`${path} is not current: run "npm run generate"`);
+    console.error(`${path} is out of date: run "npm run generate"`);
   }
   process.exit(stale.length === 0 ? 0 : 1);
 }
--- a/scripts/install_missing.mjs
+++ b/scripts/install_missing.mjs
@@ -1,16 +1,16 @@
 /**
- * Installs what the lock file names, where it is not there yet. Plain Node.js
- * without any package, as it runs before there are any.
+ * Installs the packages of the lock file if any is missing. Uses only Node.js
+ * built-ins, because it runs before packages are installed.
  */
 import { spawnSync } from "node:child_process";
 import { lstatSync, readFileSync } from "node:fs";
 import process from "node:process";
 
 const LOCK_FILE = "package-lock.json";
-/** npm writes it at the end of an installation, so a broken one lacks it. */
+/** npm writes it at the end of an installation; an aborted one lacks it. */
 const INSTALLED_FILE = "node_modules/.package-lock.json";
 
-/** The packages that a lock file names, by their place. */
+/** Packages of a lock file by install path; empty if the file can't be read. */
 function readPackages(file) {
   try {
     return JSON.parse(readFileSync(file, "utf8")).packages;
@@ -19,18 +19,19 @@
   }
 }
 
-/** Places whose package is not there in the wanted version. */
+/** Install paths whose package is missing or has another version. */
 function findMissing() {
   const wanted = Object.entries(readPackages(LOCK_FILE));
   const installed = readPackages(INSTALLED_FILE);
-  return wanted.filter(([place, { version, optional }]) =>
-    place !== "" && !optional && installed[place]?.version !== version
-  ).map(([place]) => place);
+  return wanted.filter(([path, { version, optional }]) =>
+    path !== "" && !optional && installed[path]?.version !== version
+  ).map(([path]) => path);
 }
 
 /**
- * Packages that are shared with another checkout by a link. An installation
- * here would empty that checkout's folder under its running programs.
+ * Whether `node_modules` is a symbolic link to another checkout's packages. An
+ * installation would empty that folder while programs of the other checkout
+ * run.
  */
 function isShared() {
   return lstatSync("node_modules", { throwIfNoEntry: false })
@@ -43,7 +44,7 @@
   process.exit(1);
 }
 if (missing.length > 0) {
-  console.log(`Installing packages, ${missing.length} are missing`);
+  console.log(`Installing packages: ${missing.length} missing`);
   const run = spawnSync("npm", ["ci", "--no-audit", "--no-fund"], {
     stdio: "inherit",
   });
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run losses -- FILE`: says where requests were lost, from the log lines
- * of entries. The lines may carry other text before their JSON; lines of other
- * programs are passed over. Prints refusals and cuts by reason and second,
- * predicted against measured reading by route, and where first bytes took long.
+ * `npm run losses -- FILE`: shows where requests were lost, from the logs of
+ * entries. Text before the JSON of a line is ignored, and so are lines of other
+ * programs. Prints refusals and cuts by reason and time, predicted and measured
+ * prefill times by route, and quantiles of the time to the first byte.
  */
 import { createReadStream } from "node:fs";
 import process from "node:process";
@@ -22,14 +22,14 @@
   readonly firstByteMilliseconds?: number;
 }
 
-/** One reading of a prompt: what was predicted and what it took. */
+/** Predicted and measured duration of one prefill. */
 interface Prefill {
   readonly predictedMilliseconds: number;
   readonly late: boolean;
   measuredMilliseconds?: number;
 }
 
-/** Time in which losses are counted together, seconds. */
+/** Width of the windows by which losses are counted. */
 const WINDOW_SECONDS = 2;
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -92,13 +92,13 @@
   }
 
   print(): void {
-    console.log("Lost, by reason and seconds from the first line");
+    console.log("Losses by reason and seconds since the first line");
     for (const [reason, windows] of [...this.#lossesByReason].sort(byTotal)) {
       const cells = [...windows].sort(([one], [other]) => one - other)
         .map(([window, count]) => `${window * WINDOW_SECONDS}s:${count}`);
       console.log(`  ${reason} (${total(windows)}): ${cells.join(" ")}`);
     }
-    console.log("\nReading, ms: predicted; measured");
+    console.log("\nPrefill, ms: predicted; measured");
     for (const [route, prefills] of this.#prefillsByRoute) {
       for (const late of [false, true]) {
         const measured = prefills.filter((each) =>
@@ -117,7 +117,7 @@
       }
     }
     printQuantiles("First byte, ms", this.#firstBytesByRoute);
-    printQuantiles("First byte less reading, ms", this.#handoversByRoute);
+    printQuantiles("First byte minus prefill, ms", this.#handoversByRoute);
   }
 }
 
@@ -170,7 +170,7 @@
   try {
     losses.add(JSON.parse(text.slice(start)));
   } catch {
-    console.error(`Not a whole line: ${text.slice(0, 80)}`);
+    console.error(`Cannot parse the line: ${text.slice(0, 80)}`);
   }
 }
 losses.print();
--- a/scripts/matrix.ts
+++ b/scripts/matrix.ts
@@ -1,6 +1,7 @@
 /**
- * Runs the fault matrix: every fault at every step, on virtual time, and
- * prints the table. `--cell` and `--seed` repeat one case with its trace.
+ * Runs the fault matrix, every fault at every step, on virtual time and prints
+ * the results as a table. `--cell` and `--seed` replay one case and print its
+ * trace.
  */
 import process from "node:process";
 import { hashToUnit } from "../src/core/membership/mod.ts";
@@ -21,10 +22,10 @@
 const options = await yargs(hideBin(process.argv))
   .option("seed", { type: "number" })
   .option("runs", { type: "number", default: 1, describe: "Runs per cell" })
-  .option("cell", { type: "string", describe: "One cell, step/fault" })
-  .option("fault", { type: "string", describe: "One fault's cells" })
-  .option("step", { type: "string", describe: "One step's cells" })
-  .option("pairs", { type: "number", describe: "Pairs of cells, drawn" })
+  .option("cell", { type: "string", describe: "Only this cell, step/fault" })
+  .option("fault", { type: "string", describe: "Only cells of this fault" })
+  .option("step", { type: "string", describe: "Only cells of this step" })
+  .option("pairs", { type: "number", describe: "Number of random cell pairs" })
   .option("without-guards", { type: "boolean", default: false })
   .strict()
   .parse();
@@ -61,7 +62,7 @@
   console.log(`  npm run matrix -- --cell "${name}" --seed ${run.seed}`);
 }
 
-/** A number is runs in which the fault took hold; `!` marks violations. */
+/** Numbers count the runs in which the fault occurred; `!` marks violations. */
 function printTable(tallies: ReadonlyMap<string, CellTally>): void {
   FAULTS.forEach((fault, index) => console.log(`${index + 1}: ${fault}`));
   const header = FAULTS.map((_, index) => String(index + 1).padStart(4)).join(
@@ -112,7 +113,7 @@
   return run.violations.length === 0;
 }
 
-/** Two cells in one run, both drawn from the seed. */
+/** Runs pairs of cells, drawn from the seed, with both faults in one run. */
 async function runPairs(count: number): Promise<boolean> {
   const random = seededRandom(hashToUnit(`pairs ${firstSeed}`) * 2 ** 32);
   const cells = allCells();
@@ -134,7 +135,7 @@
   return pairs.violations === 0;
 }
 
-/** Takes out one guard after the other; each has to be missed. */
+/** Disables one guard at a time; each run must then find a violation. */
 async function runWithoutGuards(): Promise<boolean> {
   let caught = 0;
   for (const guard of GUARDS) {
--- a/scripts/search.ts
+++ b/scripts/search.ts
@@ -1,6 +1,6 @@
 /**
- * Searches every interleaving of two protocols at small size and prints the
- * counts: at-most-once execution, and claims and orders.
+ * Model checks two protocols, at-most-once execution and claims with orders:
+ * searches every interleaving of small instances and prints the counts.
  */
 import process from "node:process";
 import { onceModel } from "../test/model/once_model.ts";
@@ -13,7 +13,7 @@
   ORDERS_SEARCHES,
 } from "../test/model/searches.ts";
 
-/** Bounds the memory of one search to about a gigabyte. */
+/** Limits one search to about 1 GB of memory. */
 const MAX_STATES = 450_000;
 
 const totals = {
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run soak -- [--seed N] [--seconds N]`: callers against the system as
- * processes under random faults. Ends with a line of JSON, and with 0 only if
- * no answer was wrong, nothing ran twice and no process crashed.
+ * `npm run soak -- [--seed N] [--seconds N]`: runs callers against the system
+ * as processes under random faults. Prints a last line of JSON; the exit code
+ * is 0 only if no answer was wrong, nothing ran twice and no process crashed.
  */
 import process from "node:process";
 import { parseArgs } from "node:util";
--- a/scripts/soak_platform.ts
+++ b/scripts/soak_platform.ts
@@ -1,9 +1,9 @@
 /**
- * `npm run soak:platform -- [--seed N] [--seeds N] [--seconds N]`: callers
- * against entries as processes on the platform's protocol, under random faults.
- * Each seed ends with a line of JSON; the exit code is 0 only if every promise
- * held under every seed. `--logs FOLDER` keeps the entries' logs of a seed that
- * broke one; `--regressions` runs the seeds that once did.
+ * `npm run soak:platform -- [--seed N] [--seeds N] [--seconds N]`: runs callers
+ * against entry processes on the platform's protocol under random faults.
+ * Prints one line of JSON per seed; the exit code is 0 only if no seed violated
+ * a guarantee. `--logs FOLDER` saves the entries' logs of seeds with
+ * violations; `--regressions` runs the seeds that had violations in the past.
  */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -50,8 +50,8 @@
   );
 }
 
-// Without a handler the signal ends this process without its "exit" event, by
-// which the soak ends the processes that it has started.
+// Without a handler, a signal ends this process without the "exit" event, in
+// which the soak kills the processes that it has started.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.once(signal, () => process.exit(1));
 }
--- a/scripts/test.ts
+++ b/scripts/test.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every check and test and ends with one line, `N passed, N failed`.
- * Tests listed in KNOWN-RED.txt are printed and passed over, nothing else.
+ * Runs all checks and tests and prints a last line, `N passed, N failed`.
+ * Failures of tests listed in KNOWN-RED.txt are printed but not counted.
  */
 import { spawnSync } from "node:child_process";
 import { existsSync, mkdtempSync, readFileSync, rmSync } from "node:fs";
@@ -34,7 +34,7 @@
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 const MAX_KNOWN_RED = 3;
 
-/** Titles of the tests that fail for a fault not mended yet. */
+/** Full titles of the tests with a known, unfixed fault. */
 function readKnownRed(): string[] {
   if (!existsSync(KNOWN_RED_FILE)) return [];
   const titles = readFileSync(KNOWN_RED_FILE, "utf8").split("\n")
--- a/test/embedding/package_test.ts
+++ b/test/embedding/package_test.ts
@@ -17,7 +17,7 @@
 
 const TIMEOUT_MILLISECONDS = 120_000;
 
-/** The example's own compiler settings: an embedder's, without path aliases. */
+/** Compiler options of an embedder's project, without path aliases. */
 const EXAMPLE_COMPILER_OPTIONS = {
   target: "ES2022",
   module: "NodeNext",
@@ -29,7 +29,7 @@
   noEmit: true,
 };
 
-/** Packs the package and puts it into a project, as `npm install` would. */
+/** Packs the package and unpacks it into a project, as `npm install` does. */
 function installPacked(folder: string): string {
   run(["--import", "tsx", "scripts/build_library.ts"], ".");
   builtBinary();
@@ -54,7 +54,7 @@
   return installed;
 }
 
-/** The package's own dependencies, from what is installed here already. */
+/** Links the package's dependencies from this checkout's `node_modules`. */
 function linkDependencies(packages: string, installed: string): void {
   const manifest = JSON.parse(
     readFileSync(join(installed, "package.json"), "utf8"),
@@ -94,7 +94,7 @@
 
   after(() => rmSync(folder, { recursive: true }));
 
-  it("holds every file that its manifest names", () => {
+  it("contains every file that its manifest names", () => {
     const manifest = JSON.parse(
       readFileSync(join(installed, "package.json"), "utf8"),
     );
@@ -109,7 +109,7 @@
     }
   });
 
-  it("holds every file that its types refer to", () => {
+  it("contains every file that its types refer to", () => {
     const types = join(installed, "dist/types");
     const files = readdirSync(types, { recursive: true, encoding: "utf8" });
     const present = new Set(files.map((name) => join(types, name)));
@@ -125,7 +125,7 @@
     }
   });
 
-  it("gives the example its types", function () {
+  it("provides the types of the example", function () {
     this.timeout(TIMEOUT_MILLISECONDS);
     run([resolve("node_modules/typescript/bin/tsc"), "--project", "."], folder);
   });
--- a/test/operations/operations_test.ts
+++ b/test/operations/operations_test.ts
@@ -18,7 +18,7 @@
 const TIMEOUT_MILLISECONDS = 60_000;
 const CODE_SPAN = /`(filbertshore_[a-z_]+)/g;
 
-/** Lines of the page's shell blocks. */
+/** Lines of the shell code blocks on the page. */
 function commandsOfPage(): string[] {
   return [...PAGE.matchAll(/```sh\n([\s\S]*?)```/g)]
     .flatMap(([, block]) => block.split("\n"))
@@ -35,7 +35,9 @@
   return new Set([...PAGE.matchAll(CODE_SPAN)].map(([, name]) => name));
 }
 
-/** What every program exports, that of the users' platform included. */
+/**
+ * Metrics that the programs export, including those of the platform program.
+ */
 async function exportedMetrics(): Promise<string> {
   const metrics = new Metrics();
   recordForwarding({
@@ -52,7 +54,7 @@
   return (await metrics.render()).body;
 }
 
-/** All source text of the product, to look messages up in. */
+/** Concatenated source text of the product, to search for messages. */
 function sourceText(): string {
   return ["src", "platform"].flatMap((folder) =>
     readdirSync(folder, { recursive: true, encoding: "utf8" })
@@ -61,7 +63,7 @@
   ).join("\n");
 }
 
-describe("operators' page", () => {
+describe("operations page", () => {
   describe("commands", () => {
     it("name every program", () => {
       const programs = new Set(programCommands().map(([program]) => program));
@@ -72,7 +74,7 @@
 
     for (const [program, ...args] of programCommands()) {
       const flags = args.filter((word) => word.startsWith("--"));
-      it(`${program} takes ${flags.join(" ")}`, async function () {
+      it(`${program} accepts ${flags.join(" ")}`, async function () {
         this.timeout(TIMEOUT_MILLISECONDS);
         const { code, output } = await runCommand([program, "--help"]);
         expect(code).to.equal(0);
@@ -81,14 +83,14 @@
       });
     }
 
-    it("of npm are scripts of the package", () => {
+    it("run only npm scripts that the package has", () => {
       const { scripts } = JSON.parse(readFileSync("package.json", "utf8"));
       const named = [...PAGE.matchAll(/npm run ([a-z:]+)/g)];
       expect(named).not.to.have.length(0);
       for (const [, name] of named) expect(scripts).to.have.property(name);
     });
 
-    it("pass the check with the example's files as they stand", async function () {
+    it("run check successfully on the example's files", async function () {
       this.timeout(TIMEOUT_MILLISECONDS);
       const check = programCommands().find(([program]) => program === "check");
       const args = check ?? [];
@@ -109,7 +111,7 @@
       for (const name of metricsOfPage()) expect(exported).to.include(name);
     });
 
-    it("leave out no metric that is exported", async () => {
+    it("cover every exported metric", async () => {
       const body = await exportedMetrics();
       const onPage = metricsOfPage();
       for (const [, name] of body.matchAll(/^# TYPE (filbertshore_\S+)/gm)) {
@@ -117,7 +119,7 @@
       }
     });
 
-    it("quote messages that the programs log", () => {
+    it("quote only messages that the programs log", () => {
       const source = sourceText();
       const quoted = [...PAGE.matchAll(/log: "([^"]+)"/g)];
       expect(quoted).not.to.have.length(0);
--- a/test/region/planner_test.ts
+++ b/test/region/planner_test.ts
@@ -4,7 +4,7 @@
 
 type Role = "mixed" | "prefill" | "decode";
 
-describe("The planner of a region", () => {
+describe("Regional planner", () => {
   let history: HistoryEvent[];
   let region: InProcessRegion;
 
@@ -20,7 +20,7 @@
 
   afterEach(() => region.fleet.halt());
 
-  /** Publishes that engine 1 has a fixed role, on the version in force. */
+  /** Publishes a fixed role for engine 1, based on the version in force. */
   async function fixRole(role: Role): Promise<void> {
     const content = region.content();
     const [, endpoint] = content.inventory.pools[0].endpoints;
@@ -50,17 +50,17 @@
     return (await region.engines[1].observe())._unsafeUnwrap().role;
   }
 
-  it("brings an engine into the role that was published", async () => {
+  it("changes an engine to the published role with one order", async () => {
     await fixRole("prefill");
     await region.timer.advance(60_000);
     expect(await roleOfEngine()).to.equal("prefill");
     expect(ordersSent("prefill")).to.equal(1);
   });
 
-  // The entry that plans is gone right after an operator has published, before
-  // its orders are carried out. Nobody tends the region by hand; another entry
-  // has to take over, and what was ordered must not be ordered again.
-  it("is followed by another entry that continues what it began", async () => {
+  // The planning entry halts right after a publication, before its orders are
+  // carried out. Another entry must take over without an operator's action and
+  // must not repeat an order.
+  it("fails over to another entry, which sends each order once", async () => {
     const holderBefore = claimHolder();
     await fixRole("decode");
     region.fleet.entries[holderBefore].halt();
@@ -70,9 +70,10 @@
     expect(ordersSent("decode")).to.equal(1);
   });
 
-  // The log is out for minutes. Nobody can know who plans, so no engine may get
-  // an order; once the log is back the published role still has to come.
-  it("gives no order while the log is out, and does when it is back", async () => {
+  // During an outage of the log, no entry can know whether it holds the claim,
+  // so no engine may get an order. After the outage, a published role must take
+  // effect.
+  it("sends no order during an outage of the log and resumes after it", async () => {
     const before = history.length;
     for (const faults of region.logFaults.values()) faults.down = true;
     await region.timer.advance(180_000);
--- a/test/region/spread_test.ts
+++ b/test/region/spread_test.ts
@@ -2,9 +2,9 @@
 import { InProcessRegion } from "../support/in_process.ts";
 
 describe("A pool that is larger than an entry's share", () => {
-  // One entry has a pool of 32 equal engines to itself. Engines that it never
-  // uses are bought for nothing, while callers wait for the others.
-  it("has no engine that gets nothing", async () => {
+  // A single entry serves a pool of 32 equal engines. Engines that it never
+  // uses waste capacity while requests wait for the others.
+  it("has no idle engine", async () => {
     const region = new InProcessRegion({
       entries: 1,
       endpoints: 32,
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -8,12 +8,12 @@
 
 export interface CallerOptions {
   readonly random: Random;
-  /** URL of an entry that the balancer would send a caller to. */
+  /** Returns the URL of an entry that the load balancer would choose. */
   readonly entryUrl: () => string;
   readonly tally: Tally;
 }
 
-/** Counts of what callers got. */
+/** Counts of the results that callers got, by name. */
 export class Tally {
   readonly counts = new Map<string, number>();
 
@@ -31,7 +31,7 @@
 const MAX_ATTEMPTS = 8;
 const ANSWER_TIMEOUT_MILLISECONDS = 15_000;
 
-/** Asks for streams and holds each against the whole answer. */
+/** Requests streams until `end` and compares each with the complete answer. */
 export async function streamUntil(
   end: number,
   options: CallerOptions & { readonly name: string },
@@ -66,10 +66,10 @@
   }
 }
 
-/** Keys of bookings with the answer that each got, if it got one. */
+/** Answers to bookings by key; undefined while a key has no answer. */
 export type Bookings = Map<string, string | undefined>;
 
-/** Books with a new key each time and repeats the key until it is answered. */
+/** Makes bookings until `end`, repeating each key until it is answered. */
 export async function bookUntil(
   end: number,
   options: CallerOptions & { readonly bookings: Bookings },
@@ -85,7 +85,7 @@
   }
 }
 
-/** True where there is no use in repeating the key. */
+/** Whether the key needs no further attempt. */
 async function bookOnce(
   key: string,
   options: CallerOptions & { readonly bookings: Bookings },
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -9,20 +9,23 @@
 export interface FaultOptions {
   readonly deployment: SmallDeployment;
   readonly random: Random;
-  /** Told of each fault as it begins. */
+  /** Called with the name of each fault when it starts. */
   readonly onFault: (name: string) => void;
 }
 
 const MIN_PAUSE_MILLISECONDS = 300;
 const MAX_PAUSE_MILLISECONDS = 1_500;
 const MAX_FAULT_MILLISECONDS = 2_800;
-/** An entry that has just started is not asked before it can know anything. */
+/**
+ * Time after its start in which an entry gets no requests, to let it become
+ * ready.
+ */
 const ENTRY_START_MILLISECONDS = 1_500;
 
-/** Breaks one thing after another and mends it, as drawn from the seed. */
+/** Injects one random fault at a time and recovers from it before the next. */
 export class FaultInjector {
   readonly #options: FaultOptions;
-  /** Entries that the platform's balancer would have taken out. */
+  /** Entries that the platform's load balancer would not route to. */
   readonly unhealthy = new Set<DeployedEntry>();
 
   constructor(options: FaultOptions) {
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -14,26 +14,28 @@
 export interface SoakResult {
   readonly counts: ReadonlyMap<string, number>;
   readonly faults: number;
-  /** Streams that were no beginning of the right answer, or short of it. */
+  /**
+   * Streams that differ from the expected answer or ended without all of it.
+   */
   readonly wrong: number;
-  /** Keys whose booking ran more than once. */
+  /** Number of keys whose booking ran more than once. */
   readonly doubled: number;
-  /** Keys that got an answer without having run. */
+  /** Number of keys that were answered without a run. */
   readonly invented: number;
-  /** Output of processes that ended by a bug. */
+  /** Output of processes that logged a programming error. */
   readonly crashes: readonly string[];
 }
 
 const STREAM_CALLERS = 8;
 const BOOKING_CALLERS = 4;
-/** Time without faults at the end, so that what is open can end. */
+/** Time without faults at the end, in which open requests can complete. */
 const FAULT_FREE_SECONDS = 8;
 const KEY_LENGTH = 36;
 const CRASH_PATTERN = /TypeError|ReferenceError|Unhandled|ERR_[A-Z_]+\b/;
 
 /**
- * Callers against the whole system as processes, while one thing after another
- * breaks: sides and entries are killed, stopped and frozen, the log goes out.
+ * Runs callers against the complete system as processes under random faults:
+ * sides and entries are killed, stopped and suspended, and the log fails.
  */
 export async function soak(options: SoakOptions): Promise<SoakResult> {
   const deployment = new SmallDeployment();
@@ -100,7 +102,7 @@
   };
 }
 
-/** How often each key ran, counted by the services themselves. */
+/** Number of runs of each key, as counted by the services. */
 async function runsByKey(
   deployment: SmallDeployment,
 ): Promise<Map<string, number>> {
