--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -139,9 +139,7 @@
 }
 
 setTimeout(() => {
-  console.error(
-    `The demo did not finish within ${DEMO_TIMEOUT_MILLISECONDS} ms`,
-  );
+  console.error("The demo did not finish in time");
   process.exit(1);
 }, DEMO_TIMEOUT_MILLISECONDS).unref();
 process.exit(await main());
--- a/scripts/demo/callers.ts
+++ b/scripts/demo/callers.ts
@@ -38,17 +38,13 @@
       }),
       signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
     });
-    if (response.status !== 200) {
-      return await toRefusalResult(call.caller, response);
-    }
+    if (response.status !== 200) return await refusal(call.caller, response);
     const received = await readStream(response);
     const expected = expectedAnswer("triage-llm", messages, 2_000).tokens;
     const seconds = ((performance.now() - started) / 1000).toFixed(1);
-    if (!received.ended) {
-      return toLostResult(call.caller, "the stream had no end marker");
-    }
+    if (!received.ended) return lost(call.caller, "the stream had no end");
     if (received.text !== expected.join("")) {
-      return toLostResult(
+      return lost(
         call.caller,
         "the answer differs from the expected one",
       );
@@ -56,7 +52,7 @@
     const detail = `complete answer, ${expected.length} tokens in ${seconds} s`;
     return { caller: call.caller, result: "complete", detail };
   } catch (error) {
-    return toLostResult(call.caller, String(error));
+    return lost(call.caller, String(error));
   }
 }
 
@@ -88,7 +84,7 @@
     const result = numbers.size === 1 ? "complete" : "lost";
     return { caller: call.caller, result, detail, key };
   } catch (error) {
-    return { ...toLostResult(call.caller, String(error)), key };
+    return { ...lost(call.caller, String(error)), key };
   }
 }
 
@@ -131,7 +127,7 @@
   return { text, ended };
 }
 
-async function toRefusalResult(
+async function refusal(
   caller: string,
   response: Response,
 ): Promise<CallerResult> {
@@ -149,6 +145,6 @@
   return { caller, result, detail };
 }
 
-function toLostResult(caller: string, detail: string): CallerResult {
+function lost(caller: string, detail: string): CallerResult {
   return { caller, result: "lost", detail };
 }
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -37,8 +37,8 @@
   readonly #prefills = new Map<string, Prefill>();
   readonly #prefillsByRoute = new Map<string, Prefill[]>();
   readonly #firstBytesByRoute = new Map<string, number[]>();
-  readonly #handoversByRoute = new Map<string, number[]>();
-  readonly #lossesByReason = new Map<string, Map<number, number>>();
+  readonly #handovers = new Map<string, number[]>();
+  readonly #losses = new Map<string, Map<number, number>>();
   #startMilliseconds: number | undefined;
 
   add(line: DecisionLine): void {
@@ -48,27 +48,20 @@
       (at - this.#startMilliseconds) / MILLISECONDS_PER_SECOND / WINDOW_SECONDS,
     );
     const { decision, requestId, route } = line;
-    if (decision === "placed" && line.step === "prefill") {
-      this.#addPlacement(line);
-    }
-    if (decision === "prompt_read") this.#addMeasurement(line);
+    if (decision === "placed" && line.step === "prefill") this.#onPlaced(line);
+    if (decision === "prompt_read") this.#onRead(line);
     if (decision === "answered") {
-      const firstByteMilliseconds = line.firstByteMilliseconds ?? 0;
-      listIn(this.#firstBytesByRoute, route).push(firstByteMilliseconds);
-      const prefillMilliseconds = this.#prefills.get(requestId)
-        ?.measuredMilliseconds;
-      if (prefillMilliseconds !== undefined) {
-        listIn(this.#handoversByRoute, route).push(
-          firstByteMilliseconds - prefillMilliseconds,
-        );
-      }
+      const first = line.firstByteMilliseconds ?? 0;
+      listIn(this.#firstBytesByRoute, route).push(first);
+      const took = this.#prefills.get(requestId)?.measuredMilliseconds;
+      if (took !== undefined) listIn(this.#handovers, route).push(first - took);
     }
     if (["refused", "cut", "caller_gone"].includes(decision)) {
       this.#countLoss(`${decision} ${line.reason ?? ""}`, window);
     }
   }
 
-  #addPlacement(line: DecisionLine): void {
+  #onPlaced(line: DecisionLine): void {
     const prefill: Prefill = {
       predictedMilliseconds: (line.backlogMilliseconds ?? 0) +
         (line.workMilliseconds ?? 0),
@@ -78,22 +71,20 @@
     listIn(this.#prefillsByRoute, line.route).push(prefill);
   }
 
-  #addMeasurement(line: DecisionLine): void {
+  #onRead(line: DecisionLine): void {
     const prefill = this.#prefills.get(line.requestId);
     if (prefill !== undefined) prefill.measuredMilliseconds = line.milliseconds;
   }
 
   #countLoss(reason: string, window: number): void {
-    let windows = this.#lossesByReason.get(reason);
-    if (windows === undefined) {
-      this.#lossesByReason.set(reason, windows = new Map());
-    }
+    let windows = this.#losses.get(reason);
+    if (windows === undefined) this.#losses.set(reason, windows = new Map());
     windows.set(window, (windows.get(window) ?? 0) + 1);
   }
 
   print(): void {
     console.log("Losses by reason and seconds since the first line");
-    for (const [reason, windows] of [...this.#lossesByReason].sort(byTotal)) {
+    for (const [reason, windows] of [...this.#losses].sort(byTotal)) {
       const cells = [...windows].sort(([one], [other]) => one - other)
         .map(([window, count]) => `${window * WINDOW_SECONDS}s:${count}`);
       console.log(`  ${reason} (${total(windows)}): ${cells.join(" ")}`);
@@ -117,7 +108,7 @@
       }
     }
     printQuantiles("First byte, ms", this.#firstBytesByRoute);
-    printQuantiles("First byte minus prefill, ms", this.#handoversByRoute);
+    printQuantiles("First byte minus prefill, ms", this.#handovers);
   }
 }
 
--- a/test/process/malformed_input_test.ts
+++ b/test/process/malformed_input_test.ts
@@ -284,7 +284,7 @@
    * Waits until no engine runs a generation for a caller that has disconnected.
    */
   async function expectIdleEngines(): Promise<void> {
-    const deadline = performance.now() + 5_000;
+    const end = performance.now() + 5_000;
     for (;;) {
       const running = await Promise.all(deployment.engines.map(
         async ({ url }) => {
@@ -293,9 +293,7 @@
         },
       ));
       if (running.every((each) => each === 0)) return;
-      if (performance.now() > deadline) {
-        expect(running).to.deep.equal([0, 0, 0]);
-      }
+      if (performance.now() > end) expect(running).to.deep.equal([0, 0, 0]);
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
   }
--- a/test/stand_ins/engine_orders.ts
+++ b/test/stand_ins/engine_orders.ts
@@ -36,7 +36,7 @@
    */
   conflicts = 0;
   readonly #options: EngineOrdersOptions;
-  #highestFencingToken = -1;
+  #maxFencing = -1;
   #target: EngineState;
   #timers: NodeJS.Timeout[] = [];
 
@@ -50,17 +50,15 @@
     const target = (body.target ?? {}) as Partial<EngineState>;
     const fencing = Number(body.fencing);
     const stale = this.#options.checksFencing &&
-      fencing < this.#highestFencingToken;
+      fencing < this.#maxFencing;
     this.received.push({
       at: performance.now(),
       fencing,
       target,
       taken: !stale,
     });
-    if (stale) {
-      return sendJson(response, 409, { newest: this.#highestFencingToken });
-    }
-    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
+    if (stale) return sendJson(response, 409, { newest: this.#maxFencing });
+    this.#maxFencing = Math.max(this.#maxFencing, fencing);
     this.#applyTarget({ ...this.#target, ...target });
     sendJson(response, 202, { changing: this.changing });
   }
--- a/test/support/fake_engine.ts
+++ b/test/support/fake_engine.ts
@@ -92,7 +92,7 @@
     weights: "",
     changing: false,
   };
-  #highestFencingToken = -1;
+  #maxFencing = -1;
   #changeCount = 0;
 
   constructor(options: FakeEngineOptions) {
@@ -152,28 +152,22 @@
     const { timer } = this.#options;
     await pause(timer, LATENCY_MILLISECONDS);
     if (this.faults.down) return err(failure(UNREACHABLE, {}));
-    if (consumeFault(this.faults, "lostOrders")) {
-      return await new Promise(() => {});
-    }
-    if (consumeFault(this.faults, "lateOrders")) {
+    if (consume(this.faults, "lostOrders")) return await new Promise(() => {});
+    if (consume(this.faults, "lateOrders")) {
       const { lateMilliseconds } = this.faults;
       timer.after(lateMilliseconds, () => this.#receive(target, fencing));
       return await new Promise(() => {});
     }
-    if (consumeFault(this.faults, "refusals")) return err(failure(REFUSED, {}));
+    if (consume(this.faults, "refusals")) return err(failure(REFUSED, {}));
     if (!this.#receive(target, fencing)) return err(failure(FENCED, {}));
-    if (consumeFault(this.faults, "lostAnswers")) {
-      return await new Promise(() => {});
-    }
+    if (consume(this.faults, "lostAnswers")) return await new Promise(() => {});
     return ok(undefined);
   }
 
   #receive(target: EngineTarget, fencing: number): boolean {
     const newest = Math.max(-1, ...this.received);
-    if (this.#options.checksFencing && fencing < this.#highestFencingToken) {
-      return false;
-    }
-    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
+    if (this.#options.checksFencing && fencing < this.#maxFencing) return false;
+    this.#maxFencing = Math.max(this.#maxFencing, fencing);
     if (fencing < newest) this.conflicts.push(`${fencing} after ${newest}`);
     if (this.#state.changing && fencing !== newest) {
       this.conflicts.push(`${fencing} while ${newest} is in progress`);
@@ -207,7 +201,7 @@
   }
 }
 
-function consumeFault(
+function consume(
   faults: EngineFaults,
   name: "lostAnswers" | "lostOrders" | "lateOrders" | "refusals",
 ): boolean {
--- a/test/support/fake_log.ts
+++ b/test/support/fake_log.ts
@@ -160,8 +160,8 @@
     if (faults.silent) return await never();
     const records = call.records.map(jsonCopy);
     await this.#sleep(this.#latency / 2 + faults.slowMilliseconds);
-    if (consumeFault(faults, "lostRequests")) return err(failure(UNKNOWN, {}));
-    if (consumeFault(faults, "lateAppends")) {
+    if (consume(faults, "lostRequests")) return err(failure(UNKNOWN, {}));
+    if (consume(faults, "lateAppends")) {
       this.#options.timer.after(faults.lateMilliseconds, () => {
         this.put(call.stream, records);
       });
@@ -170,7 +170,7 @@
     await this.#waitForThroughput();
     const first = this.put(call.stream, records);
     await this.#sleep(this.#latency / 2);
-    if (consumeFault(faults, "lostAnswers")) return err(failure(UNKNOWN, {}));
+    if (consume(faults, "lostAnswers")) return err(failure(UNKNOWN, {}));
     return ok(first);
   }
 
@@ -273,7 +273,7 @@
   };
 }
 
-function consumeFault(
+function consume(
   faults: LogFaults,
   name: "lostAnswers" | "lostRequests" | "lateAppends",
 ): boolean {
--- a/test/support/usage_platform.ts
+++ b/test/support/usage_platform.ts
@@ -51,7 +51,7 @@
   /** Whether the receiver accepts reports whose fencing token is outdated. */
   checksNoFencing = false;
   readonly #timer: ManualTimerService;
-  #highestFencingToken = -1;
+  #maxFencing = -1;
   #epoch = 0;
 
   constructor(timer: ManualTimerService) {
@@ -104,11 +104,9 @@
       report: async (report, options) => {
         if (isCut()) return "unknown";
         if (this.failsWith) return this.failsWith;
-        if (this.lateMilliseconds === 0) {
-          return this.#receiveReport(report, options);
-        }
+        if (this.lateMilliseconds === 0) return this.#receive(report, options);
         void this.#sleep(this.lateMilliseconds)
-          .then(() => this.#receiveReport(report, options));
+          .then(() => this.#receive(report, options));
         return await Promise.resolve("unknown");
       },
     };
@@ -118,14 +116,12 @@
     if (milliseconds > 0) await pause(this.#timer, milliseconds);
   }
 
-  #receiveReport(
+  #receive(
     { counts, window }: UsageReport,
     { fencing, holder }: { readonly fencing: number; readonly holder: string },
   ): ReportOutcome {
-    if (!this.checksNoFencing && fencing < this.#highestFencingToken) {
-      return "refused";
-    }
-    this.#highestFencingToken = Math.max(this.#highestFencingToken, fencing);
+    if (!this.checksNoFencing && fencing < this.#maxFencing) return "refused";
+    this.#maxFencing = Math.max(this.#maxFencing, fencing);
     this.taken.push({
       window,
       counts: Object.fromEntries(counts),
