--- a/test/process/whole_path_test.ts
+++ b/test/process/request_path_test.ts
@@ -29,13 +29,13 @@
     });
 
     it("streams its tokens up to an explicit end", async () => {
-      const whole = await chat(deployment.entries[0].url, CHAT);
+      const complete = await chat(deployment.entries[0].url, CHAT);
       const events = await stream(deployment.entries[0].url, CHAT);
       expect(events.at(-1)).to.equal("[DONE]");
       const text = events.slice(0, -1)
         .map((event) => JSON.parse(event).choices[0].delta.content ?? "")
         .join("");
-      expect(text).to.equal(whole.choices[0].message.content);
+      expect(text).to.equal(complete.choices[0].message.content);
     });
   });
 
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -106,9 +106,9 @@
     return items[Math.floor(this.#options.random() * items.length)];
   }
 
-  #wait(shortest: number, longest: number): Promise<void> {
-    const milliseconds = shortest +
-      (longest - shortest) * this.#options.random();
+  #wait(minMilliseconds: number, maxMilliseconds: number): Promise<void> {
+    const milliseconds = minMilliseconds +
+      (maxMilliseconds - minMilliseconds) * this.#options.random();
     return new Promise((resolve) => setTimeout(resolve, milliseconds));
   }
 }
--- a/test/support/crashing_replicas.ts
+++ b/test/support/crashing_replicas.ts
@@ -15,7 +15,8 @@
 const PREFILL_MILLISECONDS = 10;
 /** From the start of a run to the crash that it causes. */
 const CRASH_DELAY_MILLISECONDS = 30;
-const DOWN_MILLISECONDS = 2_000;
+/** From a crash to the restart of the replica. */
+const RESTART_DELAY_MILLISECONDS = 2_000;
 
 /** A request that has reached a replica. */
 interface Arrival {
@@ -53,8 +54,8 @@
    * given time after the n-th crash, counted from 1.
    */
   retriesAfter(crash: number, milliseconds: number): number {
-    const from = this.crashTimes[crash - 1] + milliseconds;
-    const lateArrivals = this.arrivals.filter(({ at }) => at > from);
+    const after = this.crashTimes[crash - 1] + milliseconds;
+    const lateArrivals = this.arrivals.filter(({ at }) => at > after);
     return new Set(lateArrivals.map(({ request }) => request)).size;
   }
 
@@ -67,7 +68,10 @@
       void attempt.end("cut");
       void attempt.fail("exchange_lost");
     }
-    this.#fleet.timer.after(DOWN_MILLISECONDS, () => this.#restart(id));
+    this.#fleet.timer.after(
+      RESTART_DELAY_MILLISECONDS,
+      () => this.#restart(id),
+    );
   }
 
   #restart(id: EndpointId): void {
--- a/test/support/fake_engine.ts
+++ b/test/support/fake_engine.ts
@@ -13,7 +13,7 @@
 const FENCED = defineError<Record<never, never>>()({
   name: "order_fenced",
   title: "Order refused",
-  message: () => "The order carries an old fencing number",
+  message: () => "The order carries an outdated fencing token",
   hint: "Wait for the newer order.",
 });
 
@@ -27,8 +27,8 @@
 const UNREACHABLE = defineError<Record<never, never>>()({
   name: "endpoint_unreachable",
   title: "Endpoint unreachable",
-  message: () => "The engine does not answer",
-  hint: "Look at the engine.",
+  message: () => "The engine does not respond",
+  hint: "Check the engine.",
 });
 
 /** Faults of the engine and of the connection to it. */
--- a/test/support/fake_log.ts
+++ b/test/support/fake_log.ts
@@ -17,13 +17,13 @@
   name: "log_unavailable",
   title: "Log unavailable",
   message: () => "Cannot reach the log service",
-  hint: "Wait until the log service is back.",
+  hint: "Wait until the log service is reachable.",
 });
 
 const UNKNOWN = defineError<Record<never, never>>()({
   name: "log_unknown",
-  title: "Answer lost",
-  message: () => "The log service gave no answer",
+  title: "Response lost",
+  message: () => "The log service sent no response",
   hint: "Read forward to see whether the append took effect.",
 });
 
--- a/test/support/forwarding_bench.ts
+++ b/test/support/forwarding_bench.ts
@@ -78,8 +78,8 @@
     };
     this.#settle(ok({
       head,
-      read: (onPiece, onEnd) => {
-        this.#onChunk = onPiece;
+      read: (onChunk, onEnd) => {
+        this.#onChunk = onChunk;
         this.#onEnd = onEnd;
       },
       pause: () => this.paused = true,
--- a/test/support/forwarding_engines.ts
+++ b/test/support/forwarding_engines.ts
@@ -7,7 +7,7 @@
 const DEFAULT_SLOTS = 32;
 
 /** Source of the attempts that the engines serve. */
-export interface EnginesHost {
+export interface AttemptSource {
   readonly timer: ManualTimerService;
   onSend: ((attempt: SentAttempt) => void) | undefined;
 }
@@ -46,12 +46,12 @@
   /** Total prefill time of all engines, milliseconds. */
   readMilliseconds = 0;
 
-  constructor(host: EnginesHost, options: PlayedEnginesOptions = {}) {
-    this.#timer = host.timer;
+  constructor(source: AttemptSource, options: PlayedEnginesOptions = {}) {
+    this.#timer = source.timer;
     this.#tokensPerMillisecond = options.tokensPerMillisecond ??
       DEFAULT_TOKENS_PER_MILLISECOND;
     this.#slots = options.slots ?? DEFAULT_SLOTS;
-    host.onSend = (attempt) => this.#handleAttempt(attempt);
+    source.onSend = (attempt) => this.#handleAttempt(attempt);
   }
 
   /**
--- a/test/support/operator_commands.ts
+++ b/test/support/operator_commands.ts
@@ -13,8 +13,8 @@
   return new Promise((resolve) => {
     const child = spawn(builtBinary(), args, { timeout: 30_000 });
     let output = "";
-    child.stdout.on("data", (piece) => output += piece);
-    child.stderr.on("data", (piece) => output += piece);
+    child.stdout.on("data", (chunk) => output += chunk);
+    child.stderr.on("data", (chunk) => output += chunk);
     child.on("exit", (code) => resolve({ code, output }));
   });
 }
--- a/test/support/process_fleet.ts
+++ b/test/support/process_fleet.ts
@@ -84,8 +84,8 @@
       stdio: ["ignore", "pipe", "pipe"],
     });
     let output = "";
-    child.stdout.on("data", (piece) => output += piece);
-    child.stderr.on("data", (piece) => output += piece);
+    child.stdout.on("data", (chunk) => output += chunk);
+    child.stderr.on("data", (chunk) => output += chunk);
     const exited = new Promise<number | null>((resolve) => {
       child.on("exit", (code) => resolve(code));
     });
--- a/test/support/raw_http.ts
+++ b/test/support/raw_http.ts
@@ -26,7 +26,7 @@
         if (options.closeAfterSend) socket.destroy();
       });
     });
-    socket.on("data", (piece) => received += piece.toString("latin1"));
+    socket.on("data", (chunk) => received += chunk.toString("latin1"));
     socket.on("error", () => {});
     socket.on("close", () => {
       clearTimeout(timer);
