--- a/test/support/usage_fleet.ts
+++ b/test/support/usage_fleet.ts
@@ -74,8 +74,8 @@
       timer: this.timer,
       logger: SILENT_LOGGER,
       link: this.platform.linkFor({
-        isCut: () => member.isCut || !isCurrentRun(),
-        isFrozen: () => member.isFrozen,
+        isPartitioned: () => member.isCut || !isCurrentRun(),
+        isSuspended: () => member.isFrozen,
       }),
       leaseMilliseconds: LEASE_MILLISECONDS,
       windowMilliseconds: WINDOW_MILLISECONDS,
--- a/test/support/usage_platform.ts
+++ b/test/support/usage_platform.ts
@@ -74,17 +74,17 @@
    * suspended.
    */
   linkFor(
-    { isCut, isFrozen }: {
-      readonly isCut: () => boolean;
-      readonly isFrozen: () => boolean;
+    { isPartitioned, isSuspended }: {
+      readonly isPartitioned: () => boolean;
+      readonly isSuspended: () => boolean;
     },
   ): UsageLink {
     const waitUntilResumed = async () => {
-      while (isFrozen()) await this.#sleep(SUSPENDED_POLL_MILLISECONDS);
+      while (isSuspended()) await this.#sleep(SUSPENDED_POLL_MILLISECONDS);
     };
     return {
       readClaim: async () => {
-        if (isCut()) return err(UNAVAILABLE);
+        if (isPartitioned()) return err(UNAVAILABLE);
         const newest = this.claims.at(-1);
         const offset = this.#positionOf(this.claims.length - 1);
         const claim = newest && { ...newest, offset };
@@ -94,7 +94,7 @@
         return ok({ claim, end });
       },
       appendClaim: async (claim, at) => {
-        if (isCut()) return err(UNAVAILABLE);
+        if (isPartitioned()) return err(UNAVAILABLE);
         if (at !== this.#positionOf(this.claims.length)) return ok(undefined);
         this.claims.push({ ...claim, offset: at });
         await this.#sleep(this.storeMilliseconds);
@@ -102,7 +102,7 @@
         return ok(at);
       },
       report: async (report, options) => {
-        if (isCut()) return "unknown";
+        if (isPartitioned()) return "unknown";
         if (this.failsWith) return this.failsWith;
         if (this.lateMilliseconds === 0) return this.#receive(report, options);
         void this.#sleep(this.lateMilliseconds)
