--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -29,7 +29,7 @@
   soak: {
     seed: Number(values.seed),
     faults,
-    streams: result.counts.get("stream whole") ?? 0,
+    streams: result.counts.get("stream complete") ?? 0,
     bookings: result.counts.get("booking made") ?? 0,
     wrong,
     doubled,
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -52,17 +52,17 @@
     const answer = await streamChat(options.entryUrl(), { prompt });
     if (answer.status !== 200) {
       await pause(RETRY_MILLISECONDS);
-      return `stream refused as ${answer.problem?.outcome}`;
+      return `stream refused: ${answer.problem?.outcome}`;
     }
     const received = answer.tokens.join("");
     if (!expected.join("").startsWith(received)) return "stream wrong";
-    if (!answer.ended) return "stream cut and said so";
+    if (!answer.ended) return "stream ended with a problem";
     return answer.tokens.length === expected.length
-      ? "stream whole"
+      ? "stream complete"
       : "stream wrong";
   } catch {
     await pause(RETRY_MILLISECONDS);
-    return "stream lost its connection";
+    return "stream connection lost";
   }
 }
 
@@ -108,7 +108,7 @@
     tally.add(`booking ${outcome}: ${detail}`);
     return String(detail).includes("is gone");
   } catch {
-    tally.add("booking lost its connection");
+    tally.add("booking connection lost");
     return false;
   }
 }
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -44,13 +44,13 @@
   readonly #faults: readonly [string, () => Promise<void>][] = [
     ["side killed", () => this.#terminateSide("SIGKILL")],
     ["side stopped", () => this.#terminateSide("SIGTERM")],
-    ["side frozen", () => this.#suspend(this.#pickEndpoint().side)],
+    ["side suspended", () => this.#suspend(this.#pickEndpoint().side)],
     ["entry killed", () => this.#terminateEntry("SIGKILL")],
     ["entry stopped", () => this.#terminateEntry("SIGTERM")],
-    ["entry frozen", () => this.#suspendEntry()],
-    ["log refuses", () => this.#injectLogFault({ down: "refuse" })],
-    ["log cuts", () => this.#injectLogFault({ down: "cut" })],
-    ["log loses answers", () => this.#injectLogFault({ lostAnswers: 3 })],
+    ["entry suspended", () => this.#suspendEntry()],
+    ["log refuses requests", () => this.#injectLogFault({ down: "refuse" })],
+    ["log closes connections", () => this.#injectLogFault({ down: "cut" })],
+    ["log loses responses", () => this.#injectLogFault({ lostAnswers: 3 })],
   ];
 
   async #terminateSide(signal: NodeJS.Signals): Promise<void> {
