--- a/scripts/demo/callers.ts
+++ b/scripts/demo/callers.ts
@@ -1,19 +1,19 @@
-/** Callers of the demo: what each sends and what it got. */
+/** Callers of the demo: the requests that they send and their results. */
 import { createParser } from "eventsource-parser";
 import { v7 as newTimeOrderedId } from "uuid";
 import { expectedAnswer } from "../../test/stand_ins/engine_answers.ts";
 
-/** What one caller got, in words and for the count. */
+/** Result of one caller, with a detail for the output. */
 export interface CallerResult {
   readonly caller: string;
   readonly result: "complete" | "refused" | "lost";
   readonly detail: string;
-  /** Key of a call that may run once only. */
+  /** Idempotency key of a call that must not run twice. */
   readonly key?: string;
 }
 
-/** A caller that waits longer than this has lost its answer. */
-const PATIENCE_MILLISECONDS = 40_000;
+/** Time after which a caller counts its answer as lost. */
+const REQUEST_TIMEOUT_MILLISECONDS = 40_000;
 
 export interface StreamCall {
   readonly caller: string;
@@ -22,7 +22,7 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** Asks the model for a stream and compares it with the whole answer. */
+/** Requests a stream and compares it with the complete answer. */
 export async function callStream(call: StreamCall): Promise<CallerResult> {
   const messages = [{ role: "user", content: call.prompt }];
   const started = performance.now();
@@ -36,17 +36,20 @@
         max_tokens: 2_000,
         stream: true,
       }),
-      signal: AbortSignal.timeout(PATIENCE_MILLISECONDS),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
     });
     if (response.status !== 200) return await refusal(call.caller, response);
-    const got = await readStream(response);
+    const received = await readStream(response);
     const expected = expectedAnswer("triage-llm", messages, 2_000).tokens;
     const seconds = ((performance.now() - started) / 1000).toFixed(1);
-    if (!got.ended) return lost(call.caller, "the stream had no end");
-    if (got.text !== expected.join("")) {
-      return lost(call.caller, "the answer is not the whole answer");
+    if (!received.ended) return lost(call.caller, "the stream had no end");
+    if (received.text !== expected.join("")) {
+      return lost(
+        call.caller,
+        "the answer differs from the expected one",
+      );
     }
-    const detail = `whole answer, ${expected.length} tokens in ${seconds} s`;
+    const detail = `complete answer, ${expected.length} tokens in ${seconds} s`;
     return { caller: call.caller, result: "complete", detail };
   } catch (error) {
     return lost(call.caller, String(error));
@@ -55,14 +58,14 @@
 
 export interface BookingCall {
   readonly caller: string;
-  /** The first entry gets the call, the second a repeat of it meanwhile. */
+  /** Entry of the call and entry of its concurrent repeat. */
   readonly entryUrls: readonly [string, string];
   readonly body: string;
 }
 
 /**
- * Asks for a case number and repeats the call through the other entry before
- * the first answer is there, as a caller on a bad line does.
+ * Requests a case number and repeats the call through another entry before the
+ * first answer arrives, as a caller with a bad connection does.
  */
 export async function callBooking(call: BookingCall): Promise<CallerResult> {
   const key = newTimeOrderedId();
@@ -72,7 +75,7 @@
     );
     const answers = [first, repeat].filter((each) => each.status === 201);
     if (answers.length === 0) {
-      return { ...problemResult(call.caller, first), key };
+      return { ...toProblemResult(call.caller, first), key };
     }
     const numbers = new Set(
       answers.map((each) => JSON.parse(each.body).number),
@@ -101,7 +104,7 @@
       "idempotency-key": call.key,
     },
     body: call.body,
-    signal: AbortSignal.timeout(PATIENCE_MILLISECONDS),
+    signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
   });
   return { status: response.status, body: await response.text() };
 }
@@ -118,8 +121,8 @@
     },
   });
   const decoder = new TextDecoder();
-  for await (const piece of response.body as AsyncIterable<Uint8Array>) {
-    parser.feed(decoder.decode(piece, { stream: true }));
+  for await (const chunk of response.body as AsyncIterable<Uint8Array>) {
+    parser.feed(decoder.decode(chunk, { stream: true }));
   }
   return { text, ended };
 }
@@ -129,11 +132,13 @@
   response: Response,
 ): Promise<CallerResult> {
   const body = await response.text();
-  return problemResult(caller, { status: response.status, body });
+  return toProblemResult(caller, { status: response.status, body });
 }
 
-/** Only a refusal that says "not run" is one; all else is a lost answer. */
-function problemResult(caller: string, answer: Answer): CallerResult {
+/**
+ * Counts a problem as refused only if its outcome is not_run, and else as lost.
+ */
+function toProblemResult(caller: string, answer: Answer): CallerResult {
   const problem = JSON.parse(answer.body);
   const detail = `${answer.status} ${problem.title}: ${problem.detail}`;
   const result = problem.outcome === "not_run" ? "refused" : "lost";
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run losses -- FILE`: says where requests were lost, from the log lines of
- * entries. The lines may carry other text before their JSON; lines of other
- * programs are passed over. Prints refusals and cuts by reason and second,
- * predicted against measured reading by route, and where first bytes took long.
+ * `npm run losses -- FILE`: shows where requests were lost, from the logs of
+ * entries. Text before the JSON of a line is ignored, and so are lines of other
+ * programs. Prints refusals and cuts by reason and time, predicted and measured
+ * prefill times by route, and quantiles of the time to the first byte.
  */
 import { createReadStream } from "node:fs";
 import process from "node:process";
@@ -22,87 +22,93 @@
   readonly firstByteMilliseconds?: number;
 }
 
-/** One reading of a prompt: what was predicted and what it took. */
-interface Reading {
-  readonly predicted: number;
+/** Predicted and measured duration of one prefill. */
+interface Prefill {
+  readonly predictedMilliseconds: number;
   readonly late: boolean;
-  took?: number;
+  measuredMilliseconds?: number;
 }
 
-/** Time in which losses are counted together, seconds. */
-const SPAN_SECONDS = 2;
-const MILLISECONDS = 1_000;
+/** Width of the windows by which losses are counted. */
+const WINDOW_SECONDS = 2;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 class Losses {
-  readonly #readings = new Map<string, Reading>();
-  readonly #readingsOf = new Map<string, Reading[]>();
-  readonly #firstBytes = new Map<string, number[]>();
+  readonly #prefills = new Map<string, Prefill>();
+  readonly #prefillsByRoute = new Map<string, Prefill[]>();
+  readonly #firstBytesByRoute = new Map<string, number[]>();
   readonly #handovers = new Map<string, number[]>();
-  readonly #lost = new Map<string, Map<number, number>>();
-  #start: number | undefined;
+  readonly #losses = new Map<string, Map<number, number>>();
+  #startMilliseconds: number | undefined;
 
-  take(line: DecisionLine): void {
+  add(line: DecisionLine): void {
     const at = Date.parse(line.time);
-    this.#start ??= at;
-    const span = Math.floor((at - this.#start) / MILLISECONDS / SPAN_SECONDS);
+    this.#startMilliseconds ??= at;
+    const window = Math.floor(
+      (at - this.#startMilliseconds) / MILLISECONDS_PER_SECOND / WINDOW_SECONDS,
+    );
     const { decision, requestId, route } = line;
-    if (decision === "placed" && line.step === "prefill") this.#placed(line);
-    if (decision === "prompt_read") this.#read(line);
+    if (decision === "placed" && line.step === "prefill") this.#onPlaced(line);
+    if (decision === "prompt_read") this.#onRead(line);
     if (decision === "answered") {
       const first = line.firstByteMilliseconds ?? 0;
-      listIn(this.#firstBytes, route).push(first);
-      const took = this.#readings.get(requestId)?.took;
+      listIn(this.#firstBytesByRoute, route).push(first);
+      const took = this.#prefills.get(requestId)?.measuredMilliseconds;
       if (took !== undefined) listIn(this.#handovers, route).push(first - took);
     }
     if (["refused", "cut", "caller_gone"].includes(decision)) {
-      this.#lose(`${decision} ${line.reason ?? ""}`, span);
+      this.#countLoss(`${decision} ${line.reason ?? ""}`, window);
     }
   }
 
-  #placed(line: DecisionLine): void {
-    const reading: Reading = {
-      predicted: (line.backlogMilliseconds ?? 0) +
+  #onPlaced(line: DecisionLine): void {
+    const prefill: Prefill = {
+      predictedMilliseconds: (line.backlogMilliseconds ?? 0) +
         (line.workMilliseconds ?? 0),
       late: line.late === true,
     };
-    this.#readings.set(line.requestId, reading);
-    listIn(this.#readingsOf, line.route).push(reading);
+    this.#prefills.set(line.requestId, prefill);
+    listIn(this.#prefillsByRoute, line.route).push(prefill);
   }
 
-  #read(line: DecisionLine): void {
-    const reading = this.#readings.get(line.requestId);
-    if (reading !== undefined) reading.took = line.milliseconds;
+  #onRead(line: DecisionLine): void {
+    const prefill = this.#prefills.get(line.requestId);
+    if (prefill !== undefined) prefill.measuredMilliseconds = line.milliseconds;
   }
 
-  #lose(reason: string, span: number): void {
-    let spans = this.#lost.get(reason);
-    if (spans === undefined) this.#lost.set(reason, spans = new Map());
-    spans.set(span, (spans.get(span) ?? 0) + 1);
+  #countLoss(reason: string, window: number): void {
+    let windows = this.#losses.get(reason);
+    if (windows === undefined) this.#losses.set(reason, windows = new Map());
+    windows.set(window, (windows.get(window) ?? 0) + 1);
   }
 
   print(): void {
-    console.log("Lost, by reason and seconds from the first line");
-    for (const [reason, spans] of [...this.#lost].sort(byTotal)) {
-      const cells = [...spans].sort(([one], [other]) => one - other)
-        .map(([span, count]) => `${span * SPAN_SECONDS}s:${count}`);
-      console.log(`  ${reason} (${total(spans)}): ${cells.join(" ")}`);
+    console.log("Losses by reason and seconds since the first line");
+    for (const [reason, windows] of [...this.#losses].sort(byTotal)) {
+      const cells = [...windows].sort(([one], [other]) => one - other)
+        .map(([window, count]) => `${window * WINDOW_SECONDS}s:${count}`);
+      console.log(`  ${reason} (${total(windows)}): ${cells.join(" ")}`);
     }
-    console.log("\nReading, ms: predicted; measured");
-    for (const [route, readings] of this.#readingsOf) {
+    console.log("\nPrefill, ms: predicted; measured");
+    for (const [route, prefills] of this.#prefillsByRoute) {
       for (const late of [false, true]) {
-        const done = readings.filter((each) =>
-          each.late === late && each.took !== undefined
+        const measured = prefills.filter((each) =>
+          each.late === late && each.measuredMilliseconds !== undefined
         );
-        if (done.length === 0) continue;
+        if (measured.length === 0) continue;
         console.log(
-          `  ${route} ${late ? "late" : "on time"} (${done.length}): ` +
-            `${quantiles(done.map((each) => each.predicted))}; ` +
-            `${quantiles(done.map((each) => each.took ?? 0))}`,
+          `  ${route} ${late ? "late" : "on time"} (${measured.length}): ` +
+            `${
+              quantiles(measured.map((each) => each.predictedMilliseconds))
+            }; ` +
+            `${
+              quantiles(measured.map((each) => each.measuredMilliseconds ?? 0))
+            }`,
         );
       }
     }
-    printQuantiles("First byte, ms", this.#firstBytes);
-    printQuantiles("First byte less reading, ms", this.#handovers);
+    printQuantiles("First byte, ms", this.#firstBytesByRoute);
+    printQuantiles("First byte minus prefill, ms", this.#handovers);
   }
 }
 
@@ -130,13 +136,16 @@
   return list;
 }
 
-type Spans = ReadonlyMap<number, number>;
+type WindowCounts = ReadonlyMap<number, number>;
 
-function total(spans: Spans): number {
-  return [...spans.values()].reduce((sum, count) => sum + count, 0);
+function total(windows: WindowCounts): number {
+  return [...windows.values()].reduce((sum, count) => sum + count, 0);
 }
 
-function byTotal([, one]: [string, Spans], [, other]: [string, Spans]): number {
+function byTotal(
+  [, one]: [string, WindowCounts],
+  [, other]: [string, WindowCounts],
+): number {
   return total(other) - total(one);
 }
 
@@ -150,9 +159,9 @@
   const start = text.indexOf('{"level"');
   if (start < 0 || !text.includes('"decision"')) continue;
   try {
-    losses.take(JSON.parse(text.slice(start)));
+    losses.add(JSON.parse(text.slice(start)));
   } catch {
-    console.error(`Not a whole line: ${text.slice(0, 80)}`);
+    console.error(`Cannot parse the line: ${text.slice(0, 80)}`);
   }
 }
 losses.print();
--- a/scripts/matrix.ts
+++ b/scripts/matrix.ts
@@ -1,6 +1,7 @@
 /**
- * Runs the fault matrix: every fault at every step, on virtual time, and
- * prints the table. `--cell` and `--seed` repeat one case with its trace.
+ * Runs the fault matrix, every fault at every step, on virtual time and prints
+ * the results as a table. `--cell` and `--seed` replay one case and print its
+ * trace.
  */
 import process from "node:process";
 import { hashToUnit } from "../src/core/membership/mod.ts";
@@ -21,10 +22,10 @@
 const options = await yargs(hideBin(process.argv))
   .option("seed", { type: "number" })
   .option("runs", { type: "number", default: 1, describe: "Runs per cell" })
-  .option("cell", { type: "string", describe: "One cell, step/fault" })
-  .option("fault", { type: "string", describe: "One fault's cells" })
-  .option("step", { type: "string", describe: "One step's cells" })
-  .option("pairs", { type: "number", describe: "Pairs of cells, drawn" })
+  .option("cell", { type: "string", describe: "Only this cell, step/fault" })
+  .option("fault", { type: "string", describe: "Only cells of this fault" })
+  .option("step", { type: "string", describe: "Only cells of this step" })
+  .option("pairs", { type: "number", describe: "Number of random cell pairs" })
   .option("without-guards", { type: "boolean", default: false })
   .strict()
   .parse();
@@ -42,15 +43,15 @@
   for (const cell of cells) {
     const tally: CellTally = { runs: 0, violations: 0, reached: 0 };
     for (let run = 0; run < options.runs; run += 1) {
-      count(tally, await runCell(cell, { seed: firstSeed + run }));
+      addRun(tally, await runCell(cell, { seed: firstSeed + run }));
     }
     tallies.set(cellName(cell), tally);
   }
   printTable(tallies);
-  return printSum([...tallies.values()]);
+  return printTotals([...tallies.values()]);
 }
 
-function count(tally: CellTally, run: CellRun): void {
+function addRun(tally: CellTally, run: CellRun): void {
   tally.runs += 1;
   if (run.reached) tally.reached += 1;
   if (run.violations.length === 0) return;
@@ -61,11 +62,13 @@
   console.log(`  npm run matrix -- --cell "${name}" --seed ${run.seed}`);
 }
 
-/** A number is runs in which the fault took hold; `!` marks violations. */
+/** Numbers count the runs in which the fault occurred; `!` marks violations. */
 function printTable(tallies: ReadonlyMap<string, CellTally>): void {
   FAULTS.forEach((fault, index) => console.log(`${index + 1}: ${fault}`));
-  const head = FAULTS.map((_, index) => String(index + 1).padStart(4)).join("");
-  console.log("step".padEnd(20) + head);
+  const header = FAULTS.map((_, index) => String(index + 1).padStart(4)).join(
+    "",
+  );
+  console.log("step".padEnd(20) + header);
   for (const step of STEPS) {
     const row = FAULTS.map((fault) => {
       const tally = tallies.get(cellName({ step, fault }));
@@ -77,7 +80,7 @@
   }
 }
 
-function printSum(tallies: readonly CellTally[]): boolean {
+function printTotals(tallies: readonly CellTally[]): boolean {
   const sum = (value: (tally: CellTally) => number) =>
     tallies.reduce((total, tally) => total + value(tally), 0);
   const violations = sum((tally) => tally.violations);
@@ -91,7 +94,7 @@
   return violations === 0;
 }
 
-async function repeat(name: string): Promise<boolean> {
+async function replay(name: string): Promise<boolean> {
   const cell = cellOf(name);
   if (cell === undefined) {
     console.error(`Cannot find cell "${name}"`);
@@ -110,14 +113,14 @@
   return run.violations.length === 0;
 }
 
-/** Two cells in one run, both drawn from the seed. */
+/** Runs pairs of cells, drawn from the seed, with both faults in one run. */
 async function runPairs(count: number): Promise<boolean> {
   const random = seededRandom(hashToUnit(`pairs ${firstSeed}`) * 2 ** 32);
   const cells = allCells();
-  const draw = () => cells[Math.floor(random() * cells.length)];
+  const drawCell = () => cells[Math.floor(random() * cells.length)];
   const pairs = { runs: 0, violations: 0, bothTookHold: 0 };
   for (let number = 0; number < count; number += 1) {
-    const pair = [draw(), draw()];
+    const pair = [drawCell(), drawCell()];
     const seed = firstSeed + number;
     const run = await runCells(pair, { seed });
     pairs.runs += 1;
@@ -132,7 +135,7 @@
   return pairs.violations === 0;
 }
 
-/** Takes out one guard after the other; each has to be missed. */
+/** Disables one guard at a time; each run must then find a violation. */
 async function runWithoutGuards(): Promise<boolean> {
   let caught = 0;
   for (const guard of GUARDS) {
@@ -151,7 +154,7 @@
 function run(): Promise<boolean> {
   if (options.withoutGuards) return runWithoutGuards();
   if (options.pairs !== undefined) return runPairs(options.pairs);
-  if (options.cell !== undefined) return repeat(options.cell);
+  if (options.cell !== undefined) return replay(options.cell);
   const { step, fault } = options;
   return runAll(
     allCells()
@@ -160,5 +163,5 @@
   );
 }
 
-const good = await run();
-process.exitCode = good ? 0 : 1;
+const passed = await run();
+process.exitCode = passed ? 0 : 1;
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run soak -- [--seed N] [--seconds N]`: callers against the system as
- * processes under random faults. Ends with a line of JSON, and with 0 only if
- * no answer was wrong, nothing ran twice and no process crashed.
+ * `npm run soak -- [--seed N] [--seconds N]`: runs callers against the system
+ * as processes under random faults. Prints a last line of JSON; the exit code
+ * is 0 only if no answer was wrong, nothing ran twice and no process crashed.
  */
 import process from "node:process";
 import { parseArgs } from "node:util";
@@ -29,7 +29,7 @@
   soak: {
     seed: Number(values.seed),
     faults,
-    streams: result.counts.get("stream whole") ?? 0,
+    streams: result.counts.get("stream complete") ?? 0,
     bookings: result.counts.get("booking made") ?? 0,
     wrong,
     doubled,
@@ -37,5 +37,5 @@
     crashes: crashes.length,
   },
 }));
-const bad = wrong + doubled + invented + crashes.length;
-process.exit(bad === 0 ? 0 : 1);
+const violations = wrong + doubled + invented + crashes.length;
+process.exit(violations === 0 ? 0 : 1);
--- a/scripts/soak_platform.ts
+++ b/scripts/soak_platform.ts
@@ -1,9 +1,9 @@
 /**
- * `npm run soak:platform -- [--seed N] [--seeds N] [--seconds N]`: callers
- * against entries as processes on the platform's protocol, under random faults.
- * Each seed ends with a line of JSON; the exit code is 0 only if every promise
- * held under every seed. `--logs FOLDER` keeps the entries' logs of a seed that
- * broke one; `--regressions` runs the seeds that once did.
+ * `npm run soak:platform -- [--seed N] [--seeds N] [--seconds N]`: runs callers
+ * against entry processes on the platform's protocol under random faults.
+ * Prints one line of JSON per seed; the exit code is 0 only if no seed violated
+ * a guarantee. `--logs FOLDER` saves the entries' logs of seeds with
+ * violations; `--regressions` runs the seeds that had violations in the past.
  */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -26,7 +26,7 @@
   },
 });
 
-function keepLogs(folder: string, seed: number, result: SoakResult): void {
+function saveLogs(folder: string, seed: number, result: SoakResult): void {
   mkdirSync(folder, { recursive: true });
   for (const [name, text] of result.logs) {
     writeFileSync(join(folder, `${seed}-${name}.log`), text);
@@ -40,7 +40,7 @@
   readonly seconds: number;
 }
 
-function wantedRuns(): readonly Run[] {
+function requestedRuns(): readonly Run[] {
   if (values.regressions) return REGRESSION_SEEDS;
   const first = Number(values.seed);
   const seconds = Number(values.seconds);
@@ -50,14 +50,14 @@
   );
 }
 
-// Without a handler the signal ends this process without its "exit" event, by
-// which the soak ends the processes that it has started.
+// Without a handler, a signal ends this process without the "exit" event, in
+// which the soak kills the processes that it has started.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.once(signal, () => process.exit(1));
 }
 
-let bad = 0;
-for (const { seed, seconds } of wantedRuns()) {
+let failedRuns = 0;
+for (const { seed, seconds } of requestedRuns()) {
   const result = await soak({
     seed,
     seconds,
@@ -74,7 +74,7 @@
     first: violations.slice(0, 3),
   }));
   if (violations.length === 0) continue;
-  bad += 1;
-  if (values.logs !== undefined) keepLogs(values.logs, seed, result);
+  failedRuns += 1;
+  if (values.logs !== undefined) saveLogs(values.logs, seed, result);
 }
-process.exit(bad === 0 ? 0 : 1);
+process.exit(failedRuns === 0 ? 0 : 1);
--- a/test/embedding/package_test.ts
+++ b/test/embedding/package_test.ts
@@ -17,7 +17,7 @@
 
 const TIMEOUT_MILLISECONDS = 120_000;
 
-/** The example's own compiler settings: an embedder's, without path aliases. */
+/** Compiler options of an embedder's project, without path aliases. */
 const EXAMPLE_COMPILER_OPTIONS = {
   target: "ES2022",
   module: "NodeNext",
@@ -29,7 +29,7 @@
   noEmit: true,
 };
 
-/** Packs the package and puts it into a project, as `npm install` would. */
+/** Packs the package and unpacks it into a project, as `npm install` does. */
 function installPacked(folder: string): string {
   run(["--import", "tsx", "scripts/build_library.ts"], ".");
   builtBinary();
@@ -54,7 +54,7 @@
   return installed;
 }
 
-/** The package's own dependencies, from what is installed here already. */
+/** Links the package's dependencies from this checkout's `node_modules`. */
 function linkDependencies(packages: string, installed: string): void {
   const manifest = JSON.parse(
     readFileSync(join(installed, "package.json"), "utf8"),
@@ -66,8 +66,8 @@
   }
 }
 
-function run(arguments_: readonly string[], folder: string): string {
-  return execFileSync(process.execPath, arguments_, {
+function run(args: readonly string[], folder: string): string {
+  return execFileSync(process.execPath, args, {
     cwd: folder,
     encoding: "utf8",
   });
@@ -94,33 +94,38 @@
 
   after(() => rmSync(folder, { recursive: true }));
 
-  it("holds every file that its manifest names", () => {
+  it("contains every file that its manifest names", () => {
     const manifest = JSON.parse(
       readFileSync(join(installed, "package.json"), "utf8"),
     );
-    const face = manifest.exports["."];
-    const named = [face.types, face.default, manifest.bin.filbertshore];
+    const rootExport = manifest.exports["."];
+    const named = [
+      rootExport.types,
+      rootExport.default,
+      manifest.bin.filbertshore,
+    ];
     for (const file of named) {
       expect(readFileSync(join(installed, file)).length).to.be.greaterThan(0);
     }
   });
 
-  it("holds every file that its types refer to", () => {
+  it("contains every file that its types refer to", () => {
     const types = join(installed, "dist/types");
     const files = readdirSync(types, { recursive: true, encoding: "utf8" });
     const present = new Set(files.map((name) => join(types, name)));
     for (const name of files.filter((each) => each.endsWith(".d.ts"))) {
       const text = readFileSync(join(types, name), "utf8");
       for (const [, target] of text.matchAll(/from "(\.[^"]+)\.ts"/g)) {
-        const wanted = join(types, name, "..", `${target}.d.ts`);
-        expect(present.has(wanted), `${name} refers to ${target}`).to.equal(
-          true,
-        );
+        const declarationFile = join(types, name, "..", `${target}.d.ts`);
+        expect(present.has(declarationFile), `${name} refers to ${target}`).to
+          .equal(
+            true,
+          );
       }
     }
   });
 
-  it("gives the example its types", function () {
+  it("provides the types of the example", function () {
     this.timeout(TIMEOUT_MILLISECONDS);
     run([resolve("node_modules/typescript/bin/tsc"), "--project", "."], folder);
   });
--- a/test/process/examples_test.ts
+++ b/test/process/examples_test.ts
@@ -7,17 +7,19 @@
   loadSettings,
 } from "../../src/adapters/settings/mod.ts";
 
-const SIZES: Readonly<Record<string, Readonly<Record<string, number>>>> = {
+const REPLICA_COUNTS: Readonly<
+  Record<string, Readonly<Record<string, number>>>
+> = {
   koperasi: { "triage-llm": 10, "member-portal": 3 },
   federatie: { "relining-assistant": 6, "member-portal": 4 },
 };
 
 describe("The example deployments", () => {
-  for (const [name, pools] of Object.entries(SIZES)) {
+  for (const [name, pools] of Object.entries(REPLICA_COUNTS)) {
     describe(name, () => {
       const folder = `examples/${name}`;
 
-      it("can be published", () => {
+      it("has a valid inventory and rules", () => {
         const content = loadConfiguration({
           inventory: `${folder}/inventory.toml`,
           rules: `${folder}/rules.toml`,
@@ -25,7 +27,7 @@
         expect(content.isOk() || content.error).to.equal(true);
       });
 
-      it("has the operators' replica counts, spread over all zones", () => {
+      it("has the specified replica counts, spread over all availability zones", () => {
         const inventory = parse(
           readFileSync(`${folder}/inventory.toml`, "utf8"),
         ) as unknown as Inventory;
@@ -39,13 +41,14 @@
         }
       });
 
-      // A side that is started with a neighbour's file would take its place at
-      // its endpoint; the inventory and the files have to name the same ones.
+      // A side that is started with the settings of another endpoint would
+      // serve that endpoint, so the inventory and the settings must name the
+      // same ones.
       it("has settings for each process that the inventory names", () => {
         const inventory = parse(
           readFileSync(`${folder}/inventory.toml`, "utf8"),
         ) as unknown as Inventory;
-        const named = inventory.pools.flatMap((pool) =>
+        const expectedSides = inventory.pools.flatMap((pool) =>
           pool.endpoints.map((each) => `${each.id} at ${each.side}`)
         );
         const settings = readdirSync(`${folder}/sides`).map((file) =>
@@ -53,7 +56,7 @@
         ).map(({ endpoint, peers }) =>
           `${endpoint} at ${peers.host}:${peers.port}`
         );
-        expect(settings).to.have.members(named);
+        expect(settings).to.have.members(expectedSides);
         for (const file of readdirSync(`${folder}/entries`)) {
           loadSettings(`${folder}/entries/${file}`, "entry")._unsafeUnwrap();
         }
--- a/test/process/operator_commands_test.ts
+++ b/test/process/operator_commands_test.ts
@@ -1,11 +1,11 @@
 import process from "node:process";
 import { expect } from "chai";
 import { builtBinary } from "../support/built_binary.ts";
-import { type CommandEnd, Operator } from "../support/operator_commands.ts";
+import { type CommandResult, Operator } from "../support/operator_commands.ts";
 import { waitFor } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 
-describe("Operators' commands against running processes", function () {
+describe("Operator commands against running processes", function () {
   this.timeout(60_000);
   let deployment: SmallDeployment;
   let operator: Operator;
@@ -40,10 +40,10 @@
       .length;
   }
 
-  it("publish waits until every process has the version in force", async () => {
-    const end = await operator.publish({ "triage-0": "draining" });
-    const facts = JSON.parse(end.output);
-    expect(end.code).to.equal(0);
+  it("publish waits until the version is in force at every process", async () => {
+    const result = await operator.publish({ "triage-0": "draining" });
+    const facts = JSON.parse(result.output);
+    expect(result.code).to.equal(0);
     expect([facts.have, facts.all]).to.deep.equal([5, 5]);
     const status = await operator.run("status", ["--json"]);
     const fleet = JSON.parse(status.output);
@@ -55,9 +55,9 @@
     expect(drained.state).to.equal("draining");
   });
 
-  // Two operators drain different engines at the same moment. If both took
-  // effect, the second would silently undo the first.
-  it("of two that publish at once one wins, and the other hears who", async () => {
+  // Two operators drain different engines concurrently. If both publications
+  // were accepted, the second would silently undo the first.
+  it("publish rejects one of two concurrent publications and names the winner", async () => {
     const before = JSON.parse(
       (await operator.run("status", ["--json"])).output,
     );
@@ -75,51 +75,52 @@
       ]),
     ]);
     expect(ends.map(({ code }) => code).sort()).to.deep.equal([0, 1]);
-    const loser = ends.find(({ code }) => code === 1) as CommandEnd;
+    const loser = ends.find(({ code }) => code === 1) as CommandResult;
     const winner = loser === ends[0] ? "siti" : "aminah";
     expect(JSON.parse(loser.output).outcome).to.equal("publication_rejected");
     expect(loser.output).to.include(`by ${winner} came first`);
   });
 
-  // The log takes the publication and its answer is lost. Appended once more
-  // blindly, it would be beaten by itself and the operator told that it failed.
-  it("finds a publication whose answer was lost", async () => {
+  // The log appends the publication and its response is lost. A blind second
+  // append would conflict with the first and be reported to the operator as
+  // rejected.
+  it("publish finds its publication after a lost response", async () => {
     await logControl({ lostAnswers: 1 });
     const before = await publications();
-    const end = await operator.publish({ "triage-0": "draining" });
-    expect(end.code, end.output).to.equal(0);
+    const result = await operator.publish({ "triage-0": "draining" });
+    expect(result.code, result.output).to.equal(0);
     expect(await publications()).to.equal(before + 1);
   });
 
-  // The operator's own tool appends an inventory that makes no sense. It must
-  // not come into force anywhere, and the next change has to go through.
-  it("goes on after garbage on the configuration stream", async () => {
+  // Another tool appends invalid records. They must not come into force at any
+  // process, and the next publication must succeed.
+  it("publish works after invalid records on the configuration stream", async () => {
     await deployment.publishRaw({ inventory: "none" }, 3);
     await deployment.publishRaw(17, 3);
     await fetch(
       `${deployment.logUrl}/streams/configuration.klang-valley/records`,
       { method: "POST", body: JSON.stringify({ records: [null, "x", {}] }) },
     );
-    const end = await operator.publish({ "triage-0": "draining" });
-    expect(end.code, end.output).to.equal(0);
+    const result = await operator.publish({ "triage-0": "draining" });
+    expect(result.code, result.output).to.equal(0);
   });
 
-  it("says that nothing was made while the log is down", async () => {
+  it("publish reports not_made while the log is down", async () => {
     await logControl({ down: "refuse" });
-    const words = ["--base", "latest", "--wait-seconds", "2"];
-    const end = await operator.publish({ "triage-0": "draining" }, words);
-    expect(end.code, end.output).to.equal(1);
-    expect(JSON.parse(end.output).outcome).to.equal("not_made");
+    const args = ["--base", "latest", "--wait-seconds", "2"];
+    const result = await operator.publish({ "triage-0": "draining" }, args);
+    expect(result.code, result.output).to.equal(1);
+    expect(JSON.parse(result.output).outcome).to.equal("not_made");
     await logControl({ down: "no" });
     await waitFor(async () => {
       const again = await operator.publish({ "triage-0": "draining" });
       return again.code === 0;
-    }, { what: "the change to go through once the log is back" });
+    }, { what: "the publication to succeed after the outage of the log" });
   });
 
-  // The operator's shell dies before it has seen the verdict. Asked again by
-  // its id, the command tells what became of it and appends nothing.
-  it("finds out by its id what became of a publication", async () => {
+  // The operator's shell exits before the result arrives. A second run with the
+  // same publication id reports the result and appends nothing.
+  it("publish reports the result of an earlier publication by its id", async () => {
     const id = ["--base", "latest", "--publication-id", "drain-triage-0"];
     const first = await operator.publish({ "triage-0": "draining" }, id);
     const before = await publications();
@@ -129,42 +130,42 @@
     expect(await publications()).to.equal(before);
   });
 
-  // An operator's file was made an hour ago and somebody has published since.
-  // A base that the command looks up itself would always fit and undo that.
-  it("asks which version the files were made on", async () => {
+  // An operator's files may predate the newest publication. If the command took
+  // the latest version as the base, it would silently undo that publication.
+  it("publish requires the version that the files are based on", async () => {
     const before = await publications();
-    const end = await operator.publish({ "triage-0": "draining" }, []);
-    expect(end.code).to.equal(2);
-    expect(JSON.parse(end.output).version).to.be.above(0);
+    const result = await operator.publish({ "triage-0": "draining" }, []);
+    expect(result.code).to.equal(2);
+    expect(JSON.parse(result.output).version).to.be.above(0);
     expect(await publications()).to.equal(before);
   });
 
-  it("names the processes that have not told of a version", async () => {
+  it("publish names the processes that have not reported the version", async () => {
     deployment.engines[1].side.child.kill("SIGKILL");
-    const words = ["--base", "latest", "--wait-seconds", "2"];
-    const end = await operator.publish({ "triage-0": "draining" }, words);
-    expect(end.code).to.equal(5);
-    expect(JSON.parse(end.output).missing).to.deep.equal(["side-triage-1"]);
+    const args = ["--base", "latest", "--wait-seconds", "2"];
+    const result = await operator.publish({ "triage-0": "draining" }, args);
+    expect(result.code).to.equal(5);
+    expect(JSON.parse(result.output).missing).to.deep.equal(["side-triage-1"]);
   });
 
-  it("status tells of an entry that does not answer", async () => {
+  it("status reports an entry that does not respond", async () => {
     deployment.entries[1].process.child.kill("SIGKILL");
     await deployment.entries[1].process.exited;
-    const end = await operator.run("status");
-    expect(end.code).to.equal(1);
-    expect(end.output).to.include(`${deployment.entries[1].peers}`);
-    expect(end.output).to.include("triage-0");
+    const result = await operator.run("status");
+    expect(result.code).to.equal(1);
+    expect(result.output).to.include(`${deployment.entries[1].peers}`);
+    expect(result.output).to.include("triage-0");
   });
 
-  it("publish refuses files that can't be used and appends nothing", async () => {
+  it("publish refuses invalid files and appends nothing", async () => {
     const before = await publications();
     const file = deployment.fleet.writeToml("bad.toml", { region: "x" });
-    const end = await operator.run("publish", [
+    const result = await operator.run("publish", [
       ...["--inventory", file, "--rules", file],
     ]);
-    expect(end.code).to.equal(2);
-    expect(end.output).to.include("bad.toml: pools: found nothing");
-    expect(end.output).to.include("bad.toml: region: found an unknown key");
+    expect(result.code).to.equal(2);
+    expect(result.output).to.include("bad.toml: pools: found nothing");
+    expect(result.output).to.include("bad.toml: region: found an unknown key");
     expect(await publications()).to.equal(before);
   });
 });
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,15 +1,19 @@
 import type { Random } from "../../src/core/random/mod.ts";
-import { promptFor, streamChat, wholeAnswer } from "../support/chat_caller.ts";
+import {
+  completeAnswer,
+  promptFor,
+  streamChat,
+} from "../support/chat_caller.ts";
 import { uuidv7 } from "../support/uuid.ts";
 
 export interface CallerOptions {
   readonly random: Random;
-  /** URL of an entry that the balancer would send a caller to. */
+  /** Returns the URL of an entry that the load balancer would choose. */
   readonly entryUrl: () => string;
   readonly tally: Tally;
 }
 
-/** Counts of what callers got. */
+/** Counts of the results that callers got, by name. */
 export class Tally {
   readonly counts = new Map<string, number>();
 
@@ -17,55 +21,55 @@
     this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
   }
 
-  of(what: string): number {
+  count(what: string): number {
     return this.counts.get(what) ?? 0;
   }
 }
 
-const MOST_TOKENS = 170;
+const MAX_TOKENS = 170;
 const RETRY_MILLISECONDS = 200;
-const MOST_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 const ANSWER_TIMEOUT_MILLISECONDS = 15_000;
 
-/** Asks for streams and holds each against the whole answer. */
-export async function askUntil(
+/** Requests streams until `end` and compares each with the complete answer. */
+export async function streamUntil(
   end: number,
   options: CallerOptions & { readonly name: string },
 ): Promise<void> {
   for (let index = 0; performance.now() < end; index++) {
-    const tokens = 20 + Math.floor(options.random() * (MOST_TOKENS - 20));
+    const tokens = 20 + Math.floor(options.random() * (MAX_TOKENS - 20));
     const prompt = promptFor(`${options.name}-${index}`, tokens);
-    options.tally.add(await askOnce(prompt, options));
+    options.tally.add(await streamOnce(prompt, options));
   }
 }
 
-async function askOnce(
+async function streamOnce(
   prompt: string,
   options: CallerOptions,
 ): Promise<string> {
-  const whole = wholeAnswer(prompt).tokens;
+  const expected = completeAnswer(prompt).tokens;
   try {
     const answer = await streamChat(options.entryUrl(), { prompt });
     if (answer.status !== 200) {
       await pause(RETRY_MILLISECONDS);
-      return `stream refused as ${answer.problem?.outcome}`;
+      return `stream refused: ${answer.problem?.outcome}`;
     }
-    const given = answer.tokens.join("");
-    if (!whole.join("").startsWith(given)) return "stream wrong";
-    if (!answer.ended) return "stream cut and said so";
-    return answer.tokens.length === whole.length
-      ? "stream whole"
+    const received = answer.tokens.join("");
+    if (!expected.join("").startsWith(received)) return "stream wrong";
+    if (!answer.ended) return "stream ended with a problem";
+    return answer.tokens.length === expected.length
+      ? "stream complete"
       : "stream wrong";
   } catch {
     await pause(RETRY_MILLISECONDS);
-    return "stream lost its connection";
+    return "stream connection lost";
   }
 }
 
-/** Keys of bookings with the answer that each got, if it got one. */
+/** Answers to bookings by key; undefined while a key has no answer. */
 export type Bookings = Map<string, string | undefined>;
 
-/** Books with a new key each time and repeats the key until it is answered. */
+/** Makes bookings until `end`, repeating each key until it is answered. */
 export async function bookUntil(
   end: number,
   options: CallerOptions & { readonly bookings: Bookings },
@@ -73,7 +77,7 @@
   while (performance.now() < end) {
     const key = uuidv7();
     options.bookings.set(key, undefined);
-    for (let tries = 0; tries < MOST_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (await bookOnce(key, options)) break;
       if (performance.now() >= end) return;
       await pause(RETRY_MILLISECONDS);
@@ -81,7 +85,7 @@
   }
 }
 
-/** True where there is no use in repeating the key. */
+/** Whether the key needs no further attempt. */
 async function bookOnce(
   key: string,
   options: CallerOptions & { readonly bookings: Bookings },
@@ -104,7 +108,7 @@
     tally.add(`booking ${outcome}: ${detail}`);
     return String(detail).includes("is gone");
   } catch {
-    tally.add("booking lost its connection");
+    tally.add("booking connection lost");
     return false;
   }
 }
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -9,20 +9,23 @@
 export interface FaultOptions {
   readonly deployment: SmallDeployment;
   readonly random: Random;
-  /** Told of each fault as it begins. */
+  /** Called with the name of each fault when it starts. */
   readonly onFault: (name: string) => void;
 }
 
-const SHORTEST_PAUSE_MILLISECONDS = 300;
-const LONGEST_PAUSE_MILLISECONDS = 1_500;
-const LONGEST_FAULT_MILLISECONDS = 2_800;
-/** An entry that has just started is not asked before it can know anything. */
+const MIN_PAUSE_MILLISECONDS = 300;
+const MAX_PAUSE_MILLISECONDS = 1_500;
+const MAX_FAULT_MILLISECONDS = 2_800;
+/**
+ * Time after its start in which an entry gets no requests, to let it become
+ * ready.
+ */
 const ENTRY_START_MILLISECONDS = 1_500;
 
-/** Breaks one thing after another and mends it, as drawn from the seed. */
+/** Injects one random fault at a time and recovers from it before the next. */
 export class FaultInjector {
   readonly #options: FaultOptions;
-  /** Entries that the platform's balancer would have taken out. */
+  /** Entries that the platform's load balancer would not route to. */
   readonly unhealthy = new Set<DeployedEntry>();
 
   constructor(options: FaultOptions) {
@@ -31,7 +34,7 @@
 
   async runUntil(end: number): Promise<void> {
     while (performance.now() < end) {
-      await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_PAUSE_MILLISECONDS);
+      await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_PAUSE_MILLISECONDS);
       const [name, fault] = this.#pick(this.#faults);
       this.#options.onFault(name);
       await fault();
@@ -39,26 +42,26 @@
   }
 
   readonly #faults: readonly [string, () => Promise<void>][] = [
-    ["side killed", () => this.#endSide("SIGKILL")],
-    ["side stopped", () => this.#endSide("SIGTERM")],
-    ["side frozen", () => this.#freeze(this.#pickEndpoint().side)],
-    ["entry killed", () => this.#endEntry("SIGKILL")],
-    ["entry stopped", () => this.#endEntry("SIGTERM")],
-    ["entry frozen", () => this.#freezeEntry()],
-    ["log refuses", () => this.#breakLog({ down: "refuse" })],
-    ["log cuts", () => this.#breakLog({ down: "cut" })],
-    ["log loses answers", () => this.#breakLog({ lostAnswers: 3 })],
+    ["side killed", () => this.#terminateSide("SIGKILL")],
+    ["side stopped", () => this.#terminateSide("SIGTERM")],
+    ["side suspended", () => this.#suspend(this.#pickEndpoint().side)],
+    ["entry killed", () => this.#terminateEntry("SIGKILL")],
+    ["entry stopped", () => this.#terminateEntry("SIGTERM")],
+    ["entry suspended", () => this.#suspendEntry()],
+    ["log refuses requests", () => this.#injectLogFault({ down: "refuse" })],
+    ["log closes connections", () => this.#injectLogFault({ down: "cut" })],
+    ["log loses responses", () => this.#injectLogFault({ lostAnswers: 3 })],
   ];
 
-  async #endSide(signal: NodeJS.Signals): Promise<void> {
+  async #terminateSide(signal: NodeJS.Signals): Promise<void> {
     const endpoint = this.#pickEndpoint();
     endpoint.side.child.kill(signal);
     await endpoint.side.exited;
-    await this.#wait(0, SHORTEST_PAUSE_MILLISECONDS);
+    await this.#wait(0, MIN_PAUSE_MILLISECONDS);
     this.#options.deployment.restartSide(endpoint);
   }
 
-  async #endEntry(signal: NodeJS.Signals): Promise<void> {
+  async #terminateEntry(signal: NodeJS.Signals): Promise<void> {
     const entry = this.#pick(this.#options.deployment.entries);
     this.unhealthy.add(entry);
     entry.process.child.kill(signal);
@@ -68,22 +71,22 @@
     this.unhealthy.delete(entry);
   }
 
-  async #freezeEntry(): Promise<void> {
+  async #suspendEntry(): Promise<void> {
     const entry = this.#pick(this.#options.deployment.entries);
     this.unhealthy.add(entry);
-    await this.#freeze(entry.process);
+    await this.#suspend(entry.process);
     this.unhealthy.delete(entry);
   }
 
-  async #freeze({ child }: StartedProcess): Promise<void> {
+  async #suspend({ child }: StartedProcess): Promise<void> {
     child.kill("SIGSTOP");
-    await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_FAULT_MILLISECONDS);
+    await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_FAULT_MILLISECONDS);
     child.kill("SIGCONT");
   }
 
-  async #breakLog(faults: Record<string, unknown>): Promise<void> {
+  async #injectLogFault(faults: Record<string, unknown>): Promise<void> {
     await this.#setLog(faults);
-    await this.#wait(SHORTEST_PAUSE_MILLISECONDS, LONGEST_FAULT_MILLISECONDS);
+    await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_FAULT_MILLISECONDS);
     await this.#setLog({ down: "no", lostAnswers: 0 });
   }
 
@@ -103,9 +106,9 @@
     return items[Math.floor(this.#options.random() * items.length)];
   }
 
-  #wait(shortest: number, longest: number): Promise<void> {
-    const milliseconds = shortest +
-      (longest - shortest) * this.#options.random();
+  #wait(minMilliseconds: number, maxMilliseconds: number): Promise<void> {
+    const milliseconds = minMilliseconds +
+      (maxMilliseconds - minMilliseconds) * this.#options.random();
     return new Promise((resolve) => setTimeout(resolve, milliseconds));
   }
 }
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,6 +1,6 @@
 import { seededRandom } from "../../src/core/random/mod.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
-import { askUntil, type Bookings, bookUntil, Tally } from "./callers.ts";
+import { type Bookings, bookUntil, streamUntil, Tally } from "./callers.ts";
 import { FaultInjector } from "./faults.ts";
 
 export interface SoakOptions {
@@ -14,26 +14,28 @@
 export interface SoakResult {
   readonly counts: ReadonlyMap<string, number>;
   readonly faults: number;
-  /** Streams that were no beginning of the right answer, or short of it. */
+  /**
+   * Streams that differ from the expected answer or ended without all of it.
+   */
   readonly wrong: number;
-  /** Keys whose booking ran more than once. */
+  /** Number of keys whose booking ran more than once. */
   readonly doubled: number;
-  /** Keys that got an answer without having run. */
+  /** Number of keys that were answered without a run. */
   readonly invented: number;
-  /** Output of processes that ended by a bug. */
+  /** Output of processes that logged a programming error. */
   readonly crashes: readonly string[];
 }
 
-const ASKING_CALLERS = 8;
+const STREAM_CALLERS = 8;
 const BOOKING_CALLERS = 4;
-/** Time without faults at the end, so that what is open can end. */
-const CALM_SECONDS = 8;
+/** Time without faults at the end, in which open requests can complete. */
+const FAULT_FREE_SECONDS = 8;
 const KEY_LENGTH = 36;
-const CRASH = /TypeError|ReferenceError|Unhandled|ERR_[A-Z_]+\b/;
+const CRASH_PATTERN = /TypeError|ReferenceError|Unhandled|ERR_[A-Z_]+\b/;
 
 /**
- * Callers against the whole system as processes, while one thing after another
- * breaks: sides and entries are killed, stopped and frozen, the log goes out.
+ * Runs callers against the complete system as processes under random faults:
+ * sides and entries are killed, stopped and suspended, and the log fails.
  */
 export async function soak(options: SoakOptions): Promise<SoakResult> {
   const deployment = new SmallDeployment();
@@ -63,44 +65,44 @@
   const entryUrl = () => {
     const { entries } = deployment;
     const healthy = entries.filter((each) => !injector.unhealthy.has(each));
-    const all = healthy.length > 0 ? healthy : entries;
-    return all[Math.floor(random() * all.length)].url;
+    const candidates = healthy.length > 0 ? healthy : entries;
+    return candidates[Math.floor(random() * candidates.length)].url;
   };
   const end = performance.now() + options.seconds * 1000;
   const caller = { random, entryUrl, tally };
   await Promise.all([
-    injector.runUntil(end - CALM_SECONDS * 1000),
+    injector.runUntil(end - FAULT_FREE_SECONDS * 1000),
     ...Array.from(
-      { length: ASKING_CALLERS },
-      (_, index) => askUntil(end, { ...caller, name: `caller-${index}` }),
+      { length: STREAM_CALLERS },
+      (_, index) => streamUntil(end, { ...caller, name: `caller-${index}` }),
     ),
     ...Array.from(
       { length: BOOKING_CALLERS },
       () => bookUntil(end, { ...caller, bookings }),
     ),
   ]);
-  return await judge(deployment, { tally, bookings });
+  return await evaluate(deployment, { tally, bookings });
 }
 
-async function judge(
+async function evaluate(
   deployment: SmallDeployment,
-  given: { tally: Tally; bookings: Bookings },
+  observed: { tally: Tally; bookings: Bookings },
 ): Promise<SoakResult> {
-  const { tally, bookings } = given;
+  const { tally, bookings } = observed;
   const runs = await runsByKey(deployment);
   const keys = [...bookings.keys()];
   const faults = [...tally.counts].filter(([name]) => name.startsWith("fault"));
   return {
     counts: tally.counts,
     faults: faults.reduce((sum, [, count]) => sum + count, 0),
-    wrong: tally.of("stream wrong"),
+    wrong: tally.count("stream wrong"),
     doubled: keys.filter((key) => (runs.get(key) ?? 0) > 1).length,
     invented: keys.filter((key) => bookings.get(key) && !runs.has(key)).length,
     crashes: crashesOf(deployment),
   };
 }
 
-/** How often each key ran, counted by the services themselves. */
+/** Number of runs of each key, as counted by the services. */
 async function runsByKey(
   deployment: SmallDeployment,
 ): Promise<Map<string, number>> {
@@ -122,6 +124,6 @@
   );
   const entries = deployment.entries.map((each) => each.process);
   return [...sides, ...entries].map((each) => each.output())
-    .filter((output) => CRASH.test(output))
+    .filter((output) => CRASH_PATTERN.test(output))
     .map((output) => output.slice(-2_000));
 }
--- a/test/stand_ins/engine_cache.ts
+++ b/test/stand_ins/engine_cache.ts
@@ -1,9 +1,9 @@
-/** The stand-in engine's prefix cache. */
+/** Prefix cache of the stand-in engine. */
 
-/** Characters of a block; about sixteen tokens. */
+/** Characters per block, about sixteen tokens. */
 const BLOCK_CHARACTERS = 64;
 
-/** What the cache tells of itself, late and with gaps. */
+/** A change of the cache, as reported late and with gaps. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly at: number;
@@ -11,7 +11,7 @@
   readonly dropped: readonly string[];
 }
 
-/** Names of a prompt's leading blocks, shortest prefix first. */
+/** Hashes of all prefixes of a prompt at block boundaries, shortest first. */
 export function prefixBlocks(text: string): string[] {
   const blocks: string[] = [];
   let value = 0x811c9dc5;
@@ -24,27 +24,33 @@
   return blocks;
 }
 
-/** Least recently used blocks go first; every third event is lost. */
+/** LRU cache of prefix blocks; every third event is lost. */
 export class PrefixCache {
-  readonly #mostBlocks: number;
+  readonly #capacityBlocks: number;
   readonly #blocks = new Set<string>();
   readonly #events: CacheEvent[] = [];
   #sequence = 0;
 
-  constructor(options: { mostTokens: number }) {
-    this.#mostBlocks = Math.max(1, Math.floor(options.mostTokens / 16));
+  constructor(options: { capacityTokens: number }) {
+    this.#capacityBlocks = Math.max(1, Math.floor(options.capacityTokens / 16));
   }
 
-  /** Share of the prompt that is there already, 0 to 1; keeps the rest. */
-  use(text: string): number {
+  /**
+   * Returns the cached share of the prompt, 0 to 1, and stores all its blocks.
+   */
+  lookUpAndStore(text: string): number {
     const blocks = prefixBlocks(text);
-    let known = 0;
-    while (known < blocks.length && this.#blocks.has(blocks[known])) known++;
-    this.keep(blocks);
-    return text.length === 0 ? 0 : known * BLOCK_CHARACTERS / text.length;
+    let cachedBlocks = 0;
+    while (
+      cachedBlocks < blocks.length && this.#blocks.has(blocks[cachedBlocks])
+    ) cachedBlocks++;
+    this.store(blocks);
+    return text.length === 0
+      ? 0
+      : cachedBlocks * BLOCK_CHARACTERS / text.length;
   }
 
-  keep(blocks: readonly string[]): void {
+  store(blocks: readonly string[]): void {
     const added = blocks.filter((block) => !this.#blocks.has(block));
     for (const block of blocks) {
       this.#blocks.delete(block);
@@ -52,14 +58,17 @@
     }
     const dropped: string[] = [];
     for (const block of this.#blocks) {
-      if (this.#blocks.size <= this.#mostBlocks) break;
+      if (this.#blocks.size <= this.#capacityBlocks) break;
       this.#blocks.delete(block);
       dropped.push(block);
     }
-    if (added.length + dropped.length > 0) this.#tell(added, dropped);
+    if (added.length + dropped.length > 0) this.#recordEvent(added, dropped);
   }
 
-  /** Events older than the lag, without the lost ones. */
+  /**
+   * Events from a sequence number on that are older than the lag, without lost
+   * ones.
+   */
   events(options: { from: number; lagMilliseconds: number }): CacheEvent[] {
     const newest = performance.now() - options.lagMilliseconds;
     return this.#events.filter((event) =>
@@ -67,7 +76,7 @@
     );
   }
 
-  #tell(added: readonly string[], dropped: readonly string[]): void {
+  #recordEvent(added: readonly string[], dropped: readonly string[]): void {
     const sequence = this.#sequence++;
     if (sequence % 3 === 2) return;
     this.#events.push({ sequence, at: performance.now(), added, dropped });
--- a/test/stand_ins/engine_orders.ts
+++ b/test/stand_ins/engine_orders.ts
@@ -1,4 +1,4 @@
-/** How the stand-in engine takes orders. */
+/** Order handling of the stand-in engine. */
 import type { ServerResponse } from "node:http";
 import { sendJson } from "./stand_in_server.ts";
 
@@ -8,11 +8,12 @@
   weights: string;
 }
 
-/** One order as it came. */
+/** An order as received. */
 export interface ReceivedOrder {
   readonly at: number;
   readonly fencing: number;
   readonly target: Partial<EngineState>;
+  /** False if the order was rejected for an outdated fencing token. */
   readonly taken: boolean;
 }
 
@@ -20,40 +21,45 @@
   readonly checksFencing: boolean;
   readonly changeMilliseconds: number;
   onChangeStart(): void;
-  onHalfDone(): void;
+  onHalfway(): void;
 }
 
-/** Target states, changes that take their time, and fencing where it checks. */
+/**
+ * Applies target states with a delay and checks fencing tokens if configured.
+ */
 export class EngineOrders {
   state: EngineState;
   changing = false;
   readonly received: ReceivedOrder[] = [];
-  /** Orders that came while a different one was being carried out. */
+  /**
+   * Number of orders that arrived while a different one was being carried out.
+   */
   conflicts = 0;
   readonly #options: EngineOrdersOptions;
-  #newest = -1;
-  #wanted: EngineState;
+  #maxFencing = -1;
+  #target: EngineState;
   #timers: NodeJS.Timeout[] = [];
 
   constructor(state: EngineState, options: EngineOrdersOptions) {
     this.state = state;
-    this.#wanted = state;
+    this.#target = state;
     this.#options = options;
   }
 
   onRequest(response: ServerResponse, body: Record<string, unknown>): void {
     const target = (body.target ?? {}) as Partial<EngineState>;
     const fencing = Number(body.fencing);
-    const stale = this.#options.checksFencing && fencing < this.#newest;
+    const stale = this.#options.checksFencing &&
+      fencing < this.#maxFencing;
     this.received.push({
       at: performance.now(),
       fencing,
       target,
       taken: !stale,
     });
-    if (stale) return sendJson(response, 409, { newest: this.#newest });
-    this.#newest = Math.max(this.#newest, fencing);
-    this.#take({ ...this.#wanted, ...target });
+    if (stale) return sendJson(response, 409, { newest: this.#maxFencing });
+    this.#maxFencing = Math.max(this.#maxFencing, fencing);
+    this.#applyTarget({ ...this.#target, ...target });
     sendJson(response, 202, { changing: this.changing });
   }
 
@@ -61,25 +67,25 @@
     for (const timer of this.#timers) clearTimeout(timer);
   }
 
-  #take(wanted: EngineState): void {
-    if (isSame(wanted, this.#wanted)) return;
+  #applyTarget(target: EngineState): void {
+    if (isSameState(target, this.#target)) return;
     if (this.changing) this.conflicts += 1;
     this.stop();
-    this.#wanted = wanted;
+    this.#target = target;
     this.changing = true;
     this.#options.onChangeStart();
-    const whole = this.#options.changeMilliseconds;
+    const duration = this.#options.changeMilliseconds;
     this.#timers = [
-      setTimeout(() => this.#options.onHalfDone(), whole / 2),
+      setTimeout(() => this.#options.onHalfway(), duration / 2),
       setTimeout(() => {
-        this.state = wanted;
+        this.state = target;
         this.changing = false;
-      }, whole),
+      }, duration),
     ];
   }
 }
 
-function isSame(one: EngineState, other: EngineState): boolean {
+function isSameState(one: EngineState, other: EngineState): boolean {
   return one.role === other.role && one.weights === other.weights &&
     one.models.join("\n") === other.models.join("\n");
 }
--- a/test/stand_ins/stand_in_server.ts
+++ b/test/stand_ins/stand_in_server.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins share: a small HTTP server and a command line. */
+/** HTTP server and command line shared by the stand-ins. */
 import {
   createServer,
   type IncomingMessage,
@@ -9,14 +9,14 @@
 import process from "node:process";
 import { pathToFileURL } from "node:url";
 
-/** Answers one request; the path is without its query. */
+/** Handles one request; `url.pathname` is the path without the query. */
 export type Handler = (
   request: IncomingMessage,
   response: ServerResponse,
   url: URL,
 ) => Promise<void> | void;
 
-/** An HTTP server on a free port of the loopback that can also crash. */
+/** An HTTP server on a loopback port; closing it simulates a crash. */
 export class StandInServer {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Listens on the port, or on a free one for 0; gives the port. */
+  /** Listens on the port, or on a free one if it is 0, and returns the port. */
   listen(port = 0): Promise<number> {
     return new Promise((resolve, reject) => {
       this.#server.once("error", reject);
@@ -47,7 +47,7 @@
     });
   }
 
-  /** Stops listening and cuts every connection, as a crash does. */
+  /** Stops listening and destroys every connection, as a crash does. */
   close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.#server.close(() => resolve());
@@ -57,11 +57,11 @@
   }
 }
 
-/** Reads a whole body; stand-ins are not meant for hostile callers. */
+/** Reads a complete body, without a size limit. */
 export async function readBody(request: IncomingMessage): Promise<string> {
   let body = "";
   request.setEncoding("utf8");
-  for await (const piece of request) body += piece;
+  for await (const chunk of request) body += chunk;
   return body;
 }
 
@@ -85,16 +85,16 @@
   response.end(body);
 }
 
-/** What a stand-in's own process needs of its class. */
+/** Interface of a stand-in that runs as its own process. */
 export interface StandIn {
   listen(port?: number): Promise<number>;
   close(): Promise<void>;
 }
 
 /**
- * Runs the stand-in where its module is the program that was started:
- * `--port N` and options as `--name value`, which are read as JSON where they
- * are JSON. Prints `{"listening": PORT}` when it listens.
+ * Runs the stand-in if its module is the main program. Arguments are `--port N`
+ * and options as `--name value`, parsed as JSON or else taken as text. Prints
+ * `{"listening": PORT}` once the stand-in listens.
  */
 export async function runAsProgram(
   moduleUrl: string,
@@ -104,7 +104,7 @@
   if (program === undefined || pathToFileURL(program).href !== moduleUrl) {
     return;
   }
-  const options = readArguments(process.argv.slice(2));
+  const options = parseArguments(process.argv.slice(2));
   const standIn = make(options);
   const port = await standIn.listen(Number(options.port ?? 0));
   console.log(JSON.stringify({ listening: port }));
@@ -114,14 +114,14 @@
   process.on("disconnect", () => process.exit(0));
 }
 
-function readArguments(words: readonly string[]): Record<string, unknown> {
+function parseArguments(args: readonly string[]): Record<string, unknown> {
   const options: Record<string, unknown> = {};
-  for (let index = 0; index + 1 < words.length; index += 2) {
-    const name = words[index].replace(/^--/, "");
+  for (let index = 0; index + 1 < args.length; index += 2) {
+    const name = args[index].replace(/^--/, "");
     try {
-      options[name] = JSON.parse(words[index + 1]);
+      options[name] = JSON.parse(args[index + 1]);
     } catch {
-      options[name] = words[index + 1];
+      options[name] = args[index + 1];
     }
   }
   return options;
--- a/test/stand_ins/weight_store.ts
+++ b/test/stand_ins/weight_store.ts
@@ -1,23 +1,26 @@
-/** Stand-in of the platform's weight store. */
+/** Stand-in for the platform's weight store. */
 import { runAsProgram, sendJson, StandInServer } from "./stand_in_server.ts";
 
 export interface WeightStoreOptions {
   readonly requestsPerSecond?: number;
-  /** Versions by model, newest last. */
+  /** Versions of the weights by model, newest last. */
   readonly versions?: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Tells versions of weights; refuses with 429 above its rate. */
+/**
+ * Serves the versions of model weights; responds with 429 above its request
+ * rate.
+ */
 export class WeightStoreStandIn {
   refused = 0;
   readonly #requestsPerSecond: number;
   readonly #versions: Readonly<Record<string, readonly string[]>>;
   #windowStart = 0;
-  #inWindow = 0;
+  #requestsInWindow = 0;
   readonly #server = new StandInServer((_request, response, url) => {
     const model = /^\/models\/([^/]+)\/versions$/.exec(url.pathname)?.[1];
     const name = model === undefined ? "" : decodeURIComponent(model);
-    if (!this.#takeAllowance()) {
+    if (!this.#isWithinRate()) {
       this.refused += 1;
       response.setHeader("retry-after", "1");
       return sendJson(response, 429, {});
@@ -40,14 +43,14 @@
     return this.#server.close();
   }
 
-  #takeAllowance(): boolean {
+  #isWithinRate(): boolean {
     const now = performance.now();
     if (now - this.#windowStart >= 1000) {
       this.#windowStart = now;
-      this.#inWindow = 0;
+      this.#requestsInWindow = 0;
     }
-    this.#inWindow += 1;
-    return this.#inWindow <= this.#requestsPerSecond;
+    this.#requestsInWindow += 1;
+    return this.#requestsInWindow <= this.#requestsPerSecond;
   }
 }
 
