--- a/bench/append.ts
+++ b/bench/append.ts
@@ -1,9 +1,9 @@
 /**
- * What gathering records into one append adds in latency and saves in appends,
- * on virtual time: `npx tsx bench/append.ts`. The entries of one region append
- * idempotency records at a total rate; the log takes a limited number of
- * appends a second. The group commit of the paper on data sharing is "delay";
- * "each alone" is without it; with "owners" a few entries gather for all.
+ * Latency that batching records adds and appends that it saves, on virtual
+ * time: `npx tsx bench/append.ts`. The entries of one region append idempotency
+ * records at a given total rate; the log handles a limited number of appends
+ * per second. "delay" is group commit with that delay, "each alone" appends
+ * every record separately, and with "owners" a few entries batch for all.
  */
 import { identifier } from "../src/core/identity/mod.ts";
 import type { StreamFold, StreamName } from "../src/core/journal/mod.ts";
@@ -15,24 +15,29 @@
 
 const ENTRIES = 37;
 const APPENDS_PER_SECOND = 300;
-const LOG_MILLISECONDS = 20;
-/** To the owner and back, inside a zone. */
-const HOP_MILLISECONDS = 3;
+const LOG_LATENCY_MILLISECONDS = 20;
+/** Round trip to the owner within a zone. */
+const OWNER_ROUND_TRIP_MILLISECONDS = 3;
 const RUN_MILLISECONDS = 10_000;
 const DRAIN_MILLISECONDS = 10_000;
-const RATES = [30, 100, 300, 1_000];
+const RECORD_RATES = [30, 100, 300, 1_000];
 const STREAM: StreamName = identifier("once.klang-valley");
 
 interface Variant {
   readonly name: string;
   readonly writers: number;
   readonly delayMilliseconds: number;
-  readonly alone?: boolean;
-  readonly hopMilliseconds?: number;
+  readonly unbatched?: boolean;
+  readonly roundTripMilliseconds?: number;
 }
 
 const VARIANTS: readonly Variant[] = [
-  { name: "each alone", writers: ENTRIES, delayMilliseconds: 0, alone: true },
+  {
+    name: "each alone",
+    writers: ENTRIES,
+    delayMilliseconds: 0,
+    unbatched: true,
+  },
   { name: "delay 0 ms", writers: ENTRIES, delayMilliseconds: 0 },
   { name: "delay 5 ms", writers: ENTRIES, delayMilliseconds: 5 },
   { name: "delay 20 ms", writers: ENTRIES, delayMilliseconds: 20 },
@@ -40,13 +45,13 @@
     name: "3 owners, 0 ms",
     writers: 3,
     delayMilliseconds: 0,
-    hopMilliseconds: HOP_MILLISECONDS,
+    roundTripMilliseconds: OWNER_ROUND_TRIP_MILLISECONDS,
   },
   {
     name: "3 owners, 5 ms",
     writers: 3,
     delayMilliseconds: 5,
-    hopMilliseconds: HOP_MILLISECONDS,
+    roundTripMilliseconds: OWNER_ROUND_TRIP_MILLISECONDS,
   },
 ];
 
@@ -66,7 +71,7 @@
 ): Append {
   const { log, timer, variant } = options;
   const name = `writer-${index}`;
-  if (variant.alone) {
+  if (variant.unbatched) {
     let sequence = 0;
     return async (body) => {
       const record = { writer: name, incarnation: name, body };
@@ -94,7 +99,7 @@
   const timer = new ManualTimerService();
   const log = new FakeLog({
     timer,
-    latencyMilliseconds: LOG_MILLISECONDS,
+    latencyMilliseconds: LOG_LATENCY_MILLISECONDS,
     appendsPerSecond: APPENDS_PER_SECOND,
   });
   const writers = Array.from(
@@ -106,31 +111,31 @@
   const end = timer.now() + RUN_MILLISECONDS;
   const latencies: number[] = [];
   let failed = 0;
-  const arrive = async () => {
+  const appendRecord = async () => {
     const started = timer.now();
-    await pause(timer, (variant.hopMilliseconds ?? 0) / 2);
+    await pause(timer, (variant.roundTripMilliseconds ?? 0) / 2);
     const writer = writers[Math.floor(random() * writers.length)];
-    const good = await writer({ kind: "renewal", claim: 0 });
-    await pause(timer, (variant.hopMilliseconds ?? 0) / 2);
-    if (good) latencies.push(timer.now() - started);
+    const appended = await writer({ kind: "renewal", claim: 0 });
+    await pause(timer, (variant.roundTripMilliseconds ?? 0) / 2);
+    if (appended) latencies.push(timer.now() - started);
     else failed += 1;
   };
-  const planNext = () => {
+  const scheduleNext = () => {
     if (timer.now() >= end) return;
-    void arrive();
-    timer.after(-Math.log(1 - random()) * 1_000 / rate, planNext);
+    void appendRecord();
+    timer.after(-Math.log(1 - random()) * 1_000 / rate, scheduleNext);
   };
-  planNext();
+  scheduleNext();
   await timer.advance(RUN_MILLISECONDS + DRAIN_MILLISECONDS);
-  latencies.sort((one, other) => one - other);
-  const at = (share: number) =>
+  latencies.sort((a, b) => a - b);
+  const percentile = (share: number) =>
     Math.round(latencies[Math.floor(latencies.length * share)] * 10) / 10;
   const appends = log.appendCalls.get(STREAM) ?? 0;
   return {
     variant: variant.name,
     recordsPerSecond: rate,
-    medianMilliseconds: at(0.5),
-    highMilliseconds: at(0.99),
+    medianMilliseconds: percentile(0.5),
+    highMilliseconds: percentile(0.99),
     recordsInAppend: Math.round(
       (latencies.length + failed) * 10 / appends,
     ) / 10,
@@ -139,7 +144,7 @@
 }
 
 const results = [];
-for (const rate of RATES) {
+for (const rate of RECORD_RATES) {
   for (const variant of VARIANTS) results.push(await measure(variant, rate));
 }
 console.table(results);
--- a/bench/bench_region.ts
+++ b/bench/bench_region.ts
@@ -1,6 +1,6 @@
 import { SystemTimerService } from "../src/adapters/time/mod.ts";
 
-/** Names that the processes of a measurement share. */
+/** Names and sizes that the processes of a measurement share. */
 export const REGION = "klang-valley";
 export const ZONE = "shah-alam";
 export const MODEL = "triage-llm";
--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Time without a planner after its process is killed, and claims while the log
- * is slow or down, on virtual time: `npx tsx bench/claims.ts`.
+ * Planner failover time after its process is killed, and the number of claims
+ * while the log is slow or down, on virtual time: `npx tsx bench/claims.ts`.
  */
 import { ManualTimerService } from "../src/core/time/mod.ts";
 import {
@@ -14,18 +14,18 @@
 import { OrdersFold } from "../src/core/authority/mod.ts";
 
 const ENTRIES = 37;
-const KILLS = 30;
-const LOG_MILLISECONDS = 20;
+const KILL_COUNT = 30;
+const LOG_LATENCY_MILLISECONDS = 20;
 const SETTLE_MILLISECONDS = 20_000;
 const STEP_MILLISECONDS = 10;
-const TROUBLE_MILLISECONDS = 600_000;
+const FAULT_MILLISECONDS = 600_000;
 
-/** The planners of a region with an outsider that counts valid claims. */
+/** The planners of a region, with an observer that counts valid claims. */
 class Region {
   readonly timer = new ManualTimerService();
   readonly log = new FakeLog({
     timer: this.timer,
-    latencyMilliseconds: LOG_MILLISECONDS,
+    latencyMilliseconds: LOG_LATENCY_MILLISECONDS,
   });
   claims = 0;
   planners: TestPlanner[];
@@ -50,10 +50,12 @@
     return this.planners.find((planner) => planner.keeper.held !== undefined);
   }
 
-  /** Ends the holder as SIGKILL would and starts another entry instead. */
-  kill(round: number): void {
+  /** Stops the holder as SIGKILL does and starts a replacement entry. */
+  replaceHolder(round: number): void {
     const killed = this.holder();
-    if (killed === undefined) throw new Error("There is no planner");
+    if (killed === undefined) {
+      throw new Error("No entry holds the planner's claim");
+    }
     killed.faults.silent = true;
     killed.journal.stop();
     this.planners = this.planners.filter((planner) => planner !== killed);
@@ -62,46 +64,46 @@
   }
 }
 
-async function timesWithoutPlanner(): Promise<number[]> {
+async function measureFailoverTimes(): Promise<number[]> {
   const region = new Region();
   await region.timer.advance(SETTLE_MILLISECONDS);
   const times: number[] = [];
-  for (let round = 0; round < KILLS; round += 1) {
-    region.kill(round);
+  for (let round = 0; round < KILL_COUNT; round += 1) {
+    region.replaceHolder(round);
     const killedAt = region.timer.now();
     while (region.holder() === undefined) {
       await region.timer.advance(STEP_MILLISECONDS);
     }
     times.push(region.timer.now() - killedAt);
-    await region.timer.advance(SETTLE_MILLISECONDS * (1 + round / KILLS));
+    await region.timer.advance(SETTLE_MILLISECONDS * (1 + round / KILL_COUNT));
   }
-  return times.sort((one, other) => one - other);
+  return times.sort((a, b) => a - b);
 }
 
-/** Valid claims while every call of the log takes this long, milliseconds. */
-async function claimsWhileSlow(slowMilliseconds: number): Promise<number> {
+/** Counts valid claims while a delay is added to every call of the log. */
+async function countClaimsWhileSlow(slowMilliseconds: number): Promise<number> {
   const region = new Region();
   await region.timer.advance(SETTLE_MILLISECONDS);
   const before = region.claims;
   for (const { faults } of region.planners) {
     faults.slowMilliseconds = slowMilliseconds;
   }
-  await region.timer.advance(TROUBLE_MILLISECONDS);
+  await region.timer.advance(FAULT_MILLISECONDS);
   return region.claims - before;
 }
 
-async function claimsAfterOutage(): Promise<number> {
+async function countClaimsAfterOutage(): Promise<number> {
   const region = new Region();
   await region.timer.advance(SETTLE_MILLISECONDS);
   const before = region.claims;
   for (const { faults } of region.planners) faults.down = true;
-  await region.timer.advance(TROUBLE_MILLISECONDS);
+  await region.timer.advance(FAULT_MILLISECONDS);
   for (const { faults } of region.planners) faults.down = false;
   await region.timer.advance(SETTLE_MILLISECONDS * 3);
   return region.claims - before;
 }
 
-const times = await timesWithoutPlanner();
+const times = await measureFailoverTimes();
 const withoutPlanner = {
   kills: times.length,
   medianMilliseconds: times[Math.floor(times.length / 2)],
@@ -113,10 +115,10 @@
 );
 const slow: Record<string, number> = {};
 for (const milliseconds of [200, 500, 1_000, 2_000, 4_000, 8_000]) {
-  slow[milliseconds] = await claimsWhileSlow(milliseconds);
+  slow[milliseconds] = await countClaimsWhileSlow(milliseconds);
 }
 console.log("valid claims in 10 minutes by added delay, ms", slow);
-const outage = await claimsAfterOutage();
+const outage = await countClaimsAfterOutage();
 console.log("valid claims after an outage of 10 minutes", outage);
 console.log(
   JSON.stringify({ claims: { withoutPlanner, slow, afterOutage: outage } }),
--- a/bench/configuration.ts
+++ b/bench/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * How long an accepted publication takes to be in force on every entry and
- * side, and what control costs, on virtual time:
+ * Time until an accepted publication is in force on every entry and side, and
+ * the cost of control traffic, on virtual time:
  * `npx tsx bench/configuration.ts` (`--quick` for the small fleets).
  */
 import process from "node:process";
@@ -9,37 +9,38 @@
 import { CONFIGURATION, ORDERS } from "../test/support/coordination.ts";
 import { contentFor, Fleet, type FleetSize } from "./configuration_fleet.ts";
 
-interface Case extends FleetSize {
+interface FleetCase extends FleetSize {
   readonly changesPerDay: number;
 }
 
-/** All changes of the platform, on one stream. */
+/** All configuration changes of the platform, as if on one stream. */
 const ALL_CHANGES_PER_DAY = 7_300;
 
-const CASES: readonly Case[] = [
+const CASES: readonly FleetCase[] = [
   { entries: 10, sides: 50, changesPerDay: ALL_CHANGES_PER_DAY },
-  // One of eleven regions of 410 entries, 12,000 endpoints, 7,300 changes.
+  // One of eleven regions that share 410 entries, 12,000 endpoints and 7,300
+  // changes a day.
   { entries: 37, sides: 1_091, changesPerDay: 664 },
   { entries: 100, sides: 500, changesPerDay: ALL_CHANGES_PER_DAY },
   { entries: 400, sides: 2_000, changesPerDay: ALL_CHANGES_PER_DAY },
 ];
 const DAY_MILLISECONDS = 86_400_000;
-const PUBLICATIONS = 8;
+const PUBLICATION_COUNT = 8;
 const WARM_UP_MILLISECONDS = 20_000;
-const QUIET_MILLISECONDS = 60_000;
+const IDLE_MILLISECONDS = 60_000;
 
 interface InForceTimes {
   readonly medianMilliseconds: number;
   readonly worstMilliseconds: number;
-  /** Processes that did not have every version or a later one. */
+  /** Pairs of process and version where neither it nor a later one arrived. */
   readonly missing: number;
 }
 
 interface Rates {
   /**
-   * Processor time of this whole process, log and fleet together, by entry
-   * and by second of virtual time, as a share of one core: an upper bound of
-   * what an entry's coordination takes, without sockets.
+   * CPU time of this process (log and fleet) per entry and second of virtual
+   * time, as a fraction of one core. An upper bound of the cost of an entry's
+   * coordination, excluding sockets.
    */
   readonly entryCoreShare: number;
   readonly entryMessages: number;
@@ -48,32 +49,34 @@
   readonly sideBytes: number;
 }
 
-/** Advances time until the promise has settled. */
-async function drive<Value>(
+/** Advances virtual time until the promise settles. */
+async function advanceUntilSettled<Value>(
   fleet: Fleet,
   promise: Promise<Value>,
 ): Promise<Value> {
   let settled = false;
-  const watched = promise.finally(() => settled = true);
+  const settling = promise.finally(() => settled = true);
   while (!settled) await fleet.timer.advance(5);
-  return await watched;
+  return await settling;
 }
 
-function timesOf(
+function inForceTimes(
   fleet: Fleet,
   published: readonly { version: number; started: number }[],
 ): InForceTimes {
   const times: number[] = [];
   let missing = 0;
   for (const { version, started } of published) {
-    for (const seen of fleet.inForce.values()) {
-      const at = [...seen].filter(([other]) => other >= version)
-        .map(([, when]) => when);
-      if (at.length === 0) missing += 1;
-      else times.push(Math.min(...at) - started);
+    for (const versionTimes of fleet.inForce.values()) {
+      const appliedAt = [...versionTimes].filter(([seenVersion]) =>
+        seenVersion >= version
+      )
+        .map(([, time]) => time);
+      if (appliedAt.length === 0) missing += 1;
+      else times.push(Math.min(...appliedAt) - started);
     }
   }
-  times.sort((one, other) => one - other);
+  times.sort((a, b) => a - b);
   return {
     medianMilliseconds: round(times[Math.floor(times.length / 2)]),
     worstMilliseconds: round(times[times.length - 1]),
@@ -81,33 +84,45 @@
   };
 }
 
-/** Messages and bytes a second of one node, over what `run` takes. */
-async function ratesOver(
+/** Messages and bytes per second of one node while `run` executes. */
+async function measureRates(
   fleet: Fleet,
   run: () => Promise<void>,
 ): Promise<Rates> {
-  const from = fleet.timer.now();
-  const processor = process.cpuUsage();
-  const entry = { ...fleet.entryTraffic };
-  const side = { ...fleet.sideTraffic };
+  const startedAt = fleet.timer.now();
+  const cpuBefore = process.cpuUsage();
+  const entryBefore = { ...fleet.entryTraffic };
+  const sideBefore = { ...fleet.sideTraffic };
   await run();
-  const seconds = (fleet.timer.now() - from) / 1_000;
-  const { system, user } = process.cpuUsage(processor);
+  const seconds = (fleet.timer.now() - startedAt) / 1_000;
+  const { system, user } = process.cpuUsage(cpuBefore);
   const { entries, sides } = fleet.size;
-  const each = (now: number, before: number, nodes: number) =>
+  const ratePerNode = (now: number, before: number, nodes: number) =>
     round((now - before) / seconds / nodes);
   const coreSeconds = (system + user) / 1_000_000;
   return {
     entryCoreShare: Number((coreSeconds / seconds / entries).toPrecision(2)),
-    entryMessages: each(fleet.entryTraffic.messages, entry.messages, entries),
-    entryBytes: each(fleet.entryTraffic.bytes, entry.bytes, entries),
-    sideMessages: each(fleet.sideTraffic.messages, side.messages, sides),
-    sideBytes: each(fleet.sideTraffic.bytes, side.bytes, sides),
+    entryMessages: ratePerNode(
+      fleet.entryTraffic.messages,
+      entryBefore.messages,
+      entries,
+    ),
+    entryBytes: ratePerNode(
+      fleet.entryTraffic.bytes,
+      entryBefore.bytes,
+      entries,
+    ),
+    sideMessages: ratePerNode(
+      fleet.sideTraffic.messages,
+      sideBefore.messages,
+      sides,
+    ),
+    sideBytes: ratePerNode(fleet.sideTraffic.bytes, sideBefore.bytes, sides),
   };
 }
 
-/** Records a second by kind, over the whole run. */
-function appendsByCause(fleet: Fleet): Record<string, number> {
+/** Records appended per second, by kind, over the whole run. */
+function appendRatesByKind(fleet: Fleet): Record<string, number> {
   const seconds = fleet.timer.now() / 1_000;
   const counts: Record<string, number> = {};
   for (const stream of [CONFIGURATION, ORDERS]) {
@@ -123,31 +138,37 @@
   );
 }
 
-async function measure(size: Case) {
-  const pauseMilliseconds = DAY_MILLISECONDS / size.changesPerDay;
+async function measure(size: FleetCase) {
+  const intervalMilliseconds = DAY_MILLISECONDS / size.changesPerDay;
   const fleet = new Fleet(size);
   await fleet.timer.advance(WARM_UP_MILLISECONDS);
-  const quiet = await ratesOver(
+  const quiet = await measureRates(
     fleet,
-    () => fleet.timer.advance(QUIET_MILLISECONDS),
+    () => fleet.timer.advance(IDLE_MILLISECONDS),
   );
   const published: { version: number; started: number }[] = [];
-  const busy = await ratesOver(fleet, async () => {
-    for (let index = 0; index < PUBLICATIONS; index += 1) {
+  const busy = await measureRates(fleet, async () => {
+    for (let index = 0; index < PUBLICATION_COUNT; index += 1) {
       const content = contentFor(size.sides, `v${index}`);
       published.push(
-        await drive(fleet, fleet.publish(`change ${index}`, content)),
+        await advanceUntilSettled(
+          fleet,
+          fleet.publish(`change ${index}`, content),
+        ),
       );
-      await fleet.timer.advance(pauseMilliseconds);
+      await fleet.timer.advance(intervalMilliseconds);
     }
   });
-  const appends = appendsByCause(fleet);
-  const inForce = timesOf(fleet, published);
+  const appends = appendRatesByKind(fleet);
+  const inForce = inForceTimes(fleet, published);
   fleet.killJudge();
   const content = contentFor(size.sides, "after the kill");
-  const late = await drive(fleet, fleet.publish("after the kill", content));
-  await fleet.timer.advance(pauseMilliseconds);
-  const judgeKilled = timesOf(fleet, [late]);
+  const publishedAfterKill = await advanceUntilSettled(
+    fleet,
+    fleet.publish("after the kill", content),
+  );
+  await fleet.timer.advance(intervalMilliseconds);
+  const judgeKilled = inForceTimes(fleet, [publishedAfterKill]);
   const contentBytes = JSON.stringify(content).length;
   return { ...size, contentBytes, inForce, judgeKilled, quiet, busy, appends };
 }
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -17,10 +17,10 @@
 } from "../test/support/coordination.ts";
 import { FakeLog } from "../test/support/fake_log.ts";
 import {
-  count,
   countingLog,
-  noTraffic,
+  countMessage,
   type Traffic,
+  zeroTraffic,
 } from "./configuration_traffic.ts";
 
 export interface FleetSize {
@@ -28,11 +28,11 @@
   readonly sides: number;
 }
 
-/** One way between VMs of a zone, milliseconds; the users' figure is 1 to 2. */
-const ONE_WAY_MILLISECONDS = 1.5;
-/** An append or read at the log service, milliseconds. */
-const LOG_MILLISECONDS = 20;
-const WATCH_MILLISECONDS = 10_000;
+/** One-way network latency between VMs of one zone, which is 1 to 2 ms. */
+const ONE_WAY_LATENCY_MILLISECONDS = 1.5;
+/** Latency of an append or a read at the log service. */
+const LOG_LATENCY_MILLISECONDS = 20;
+const LONG_POLL_MILLISECONDS = 10_000;
 const ENTRIES_IN_ZONE = 10;
 
 interface Entry {
@@ -44,18 +44,18 @@
   readonly waiting: Set<() => void>;
 }
 
-/** Entries and sides of one region that follow one configuration stream. */
+/** Entries and sides of one region that read the same configuration stream. */
 export class Fleet {
   readonly timer = new ManualTimerService();
   readonly log = new FakeLog({
     timer: this.timer,
-    latencyMilliseconds: LOG_MILLISECONDS,
+    latencyMilliseconds: LOG_LATENCY_MILLISECONDS,
   });
-  readonly entryTraffic = noTraffic();
-  readonly sideTraffic = noTraffic();
+  readonly entryTraffic = zeroTraffic();
+  readonly sideTraffic = zeroTraffic();
   readonly size: FleetSize;
   readonly entries: readonly Entry[];
-  /** When each process had each version, by process. */
+  /** For each process, the time at which it received each version. */
   readonly inForce = new Map<string, Map<number, number>>();
 
   constructor(size: FleetSize) {
@@ -69,7 +69,7 @@
     }
   }
 
-  /** An operator's publication; settles with its version. */
+  /** Publishes as an operator does; resolves to the accepted version. */
   async publish(publicationId: string, content: ConfigurationContent) {
     const fold = new ConfigurationFold();
     const { journal } = makeJournal(fold, {
@@ -97,14 +97,16 @@
     return { version: result.value.version, started };
   }
 
-  /** The judge's VM is gone from here on. */
+  /** Simulates the loss of the VM whose entry is the judge. */
   killJudge(): void {
     const judge = this.entries.find(({ judge }) => judge.keeper.held);
-    if (judge === undefined) throw new Error("There is no judge");
+    if (judge === undefined) {
+      throw new Error("No entry holds the judge's claim");
+    }
     this.inForce.delete(judge.id);
-    for (const part of [judge.judge, judge.planner]) {
-      part.faults.silent = true;
-      part.journal.stop();
+    for (const follower of [judge.judge, judge.planner]) {
+      follower.faults.silent = true;
+      follower.journal.stop();
     }
   }
 
@@ -112,15 +114,15 @@
     const id = `entry-${index}`;
     const traffic = this.entryTraffic;
     const options = { log: this.log, timer: this.timer, name: id };
-    const counted = (faults: Parameters<FakeLog["connect"]>[0]) =>
+    const connectCounted = (faults: Parameters<FakeLog["connect"]>[0]) =>
       countingLog(this.log.connect(faults), traffic);
-    const judge = makeJudge({ ...options, connect: counted });
-    const planner = makePlanner({ ...options, connect: counted });
+    const judge = makeJudge({ ...options, connect: connectCounted });
+    const planner = makePlanner({ ...options, connect: connectCounted });
     const waiting = new Set<() => void>();
-    const seen = new Map<number, number>();
-    this.inForce.set(id, seen);
+    const versionTimes = new Map<number, number>();
+    this.inForce.set(id, versionTimes);
     judge.fold.onChange(() => {
-      seen.set(judge.fold.version, this.timer.now());
+      versionTimes.set(judge.fold.version, this.timer.now());
       for (const wake of [...waiting]) wake();
     });
     const availabilityZone = `zone-${Math.floor(index / ENTRIES_IN_ZONE)}`;
@@ -130,59 +132,61 @@
   #startSide(index: number): void {
     const zones = Math.ceil(this.size.entries / ENTRIES_IN_ZONE);
     const id = `side-${index}`;
-    const seen = new Map<number, number>();
-    this.inForce.set(id, seen);
-    const report = reportOf(id);
-    const watched = attachments(this.entries, {
+    const versionTimes = new Map<number, number>();
+    this.inForce.set(id, versionTimes);
+    const report = sampleReport(id);
+    const attachedEntries = attachments(this.entries, {
       side: id,
       availabilityZone: `zone-${index % zones}`,
     });
-    for (const entry of watched) void this.#watch(entry, { report, seen });
+    for (const entry of attachedEntries) {
+      void this.#watch(entry, { report, versionTimes });
+    }
   }
 
-  /** A side's long polls at one entry. */
+  /** Repeats a side's long poll at one entry. */
   async #watch(
     entry: Entry,
-    side: { report: SideReport; seen: Map<number, number> },
+    side: { report: SideReport; versionTimes: Map<number, number> },
   ): Promise<never> {
-    const { report, seen } = side;
+    const { report, versionTimes } = side;
     for (;;) {
-      const question = JSON.stringify({
+      const request = JSON.stringify({
         report,
-        waitMilliseconds: WATCH_MILLISECONDS,
+        waitMilliseconds: LONG_POLL_MILLISECONDS,
       });
-      this.#countMessage(question.length);
-      await pause(this.timer, ONE_WAY_MILLISECONDS);
-      await this.#newsAt(entry, report.configurationVersion);
+      this.#countMessage(request.length);
+      await pause(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
+      await this.#waitForNewerVersion(entry, report.configurationVersion);
       const version = entry.judge.fold.version;
-      this.#countMessage(answerSize(version));
-      await pause(this.timer, ONE_WAY_MILLISECONDS);
+      this.#countMessage(responseBytes(version));
+      await pause(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
       if (version <= report.configurationVersion) continue;
       report.configurationVersion = version;
-      seen.set(version, this.timer.now());
+      versionTimes.set(version, this.timer.now());
     }
   }
 
-  #newsAt(entry: Entry, known: number): Promise<void> {
-    if (entry.judge.fold.version > known) return Promise.resolve();
+  #waitForNewerVersion(entry: Entry, knownVersion: number): Promise<void> {
+    if (entry.judge.fold.version > knownVersion) return Promise.resolve();
     return new Promise((resolve) => {
-      const wake = () => {
-        entry.waiting.delete(wake);
-        alarm.cancel();
+      const finish = () => {
+        entry.waiting.delete(finish);
+        timeout.cancel();
         resolve();
       };
-      const alarm = this.timer.after(WATCH_MILLISECONDS, wake);
-      entry.waiting.add(wake);
+      const timeout = this.timer.after(LONG_POLL_MILLISECONDS, finish);
+      entry.waiting.add(finish);
     });
   }
 
   #countMessage(bytes: number): void {
-    count(this.entryTraffic, bytes);
-    count(this.sideTraffic, bytes);
+    countMessage(this.entryTraffic, bytes);
+    countMessage(this.sideTraffic, bytes);
   }
 }
 
-/** A configuration with one endpoint for each side. */
+/** Makes a configuration with one endpoint for each side. */
 export function contentFor(
   sides: number,
   weights: string,
@@ -198,7 +202,7 @@
   return content;
 }
 
-function reportOf(side: string): SideReport {
+function sampleReport(side: string): SideReport {
   return {
     side,
     incarnation: "0198f7a2-6d1c-7cc3-9f7a-3b1f0d0c0a11",
@@ -214,7 +218,7 @@
   };
 }
 
-function answerSize(configurationVersion: number): number {
+function responseBytes(configurationVersion: number): number {
   return JSON.stringify({
     configurationVersion,
     endpoint: {
--- a/bench/configuration_traffic.ts
+++ b/bench/configuration_traffic.ts
@@ -1,36 +1,36 @@
 import type { LogItem, LogService } from "../src/core/journal/mod.ts";
 
-/** Messages and payload bytes, without what HTTP and TCP add. */
+/** Messages and payload bytes, without the overhead of HTTP and TCP. */
 export interface Traffic {
   messages: number;
   bytes: number;
 }
 
-export function noTraffic(): Traffic {
+export function zeroTraffic(): Traffic {
   return { messages: 0, bytes: 0 };
 }
 
-const sizes = new WeakMap<object, number>();
+const sizeCache = new WeakMap<object, number>();
 
-/** Size as JSON; remembered, as hundreds of readers get the same records. */
-export function sizeOf(value: object): number {
-  const known = sizes.get(value);
+/** Size as JSON, cached because hundreds of readers get the same records. */
+export function jsonBytes(value: object): number {
+  const known = sizeCache.get(value);
   if (known !== undefined) return known;
   const size = Buffer.byteLength(JSON.stringify(value));
-  sizes.set(value, size);
+  sizeCache.set(value, size);
   return size;
 }
 
-export function count(traffic: Traffic, bytes: number): void {
+export function countMessage(traffic: Traffic, bytes: number): void {
   traffic.messages += 1;
   traffic.bytes += bytes;
 }
 
-/** Offset, limit and wait of a read, and an empty page, as JSON. */
-const READ_QUESTION_BYTES = 90;
-const PAGE_BYTES = 50;
+/** Size as JSON of a read request (offset, limit, wait) and of an empty page. */
+const READ_REQUEST_BYTES = 90;
+const EMPTY_PAGE_BYTES = 50;
 
-/** Counts what one process says to the log and hears from it. */
+/** Wraps a log and counts the requests and responses of one process. */
 export function countingLog(log: LogService, traffic: Traffic): LogService {
   return {
     async append(stream, records) {
@@ -38,20 +38,18 @@
         (sum, record) => sum + Buffer.byteLength(JSON.stringify(record)),
         0,
       );
-      count(traffic, bytes);
+      countMessage(traffic, bytes);
       return await log.append(stream, records);
     },
     async read(stream, options) {
-      count(traffic, READ_QUESTION_BYTES);
-      const answer = await log.read(stream, options);
-      const items: readonly LogItem[] = answer.isOk()
-        ? answer.value.records
-        : [];
-      count(
+      countMessage(traffic, READ_REQUEST_BYTES);
+      const page = await log.read(stream, options);
+      const items: readonly LogItem[] = page.isOk() ? page.value.records : [];
+      countMessage(
         traffic,
-        items.reduce((sum, item) => sum + sizeOf(item), PAGE_BYTES),
+        items.reduce((sum, item) => sum + jsonBytes(item), EMPTY_PAGE_BYTES),
       );
-      return answer;
+      return page;
     },
   };
 }
--- a/bench/decision_cost.ts
+++ b/bench/decision_cost.ts
@@ -1,6 +1,6 @@
 /**
- * Cost of one decision (admit and place, then give back) against the size of
- * the fleet and of the rules: `npm run bench:decision-cost`.
+ * Cost of one decision (admission, placement and release) by the size of the
+ * fleet and of the rules: `npm run bench:decision-cost`.
  */
 import process from "node:process";
 import {
@@ -22,16 +22,16 @@
 import type { Inventory } from "../src/generated/inventory.ts";
 import type { Rules } from "../src/generated/rules.ts";
 
-const REPLICAS = [10, 100, 1_000, 12_000];
+const REPLICA_COUNTS = [10, 100, 1_000, 12_000];
 const WORKSPACES = 3_400;
 const ZONES = 43;
-const WARM_UP = 4_000;
-const DECISIONS = 20_000;
+const WARM_UP_DECISIONS = 4_000;
+const MEASURED_DECISIONS = 20_000;
 const IN_FLIGHT = 8;
-/** Virtual time between rounds: ten engines read eight prompts in it. */
+/** Virtual time between rounds, enough for ten engines to prefill 8 prompts. */
 const ROUND_MILLISECONDS = 100;
 
-function inventoryOf(replicas: number): Inventory {
+function makeInventory(replicas: number): Inventory {
   const zones = Array.from({ length: ZONES }, (_, index) => `zone-${index}`);
   return {
     region: "region",
@@ -56,7 +56,7 @@
   };
 }
 
-function rulesOf(workspaces: number): Rules {
+function makeRules(workspaces: number): Rules {
   return {
     defaultClass: "bulk",
     classes: [
@@ -71,7 +71,7 @@
   };
 }
 
-function requestOf(index: number): CallerRequest {
+function makeRequest(index: number): CallerRequest {
   return {
     requestId: identifier<RequestId>(`request-${index}`),
     workspace: identifier<WorkspaceId>(`workspace-${index % WORKSPACES}`),
@@ -85,9 +85,9 @@
   };
 }
 
-const NONE_EXCLUDED: ReadonlySet<EndpointId> = new Set();
+const NO_ENDPOINTS: ReadonlySet<EndpointId> = new Set();
 
-function profileOf(
+function makeProfile(
   request: CallerRequest,
   className: string,
   deadline: number,
@@ -104,7 +104,7 @@
     deadline,
     prefixHashes: [],
     idempotent: true,
-    excluded: NONE_EXCLUDED,
+    excluded: NO_ENDPOINTS,
     availabilityZone: identifier<AvailabilityZoneId>("zone-0"),
   };
 }
@@ -115,7 +115,7 @@
   readonly heapBytes: number;
 }
 
-/** Decides in rounds, with virtual time moving on as at a busy entry. */
+/** Makes decisions in rounds, advancing virtual time as at a busy entry. */
 async function measure(
   scheduler: Scheduler,
   options: { timer: ManualTimerService; rules: Rules; decisions: number },
@@ -123,7 +123,7 @@
   const { timer, rules, decisions } = options;
   const compiled = new CompiledRules(rules);
   const rounds = decisions / IN_FLIGHT;
-  let nanoseconds = 0;
+  let totalNanoseconds = 0;
   const roundTimes: number[] = [];
   const heapBefore = process.memoryUsage().heapUsed;
   for (let round = 0; round < rounds; round++) {
@@ -131,15 +131,15 @@
     const startedAt = process.hrtime.bigint();
     const waiting = [];
     for (let index = 0; index < IN_FLIGHT; index++) {
-      const request = requestOf(round * IN_FLIGHT + index);
+      const request = makeRequest(round * IN_FLIGHT + index);
       const { name } = classify(request, rules, { compiled });
       const submitted = scheduler.submit(
-        profileOf(request, name, now + 30_000),
+        makeProfile(request, name, now + 30_000),
       );
       if (submitted.isOk()) waiting.push(submitted.value);
     }
-    for (const one of waiting) {
-      const placed = await one.placed;
+    for (const request of waiting) {
+      const placed = await request.placed;
       if (placed.isErr()) continue;
       placed.value.release({
         result: "answered",
@@ -147,21 +147,21 @@
         totalMilliseconds: 1_500,
       });
     }
-    const taken = Number(process.hrtime.bigint() - startedAt);
-    nanoseconds += taken;
-    roundTimes.push(taken);
+    const elapsedNanoseconds = Number(process.hrtime.bigint() - startedAt);
+    totalNanoseconds += elapsedNanoseconds;
+    roundTimes.push(elapsedNanoseconds);
     await timer.advance(ROUND_MILLISECONDS);
   }
-  roundTimes.sort((one, other) => one - other);
+  roundTimes.sort((a, b) => a - b);
   const worst = roundTimes[Math.floor(roundTimes.length * 0.99)];
   return {
-    microseconds: nanoseconds / 1_000 / decisions,
+    microseconds: totalNanoseconds / 1_000 / decisions,
     worstMicroseconds: worst / 1_000 / IN_FLIGHT,
     heapBytes: process.memoryUsage().heapUsed - heapBefore,
   };
 }
 
-async function costAt(replicas: number): Promise<Cost> {
+async function measureCost(replicas: number): Promise<Cost> {
   const timer = new ManualTimerService();
   const scheduler = createScheduler({
     timer,
@@ -169,15 +169,19 @@
     availabilityZone: "zone-0",
     limits: { mostQueued: 1_000, mostQueuedPerWorkspace: 100 },
   });
-  const rules = rulesOf(WORKSPACES);
-  scheduler.configure(inventoryOf(replicas), rules);
-  await measure(scheduler, { timer, rules, decisions: WARM_UP });
-  return await measure(scheduler, { timer, rules, decisions: DECISIONS });
+  const rules = makeRules(WORKSPACES);
+  scheduler.configure(makeInventory(replicas), rules);
+  await measure(scheduler, { timer, rules, decisions: WARM_UP_DECISIONS });
+  return await measure(scheduler, {
+    timer,
+    rules,
+    decisions: MEASURED_DECISIONS,
+  });
 }
 
 const results: Record<string, number> = {};
-for (const replicas of REPLICAS) {
-  const cost = await costAt(replicas);
+for (const replicas of REPLICA_COUNTS) {
+  const cost = await measureCost(replicas);
   console.log(
     `${replicas} replicas, ${WORKSPACES} workspaces:` +
       ` ${cost.microseconds.toFixed(1)} microseconds a decision,` +
--- a/bench/engine_model.ts
+++ b/bench/engine_model.ts
@@ -1,8 +1,8 @@
 /**
- * Model of one engine for measurements and outcome tests: a batch with prefill
- * and decode costs, slots, KV memory, a prefix cache, priorities and seconds
- * out of service for a role change. Work flows at constant rates between two
- * events, so a run costs a few events for each request and none for a token.
+ * Model of one engine for benches and outcome tests: a batch with prefill and
+ * decode costs, slots, KV cache memory, a prefix cache, priorities and downtime
+ * for role changes. Work progresses at constant rates between two events, so
+ * the simulation needs a few events per request and none per token.
  */
 import { Heap } from "../src/core/queueing/mod.ts";
 import type { Role } from "../src/core/roles/mod.ts";
@@ -10,19 +10,19 @@
 import type { EngineCharacteristics } from "../src/generated/inventory.ts";
 
 /**
- * Time between tokens with one stream, as a share of that with a full batch.
- * Decoding reads all weights once a step whatever the batch, and the KV cache
- * of each stream on top. Assumed; published batch sweeps of 7 to 70 billion
- * parameter models lie between a half and three quarters.
+ * Time between tokens with one stream, as a fraction of that with a full batch.
+ * Each decoding step reads all weights regardless of batch size, plus the KV
+ * cache of every stream. Published batch sweeps of models with 7 to 70 billion
+ * parameters give values from 0.5 to 0.75.
  */
 export const SINGLE_STREAM_SHARE = 0.6;
 
-/** What a role does to the engine. Assumed, see docs/DECISIONS.md. */
-export const ENGINE_ROLES: Readonly<
+/** Capacity of an engine in each role; see docs/DECISIONS.md. */
+export const ROLE_PROFILES: Readonly<
   Record<Role, {
     prefillShare: number;
     slotShare: number;
-    /** Factor on the time between tokens while a prompt is processed. */
+    /** Factor on the time between tokens during prefill. */
     interference: number;
   }>
 > = {
@@ -31,15 +31,15 @@
   decode: { prefillShare: 0.15, slotShare: 1, interference: 1.05 },
 };
 
-/** Prefixes that an engine keeps; beyond it the oldest goes. */
-const MOST_CACHED_PREFIXES = 16;
+/** Size of the engine's prefix cache, which evicts the least recently used. */
+const MAX_CACHED_PREFIXES = 16;
 
 export interface EngineJob {
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Smaller comes first. */
+  /** Smaller values run first. */
   readonly priority: number;
-  /** Prefix that may be cached, and the share of the prompt that it is. */
+  /** Prefix that may be cached, and its fraction of the prompt. */
   readonly prefix?: { readonly hash: string; readonly share: number };
   readonly onFirstToken: () => void;
   readonly onEnd: () => void;
@@ -58,13 +58,13 @@
   phase: "waiting" | "prefill" | "decode" | "paused" | "done";
   promptLeft: number;
   outputLeft: number;
-  /** Reading of the decode clock at which the output is complete. */
-  finishClock: number;
-  /** Phase that a paused job goes on with. */
+  /** Value of the decode clock, in tokens, at which the output is complete. */
+  completionClock: number;
+  /** Phase in which a paused job resumes. */
   pausedPhase: "waiting" | "prefill" | "decode";
 }
 
-interface Finish {
+interface Completion {
   readonly state: JobState;
   readonly clock: number;
 }
@@ -73,7 +73,7 @@
   readonly timer: TimerService;
   readonly engine: EngineCharacteristics;
   readonly role: Role;
-  /** Factor on all rates of this one engine; 0.25 is four times slower. */
+  /** Factor on all rates of this engine; 0.25 is four times slower. */
   readonly speed?: number;
 }
 
@@ -82,17 +82,17 @@
   readonly #engine: EngineCharacteristics;
   speed: number;
   #role: Role;
-  #outUntil = 0;
-  #order = 0;
-  #last = 0;
+  #unavailableUntil = 0;
+  #nextOrder = 0;
+  #lastAdvanceAt = 0;
   #decodeClock = 0;
   #decoding = 0;
   #active = 0;
   #memoryUsed = 0;
-  #alarm: Subscription | undefined;
+  #completionTimer: Subscription | undefined;
   readonly #waiting: JobState[] = [];
   readonly #prefilling: JobState[] = [];
-  readonly #finishes = new Heap<Finish>((one, other) =>
+  readonly #completions = new Heap<Completion>((one, other) =>
     one.clock < other.clock
   );
   readonly #cachedPrefixes = new Map<string, true>();
@@ -109,7 +109,7 @@
   }
 
   get slots(): number {
-    const share = ENGINE_ROLES[this.#role].slotShare;
+    const share = ROLE_PROFILES[this.#role].slotShare;
     return Math.max(1, Math.round(this.#engine.slots * share));
   }
 
@@ -117,7 +117,7 @@
     return this.#active + this.#waiting.length;
   }
 
-  /** Present state, for measurements. */
+  /** Current state, for measurements. */
   stats() {
     return {
       decoding: this.#decoding,
@@ -128,20 +128,20 @@
   }
 
   get outOfService(): boolean {
-    return this.#timer.now() < this.#outUntil;
+    return this.#timer.now() < this.#unavailableUntil;
   }
 
-  /** The batch takes one more prompt at a time, while a slot is left for it. */
-  get #prefills(): boolean {
+  /** Whether a prompt is in prefill, which needs a free slot in the batch. */
+  get #isPrefilling(): boolean {
     return this.#prefilling.length > 0 && this.#decoding < this.slots;
   }
 
-  /** Present time between two tokens of a stream, milliseconds. */
+  /** Current time between two tokens of a stream. */
   get millisecondsBetweenTokens(): number {
     const filled = this.#decoding / this.#engine.slots;
     const batch = SINGLE_STREAM_SHARE + (1 - SINGLE_STREAM_SHARE) * filled;
-    const interference = this.#prefills
-      ? ENGINE_ROLES[this.#role].interference
+    const interference = this.#isPrefilling
+      ? ROLE_PROFILES[this.#role].interference
       : 1;
     return this.#engine.millisecondsBetweenTokens * batch * interference /
       this.speed;
@@ -155,12 +155,12 @@
     return tokens;
   }
 
-  /** Drained by its side before; out of service for the change. */
+  /** Changes the role of an engine that its side has drained; causes downtime. */
   changeRole(role: Role, onDone: () => void): void {
     this.#role = role;
     this.#cachedPrefixes.clear();
     const milliseconds = this.#engine.roleChangeSeconds * 1_000;
-    this.#outUntil = this.#timer.now() + milliseconds;
+    this.#unavailableUntil = this.#timer.now() + milliseconds;
     this.#timer.after(milliseconds, onDone);
   }
 
@@ -168,16 +168,16 @@
     this.#advance();
     const state: JobState = {
       job,
-      order: this.#order++,
+      order: this.#nextOrder++,
       memoryTokens: job.promptTokens + job.outputTokens,
       phase: "waiting",
-      promptLeft: this.#uncached(job),
+      promptLeft: this.#uncachedPromptTokens(job),
       outputLeft: job.outputTokens,
-      finishClock: 0,
+      completionClock: 0,
       pausedPhase: "waiting",
     };
     insert(this.#waiting, state);
-    this.#letIn();
+    this.#admitWaiting();
     this.#reschedule();
     return {
       cancel: () => this.#cancel(state),
@@ -186,37 +186,37 @@
     };
   }
 
-  #uncached(job: EngineJob): number {
+  #uncachedPromptTokens(job: EngineJob): number {
     if (job.prefix === undefined) return job.promptTokens;
     const { hash, share } = job.prefix;
-    const hit = this.#cachedPrefixes.delete(hash);
+    const cached = this.#cachedPrefixes.delete(hash);
     this.#cachedPrefixes.set(hash, true);
-    if (this.#cachedPrefixes.size > MOST_CACHED_PREFIXES) {
+    if (this.#cachedPrefixes.size > MAX_CACHED_PREFIXES) {
       const oldest = this.#cachedPrefixes.keys().next().value as string;
       this.#cachedPrefixes.delete(oldest);
     }
-    return hit ? job.promptTokens * (1 - share) : job.promptTokens;
+    return cached ? job.promptTokens * (1 - share) : job.promptTokens;
   }
 
   #prefillPerMillisecond(): number {
     return this.#engine.prefillTokensPerSecond / 1_000 * this.speed *
-      ENGINE_ROLES[this.#role].prefillShare;
+      ROLE_PROFILES[this.#role].prefillShare;
   }
 
-  /** Carries the flows on to the present. */
+  /** Advances decoding and prefill to the current time. */
   #advance(): void {
     const now = this.#timer.now();
-    const elapsed = now - this.#last;
+    const elapsed = now - this.#lastAdvanceAt;
     if (elapsed <= 0) return;
-    this.#last = now;
+    this.#lastAdvanceAt = now;
     this.#decodeClock += elapsed / this.millisecondsBetweenTokens;
-    if (this.#prefills) {
+    if (this.#isPrefilling) {
       const [first] = this.#prefilling;
       first.promptLeft -= elapsed * this.#prefillPerMillisecond();
     }
   }
 
-  #letIn(): void {
+  #admitWaiting(): void {
     while (this.#waiting.length > 0) {
       const state = this.#waiting[0];
       const needed = this.#memoryUsed + state.memoryTokens;
@@ -230,13 +230,13 @@
   }
 
   #reschedule(): void {
-    this.#alarm?.cancel();
-    this.#alarm = undefined;
-    this.#dropStaleFinishes();
+    this.#completionTimer?.cancel();
+    this.#completionTimer = undefined;
+    this.#dropStaleCompletions();
     const [first] = this.#prefilling;
-    const finish = this.#finishes.peek();
+    const finish = this.#completions.peek();
     let delay = Infinity;
-    if (this.#prefills) {
+    if (this.#isPrefilling) {
       delay = Math.max(0, first.promptLeft) / this.#prefillPerMillisecond();
     }
     if (finish !== undefined) {
@@ -244,36 +244,39 @@
       delay = Math.min(delay, tokens * this.millisecondsBetweenTokens);
     }
     if (delay === Infinity) return;
-    this.#alarm = this.#timer.after(delay + 1e-6, () => this.#step());
+    this.#completionTimer = this.#timer.after(
+      delay + 1e-6,
+      () => this.#onTimer(),
+    );
   }
 
-  #step(): void {
+  #onTimer(): void {
     this.#advance();
     const first = this.#prefilling[0];
-    if (this.#prefills && first.promptLeft <= 1e-3) {
+    if (this.#isPrefilling && first.promptLeft <= 1e-3) {
       this.#prefilling.shift();
       this.#startDecode(first);
       first.job.onFirstToken();
     }
-    this.#dropStaleFinishes();
-    const finish = this.#finishes.peek();
+    this.#dropStaleCompletions();
+    const finish = this.#completions.peek();
     if (finish !== undefined && finish.clock <= this.#decodeClock + 1e-6) {
-      this.#finishes.pop();
-      this.#leave(finish.state);
+      this.#completions.pop();
+      this.#removeJob(finish.state);
       finish.state.job.onEnd();
     }
-    this.#letIn();
+    this.#admitWaiting();
     this.#reschedule();
   }
 
   #startDecode(state: JobState): void {
     state.phase = "decode";
-    state.finishClock = this.#decodeClock + state.outputLeft;
+    state.completionClock = this.#decodeClock + state.outputLeft;
     this.#decoding += 1;
-    this.#finishes.push({ state, clock: state.finishClock });
+    this.#completions.push({ state, clock: state.completionClock });
   }
 
-  #leave(state: JobState): void {
+  #removeJob(state: JobState): void {
     const paused = state.phase === "paused";
     if (state.phase === "decode") this.#decoding -= 1;
     if (!paused) this.#active -= 1;
@@ -283,13 +286,13 @@
     state.phase = "done";
   }
 
-  #dropStaleFinishes(): void {
+  #dropStaleCompletions(): void {
     for (;;) {
-      const finish = this.#finishes.peek();
+      const finish = this.#completions.peek();
       if (finish === undefined) return;
-      const { phase, finishClock } = finish.state;
-      if (phase === "decode" && finishClock === finish.clock) return;
-      this.#finishes.pop();
+      const { phase, completionClock } = finish.state;
+      if (phase === "decode" && completionClock === finish.clock) return;
+      this.#completions.pop();
     }
   }
 
@@ -301,26 +304,26 @@
       state.phase = "done";
     } else {
       if (state.phase === "prefill") remove(this.#prefilling, state);
-      this.#leave(state);
+      this.#removeJob(state);
     }
-    this.#letIn();
+    this.#admitWaiting();
     this.#reschedule();
   }
 
-  /** What stands still keeps its memory and frees its place. */
+  /** A paused job keeps its memory but frees its slot. */
   #pause(state: JobState): void {
     if (state.phase === "done" || state.phase === "paused") return;
     this.#advance();
     state.pausedPhase = state.phase;
     if (state.phase === "decode") {
-      state.outputLeft = Math.max(0, state.finishClock - this.#decodeClock);
+      state.outputLeft = Math.max(0, state.completionClock - this.#decodeClock);
       this.#decoding -= 1;
     }
     if (state.phase === "prefill") remove(this.#prefilling, state);
     if (state.phase === "waiting") remove(this.#waiting, state);
     else this.#active -= 1;
     state.phase = "paused";
-    this.#letIn();
+    this.#admitWaiting();
     this.#reschedule();
   }
 
@@ -332,7 +335,7 @@
     else this.#active += 1;
     if (state.pausedPhase === "prefill") insert(this.#prefilling, state);
     if (state.pausedPhase === "decode") this.#startDecode(state);
-    this.#letIn();
+    this.#admitWaiting();
     this.#reschedule();
   }
 }
--- a/bench/entry_under_test.ts
+++ b/bench/entry_under_test.ts
@@ -15,30 +15,30 @@
 import { sleep } from "./process_figures.ts";
 import { SideHost, TOKEN_MILLISECONDS } from "./side_host.ts";
 
-/** Time in which streams get their first tokens. */
-const OPEN_MILLISECONDS = 5_000;
-/** A judge's first claim and its verdict take a few seconds at most. */
-const FOLLOW_MILLISECONDS = 40_000;
+/** Time for streams to get their first tokens. */
+const OPEN_TIMEOUT_MILLISECONDS = 5_000;
+/** Includes the judge's first claim and verdict, a few seconds at most. */
+const IN_FORCE_TIMEOUT_MILLISECONDS = 40_000;
 
-/** One entry of the binary with sides, and the log, in this process. */
+/** Runs one entry of the binary, with its sides and the log in this process. */
 export class EntryUnderTest {
   readonly #fleet = new ProcessFleet();
   readonly #log = new LogServiceStandIn();
-  readonly #host = new SideHost();
-  readonly #links = new HttpPeers();
+  readonly #sideHost = new SideHost();
+  readonly #peerClient = new HttpPeers();
   readonly #agent = new http.Agent({ keepAlive: true });
   #version = 0;
-  #streams = 0;
+  #streamCount = 0;
   #logUrl = "";
   #callerUrl = "";
-  #peers = "";
+  #peerAddress = "";
   pid = 0;
 
   async start(endpoints: number): Promise<void> {
     this.#logUrl = `http://127.0.0.1:${await this.#log.listen()}`;
     const [callers, peers] = [await freePort(), await freePort()];
     this.#callerUrl = `http://127.0.0.1:${callers}`;
-    this.#peers = `127.0.0.1:${peers}`;
+    this.#peerAddress = `127.0.0.1:${peers}`;
     const settings = this.#fleet.writeToml("entry.toml", {
       name: "entry-0",
       region: REGION,
@@ -50,11 +50,11 @@
     });
     const started = this.#fleet.startProgram(["entry", "--settings", settings]);
     this.pid = started.child.pid ?? 0;
-    await this.#host.add(endpoints, [this.#peers]);
+    await this.#sideHost.add(endpoints, [this.#peerAddress]);
     await this.publish({});
   }
 
-  /** Publishes without the command and waits until the entry follows. */
+  /** Appends a publication to the log and waits until it is in force. */
   async publish(states: Readonly<Record<string, string>>): Promise<void> {
     const publication = {
       kind: "publication",
@@ -72,20 +72,20 @@
       method: "POST",
       body: JSON.stringify({ records: [record] }),
     });
-    await this.#untilFollowed();
+    await this.#waitUntilInForce();
   }
 
-  /** Opens generations that go on until `close`. */
+  /** Opens generations that last until `close`. */
   async openStreams(count: number): Promise<void> {
     const opened = Array.from({ length: count }, () => this.#openStream());
-    // A stream that waits behind a full endpoint is open as well.
-    await Promise.race([Promise.all(opened), sleep(OPEN_MILLISECONDS)]);
+    // Streams that are queued for a full endpoint count as open.
+    await Promise.race([Promise.all(opened), sleep(OPEN_TIMEOUT_MILLISECONDS)]);
   }
 
   async close(): Promise<void> {
     this.#agent.destroy();
-    this.#links.close();
-    this.#host.close();
+    this.#peerClient.close();
+    this.#sideHost.close();
     await this.#fleet.close();
     await this.#log.close();
   }
@@ -98,7 +98,7 @@
         (response) => {
           if (response.statusCode !== 200) {
             response.setEncoding("utf8").on("data", (text) => {
-              reject(new Error(`A stream was refused: ${text}`));
+              reject(new Error(`Stream was refused: ${text}`));
             });
             return;
           }
@@ -112,45 +112,50 @@
         model: MODEL,
         stream: true,
         max_tokens: 1_000,
-        messages: [{ role: "user", content: `Lorry ${this.#streams++}` }],
+        messages: [{ role: "user", content: `Lorry ${this.#streamCount++}` }],
       }));
     });
   }
 
-  /** One long poll, as a side's, so that the waiting itself costs little. */
-  async #untilFollowed(): Promise<void> {
-    const end = performance.now() + FOLLOW_MILLISECONDS;
-    while (performance.now() < end) {
-      const answer = await this.#links.watch(identifier(this.#peers), {
-        waitMilliseconds: 1_000,
-        report: {
-          side: "bench",
-          incarnation: "bench",
-          endpoint: "bench",
-          state: "serving",
-          load: {
-            running: 0,
-            waiting: 0,
-            limit: 0,
-            millisecondsBetweenTokens: 0,
+  /** Long-polls as a side does, which costs the entry little. */
+  async #waitUntilInForce(): Promise<void> {
+    const deadline = performance.now() + IN_FORCE_TIMEOUT_MILLISECONDS;
+    while (performance.now() < deadline) {
+      const response = await this.#peerClient.watch(
+        identifier(this.#peerAddress),
+        {
+          waitMilliseconds: 1_000,
+          report: {
+            side: "bench",
+            incarnation: "bench",
+            endpoint: "bench",
+            state: "serving",
+            load: {
+              running: 0,
+              waiting: 0,
+              limit: 0,
+              millisecondsBetweenTokens: 0,
+            },
+            configurationVersion: this.#version,
+            ordersRead: 0,
+            orderTaken: Number.MAX_SAFE_INTEGER,
           },
-          configurationVersion: this.#version,
-          ordersRead: 0,
-          orderTaken: Number.MAX_SAFE_INTEGER,
         },
-      });
-      if (answer.isErr()) await sleep(50);
-      else if (answer.value.configurationVersion > this.#version) {
-        this.#version = answer.value.configurationVersion;
+      );
+      if (response.isErr()) await sleep(50);
+      else if (response.value.configurationVersion > this.#version) {
+        this.#version = response.value.configurationVersion;
         return;
       }
     }
-    throw new Error("The publication did not come into force");
+    throw new Error(
+      `Publication was not in force within ${IN_FORCE_TIMEOUT_MILLISECONDS} ms`,
+    );
   }
 
   #content(states: Readonly<Record<string, string>>) {
     const pools = [];
-    const { sides } = this.#host;
+    const { sides } = this.#sideHost;
     for (let first = 0; first < sides.length; first += ENDPOINTS_PER_POOL) {
       const members = sides.slice(first, first + ENDPOINTS_PER_POOL);
       const name = first === 0 ? MODEL : `${MODEL}-${first}`;
--- a/bench/fleet_cost.ts
+++ b/bench/fleet_cost.ts
@@ -1,6 +1,6 @@
 /**
- * Processor time of an entry by the size of the fleet, on virtual time: ten
- * engines an entry, and the same requests at each entry.
+ * CPU time of an entry by fleet size, on virtual time, with ten engines per
+ * entry and the same request rate at each entry.
  */
 import process from "node:process";
 import { EntryFleet } from "../test/support/entry_fleet.ts";
@@ -21,13 +21,13 @@
 import { seededRandom } from "../src/core/random/mod.ts";
 
 const ENGINES_PER_ENTRY = 10;
-const READING_SHARE = 0.7;
-const REQUESTS_PER_SECOND_AND_ENTRY = 20;
+const PREFILL_SHARE = 0.7;
+const REQUESTS_PER_SECOND_PER_ENTRY = 20;
 const ZONES = 5;
-const SUBJECTS_PER_ENTRY = 50;
+const PROMPTS_PER_ENTRY = 50;
 const DEFAULT_SIZES = [30, 100];
 const SETTLE_MILLISECONDS = 1_000;
-const PLAYED_MILLISECONDS = 1_000;
+const MEASURED_MILLISECONDS = 1_000;
 
 function makeFleet(entries: number): EntryFleet {
   const count = ENGINES_PER_ENTRY * entries;
@@ -43,7 +43,7 @@
     endpoints: Array.from({ length: count }, (_, index) =>
       makeEngine(
         `engine-${index}`,
-        index < READING_SHARE * count ? "prefill" : "decode",
+        index < PREFILL_SHARE * count ? "prefill" : "decode",
         {
           availabilityZone: identifier<AvailabilityZoneId>(
             `zone-${index % ZONES}`,
@@ -55,23 +55,26 @@
   return fleet;
 }
 
-async function play(fleet: EntryFleet, milliseconds: number): Promise<number> {
+async function runRequests(
+  fleet: EntryFleet,
+  milliseconds: number,
+): Promise<number> {
   const { entries, timer } = fleet;
   const random = seededRandom(1);
-  const share = REQUESTS_PER_SECOND_AND_ENTRY / 1_000;
+  const probabilityPerMillisecond = REQUESTS_PER_SECOND_PER_ENTRY / 1_000;
   let requests = 0;
-  for (let passed = 0; passed < milliseconds; passed += 1) {
+  for (let elapsed = 0; elapsed < milliseconds; elapsed += 1) {
     for (let entry = 0; entry < entries.length; entry++) {
-      if (random() >= share) continue;
+      if (random() >= probabilityPerMillisecond) continue;
       requests += 1;
-      const subject = Math.floor(
-        random() * SUBJECTS_PER_ENTRY * entries.length,
+      const promptIndex = Math.floor(
+        random() * PROMPTS_PER_ENTRY * entries.length,
       );
       fleet.ask(
         entry,
         makeRequest({
           id: identifier<RequestId>(`request-${timer.now()}-${requests}`),
-          prompt: makePrompt(`subject-${subject}`),
+          prompt: makePrompt(`subject-${promptIndex}`),
         }),
       );
     }
@@ -86,10 +89,10 @@
   const fleet = makeFleet(size);
   await fleet.timer.advance(SETTLE_MILLISECONDS);
   const before = process.cpuUsage();
-  const requests = await play(fleet, PLAYED_MILLISECONDS);
+  const requests = await runRequests(fleet, MEASURED_MILLISECONDS);
   const { system, user } = process.cpuUsage(before);
   const milliseconds = (system + user) / 1_000 / size;
-  const share = 100 * milliseconds / PLAYED_MILLISECONDS;
-  console.log(`${size}  ${requests}  ${share.toFixed(1)}`);
+  const corePercent = 100 * milliseconds / MEASURED_MILLISECONDS;
+  console.log(`${size}  ${requests}  ${corePercent.toFixed(1)}`);
   for (const entry of fleet.entries) entry.close();
 }
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,6 +1,6 @@
 /**
- * Goodput of the decisions under load on virtual time, against baselines and
- * an oracle's bound: `npm run bench:load` (`-- --quick` for three seeds).
+ * Goodput under load on virtual time, compared with baselines and an oracle's
+ * upper bound: `npm run bench:load` (`-- --quick` for three seeds).
  */
 import process from "node:process";
 import { parseArgs } from "node:util";
@@ -17,10 +17,10 @@
 
 const LOADS = [0.5, 0.8, 1, 1.3, 2];
 /**
- * Loads at which a variant runs, where that is not all of them: each baseline
- * where it says most, so that the whole run ends within five minutes.
+ * Loads of the variants that do not run at all loads. Each baseline runs at its
+ * most informative loads, so that the whole run ends within five minutes.
  */
-const LOADS_OF: Readonly<Record<string, readonly number[]>> = {
+const VARIANT_LOADS: Readonly<Record<string, readonly number[]>> = {
   static: [1],
   first: [1, 2],
   threshold: [1],
@@ -36,7 +36,7 @@
   for (const deployment of DEPLOYMENTS) {
     for (const load of LOADS) {
       for (const variant of VARIANTS) {
-        if (!(LOADS_OF[variant.name] ?? LOADS).includes(load)) continue;
+        if (!(VARIANT_LOADS[variant.name] ?? LOADS).includes(load)) continue;
         for (let first = 1; first <= seeds; first += SEEDS_PER_CELL) {
           const last = Math.min(seeds, first + SEEDS_PER_CELL - 1);
           cells.push({
@@ -55,22 +55,22 @@
   return cells;
 }
 
-function key(deployment: string, load: number, variant: string): string {
+function resultKey(deployment: string, load: number, variant: string): string {
   return `${deployment}/${load}/${variant}`;
 }
 
 function merge(results: readonly CellResult[]): Map<string, RunFigures> {
   const merged = new Map<string, RunFigures>();
   for (const { cell, figures } of results) {
-    const name = key(cell.deployment, cell.load, cell.variant);
+    const name = resultKey(cell.deployment, cell.load, cell.variant);
     const sum = merged.get(name) ?? new RunFigures();
-    sum.add(figures);
+    sum.addSerialized(figures);
     merged.set(name, sum);
   }
   return merged;
 }
 
-function share(part: number, whole: number): string {
+function fraction(part: number, whole: number): string {
   return (whole === 0 ? 0 : part / whole).toFixed(4);
 }
 
@@ -78,21 +78,22 @@
   const all = figures.all();
   console.log(
     `  ${name.padEnd(9)} goodput ${all.goodput.toFixed(4)}` +
-      ` late ${share(all.late, all.offered)}` +
-      ` refused ${share(all.refused, all.offered)}` +
+      ` late ${fraction(all.late, all.offered)}` +
+      ` refused ${fraction(all.refused, all.offered)}` +
       ` role changes ${(figures.roleChanges / figures.runs).toFixed(2)} a run`,
   );
-  for (const [className, one] of figures.classes) {
-    const times = (histogram: typeof one.firstToken) =>
-      PERCENTILES.map((at) => histogram.percentile(at).toFixed(0)).join("/");
-    const tokens = one.firstToken.total === 0
+  for (const [className, classStats] of figures.classes) {
+    const formatPercentiles = (histogram: typeof classStats.firstToken) =>
+      PERCENTILES.map((quantile) => histogram.percentile(quantile).toFixed(0))
+        .join("/");
+    const tokens = classStats.firstToken.total === 0
       ? ""
-      : ` first token ${times(one.firstToken)} ms` +
-        ` between tokens ${times(one.betweenTokens)} ms`;
+      : ` first token ${formatPercentiles(classStats.firstToken)} ms` +
+        ` between tokens ${formatPercentiles(classStats.betweenTokens)} ms`;
     console.log(
-      `    ${className.padEnd(9)} goodput ${one.goodput.toFixed(4)}` +
-        ` late ${share(one.late, one.offered)}` +
-        ` refused ${share(one.refused, one.offered)}${tokens}`,
+      `    ${className.padEnd(9)} goodput ${classStats.goodput.toFixed(4)}` +
+        ` late ${fraction(classStats.late, classStats.offered)}` +
+        ` refused ${fraction(classStats.refused, classStats.offered)}${tokens}`,
     );
   }
 }
@@ -101,32 +102,32 @@
   return figures.of(urgent).goodput;
 }
 
-/** Figures of one deployment at capacity, for the last line. */
-function summary(
+/** Figures of one deployment for the JSON line, mainly at full load. */
+function summarize(
   deployment: (typeof DEPLOYMENTS)[number],
   merged: ReadonlyMap<string, RunFigures>,
   bounds: ReadonlyMap<number, number>,
 ) {
-  const at = (load: number, variant: string) =>
-    merged.get(key(deployment.name, load, variant)) as RunFigures;
+  const statsAt = (load: number, variant: string) =>
+    merged.get(resultKey(deployment.name, load, variant)) as RunFigures;
   const urgent = deployment.shapes[0].workClass.name;
   const round = (value: number) => Number(value.toFixed(4));
-  const present = at(1, "present");
+  const present = statsAt(1, "present");
   return {
     goodput: round(present.all().goodput),
-    baseline: round(at(1, "fifo").all().goodput),
+    baseline: round(statsAt(1, "fifo").all().goodput),
     bound: round(bounds.get(1) as number),
     urgent_goodput: round(urgentGoodput(present, urgent)),
     role_changes: round(present.roleChanges / present.runs),
     threshold_role_changes: round(
-      at(1, "threshold").roleChanges / at(1, "threshold").runs,
+      statsAt(1, "threshold").roleChanges / statsAt(1, "threshold").runs,
     ),
-    threshold_goodput: round(at(1, "threshold").all().goodput),
+    threshold_goodput: round(statsAt(1, "threshold").all().goodput),
     goodput_by_load: LOADS.map((load) =>
-      round(at(load, "present").all().goodput)
+      round(statsAt(load, "present").all().goodput)
     ),
     urgent_goodput_by_load: LOADS.map((load) =>
-      round(urgentGoodput(at(load, "present"), urgent))
+      round(urgentGoodput(statsAt(load, "present"), urgent))
     ),
   };
 }
@@ -137,29 +138,29 @@
 const seeds = values.quick ? QUICK_SEEDS : Number(values.seeds ?? SEEDS);
 const startedAt = performance.now();
 const merged = merge(await runCells(cellsOf(seeds)));
-const lastLine: Record<string, unknown> = {};
+const summaries: Record<string, unknown> = {};
 for (const deployment of DEPLOYMENTS) {
   const scale = scaleOf(deployment);
   const bounds = new Map<number, number>();
   for (const load of LOADS) {
     const { capacities, roles } = scale;
     const bound = goodputBound(deployment, { capacities, load });
-    const fixed = goodputBound(deployment, { capacities, load, roles });
+    const staticBound = goodputBound(deployment, { capacities, load, roles });
     bounds.set(load, bound);
     console.log(
       `${deployment.name}, load ${load}, ${seeds} seeds, bound ${
         bound.toFixed(4)
       },` +
-        ` with the best fixed roles ${fixed.toFixed(4)}`,
+        ` with the best fixed roles ${staticBound.toFixed(4)}`,
     );
     for (const { name } of VARIANTS) {
-      const figures = merged.get(key(deployment.name, load, name));
+      const figures = merged.get(resultKey(deployment.name, load, name));
       if (figures !== undefined) printRun(name, figures);
     }
   }
-  lastLine[deployment.name] = summary(deployment, merged, bounds);
+  summaries[deployment.name] = summarize(deployment, merged, bounds);
 }
 const seconds = (performance.now() - startedAt) / 1_000;
-console.log(`${seconds.toFixed(0)} s in all`);
-console.log(JSON.stringify({ load: lastLine }));
+console.log(`${seconds.toFixed(0)} s in total`);
+console.log(JSON.stringify({ load: summaries }));
 process.exitCode = 0;
--- a/bench/load_arrivals.ts
+++ b/bench/load_arrivals.ts
@@ -1,4 +1,4 @@
-/** The requests of one run, the same for every policy that is measured. */
+/** Generates the requests of one run, identical for every policy. */
 import { type Random, seededRandom } from "../src/core/random/mod.ts";
 import {
   type ClassShape,
@@ -25,17 +25,17 @@
   readonly capacities: ReadonlyMap<string, number>;
   readonly entries: number;
   readonly workspaces?: number;
-  /** Time from one turn of the mix to the second next. */
+  /** Period of the swing; the mix reverses twice per period. */
   readonly periodSeconds?: number;
 }
 
-/** Spread of lengths: deviation of the logarithm. */
-const LENGTH_SPREAD = 0.4;
-/** Spread of the times of plain services' calls. */
-const CALL_SPREAD = 0.3;
+/** Standard deviation of the logarithm of prompt and output lengths. */
+const LENGTH_LOG_DEVIATION = 0.4;
+/** Standard deviation of the logarithm of call times of plain services. */
+const CALL_TIME_LOG_DEVIATION = 0.3;
 const WORKSPACES = 60;
 
-/** Arrivals of all classes in the order of time. */
+/** Generates the arrivals of all classes, ordered by time. */
 export function makeArrivals(
   deployment: Deployment,
   options: ArrivalOptions,
@@ -46,62 +46,67 @@
   for (const shape of deployment.shapes) {
     const capacity = options.capacities.get(shape.pool) ?? 0;
     const rate = capacity * options.load * shape.share;
-    arrivals.push(...arrivalsOf(shape, { ...options, random, phase, rate }));
+    arrivals.push(
+      ...makeClassArrivals(shape, { ...options, random, phase, rate }),
+    );
   }
-  return arrivals.sort((one, other) => one.at - other.at);
+  return arrivals.sort((a, b) => a.at - b.at);
 }
 
-function arrivalsOf(
+function makeClassArrivals(
   shape: ClassShape,
   options: ArrivalOptions & { random: Random; phase: number; rate: number },
 ): Arrival[] {
   const { random, rate } = options;
   const arrivals: Arrival[] = [];
-  const highest = rate * 1.5;
+  const maxRate = rate * 1.5;
   let seconds = 0;
   for (;;) {
-    seconds -= Math.log(1 - random()) / highest;
+    seconds -= Math.log(1 - random()) / maxRate;
     if (seconds >= options.seconds) return arrivals;
     const factor = swingFactor(shape, seconds + options.phase, options);
-    if (random() * highest > rate * factor) continue;
-    arrivals.push(arrivalAt(seconds * 1_000, shape, options));
+    if (random() * maxRate > rate * factor) continue;
+    arrivals.push(makeArrival(seconds * 1_000, shape, options));
   }
 }
 
-function arrivalAt(
+function makeArrival(
   at: number,
   shape: ClassShape,
   options: ArrivalOptions & { random: Random },
 ): Arrival {
   const { random } = options;
-  const call = (shape.callMilliseconds ?? 0) * logNormal(random, CALL_SPREAD);
+  const callMilliseconds = (shape.callMilliseconds ?? 0) *
+    logNormal(random, CALL_TIME_LOG_DEVIATION);
   return {
     at,
     shape,
-    workspace: `workspace-${skewed(random, options.workspaces ?? WORKSPACES)}`,
+    workspace: `workspace-${
+      skewedIndex(random, options.workspaces ?? WORKSPACES)
+    }`,
     entry: Math.floor(random() * options.entries),
     promptTokens: Math.ceil(
-      shape.promptTokens * logNormal(random, LENGTH_SPREAD),
+      shape.promptTokens * logNormal(random, LENGTH_LOG_DEVIATION),
     ),
     outputTokens: Math.max(
       1,
-      Math.ceil(shape.outputTokens * logNormal(random, LENGTH_SPREAD)),
+      Math.ceil(shape.outputTokens * logNormal(random, LENGTH_LOG_DEVIATION)),
     ),
-    callMilliseconds: call,
+    callMilliseconds,
     document: shape.documents === undefined
       ? undefined
-      : `${shape.workClass.name}-${skewed(random, shape.documents)}`,
+      : `${shape.workClass.name}-${skewedIndex(random, shape.documents)}`,
   };
 }
 
-/** A few are asked for often, most seldom. */
-function skewed(random: Random, count: number): number {
+/** Random index below `count`, skewed towards low indexes. */
+function skewedIndex(random: Random, count: number): number {
   return Math.floor(count * random() ** 2);
 }
 
-/** Log-normal with mean 1. */
-function logNormal(random: Random, spread: number): number {
+/** Log-normal random value with mean 1. */
+function logNormal(random: Random, deviation: number): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) *
     Math.cos(2 * Math.PI * random());
-  return Math.exp(spread * normal - spread * spread / 2);
+  return Math.exp(deviation * normal - deviation * deviation / 2);
 }
--- a/bench/load_baselines.ts
+++ b/bench/load_baselines.ts
@@ -1,4 +1,4 @@
-/** The policies that the present one is compared with. */
+/** The current policy and the baselines that it is compared with. */
 import { ok, type Result } from "neverthrow";
 import { type EndpointId, identifier } from "../src/core/identity/mod.ts";
 import type { Refusal, RequestProfile } from "../src/core/requests/mod.ts";
@@ -20,8 +20,8 @@
 import type { Variant } from "./load_run.ts";
 
 /**
- * First in, first out, to the endpoint with the fewest own requests in flight;
- * nothing is refused and nothing waits at the entry.
+ * Places each request immediately at the endpoint with the fewest requests in
+ * flight from this entry; never refuses or queues a request.
  */
 class LeastInFlightScheduler implements Scheduler {
   readonly #pools = new Map<string, Map<EndpointId, number>>();
@@ -33,22 +33,22 @@
     for (const pool of inventory.pools) {
       this.#pools.set(
         pool.name,
-        new Map(pool.endpoints.map((one) => [identifier(one.id), 0])),
+        new Map(pool.endpoints.map((listed) => [identifier(listed.id), 0])),
       );
     }
   }
 
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const inFlight = this.#pools.get(profile.pool) as Map<EndpointId, number>;
-    let chosen: EndpointId | undefined;
+    let leastLoaded: EndpointId | undefined;
     let fewest = Infinity;
     for (const [endpoint, count] of inFlight) {
       if (count >= fewest || this.#unusable.has(endpoint)) continue;
       if (profile.excluded.has(endpoint)) continue;
-      chosen = endpoint;
+      leastLoaded = endpoint;
       fewest = count;
     }
-    const endpoint = chosen ?? [...inFlight.keys()][0];
+    const endpoint = leastLoaded ?? [...inFlight.keys()][0];
     inFlight.set(endpoint, (inFlight.get(endpoint) ?? 0) + 1);
     this.running += 1;
     let released = false;
@@ -90,7 +90,7 @@
 export const LEAST_IN_FLIGHT: Variant = {
   name: "fifo",
   makeScheduler: () => new LeastInFlightScheduler(),
-  plain: true,
+  fifo: true,
   roles: staticPolicy,
 };
 
--- a/bench/load_bound.ts
+++ b/bench/load_bound.ts
@@ -1,7 +1,7 @@
-/** What could be reached with the mix known beforehand and changes free. */
+/** Upper bound of goodput, with the mix known in advance and free role changes. */
 import { type RoleCounts, servedPerSecond } from "../src/core/roles/mod.ts";
 import type { Pool } from "../src/generated/inventory.ts";
-import { ENGINE_ROLES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
+import { ROLE_PROFILES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
 import {
   type ClassShape,
   type Deployment,
@@ -9,25 +9,25 @@
   swingFactor,
 } from "./load_deployments.ts";
 
-/** Share of a shared document in the prompts that have one. */
+/** Fraction of a prompt that its shared document takes, if it has one. */
 export const DOCUMENT_SHARE = 0.3;
 
-/** The engine's own figures at full batch. */
+/** Profiles of the engine model at a full batch. */
 export const BEST_PROFILES = {
   prefill: bestProfile("prefill"),
   mixed: bestProfile("mixed"),
   decode: bestProfile("decode"),
 };
 
-function bestProfile(role: keyof typeof ENGINE_ROLES) {
-  const { prefillShare, slotShare, interference } = ENGINE_ROLES[role];
+function bestProfile(role: keyof typeof ROLE_PROFILES) {
+  const { prefillShare, slotShare, interference } = ROLE_PROFILES[role];
   const decodeFactor = SINGLE_STREAM_SHARE +
     (1 - SINGLE_STREAM_SHARE) * slotShare;
   const promptDrag = 1 - 1 / interference;
   return { prefillShare, slotShare, decodeFactor, promptDrag };
 }
 
-function compositions(engines: number): RoleCounts[] {
+function roleCompositions(engines: number): RoleCounts[] {
   const all: RoleCounts[] = [];
   for (let prefill = 0; prefill <= engines; prefill++) {
     for (let decode = 0; decode + prefill <= engines; decode++) {
@@ -51,19 +51,19 @@
   }));
 }
 
-/** Best answers per second at these rates, and the roles that give them. */
+/** Highest number of requests served per second, and the roles that reach it. */
 export function bestServed(
   pool: Pool,
   shapes: readonly ClassShape[],
   rates: readonly number[],
 ): { served: number; counts: RoleCounts } {
   const engine = pool.engine;
-  if (engine === undefined) throw new Error(`${pool.name} is no engine pool`);
+  if (engine === undefined) throw new Error(`Pool ${pool.name} has no engine`);
   const options = { engine, profiles: BEST_PROFILES, usableShare: 1 };
   const demand = demandOf(shapes, rates);
   const offered = rates.reduce((sum, rate) => sum + rate, 0);
   let best = { served: -1, counts: { mixed: 0, prefill: 0, decode: 0 } };
-  for (const counts of compositions(pool.endpoints.length)) {
+  for (const counts of roleCompositions(pool.endpoints.length)) {
     const served = servedPerSecond(demand, counts, options);
     if (served > best.served + 1e-9) best = { served, counts };
     if (served >= offered - 1e-9) break;
@@ -71,7 +71,7 @@
   return best;
 }
 
-/** Requests per second of the mean mix that can just be served. */
+/** Highest request rate, in requests per second, that the mean mix can have. */
 export function capacityPerSecond(deployment: Deployment, pool: Pool): number {
   const shapes = shapesOf(deployment, pool.name);
   if (pool.engine === undefined) {
@@ -90,25 +90,25 @@
   return low;
 }
 
-/** Times of one period of the swing at which the bounds are reckoned. */
-const STEP_SECONDS = 5;
+/** Interval between the times of a swing period at which bounds are computed. */
+const BOUND_STEP_SECONDS = 5;
 
-function ratesOver(
+function ratesOverPeriod(
   shapes: readonly ClassShape[],
   requestsPerSecond: number,
 ): number[][] {
-  const steps = SWING_PERIOD_SECONDS / STEP_SECONDS;
+  const steps = SWING_PERIOD_SECONDS / BOUND_STEP_SECONDS;
   return Array.from(
     { length: steps },
     (_, step) =>
       shapes.map((shape) =>
         requestsPerSecond * shape.share *
-        swingFactor(shape, step * STEP_SECONDS)
+        swingFactor(shape, step * BOUND_STEP_SECONDS)
       ),
   );
 }
 
-/** Answers over one period with fixed roles, the work divided at its best. */
+/** Requests served over one period with fixed roles and optimal placement. */
 function servedWith(
   counts: RoleCounts,
   pool: Pool,
@@ -123,16 +123,16 @@
   );
 }
 
-/** Fixed roles that serve the swinging mix best; every policy starts there. */
+/** Fixed roles that serve the varying mix best; all policies start with them. */
 export function bestStaticRoles(
   deployment: Deployment,
   pool: Pool,
   capacity: number,
 ): RoleCounts {
   const shapes = shapesOf(deployment, pool.name);
-  const rates = ratesOver(shapes, capacity);
+  const rates = ratesOverPeriod(shapes, capacity);
   let best = { served: -1, counts: { mixed: 0, prefill: 0, decode: 0 } };
-  for (const counts of compositions(pool.endpoints.length)) {
+  for (const counts of roleCompositions(pool.endpoints.length)) {
     const served = servedWith(counts, pool, { shapes, rates });
     if (served > best.served + 1e-9) best = { served, counts };
   }
@@ -142,11 +142,11 @@
 export interface BoundOptions {
   readonly load: number;
   readonly capacities: ReadonlyMap<string, number>;
-  /** Fixed roles; without them the best ones at every time, changes free. */
+  /** Fixed roles; if absent, the best roles at each time, with free changes. */
   readonly roles?: ReadonlyMap<string, RoleCounts>;
 }
 
-/** Share of all requests that could be answered over one period of the swing. */
+/** Fraction of all requests that can be served over one period of the swing. */
 export function goodputBound(
   deployment: Deployment,
   options: BoundOptions,
@@ -156,12 +156,17 @@
   for (const pool of deployment.inventory.pools) {
     const shapes = shapesOf(deployment, pool.name);
     const capacity = options.capacities.get(pool.name) ?? 0;
-    const rates = ratesOver(shapes, capacity * options.load);
-    const totals = rates.map((step) => step.reduce((sum, one) => sum + one, 0));
-    offered += totals.reduce((sum, one) => sum + one, 0);
+    const rates = ratesOverPeriod(shapes, capacity * options.load);
+    const totals = rates.map((step) =>
+      step.reduce((sum, rate) => sum + rate, 0)
+    );
+    offered += totals.reduce((sum, total) => sum + total, 0);
     const counts = options.roles?.get(pool.name);
     if (pool.engine === undefined) {
-      served += totals.reduce((sum, one) => sum + Math.min(one, capacity), 0);
+      served += totals.reduce(
+        (sum, total) => sum + Math.min(total, capacity),
+        0,
+      );
     } else if (counts !== undefined) {
       served += servedWith(counts, pool, { shapes, rates });
     } else {
--- a/bench/load_deployments.ts
+++ b/bench/load_deployments.ts
@@ -1,24 +1,24 @@
 /**
- * The two deployments of the brief at today's sizes, with their classes of
- * work. Sizes and zones are the brief's; token counts, deadlines and engine
- * rates are assumptions, stated here once.
+ * Two deployments at their present sizes, with their work classes. Sizes and
+ * availability zones are those of the customers; token counts, deadlines and
+ * engine rates are parameters of the model.
  */
 import type { Inventory, Pool } from "../src/generated/inventory.ts";
 import type { Rules, WorkClass } from "../src/generated/rules.ts";
 
-/** How the requests of one class look. */
+/** Traffic profile of one work class. */
 export interface ClassShape {
   readonly workClass: WorkClass;
   readonly pool: string;
-  /** Share of the pool's requests, on average. */
+  /** Mean fraction of the pool's requests. */
   readonly share: number;
-  /** Sign of the swing: which half of a period the class is strong in. */
+  /** Half of a period with more requests: 1 the first, -1 the second, 0 none. */
   readonly swing: 1 | -1 | 0;
   readonly promptTokens: number;
   readonly outputTokens: number;
-  /** Plain services only: mean time of a call, milliseconds. */
+  /** Mean duration of a call; plain services only. */
   readonly callMilliseconds?: number;
-  /** Documents that many of the class's prompts begin with. */
+  /** Number of documents with which the class's prompts start, if any. */
   readonly documents?: number;
   readonly idempotent: boolean;
 }
@@ -32,12 +32,12 @@
   readonly serviceSlots: number;
 }
 
-/** Share by which the mix swings to either side. */
-export const SWING_SHARE = 0.5;
-/** Time from one turn of the mix to the second next. */
+/** Amplitude of the swing, as a fraction of a class's mean rate. */
+export const SWING_AMPLITUDE = 0.5;
+/** Period of the swing; the mix reverses twice per period. */
 export const SWING_PERIOD_SECONDS = 200;
 
-interface PoolPlan {
+interface PoolSpec {
   readonly name: string;
   readonly replicas: number;
   readonly zones: readonly string[];
@@ -45,17 +45,17 @@
   readonly roles?: readonly ("mixed" | "prefill" | "decode")[];
 }
 
-function poolOf(plan: PoolPlan): Pool {
+function makePool(spec: PoolSpec): Pool {
   return {
-    name: plan.name,
-    kind: plan.engine ? "engine" : "service",
-    models: plan.engine ? [plan.name] : undefined,
-    engine: plan.engine,
-    endpoints: Array.from({ length: plan.replicas }, (_, index) => ({
-      id: `${plan.name}-${index + 1}`,
-      availabilityZone: plan.zones[index % plan.zones.length],
+    name: spec.name,
+    kind: spec.engine ? "engine" : "service",
+    models: spec.engine ? [spec.name] : undefined,
+    engine: spec.engine,
+    endpoints: Array.from({ length: spec.replicas }, (_, index) => ({
+      id: `${spec.name}-${index + 1}`,
+      availabilityZone: spec.zones[index % spec.zones.length],
       side: `127.0.0.1:${index + 1}`,
-      role: plan.roles?.[index % plan.roles.length] ?? "mixed",
+      role: spec.roles?.[index % spec.roles.length] ?? "mixed",
     })),
   };
 }
@@ -102,9 +102,9 @@
   },
 ];
 
-/** Weight of a role change: the Koperasi weighs goodput most. */
+/** Weight of a role change; low, because the Koperasi weighs goodput most. */
 const KOPERASI_ROLE_CHANGE_WEIGHT = 0.5;
-/** The Federatie weighs role changes more. */
+/** Weight of a role change; the Federatie weighs role changes more. */
 const FEDERATIE_ROLE_CHANGE_WEIGHT = 4;
 
 export const KOPERASI: Deployment = {
@@ -114,7 +114,7 @@
     region: "klang-valley",
     availabilityZones: [...KOPERASI_ZONES],
     pools: [
-      poolOf({
+      makePool({
         name: "triage-llm",
         replicas: 10,
         zones: KOPERASI_ZONES,
@@ -129,7 +129,7 @@
           resumesStreams: true,
         },
       }),
-      poolOf({ name: "member-portal", replicas: 3, zones: KOPERASI_ZONES }),
+      makePool({ name: "member-portal", replicas: 3, zones: KOPERASI_ZONES }),
     ],
   },
   rules: {
@@ -235,7 +235,7 @@
     region: "be-flanders",
     availabilityZones: [...FEDERATIE_ZONES],
     pools: [
-      poolOf({
+      makePool({
         name: "relining-assistant",
         replicas: 6,
         zones: FEDERATIE_ZONES,
@@ -250,7 +250,7 @@
           resumesStreams: true,
         },
       }),
-      poolOf({ name: "member-portal", replicas: 4, zones: FEDERATIE_ZONES }),
+      makePool({ name: "member-portal", replicas: 4, zones: FEDERATIE_ZONES }),
     ],
   },
   rules: {
@@ -302,7 +302,7 @@
 
 export const DEPLOYMENTS: readonly Deployment[] = [KOPERASI, FEDERATIE];
 
-/** Factor on a class's rate at a time: a trapezoid with quick turns. */
+/** Factor on a class's request rate at a time; a near-trapezoidal wave. */
 export function swingFactor(
   shape: ClassShape,
   seconds: number,
@@ -311,5 +311,5 @@
   const period = options.periodSeconds ?? SWING_PERIOD_SECONDS;
   const phase = (seconds % period) / period;
   const wave = Math.max(-1, Math.min(1, 3 * Math.sin(2 * Math.PI * phase)));
-  return 1 + SWING_SHARE * shape.swing * wave;
+  return 1 + SWING_AMPLITUDE * shape.swing * wave;
 }
--- a/bench/load_figures.ts
+++ b/bench/load_figures.ts
@@ -1,10 +1,10 @@
-/** Figures of one run or of several, kept small by logarithmic histograms. */
+/** Figures of one or several runs; times are in logarithmic histograms. */
 
 const BUCKETS_PER_DOUBLING = 16;
 const LOWEST_MILLISECONDS = 0.1;
 const BUCKETS = 20 * BUCKETS_PER_DOUBLING;
 
-/** Histogram of times; its error is under five in a hundred. */
+/** Histogram of times with a relative error below 5%. */
 export class Histogram {
   readonly counts = new Float64Array(BUCKETS);
   total = 0;
@@ -40,8 +40,8 @@
   }
 }
 
-/** What became of the requests of one class. */
-export class ClassFigures {
+/** Outcomes and times of the requests of one class. */
+export class ClassStats {
   offered = 0;
   onTime = 0;
   late = 0;
@@ -49,7 +49,7 @@
   readonly firstToken = new Histogram();
   readonly betweenTokens = new Histogram();
 
-  merge(other: ClassFigures): void {
+  merge(other: ClassStats): void {
     this.offered += other.offered;
     this.onTime += other.onTime;
     this.late += other.late;
@@ -63,8 +63,8 @@
   }
 }
 
-/** Figures as plain data, for another thread. */
-export interface PlainFigures {
+/** Figures as plain data, to send to another process. */
+export interface SerializedStats {
   readonly classes: readonly {
     readonly name: string;
     readonly counts: readonly number[];
@@ -75,16 +75,16 @@
 }
 
 export class RunFigures {
-  readonly classes = new Map<string, ClassFigures>();
+  readonly classes = new Map<string, ClassStats>();
   roleChanges = 0;
   runs = 0;
   sentBack = 0;
   pauses = 0;
 
-  of(className: string): ClassFigures {
+  of(className: string): ClassStats {
     let figures = this.classes.get(className);
     if (figures === undefined) {
-      figures = new ClassFigures();
+      figures = new ClassStats();
       this.classes.set(className, figures);
     }
     return figures;
@@ -98,37 +98,37 @@
     this.runs += other.runs;
   }
 
-  all(): ClassFigures {
-    const sum = new ClassFigures();
+  all(): ClassStats {
+    const sum = new ClassStats();
     for (const figures of this.classes.values()) sum.merge(figures);
     return sum;
   }
 
-  plain(): PlainFigures {
+  serialize(): SerializedStats {
     return {
-      classes: [...this.classes].map(([name, one]) => ({
+      classes: [...this.classes].map(([name, stats]) => ({
         name,
-        counts: [one.offered, one.onTime, one.late, one.refused],
-        firstToken: one.firstToken.counts,
-        betweenTokens: one.betweenTokens.counts,
+        counts: [stats.offered, stats.onTime, stats.late, stats.refused],
+        firstToken: stats.firstToken.counts,
+        betweenTokens: stats.betweenTokens.counts,
       })),
       counts: [this.roleChanges, this.sentBack, this.pauses, this.runs],
     };
   }
 
-  add(plain: PlainFigures): void {
-    for (const { name, counts, ...histograms } of plain.classes) {
-      const one = this.of(name);
-      one.offered += counts[0];
-      one.onTime += counts[1];
-      one.late += counts[2];
-      one.refused += counts[3];
-      one.firstToken.mergeCounts(histograms.firstToken);
-      one.betweenTokens.mergeCounts(histograms.betweenTokens);
+  addSerialized(serialized: SerializedStats): void {
+    for (const { name, counts, ...histograms } of serialized.classes) {
+      const stats = this.of(name);
+      stats.offered += counts[0];
+      stats.onTime += counts[1];
+      stats.late += counts[2];
+      stats.refused += counts[3];
+      stats.firstToken.mergeCounts(histograms.firstToken);
+      stats.betweenTokens.mergeCounts(histograms.betweenTokens);
     }
-    this.roleChanges += plain.counts[0];
-    this.sentBack += plain.counts[1];
-    this.pauses += plain.counts[2];
-    this.runs += plain.counts[3];
+    this.roleChanges += serialized.counts[0];
+    this.sentBack += serialized.counts[1];
+    this.pauses += serialized.counts[2];
+    this.runs += serialized.counts[3];
   }
 }
--- a/bench/load_job.ts
+++ b/bench/load_job.ts
@@ -1,4 +1,4 @@
-/** Runs of the load bench, spread over two processes. */
+/** Runs the cells of the load bench in two worker processes. */
 import { fork } from "node:child_process";
 import process from "node:process";
 import { fileURLToPath } from "node:url";
@@ -14,22 +14,22 @@
 import * as baselines from "./load_baselines.ts";
 import { bestStaticRoles, capacityPerSecond } from "./load_bound.ts";
 import { type Deployment, DEPLOYMENTS } from "./load_deployments.ts";
-import { type PlainFigures, RunFigures } from "./load_figures.ts";
+import { RunFigures, type SerializedStats } from "./load_figures.ts";
 import { LoadRun, type Variant } from "./load_run.ts";
 
-/** Rates and starting roles of a deployment's pools. */
-export interface Scale {
+/** Capacities and initial roles of a deployment's pools. */
+export interface DeploymentScale {
   readonly capacities: ReadonlyMap<string, number>;
   readonly roles: ReadonlyMap<string, RoleCounts>;
 }
 
-/** One cell of the bench: a deployment, a load, a variant, some seeds. */
+/** One cell of the bench: a deployment, a load, a variant and its seeds. */
 export interface Cell {
   readonly deployment: string;
   readonly load: number;
   readonly variant: string;
   readonly seeds: readonly number[];
-  /** Changes to the variant, for sweeps. */
+  /** Overrides of the variant and the run, for sweeps. */
   readonly changes?: CellChanges;
 }
 
@@ -46,7 +46,7 @@
 
 export interface CellResult {
   readonly cell: Cell;
-  readonly figures: PlainFigures;
+  readonly figures: SerializedStats;
 }
 
 export const VARIANTS: readonly Variant[] = [
@@ -59,16 +59,16 @@
 ];
 
 export function deploymentNamed(name: string): Deployment {
-  const found = DEPLOYMENTS.find((one) => one.name === name);
-  if (found === undefined) throw new Error(`No deployment is named ${name}`);
+  const found = DEPLOYMENTS.find((deployment) => deployment.name === name);
+  if (found === undefined) throw new Error(`Unknown deployment: ${name}`);
   return found;
 }
 
-const scales = new Map<string, Scale>();
+const scaleCache = new Map<string, DeploymentScale>();
 
-export function scaleOf(deployment: Deployment): Scale {
-  const known = scales.get(deployment.name);
-  if (known !== undefined) return known;
+export function scaleOf(deployment: Deployment): DeploymentScale {
+  const cached = scaleCache.get(deployment.name);
+  if (cached !== undefined) return cached;
   const capacities = new Map<string, number>();
   const roles = new Map<string, RoleCounts>();
   for (const pool of deployment.inventory.pools) {
@@ -78,11 +78,11 @@
     roles.set(pool.name, bestStaticRoles(deployment, pool, capacity));
   }
   const scale = { capacities, roles };
-  scales.set(deployment.name, scale);
+  scaleCache.set(deployment.name, scale);
   return scale;
 }
 
-function changed(variant: Variant, changes: CellChanges): Variant {
+function withChanges(variant: Variant, changes: CellChanges): Variant {
   const { scheduling, planner, ...rest } = changes;
   return {
     ...variant,
@@ -94,25 +94,30 @@
   };
 }
 
-function weighted(deployment: Deployment, weight?: number): Deployment {
+function withRoleChangeWeight(
+  deployment: Deployment,
+  weight?: number,
+): Deployment {
   if (weight === undefined) return deployment;
   const planner = { ...deployment.rules.planner, roleChangeWeight: weight };
   return { ...deployment, rules: { ...deployment.rules, planner } };
 }
 
-/** All seeds of one cell, one after the other. */
+/** Runs all seeds of one cell in sequence and merges their figures. */
 export async function runCell(cell: Cell): Promise<RunFigures> {
   const { changes = {} } = cell;
-  const deployment = weighted(
+  const deployment = withRoleChangeWeight(
     deploymentNamed(cell.deployment),
     changes.roleChangeWeight,
   );
-  const variant = VARIANTS.find((one) => one.name === cell.variant);
-  if (variant === undefined) throw new Error(`No variant ${cell.variant}`);
+  const variant = VARIANTS.find((candidate) => candidate.name === cell.variant);
+  if (variant === undefined) {
+    throw new Error(`Unknown variant: ${cell.variant}`);
+  }
   const scale = scaleOf(deployment);
   const sum = new RunFigures();
   for (const seed of cell.seeds) {
-    const run = new LoadRun(deployment, changed(variant, changes), {
+    const run = new LoadRun(deployment, withChanges(variant, changes), {
       ...scale,
       ...changes,
       seed,
@@ -123,42 +128,42 @@
   return sum;
 }
 
-const PROCESSES = 2;
+const WORKER_COUNT = 2;
 const WORKER_ARGUMENT = "load-worker";
 
-/** Runs the cells in two processes, whichever is free taking the next. */
+/** Runs the cells in worker processes that share one queue. */
 export async function runCells(cells: readonly Cell[]): Promise<CellResult[]> {
-  const left = [...cells];
+  const pending = [...cells];
   const results: CellResult[] = [];
   const workers = Array.from(
-    { length: PROCESSES },
-    () => runWorker(left, results),
+    { length: WORKER_COUNT },
+    () => runWorker(pending, results),
   );
   await Promise.all(workers);
   return results;
 }
 
-function runWorker(left: Cell[], results: CellResult[]): Promise<void> {
+function runWorker(pending: Cell[], results: CellResult[]): Promise<void> {
   return new Promise((resolve, reject) => {
     const worker = fork(fileURLToPath(import.meta.url), [WORKER_ARGUMENT], {
       execArgv: ["--import", "tsx"],
       serialization: "advanced",
     });
-    const next = () => {
-      const cell = left.shift();
+    const sendNextCell = () => {
+      const cell = pending.shift();
       if (cell === undefined) worker.disconnect();
       else worker.send(cell);
     };
     worker.on("message", (result) => {
       results.push(result as CellResult);
-      next();
+      sendNextCell();
     });
     worker.on("error", reject);
     worker.on("exit", (code) => {
       if (code === 0) resolve();
-      else reject(new Error(`A worker of the bench ended with code ${code}`));
+      else reject(new Error(`Bench worker exited with code ${code}`));
     });
-    next();
+    sendNextCell();
   });
 }
 
@@ -166,7 +171,7 @@
   process.on("message", (message) => {
     const cell = message as Cell;
     void runCell(cell).then((figures) =>
-      process.send?.({ cell, figures: figures.plain() })
+      process.send?.({ cell, figures: figures.serialize() })
     );
   });
 }
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -1,4 +1,4 @@
-/** One run: arrivals, entries, sides, engines and the planner on virtual time. */
+/** Simulates arrivals, entries, sides, engines and the planner on virtual time. */
 import {
   type AvailabilityZoneId,
   type EndpointId,
@@ -32,14 +32,14 @@
 import { RunFigures } from "./load_figures.ts";
 import { SideModel } from "./load_side.ts";
 
-/** One policy that is measured. */
+/** One policy under test. */
 export interface Variant {
   readonly name: string;
   readonly scheduling?: SchedulingPolicy;
-  /** Replaces the scheduler, for baselines. */
+  /** Creates the scheduler of a baseline instead of the default one. */
   readonly makeScheduler?: (options: SchedulerOptions) => Scheduler;
-  /** No priorities and no bound at the side. */
-  readonly plain?: boolean;
+  /** Sides use neither priorities nor a queue limit. */
+  readonly fifo?: boolean;
   readonly roles: () => RolePolicy;
   readonly sideWaiting?: number;
   readonly toleratedSlowdown?: number;
@@ -50,17 +50,17 @@
   readonly load: number;
   readonly capacities: ReadonlyMap<string, number>;
   readonly roles: ReadonlyMap<string, RoleCounts>;
-  /** Time from a side's report to its use by the entries. */
+  /** Delay from a side's report to its receipt by the entries. */
   readonly reportLagMilliseconds?: number;
   readonly seconds?: number;
   readonly periodSeconds?: number;
   readonly arrivals?: readonly Arrival[];
-  /** Told of the end of every measured request. */
+  /** Called when a measured request ends. */
   readonly onFinished?: (
     arrival: Arrival,
     result: "onTime" | "late" | "refused",
   ) => void;
-  /** Called once all is set up, to bring about faults. */
+  /** Called after set-up, for fault injection. */
   readonly prepare?: (run: LoadRun) => void;
 }
 
@@ -69,20 +69,20 @@
 const REPORT_MILLISECONDS = 500;
 const REPORT_LAG_MILLISECONDS = 300;
 const PLAN_MILLISECONDS = 2_000;
-/** From a plan to the side's receipt of the order: append and relay. */
-const ORDER_MILLISECONDS = 300;
-/** One way, entry to side, the same zone and another (brief: one or two). */
-const SAME_ZONE_MILLISECONDS = 0.5;
-const OTHER_ZONE_MILLISECONDS = 1.5;
-const MOST_TRIES = 3;
-const SIDE_WAITING = 8;
+/** Delay from a plan to the side's receipt of the order: append and relay. */
+const ORDER_DELAY_MILLISECONDS = 300;
+/** One-way latency between entry and side; 1 to 2 ms between zones. */
+const SAME_ZONE_LATENCY_MILLISECONDS = 0.5;
+const OTHER_ZONE_LATENCY_MILLISECONDS = 1.5;
+const MAX_ATTEMPTS = 3;
+const DEFAULT_SIDE_WAITING = 8;
 
-interface Open {
+interface OpenRequest {
   readonly arrival: Arrival;
   readonly entry: Scheduler;
   readonly zone: string;
-  readonly profile: RequestProfile;
-  tries: number;
+  readonly makeProfile: RequestProfile;
+  attempts: number;
   done: boolean;
   stop: () => void;
 }
@@ -92,18 +92,18 @@
   readonly figures = new RunFigures();
   readonly sides = new Map<string, SideModel>();
   readonly entries: Scheduler[] = [];
-  /** False: no plan is made, as while the log is out or no planner lives. */
+  /** If false, no plans are made, as during a log outage or without a planner. */
   plannerAlive = true;
-  #arrivalsEnd = 0;
-  reportsAlive = true;
+  #lastArrivalAt = 0;
+  reportsEnabled = true;
   reportLagMilliseconds: number;
   readonly #deployment: Deployment;
   readonly #variant: Variant;
   readonly #options: RunOptions;
   readonly #inventory: Inventory;
   readonly #planner: RolePlanner;
-  readonly #zoneOf = new Map<string, string>();
-  #sequence = 0;
+  readonly #zoneByEndpoint = new Map<string, string>();
+  #nextRequestNumber = 0;
 
   constructor(deployment: Deployment, variant: Variant, options: RunOptions) {
     this.#deployment = deployment;
@@ -132,15 +132,15 @@
         seconds,
         entries: this.entries.length,
       });
-    this.#arrivalsEnd = seconds * 1_000;
-    this.#arrive(arrivals, 0);
-    this.timer.every(REPORT_MILLISECONDS, () => this.#report());
-    this.timer.every(PLAN_MILLISECONDS, () => this.#plan());
+    this.#lastArrivalAt = seconds * 1_000;
+    this.#scheduleArrivals(arrivals, 0);
+    this.timer.every(REPORT_MILLISECONDS, () => this.#sendReports());
+    this.timer.every(PLAN_MILLISECONDS, () => this.#runPlanner());
     this.#options.prepare?.(this);
-    const longest = Math.max(
+    const longestDeadlineSeconds = Math.max(
       ...this.#deployment.rules.classes.map((one) => one.deadlineSeconds),
     );
-    await this.timer.advance((seconds + longest + 1) * 1_000);
+    await this.timer.advance((seconds + longestDeadlineSeconds + 1) * 1_000);
     for (const side of this.sides.values()) this.figures.pauses += side.pauses;
     this.figures.runs = 1;
     return this.figures;
@@ -148,7 +148,7 @@
 
   #addSides(pool: Pool): void {
     for (const listed of pool.endpoints) {
-      this.#zoneOf.set(listed.id, listed.availabilityZone);
+      this.#zoneByEndpoint.set(listed.id, listed.availabilityZone);
       this.sides.set(
         listed.id,
         new SideModel({
@@ -157,8 +157,8 @@
           role: listed.role ?? "mixed",
           engine: pool.engine,
           serviceSlots: this.#deployment.serviceSlots,
-          plain: this.#variant.plain ?? false,
-          mostWaiting: this.#variant.sideWaiting ?? SIDE_WAITING,
+          fifo: this.#variant.fifo ?? false,
+          mostWaiting: this.#variant.sideWaiting ?? DEFAULT_SIDE_WAITING,
           toleratedSlowdown: this.#variant.toleratedSlowdown,
         }),
       );
@@ -180,17 +180,17 @@
     this.entries.push(entry);
   }
 
-  #arrive(arrivals: readonly Arrival[], index: number): void {
+  #scheduleArrivals(arrivals: readonly Arrival[], index: number): void {
     const arrival = arrivals[index];
     if (arrival === undefined) return;
     this.timer.after(arrival.at - this.timer.now(), () => {
-      this.#arrive(arrivals, index + 1);
+      this.#scheduleArrivals(arrivals, index + 1);
       this.#submit(arrival);
     });
   }
 
-  #report(): void {
-    if (!this.reportsAlive) return;
+  #sendReports(): void {
+    if (!this.reportsEnabled) return;
     for (const side of this.sides.values()) {
       if (!side.reachable) continue;
       const report = side.report();
@@ -202,28 +202,28 @@
     }
   }
 
-  #plan(): void {
-    if (!this.plannerAlive || this.timer.now() > this.#arrivalsEnd) return;
+  #runPlanner(): void {
+    if (!this.plannerAlive || this.timer.now() > this.#lastArrivalAt) return;
     const changes = this.#planner.plan({
       now: this.timer.now(),
       rules: this.#deployment.rules.planner ?? {},
       logAvailable: true,
       pools: this.#inventory.pools.filter((pool) => pool.engine)
-        .map((pool) => this.#poolPicture(pool)),
+        .map((pool) => this.#poolState(pool)),
     });
     for (const change of changes) {
       if (this.timer.now() >= this.measuredFrom) this.figures.roleChanges += 1;
-      this.timer.after(ORDER_MILLISECONDS, () => {
+      this.timer.after(ORDER_DELAY_MILLISECONDS, () => {
         this.sides.get(change.endpoint)?.changeRole(change.to, () => {});
       });
     }
   }
 
-  #poolPicture(pool: Pool) {
+  #poolState(pool: Pool) {
     const demand = new Map<string, ClassDemand>();
     for (const entry of this.entries) {
       const seen = entry.demand().find((one) => one.pool === pool.name);
-      for (const one of seen?.classes ?? []) addDemand(demand, one);
+      for (const one of seen?.classes ?? []) mergeDemand(demand, one);
     }
     return {
       pool: pool.name,
@@ -235,7 +235,7 @@
         return {
           endpoint: identifier<EndpointId>(listed.id),
           availabilityZone: listed.availabilityZone,
-          role: side.presentRole,
+          role: side.currentRole,
           changingTo: side.changingTo,
           serving: side.serving,
         };
@@ -247,12 +247,12 @@
     const { workClass } = arrival.shape;
     const index = arrival.entry;
     const zone = this.#inventory.availabilityZones[index];
-    const open: Open = {
+    const open: OpenRequest = {
       arrival,
       entry: this.entries[index],
       zone,
-      profile: this.#profile(arrival, zone),
-      tries: 0,
+      makeProfile: this.#profile(arrival, zone),
+      attempts: 0,
       done: false,
       stop: () => {},
     };
@@ -264,13 +264,13 @@
       open.stop();
       this.#finish(open, "late");
     });
-    this.#try(open, open.profile);
+    this.#submitAttempt(open, open.makeProfile);
     if (open.done) alarm.cancel();
   }
 
   #profile(arrival: Arrival, zone: string): RequestProfile {
     const { shape } = arrival;
-    const id = `request-${this.#sequence++}`;
+    const id = `request-${this.#nextRequestNumber++}`;
     return {
       requestId: identifier<RequestId>(id),
       workspace: identifier<WorkspaceId>(arrival.workspace),
@@ -281,40 +281,45 @@
       mostOutputTokens: 2_000,
       deliveredTokens: 0,
       deadline: this.timer.now() + shape.workClass.deadlineSeconds * 1_000,
-      prefixHashes: arrival.document ? prefixesOf(arrival.document, id) : [],
+      prefixHashes: arrival.document
+        ? prefixHashesOf(arrival.document, id)
+        : [],
       idempotent: shape.idempotent,
       excluded: new Set(),
       availabilityZone: identifier<AvailabilityZoneId>(zone),
     };
   }
 
-  #try(open: Open, profile: RequestProfile): void {
-    const submitted = open.tries === 0
+  #submitAttempt(open: OpenRequest, profile: RequestProfile): void {
+    const submitted = open.attempts === 0
       ? open.entry.submit(profile)
       : open.entry.resubmit(profile);
-    open.tries += 1;
+    open.attempts += 1;
     if (submitted.isErr()) return this.#finish(open, "refused");
-    void this.#place(open, submitted.value);
+    void this.#awaitPlacement(open, submitted.value);
   }
 
-  async #place(open: Open, waiting: WaitingRequest): Promise<void> {
+  async #awaitPlacement(
+    open: OpenRequest,
+    waiting: WaitingRequest,
+  ): Promise<void> {
     open.stop = () => waiting.cancel();
     const placed = await waiting.placed;
     if (placed.isErr()) return this.#finish(open, "refused");
     if (open.done) return placed.value.release(cancelledSummary());
-    this.#attempt(open, placed.value);
+    this.#runAttempt(open, placed.value);
   }
 
-  #attempt(open: Open, placement: Placement): void {
+  #runAttempt(open: OpenRequest, placement: Placement): void {
     const { arrival } = open;
     const side = this.sides.get(placement.endpoint) as SideModel;
-    const delay = this.#zoneOf.get(placement.endpoint) === open.zone
-      ? SAME_ZONE_MILLISECONDS
-      : OTHER_ZONE_MILLISECONDS;
+    const delay = this.#zoneByEndpoint.get(placement.endpoint) === open.zone
+      ? SAME_ZONE_LATENCY_MILLISECONDS
+      : OTHER_ZONE_LATENCY_MILLISECONDS;
     const placedAt = this.timer.now();
     let firstTokenAt: number | undefined;
     let cancelAtSide: (() => void) | undefined;
-    const attemptId = `${open.profile.requestId}/${open.tries}`;
+    const attemptId = `${open.makeProfile.requestId}/${open.attempts}`;
     open.stop = () => {
       placement.release(cancelledSummary());
       this.timer.after(delay, () => cancelAtSide?.());
@@ -324,7 +329,7 @@
       if (open.done) return;
       if (!side.reachable) {
         return this.timer.after(delay, () => {
-          this.#attemptEnded(open, placement, {
+          this.#onAttemptEnd(open, placement, {
             result: "failed",
             tokens: 0,
             totalMilliseconds: 2 * delay,
@@ -333,10 +338,10 @@
       }
       cancelAtSide = side.run({
         attemptId,
-        className: open.profile.className,
+        className: open.makeProfile.className,
         priority: arrival.shape.workClass.priority,
         mayPause: arrival.shape.workClass.mayPause ?? false,
-        deadlineMilliseconds: open.profile.deadline - this.timer.now(),
+        deadlineMilliseconds: open.makeProfile.deadline - this.timer.now(),
         promptTokens: arrival.promptTokens,
         outputTokens: arrival.outputTokens,
         callMilliseconds: arrival.callMilliseconds,
@@ -347,8 +352,10 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") this.#told(open, firstTokenAt, now);
-            this.#attemptEnded(open, placement, {
+            if (result === "answered") {
+              this.#recordTokenTimes(open, firstTokenAt, now);
+            }
+            this.#onAttemptEnd(open, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
               totalMilliseconds: now - placedAt,
@@ -363,8 +370,8 @@
     });
   }
 
-  #attemptEnded(
-    open: Open,
+  #onAttemptEnd(
+    open: OpenRequest,
     placement: Placement,
     summary: AttemptSummary,
   ): void {
@@ -372,16 +379,21 @@
     placement.release(summary);
     if (summary.result === "answered") return this.#finish(open, "onTime");
     this.figures.sentBack += 1;
-    const again = summary.result === "not_run" || open.profile.idempotent;
-    if (!again || open.tries >= MOST_TRIES) {
+    const retryable = summary.result === "not_run" ||
+      open.makeProfile.idempotent;
+    if (!retryable || open.attempts >= MAX_ATTEMPTS) {
       return this.#finish(open, "refused");
     }
-    const excluded = new Set(open.profile.excluded);
+    const excluded = new Set(open.makeProfile.excluded);
     excluded.add(placement.endpoint);
-    this.#try(open, { ...open.profile, excluded });
+    this.#submitAttempt(open, { ...open.makeProfile, excluded });
   }
 
-  #told(open: Open, firstTokenAt: number | undefined, now: number): void {
+  #recordTokenTimes(
+    open: OpenRequest,
+    firstTokenAt: number | undefined,
+    now: number,
+  ): void {
     const { arrival } = open;
     if (open.done || firstTokenAt === undefined) return;
     if (arrival.at < this.measuredFrom) return;
@@ -390,7 +402,7 @@
     figures.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
   }
 
-  #finish(open: Open, result: "onTime" | "late" | "refused"): void {
+  #finish(open: OpenRequest, result: "onTime" | "late" | "refused"): void {
     if (open.done) return;
     open.done = true;
     const { arrival } = open;
@@ -402,8 +414,8 @@
 
 const PREFIX_BLOCKS = 10;
 
-/** Hashes of the prompt's blocks: the document's first, then its own. */
-function prefixesOf(document: string, id: string): string[] {
+/** Hashes of the prompt's blocks: those of the document first, then unique ones. */
+function prefixHashesOf(document: string, id: string): string[] {
   const shared = Math.round(DOCUMENT_SHARE * PREFIX_BLOCKS);
   return Array.from(
     { length: PREFIX_BLOCKS },
@@ -415,7 +427,7 @@
   return { result: "cancelled", tokens: 0, totalMilliseconds: 0 };
 }
 
-function addDemand(
+function mergeDemand(
   sums: Map<string, ClassDemand>,
   seen: Omit<ClassDemand, "value">,
 ): void {
@@ -435,7 +447,7 @@
   });
 }
 
-/** The inventory with its engines in the given roles, spread over the zones. */
+/** Returns the inventory with the given roles assigned to its engines. */
 function withRoles(
   inventory: Inventory,
   roles: ReadonlyMap<string, RoleCounts>,
@@ -443,14 +455,14 @@
   const pools = inventory.pools.map((pool) => {
     const counts = roles.get(pool.name);
     if (counts === undefined) return pool;
-    const list = [
+    const endpointRoles = [
       ...Array(counts.prefill).fill("prefill"),
       ...Array(counts.decode).fill("decode"),
       ...Array(counts.mixed).fill("mixed"),
     ];
     const endpoints = pool.endpoints.map((one, index) => ({
       ...one,
-      role: list[index],
+      role: endpointRoles[index],
     }));
     return { ...pool, endpoints };
   });
--- a/bench/load_side.ts
+++ b/bench/load_side.ts
@@ -1,4 +1,4 @@
-/** One endpoint of a run: the side's limiter before the engine or service. */
+/** Models one endpoint: the side's limiter in front of the engine or service. */
 import { SideLimiter, type Slot } from "../src/core/limits/mod.ts";
 import type { Role } from "../src/core/roles/mod.ts";
 import type { TimerService } from "../src/core/time/mod.ts";
@@ -12,8 +12,8 @@
   readonly role: Role;
   readonly engine?: EngineCharacteristics;
   readonly serviceSlots: number;
-  /** True: the side and the engine know no priorities and no bound. */
-  readonly plain: boolean;
+  /** Side and engine use neither priorities nor a queue limit. */
+  readonly fifo: boolean;
   readonly speed?: number;
   readonly mostWaiting: number;
   readonly toleratedSlowdown?: number;
@@ -30,7 +30,7 @@
   readonly callMilliseconds: number;
   readonly prefix?: { hash: string; share: number };
   readonly onFirstToken: () => void;
-  /** `failed`: it broke at the endpoint. */
+  /** `failed` means that the attempt failed at the endpoint. */
   readonly onEnd: (
     result: "answered" | "not_run" | "failed",
     load: EndpointLoad,
@@ -41,15 +41,15 @@
   readonly endpoint: string;
   readonly engine?: EngineModel;
   readonly limiter: SideLimiter;
-  /** Share of the attempts that fail at once. */
+  /** If positive, every attempt fails after 5 ms. */
   failureShare = 0;
   reachable = true;
   pauses = 0;
   readonly #options: SideModelOptions;
   readonly #jobs = new Map<string, RunningJob>();
   #state: SideReport["state"] = "serving";
-  readonly #open = new Set<() => void>();
-  #target: Role | undefined;
+  readonly #openAttempts = new Set<() => void>();
+  #targetRole: Role | undefined;
   #onChanged: (() => void) | undefined;
 
   constructor(options: SideModelOptions) {
@@ -66,22 +66,22 @@
     this.limiter = new SideLimiter({
       timer: options.timer,
       mostRunning: this.engine?.slots ?? options.serviceSlots,
-      mostWaiting: options.plain ? Infinity : options.mostWaiting,
+      mostWaiting: options.fifo ? Infinity : options.mostWaiting,
       mostBeforeFirstToken: options.engine === undefined ? 0 : 2,
-      toleratedSlowdown: options.plain ? Infinity : options.toleratedSlowdown,
+      toleratedSlowdown: options.fifo ? Infinity : options.toleratedSlowdown,
     });
   }
 
   get role(): Role {
-    return this.#target ?? this.engine?.role ?? "mixed";
+    return this.#targetRole ?? this.engine?.role ?? "mixed";
   }
 
-  get presentRole(): Role {
+  get currentRole(): Role {
     return this.engine?.role ?? "mixed";
   }
 
   get changingTo(): Role | undefined {
-    return this.#target;
+    return this.#targetRole;
   }
 
   get serving(): boolean {
@@ -111,59 +111,59 @@
     };
   }
 
-  /** Drains, changes, and takes work again. */
+  /** Drains the endpoint, changes its role, then accepts work again. */
   changeRole(role: Role, onChanged: () => void): void {
-    if (this.#target !== undefined) return;
-    this.#target = role;
+    if (this.#targetRole !== undefined) return;
+    this.#targetRole = role;
     this.#state = "changing";
     this.#onChanged = onChanged;
     this.#changeWhenDrained();
   }
 
-  /** Everything at the endpoint breaks off, and its links with it. */
+  /** Makes the endpoint unreachable and fails all its attempts. */
   lose(): void {
     this.reachable = false;
     for (const job of this.#jobs.values()) job.cancel();
-    for (const breakOff of [...this.#open]) breakOff();
+    for (const failAttempt of [...this.#openAttempts]) failAttempt();
   }
 
-  /** Returns what gives the attempt up. */
+  /** Runs an attempt; returns a function that cancels it. */
   run(attempt: SideAttempt): () => void {
     let slot: Slot | undefined;
     let job: RunningJob | undefined;
-    let over = false;
-    const breakOff = () => end("failed");
+    let settled = false;
+    const failAttempt = () => end("failed");
     const end = (result: "answered" | "not_run" | "failed") => {
-      if (over) return;
-      over = true;
-      this.#open.delete(breakOff);
-      this.#leave(attempt, slot);
+      if (settled) return;
+      settled = true;
+      this.#openAttempts.delete(failAttempt);
+      this.#finishAttempt(attempt, slot);
       attempt.onEnd(result, this.load());
     };
     if (this.#state !== "serving") {
-      over = true;
+      settled = true;
       attempt.onEnd("not_run", this.load());
       return () => {};
     }
-    this.#open.add(breakOff);
+    this.#openAttempts.add(failAttempt);
     void this.limiter.enter({
       ...attempt,
-      priority: this.#options.plain ? 0 : attempt.priority,
-      mayPause: attempt.mayPause && !this.#options.plain,
-    }).then((entered) => {
-      if (entered.isErr()) return end("not_run");
-      slot = entered.value;
-      if (over) return slot.release();
+      priority: this.#options.fifo ? 0 : attempt.priority,
+      mayPause: attempt.mayPause && !this.#options.fifo,
+    }).then((admitted) => {
+      if (admitted.isErr()) return end("not_run");
+      slot = admitted.value;
+      if (settled) return slot.release();
       job = this.#start(attempt, slot, end);
       this.#jobs.set(attempt.attemptId, job);
     });
     this.#pauseForUrgent();
     return () => {
-      if (over) return;
-      over = true;
+      if (settled) return;
+      settled = true;
       job?.cancel();
-      this.#open.delete(breakOff);
-      this.#leave(attempt, slot);
+      this.#openAttempts.delete(failAttempt);
+      this.#finishAttempt(attempt, slot);
     };
   }
 
@@ -174,21 +174,21 @@
   ): RunningJob {
     const { timer } = this.#options;
     if (this.failureShare > 0) {
-      const alarm = timer.after(5, () => end("failed"));
-      return { cancel: () => alarm.cancel(), pause() {}, resume() {} };
+      const failureTimer = timer.after(5, () => end("failed"));
+      return { cancel: () => failureTimer.cancel(), pause() {}, resume() {} };
     }
     if (this.engine === undefined) {
       const speed = this.#options.speed ?? 1;
-      const alarm = timer.after(
+      const callTimer = timer.after(
         attempt.callMilliseconds / speed,
         () => end("answered"),
       );
-      return { cancel: () => alarm.cancel(), pause() {}, resume() {} };
+      return { cancel: () => callTimer.cancel(), pause() {}, resume() {} };
     }
     return this.engine.start({
       promptTokens: attempt.promptTokens,
       outputTokens: attempt.outputTokens,
-      priority: this.#options.plain ? 0 : attempt.priority,
+      priority: this.#options.fifo ? 0 : attempt.priority,
       prefix: attempt.prefix,
       onFirstToken: () => {
         slot.token();
@@ -198,7 +198,7 @@
     });
   }
 
-  #leave(attempt: SideAttempt, slot: Slot | undefined): void {
+  #finishAttempt(attempt: SideAttempt, slot: Slot | undefined): void {
     this.#jobs.delete(attempt.attemptId);
     slot?.release();
     this.#resumePaused();
@@ -223,11 +223,11 @@
   }
 
   #changeWhenDrained(): void {
-    if (this.#target === undefined || this.#open.size > 0) return;
+    if (this.#targetRole === undefined || this.#openAttempts.size > 0) return;
     if (this.engine === undefined || this.engine.outOfService) return;
-    const role = this.#target;
+    const role = this.#targetRole;
     this.engine.changeRole(role, () => {
-      this.#target = undefined;
+      this.#targetRole = undefined;
       this.#state = "serving";
       this.limiter.useCeiling(this.engine?.slots ?? 1);
       this.#onChanged?.();
--- a/bench/load_sweeps.ts
+++ b/bench/load_sweeps.ts
@@ -1,6 +1,6 @@
 /**
- * Sweeps that the constants of the decisions come from. Prints one table in
- * Markdown for each constant: `npm run bench:sweeps [-- --only NAME]`.
+ * Parameter sweeps for the constants of scheduling and role planning. Prints
+ * one Markdown table per constant: `npm run bench:sweeps [-- --only NAME]`.
  */
 import { parseArgs } from "node:util";
 import { DEPLOYMENTS } from "./load_deployments.ts";
@@ -16,10 +16,10 @@
 
 const LOADS = [1, 2];
 const SEEDS = [1, 2];
-/** The mix turns every quarter of an hour instead of every hundred seconds. */
+/** The mix reverses every 15 minutes instead of every 100 seconds. */
 const SLOW_SWING: CellChanges = { periodSeconds: 1_800, seconds: 1_200 };
 
-function scheduling(
+function schedulingSweep(
   name: keyof NonNullable<CellChanges["scheduling"]>,
   values: readonly (number | boolean)[],
 ): Sweep {
@@ -31,7 +31,7 @@
   };
 }
 
-function planner(
+function plannerSweep(
   name: keyof NonNullable<CellChanges["planner"]>,
   values: readonly number[],
 ): Sweep {
@@ -44,7 +44,7 @@
 }
 
 const SWEEPS: readonly Sweep[] = [
-  scheduling("choices", [2, 8, 24]),
+  schedulingSweep("choices", [2, 8, 24]),
   {
     name: "choices, reports 5 s old",
     settings: [2, 8, 24].map((value) =>
@@ -54,16 +54,16 @@
       ] as const
     ),
   },
-  scheduling("engineCostWeight", [0, 2, 6]),
-  scheduling("dividesByRole", [false, true]),
-  scheduling("learnsDrain", [false, true]),
-  scheduling("thinsClasses", [false, true]),
-  scheduling("thinningWaitShare", [0, 0.1, 0.5]),
-  scheduling("mostPrefillWaitMilliseconds", [500, 1_500, 3_000, 10_000]),
-  scheduling("extraPlaces", [0, 1, 2]),
-  scheduling("lessUrgentShare", [0.7, 0.85, 1]),
-  scheduling("reportHalfLifeMilliseconds", [300, 1_000, 4_000]),
-  scheduling("otherDeviations", [0, 1, 2]),
+  schedulingSweep("engineCostWeight", [0, 2, 6]),
+  schedulingSweep("dividesByRole", [false, true]),
+  schedulingSweep("learnsDrain", [false, true]),
+  schedulingSweep("thinsClasses", [false, true]),
+  schedulingSweep("thinningWaitShare", [0, 0.1, 0.5]),
+  schedulingSweep("mostPrefillWaitMilliseconds", [500, 1_500, 3_000, 10_000]),
+  schedulingSweep("extraPlaces", [0, 1, 2]),
+  schedulingSweep("lessUrgentShare", [0.7, 0.85, 1]),
+  schedulingSweep("reportHalfLifeMilliseconds", [300, 1_000, 4_000]),
+  schedulingSweep("otherDeviations", [0, 1, 2]),
   {
     name: "sideWaiting",
     settings: [2, 8, 16].map((value) =>
@@ -76,7 +76,7 @@
       [String(value), { toleratedSlowdown: value }] as const
     ),
   },
-  planner("noiseDeviations", [0, 0.3, 1]),
+  plannerSweep("noiseDeviations", [0, 0.3, 1]),
   {
     name: "roleChangeWeight",
     settings: [0, 0.5, 4].map((value) =>
@@ -90,7 +90,7 @@
   })),
 ];
 
-async function print(sweep: Sweep): Promise<void> {
+async function printSweep(sweep: Sweep): Promise<void> {
   const cells: Cell[] = sweep.settings.flatMap(([, changes]) =>
     DEPLOYMENTS.flatMap(({ name }) =>
       LOADS.map((load) => ({
@@ -103,20 +103,20 @@
     )
   );
   const results = await runCells(cells);
-  const heads = DEPLOYMENTS.flatMap(({ name }) =>
+  const columnHeaders = DEPLOYMENTS.flatMap(({ name }) =>
     LOADS.map((load) => `${name} ${load}`)
   );
-  console.log(`\n| ${[sweep.name, ...heads].join(" | ")} |`);
-  console.log(`| ${["---", ...heads.map(() => "---")].join(" | ")} |`);
+  console.log(`\n| ${[sweep.name, ...columnHeaders].join(" | ")} |`);
+  console.log(`| ${["---", ...columnHeaders.map(() => "---")].join(" | ")} |`);
   for (const [label, changes] of sweep.settings) {
     const columns = DEPLOYMENTS.flatMap((deployment) =>
       LOADS.map((load) => {
-        const found = results.find(({ cell }) =>
+        const result = results.find(({ cell }) =>
           cell.deployment === deployment.name && cell.load === load &&
           JSON.stringify(cell.changes) === JSON.stringify(changes)
         );
         const figures = new RunFigures();
-        if (found !== undefined) figures.add(found.figures);
+        if (result !== undefined) figures.addSerialized(result.figures);
         const urgent = deployment.shapes[0].workClass.name;
         return [
           figures.all().goodput.toFixed(4),
@@ -133,5 +133,5 @@
 console.log("Goodput / goodput of the most urgent class / role changes a run.");
 for (const sweep of SWEEPS) {
   if (values.only !== undefined && !sweep.name.includes(values.only)) continue;
-  await print(sweep);
+  await printSweep(sweep);
 }
--- a/bench/once.ts
+++ b/bench/once.ts
@@ -1,9 +1,10 @@
 /**
- * Added latency of at-most-once execution on virtual time: from the request's
- * arrival at an entry to its permit, with appends gathered for several delays
- * and with none, at several arrival rates, before a log that takes 400 calls
- * a second. Then the records a request would cost if ownership carried over
- * between the requests of a workspace. Ends with one line of JSON.
+ * Latency that at-most-once execution adds, on virtual time: from a request's
+ * arrival at an entry until it may run. Compares several batching delays with
+ * unbatched appends at several arrival rates, against a log that handles 400
+ * calls a second. Then estimates the log records per request if ownership
+ * carried over between the requests of a workspace. The last line of the output
+ * is JSON.
  */
 import process from "node:process";
 import { ok } from "neverthrow";
@@ -16,15 +17,15 @@
 import { makeJournal } from "../test/support/coordination.ts";
 import { FakeLog } from "../test/support/fake_log.ts";
 
-/** A customer of today, and a region of the size to come. */
-const ENTRIES = [3, 40];
+/** Entries of one present deployment, and of a large region. */
+const ENTRY_COUNTS = [3, 40];
 const RATES_PER_SECOND = [20, 100, 300, 800];
-/** -1: every record is a call of its own. */
-const DELAYS_MILLISECONDS = [-1, 0, 5, 20, 50, 100];
+/** With -1, every record is appended by a separate call. */
+const APPEND_DELAYS_MILLISECONDS = [-1, 0, 5, 20, 50, 100];
 const RUN_MILLISECONDS = 3_000;
 const LOG_CALLS_PER_SECOND = 400;
 const LOG_LATENCY_MILLISECONDS = 4;
-const KEY_BEGIN = "019b76da-a800-7000-8000-";
+const KEY_PREFIX = "019b76da-a800-7000-8000-";
 
 interface Point {
   readonly entries: number;
@@ -32,18 +33,18 @@
   readonly delayMilliseconds: number;
   readonly medianMilliseconds: number;
   readonly p99Milliseconds: number;
-  /** Requests without a permit at the end: the log does not keep up. */
+  /** Requests not permitted to run by the end, because the log lags behind. */
   readonly unserved: number;
   /** Calls that were sent, whether or not the log has come to them. */
   readonly appendCallsPerSecond: number;
 }
 
-function randomOf(name: string): Random {
+function randomFor(name: string): Random {
   return seededRandom(hashToUnit(name) * 2 ** 32);
 }
 
-/** A log that takes its calls one after another, at a bounded rate. */
-class BoundedLog {
+/** Wraps a log so that appends are serialized at a limited rate. */
+class RateLimitedLog {
   calls = 0;
   readonly #timer: ManualTimerService;
   #freeAt = 0;
@@ -52,14 +53,14 @@
     this.#timer = timer;
   }
 
-  over(log: LogService, gathers: boolean): LogService {
+  wrap(log: LogService, batches: boolean): LogService {
     return {
       append: async (stream, records) => {
-        if (gathers) return await this.#append(log, { stream, records });
-        const answers = records.map((record) =>
+        if (batches) return await this.#append(log, { stream, records });
+        const results = records.map((record) =>
           this.#append(log, { stream, records: [record] })
         );
-        return (await Promise.all(answers))[0];
+        return (await Promise.all(results))[0];
       },
       read: (stream, options) => log.read(stream, options),
     };
@@ -75,11 +76,11 @@
     this.calls += 1;
     const now = this.#timer.now();
     this.#freeAt = Math.max(this.#freeAt, now) + 1_000 / LOG_CALLS_PER_SECOND;
-    await this.#pass(this.#freeAt - now);
+    await this.#wait(this.#freeAt - now);
     return await log.append(call.stream, call.records);
   }
 
-  #pass(milliseconds: number): Promise<void> {
+  #wait(milliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       this.#timer.after(milliseconds, resolve);
     });
@@ -96,7 +97,7 @@
     timer,
     latencyMilliseconds: LOG_LATENCY_MILLISECONDS,
   });
-  const bounded = new BoundedLog(timer);
+  const rateLimitedLog = new RateLimitedLog(timer);
   const coordinators = Array.from({ length: entries }, (_, index) => {
     const { journal, fold } = makeJournal(new OnceFold(), {
       log,
@@ -104,7 +105,7 @@
       name: `entry-${index}`,
       stream: identifier("once.klang-valley"),
       journal: {
-        log: bounded.over(log.connect(), delayMilliseconds >= 0),
+        log: rateLimitedLog.wrap(log.connect(), delayMilliseconds >= 0),
         appendDelayMilliseconds: Math.max(0, delayMilliseconds),
         writesCheckpoints: false,
       },
@@ -117,34 +118,36 @@
       ask: () => new Promise(() => {}),
     });
   });
-  const waits = await drive(coordinators, { timer, ratePerSecond });
-  waits.served.sort((one, other) => one - other);
-  const at = (share: number) =>
-    round(waits.served[Math.floor(share * (waits.served.length - 1))] ?? NaN);
+  const run = await runRequests(coordinators, { timer, ratePerSecond });
+  run.latencies.sort((a, b) => a - b);
+  const percentile = (share: number) =>
+    round(run.latencies[Math.floor(share * (run.latencies.length - 1))] ?? NaN);
   return {
     entries,
     ratePerSecond,
     delayMilliseconds,
-    medianMilliseconds: at(0.5),
-    p99Milliseconds: at(0.99),
-    unserved: waits.sent - waits.served.length,
-    appendCallsPerSecond: round(bounded.calls / (RUN_MILLISECONDS / 1_000)),
+    medianMilliseconds: percentile(0.5),
+    p99Milliseconds: percentile(0.99),
+    unserved: run.sent - run.latencies.length,
+    appendCallsPerSecond: round(
+      rateLimitedLog.calls / (RUN_MILLISECONDS / 1_000),
+    ),
   };
 }
 
-/** Requests come at random times, each with a key of its own. */
-async function drive(
+/** Sends requests with exponential interarrival times and distinct keys. */
+async function runRequests(
   coordinators: readonly OnceCoordinator[],
   options: { timer: ManualTimerService; ratePerSecond: number },
-): Promise<{ served: number[]; sent: number }> {
+): Promise<{ latencies: number[]; sent: number }> {
   const { timer, ratePerSecond } = options;
-  const random = randomOf(`arrivals ${ratePerSecond}`);
-  const served: number[] = [];
+  const random = randomFor(`arrivals ${ratePerSecond}`);
+  const latencies: number[] = [];
   let sent = 0;
   const send = () => {
     const number = sent++;
-    const began = timer.now();
-    const key = KEY_BEGIN + String(number).padStart(12, "0");
+    const startedAt = timer.now();
+    const key = KEY_PREFIX + String(number).padStart(12, "0");
     const entry = coordinators[Math.floor(random() * coordinators.length)];
     void entry.acquire({
       key,
@@ -156,30 +159,30 @@
           sideIncarnation: identifier("i"),
         })),
     }).then((result) => {
-      if (result.kind === "run") served.push(timer.now() - began);
+      if (result.kind === "run") latencies.push(timer.now() - startedAt);
     });
     const wait = -Math.log(1 - random()) * 1_000 / ratePerSecond;
     if (timer.now() + wait < RUN_MILLISECONDS) timer.after(wait, send);
   };
   timer.after(100, send);
   await timer.advance(RUN_MILLISECONDS + 200);
-  return { served, sent };
+  return { latencies, sent };
 }
 
 interface CarryOver {
   readonly entries: number;
-  /** Share of requests that the balancer sends to the workspace's last entry. */
+  /** Fraction of requests that the balancer routes to the holding entry. */
   readonly sticky: number;
   readonly recordsPerRequest: number;
 }
 
 /**
- * Ownership of a workspace's calls stays at its entry until another entry
- * needs it: then the holder gives it up (one record) and the other takes it
- * (one record). Without carry-over each request costs one record.
+ * Simulates ownership that stays at a workspace's entry until another entry
+ * needs it. A transfer then costs two records: the holder's release and the
+ * other entry's acquisition. Without carry-over, each request costs one record.
  */
-function carryOver(entries: number, sticky: number): CarryOver {
-  const random = randomOf(`carry ${entries} ${sticky}`);
+function simulateCarryOver(entries: number, sticky: number): CarryOver {
+  const random = randomFor(`carry ${entries} ${sticky}`);
   const holders = new Map<number, number>();
   const requests = 20_000;
   const workspaces = 200;
@@ -187,8 +190,8 @@
   for (let request = 0; request < requests; request += 1) {
     const workspace = Math.floor(workspaces * random() ** 2);
     const holder = holders.get(workspace);
-    const stays = holder !== undefined && random() < sticky;
-    const entry = stays ? holder : Math.floor(random() * entries);
+    const isSticky = holder !== undefined && random() < sticky;
+    const entry = isSticky ? holder : Math.floor(random() * entries);
     if (entry === holder) continue;
     records += holder === undefined ? 1 : 2;
     holders.set(workspace, entry);
@@ -196,16 +199,16 @@
   return { entries, sticky, recordsPerRequest: round(records / requests) };
 }
 
-const KEYS_HELD = 200_000;
+const STORED_KEY_COUNT = 200_000;
 
-/** Heap that each remembered key takes at an entry, bytes. */
+/** Heap bytes per idempotency key that an entry stores. */
 function bytesPerKey(): number {
   const fold = new OnceFold();
   const before = process.memoryUsage().heapUsed;
-  for (let number = 0; number < KEYS_HELD; number += 1) {
-    const key = `crew-${number % 3_400}/${KEY_BEGIN}` +
+  for (let number = 0; number < STORED_KEY_COUNT; number += 1) {
+    const key = `crew-${number % 3_400}/${KEY_PREFIX}` +
       String(number).padStart(12, "0");
-    // As a reader gets it: every text is a new one.
+    // Parsing allocates new strings, as reading the record from the log does.
     const body = JSON.parse(JSON.stringify({
       kind: "once",
       key,
@@ -226,27 +229,27 @@
 }
 
 const points: Point[] = [];
-const loads = ENTRIES.flatMap((entries) =>
+const loads = ENTRY_COUNTS.flatMap((entries) =>
   RATES_PER_SECOND.map((ratePerSecond) => ({ entries, ratePerSecond }))
 );
 for (const load of loads) {
-  for (const delay of DELAYS_MILLISECONDS) {
+  for (const delay of APPEND_DELAYS_MILLISECONDS) {
     const point = await measure(load, delay);
     points.push(point);
-    const gathered = delay < 0 ? "each alone" : `gathered ${delay} ms`;
+    const batching = delay < 0 ? "each alone" : `gathered ${delay} ms`;
     console.log(
-      `${load.entries} entries, ${load.ratePerSecond} a second, ${gathered}: median ${point.medianMilliseconds} ms, ` +
+      `${load.entries} entries, ${load.ratePerSecond} a second, ${batching}: median ${point.medianMilliseconds} ms, ` +
         `99 in 100 within ${point.p99Milliseconds} ms, ` +
         `${point.appendCallsPerSecond} calls a second, ` +
         `${point.unserved} unserved`,
     );
   }
 }
-const carried = ENTRIES.flatMap((entries) =>
-  [0, 0.5, 0.9].map((sticky) => carryOver(entries, sticky))
+const carried = ENTRY_COUNTS.flatMap((entries) =>
+  [0, 0.5, 0.9].map((sticky) => simulateCarryOver(entries, sticky))
 );
 for (const each of carried) console.log(JSON.stringify(each));
-const memory = { keys: KEYS_HELD, bytesPerKey: bytesPerKey() };
+const memory = { keys: STORED_KEY_COUNT, bytesPerKey: bytesPerKey() };
 console.log(JSON.stringify(memory));
 console.log(
   JSON.stringify({ once: { points, carryOver: carried, memory } }),
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,40 +1,40 @@
 /**
- * What entry and side add to calling the engine directly: time to the first
- * token, age of tokens, processor time for each token, memory for each open
- * stream, and how many tokens and requests a second one entry and one side
- * carry. Every ratio is between two figures of the same run. The last line is
- * JSON. `--profile FOLDER` writes processor profiles of entry and side.
+ * Overhead of entry and side compared with calling the engine directly: time to
+ * first token, token latency, CPU time per token and memory per open stream.
+ * Also measures the maximum tokens and requests per second of one entry and one
+ * side. Every ratio compares two figures of the same run. The last line is JSON.
+ * `--profile FOLDER` writes CPU profiles of entry and side.
  */
 import { mkdirSync } from "node:fs";
 import process from "node:process";
 import { builtBinary } from "../test/support/built_binary.ts";
 import { PathProcesses } from "./path_processes.ts";
-import { type ProcessFigures, readProcess, sleep } from "./process_figures.ts";
+import { type ProcessStats, readProcess, sleep } from "./process_figures.ts";
 import { StreamLoad } from "./stream_load.ts";
 
-const STREAMS = [1, 100, 1_000];
+const STREAM_COUNTS = [1, 100, 1_000];
 const SHORT_REQUESTS = 300;
 const WARM_UP_REQUESTS = 300;
-const PACED_BEAT_MILLISECONDS = 100;
+const PACED_TICK_MILLISECONDS = 100;
 const WINDOW_MILLISECONDS = 4_000;
-const ENDLESS_TOKENS = 500_000;
-const STREAMS_OPENED_AT_ONCE = 20;
+const UNBOUNDED_TOKENS = 500_000;
+const STREAMS_OPENED_PER_BATCH = 20;
 const FULL_LOAD_STREAMS = 200;
 const CLOSED_LOOP_CALLERS = 64;
 
-/** Processor time and tokens over a window. */
-interface WindowFigures {
+/** CPU time and tokens over a measurement window. */
+interface WindowStats {
   readonly tokensPerSecond: number;
   readonly entryMicrosecondsPerToken: number;
   readonly sideMicrosecondsPerToken: number;
   readonly entryShare: number;
   readonly sideShare: number;
   readonly engineShare: number;
-  readonly ageMedian: number;
+  readonly medianTokenLatency: number;
 }
 
 function percentile(values: readonly number[], share: number): number {
-  const sorted = [...values].sort((one, other) => one - other);
+  const sorted = [...values].sort((a, b) => a - b);
   return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
 }
 
@@ -42,7 +42,7 @@
   return Number(value.toPrecision(4));
 }
 
-/** Times to the first token, one request after the other. */
+/** Times to first token of sequential requests, in milliseconds. */
 async function measureIdleFirstToken(url: string): Promise<number[]> {
   const load = new StreamLoad(url);
   const times: number[] = [];
@@ -54,16 +54,16 @@
   return times;
 }
 
-/** Opens streams a few at a time; gives the times to their first tokens. */
+/** Opens streams in batches; returns their times to first token. */
 async function openStreams(load: StreamLoad, count: number): Promise<number[]> {
   const times: number[] = [];
   while (times.length < count) {
-    const some = Math.min(STREAMS_OPENED_AT_ONCE, count - times.length);
+    const batchSize = Math.min(STREAMS_OPENED_PER_BATCH, count - times.length);
     const opened = Array.from(
-      { length: some },
-      () => load.open(ENDLESS_TOKENS),
+      { length: batchSize },
+      () => load.open(UNBOUNDED_TOKENS),
     );
-    await Promise.all(opened.map((each) => each.first));
+    await Promise.all(opened.map((stream) => stream.first));
     for (const { counts } of opened) times.push(counts.firstTokenMilliseconds);
   }
   return times;
@@ -72,54 +72,54 @@
 async function measureWindow(
   path: PathProcesses,
   load: StreamLoad,
-): Promise<WindowFigures> {
-  const read = () => ({
+): Promise<WindowStats> {
+  const readAll = () => ({
     entry: readProcess(path.entryPid),
     side: readProcess(path.sidePid),
     engine: readProcess(path.enginePid),
   });
   const start = performance.now();
   const tokensBefore = load.tokens;
-  const before = read();
-  load.ages.length = 0;
-  load.keepsAges = true;
+  const before = readAll();
+  load.tokenLatencies.length = 0;
+  load.recordsLatencies = true;
   await sleep(WINDOW_MILLISECONDS);
-  load.keepsAges = false;
-  const after = read();
+  load.recordsLatencies = false;
+  const after = readAll();
   const seconds = (performance.now() - start) / 1_000;
   const tokens = load.tokens - tokensBefore;
-  const used = (name: "entry" | "side" | "engine") =>
-    spent(before[name], after[name]);
+  const cpuSecondsOf = (name: "entry" | "side" | "engine") =>
+    cpuSecondsBetween(before[name], after[name]);
   return {
     tokensPerSecond: tokens / seconds,
-    entryMicrosecondsPerToken: 1e6 * used("entry") / tokens,
-    sideMicrosecondsPerToken: 1e6 * used("side") / tokens,
-    entryShare: used("entry") / seconds,
-    sideShare: used("side") / seconds,
-    engineShare: used("engine") / seconds,
-    ageMedian: percentile(load.ages, 0.5),
+    entryMicrosecondsPerToken: 1e6 * cpuSecondsOf("entry") / tokens,
+    sideMicrosecondsPerToken: 1e6 * cpuSecondsOf("side") / tokens,
+    entryShare: cpuSecondsOf("entry") / seconds,
+    sideShare: cpuSecondsOf("side") / seconds,
+    engineShare: cpuSecondsOf("engine") / seconds,
+    medianTokenLatency: percentile(load.tokenLatencies, 0.5),
   };
 }
 
-function spent(before: ProcessFigures, after: ProcessFigures): number {
+function cpuSecondsBetween(before: ProcessStats, after: ProcessStats): number {
   return after.processorSeconds - before.processorSeconds;
 }
 
-/** Streams at ten tokens a second each, directly and through the path. */
+/** Compares direct and proxied streams at ten tokens per second each. */
 async function measureStreams(path: PathProcesses, count: number) {
-  await path.setPace(PACED_BEAT_MILLISECONDS, 1);
+  await path.setPace(PACED_TICK_MILLISECONDS, 1);
   const direct = new StreamLoad(path.engineUrl);
   const directTimes = await openStreams(direct, count);
   const directFigures = await measureWindow(path, direct);
   direct.close();
-  const through = new StreamLoad(path.entryUrl);
+  const proxied = new StreamLoad(path.entryUrl);
   const memoryBefore = readProcess(path.entryPid).residentBytes;
   const sideMemoryBefore = readProcess(path.sidePid).residentBytes;
-  const times = await openStreams(through, count);
-  const figures = await measureWindow(path, through);
+  const times = await openStreams(proxied, count);
+  const figures = await measureWindow(path, proxied);
   const memory = readProcess(path.entryPid).residentBytes - memoryBefore;
   const sideMemory = readProcess(path.sidePid).residentBytes - sideMemoryBefore;
-  through.close();
+  proxied.close();
   await sleep(1_000);
   return {
     streams: count,
@@ -127,7 +127,7 @@
       percentile(times, 0.5) - percentile(directTimes, 0.5),
     ),
     addedTokenMilliseconds: rounded(
-      figures.ageMedian - directFigures.ageMedian,
+      figures.medianTokenLatency - directFigures.medianTokenLatency,
     ),
     entryMicrosecondsPerToken: rounded(figures.entryMicrosecondsPerToken),
     sideMicrosecondsPerToken: rounded(figures.sideMicrosecondsPerToken),
@@ -136,7 +136,7 @@
   };
 }
 
-/** More tokens than entry and side can take: what arrives is what they carry. */
+/** Offers more tokens than entry and side can forward, to find their limit. */
 async function measureFullLoad(path: PathProcesses) {
   await path.setPace(5, 1);
   const load = new StreamLoad(path.entryUrl);
@@ -156,25 +156,27 @@
   };
 }
 
-/** Short requests, each caller sending the next when it has its answer. */
+/** Closed loop: each caller sends its next request after the response. */
 async function measureRequests(path: PathProcesses) {
   const load = new StreamLoad(path.entryUrl);
   const end = performance.now() + WINDOW_MILLISECONDS;
   const entryBefore = readProcess(path.entryPid);
   const sideBefore = readProcess(path.sidePid);
   let requests = 0;
-  async function callOverAndOver(): Promise<void> {
+  async function sendInLoop(): Promise<void> {
     while (performance.now() < end) {
       await load.open(1).end;
       requests += 1;
     }
   }
   await Promise.all(
-    Array.from({ length: CLOSED_LOOP_CALLERS }, () => callOverAndOver()),
+    Array.from({ length: CLOSED_LOOP_CALLERS }, () => sendInLoop()),
   );
   const seconds = WINDOW_MILLISECONDS / 1_000;
-  const entryShare = spent(entryBefore, readProcess(path.entryPid)) / seconds;
-  const sideShare = spent(sideBefore, readProcess(path.sidePid)) / seconds;
+  const entryShare =
+    cpuSecondsBetween(entryBefore, readProcess(path.entryPid)) / seconds;
+  const sideShare = cpuSecondsBetween(sideBefore, readProcess(path.sidePid)) /
+    seconds;
   return {
     requestsPerSecond: rounded(requests / seconds),
     entryRequestsPerCoreSecond: rounded(requests / seconds / entryShare),
@@ -184,20 +186,20 @@
 
 async function measurePath(path: PathProcesses) {
   const direct = await measureIdleFirstToken(path.engineUrl);
-  const through = await measureIdleFirstToken(path.entryUrl);
+  const proxied = await measureIdleFirstToken(path.entryUrl);
   const idle = {
     directMedianMilliseconds: rounded(percentile(direct, 0.5)),
-    throughMedianMilliseconds: rounded(percentile(through, 0.5)),
+    throughMedianMilliseconds: rounded(percentile(proxied, 0.5)),
     addedMedianMilliseconds: rounded(
-      percentile(through, 0.5) - percentile(direct, 0.5),
+      percentile(proxied, 0.5) - percentile(direct, 0.5),
     ),
     added95thMilliseconds: rounded(
-      percentile(through, 0.95) - percentile(direct, 0.95),
+      percentile(proxied, 0.95) - percentile(direct, 0.95),
     ),
   };
   console.log(idle);
   const streams = [];
-  for (const count of STREAMS) {
+  for (const count of STREAM_COUNTS) {
     const figures = await measureStreams(path, count);
     console.log(figures);
     streams.push(figures);
@@ -210,10 +212,14 @@
 }
 
 builtBinary();
-const profileAt = process.argv.indexOf("--profile");
-const profileFolder = profileAt < 0 ? undefined : process.argv[profileAt + 1];
-if (profileFolder !== undefined) mkdirSync(profileFolder, { recursive: true });
-const path = new PathProcesses({ profileFolder });
+const profileFlagIndex = process.argv.indexOf("--profile");
+const profileDirectory = profileFlagIndex < 0
+  ? undefined
+  : process.argv[profileFlagIndex + 1];
+if (profileDirectory !== undefined) {
+  mkdirSync(profileDirectory, { recursive: true });
+}
+const path = new PathProcesses({ profileDirectory });
 await path.start();
 try {
   const figures = await measurePath(path);
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -11,19 +11,19 @@
 import { sleep } from "./process_figures.ts";
 
 export interface PathOptions {
-  /** Folder for profiles of entry and side; no profiles without it. */
-  readonly profileFolder?: string;
+  /** Directory for CPU profiles of entry and side; none if absent. */
+  readonly profileDirectory?: string;
 }
 
 const BUNDLE = "dist/filbertshore.cjs";
-const MOST_STREAMS = 2_000;
-const READY_MILLISECONDS = 40_000;
-/** A planned stop hands claims over and writes a profile. */
-const STOP_MILLISECONDS = 20_000;
+const MAX_STREAMS = 2_000;
+const READY_TIMEOUT_MILLISECONDS = 40_000;
+/** A graceful shutdown hands over claims and writes the profile. */
+const STOP_TIMEOUT_MILLISECONDS = 20_000;
 
-/** One entry and one side as processes, and the token source behind them. */
+/** Runs one entry, one side and the token source as processes. */
 export class PathProcesses {
-  readonly #folder = mkdtempSync(join(tmpdir(), "filbertshore-path-"));
+  readonly #directory = mkdtempSync(join(tmpdir(), "filbertshore-path-"));
   readonly #log = new LogServiceStandIn();
   readonly #options: PathOptions;
   readonly #children: ChildProcess[] = [];
@@ -54,31 +54,31 @@
       "--port",
       String(engine),
     ]);
-    const common = {
+    const commonSettings = {
       region: REGION,
       availabilityZone: ZONE,
       log: { level: "warn" },
     };
-    this.entryPid = this.#program("entry", {
-      ...common,
+    this.entryPid = this.#startProgram("entry", {
+      ...commonSettings,
       name: "entry-0",
       callers: { host: "127.0.0.1", port: callers },
       peers: { host: "127.0.0.1", port: peers },
       platform: { logService },
-      limits: { mostOpenRequests: MOST_STREAMS, shutdownSeconds: 1 },
+      limits: { mostOpenRequests: MAX_STREAMS, shutdownSeconds: 1 },
     });
-    this.sidePid = this.#program("side", {
-      ...common,
+    this.sidePid = this.#startProgram("side", {
+      ...commonSettings,
       name: "side-0",
       endpoint: "engine-0",
       kind: "engine",
       target: this.engineUrl,
       peers: { host: "127.0.0.1", port: side },
       entries: [`127.0.0.1:${peers}`],
-      limits: { mostRunning: MOST_STREAMS, shutdownSeconds: 1 },
+      limits: { mostRunning: MAX_STREAMS, shutdownSeconds: 1 },
     });
     await this.#publish(logService, `127.0.0.1:${side}`);
-    await this.#untilReady();
+    await this.#waitUntilReady();
   }
 
   async setPace(beatMilliseconds: number, tokensPerBeat: number) {
@@ -88,32 +88,38 @@
     });
   }
 
-  /** Stops in order, so that profiles are written. */
+  /** Stops the processes gracefully, so that they write their profiles. */
   async close(): Promise<void> {
     for (const child of this.#children) {
       child.kill("SIGTERM");
       const ended = new Promise((resolve) => child.once("exit", resolve));
-      const gone = await Promise.race([ended, sleep(STOP_MILLISECONDS)]);
-      if (gone === undefined) child.kill("SIGKILL");
+      const exited = await Promise.race([
+        ended,
+        sleep(STOP_TIMEOUT_MILLISECONDS),
+      ]);
+      if (exited === undefined) child.kill("SIGKILL");
     }
     await this.#log.close();
-    rmSync(this.#folder, { recursive: true });
+    rmSync(this.#directory, { recursive: true });
   }
 
-  #program(role: "entry" | "side", settings: Record<string, unknown>): number {
-    const file = join(this.#folder, `${role}.toml`);
+  #startProgram(
+    role: "entry" | "side",
+    settings: Record<string, unknown>,
+  ): number {
+    const file = join(this.#directory, `${role}.toml`);
     writeFileSync(file, stringify(settings));
-    const { profileFolder } = this.#options;
-    const profiling = profileFolder === undefined ? [] : [
+    const { profileDirectory } = this.#options;
+    const profiling = profileDirectory === undefined ? [] : [
       "--cpu-prof",
-      `--cpu-prof-dir=${profileFolder}`,
+      `--cpu-prof-dir=${profileDirectory}`,
       `--cpu-prof-name=${role}.cpuprofile`,
     ];
     return this.#spawn([...profiling, BUNDLE, role, "--settings", file]);
   }
 
-  #spawn(arguments_: readonly string[]): number {
-    const child = spawn(process.execPath, arguments_, {
+  #spawn(args: readonly string[]): number {
+    const child = spawn(process.execPath, args, {
       stdio: ["ignore", "inherit", "inherit"],
     });
     this.#children.unshift(child);
@@ -131,7 +137,7 @@
           kind: "engine",
           models: [MODEL],
           engine: {
-            slots: MOST_STREAMS,
+            slots: MAX_STREAMS,
             prefillTokensPerSecond: 1_000_000,
             millisecondsBetweenTokens: 1,
             keyValueCacheTokens: 100_000_000,
@@ -165,11 +171,11 @@
     });
   }
 
-  /** Until a first answer has come through entry and side. */
-  async #untilReady(): Promise<void> {
-    const end = performance.now() + READY_MILLISECONDS;
-    while (performance.now() < end) {
-      const answer = await fetch(`${this.entryUrl}/v1/chat/completions`, {
+  /** Waits until a request through entry and side succeeds. */
+  async #waitUntilReady(): Promise<void> {
+    const deadline = performance.now() + READY_TIMEOUT_MILLISECONDS;
+    while (performance.now() < deadline) {
+      const response = await fetch(`${this.entryUrl}/v1/chat/completions`, {
         method: "POST",
         body: JSON.stringify({
           model: MODEL,
@@ -177,10 +183,12 @@
           messages: [{ role: "user", content: "Ready" }],
         }),
       }).catch(() => undefined);
-      await answer?.arrayBuffer();
-      if (answer?.status === 200) return;
+      await response?.arrayBuffer();
+      if (response?.status === 200) return;
       await sleep(200);
     }
-    throw new Error("Entry and side did not become ready");
+    throw new Error(
+      `Entry and side were not ready within ${READY_TIMEOUT_MILLISECONDS} ms`,
+    );
   }
 }
--- a/bench/process_figures.ts
+++ b/bench/process_figures.ts
@@ -5,15 +5,15 @@
 
 const NANOSECONDS_PER_SECOND = 1e9;
 
-/** What the kernel has counted for a process so far. */
-export interface ProcessFigures {
+/** Resource usage of a process since its start, as counted by the kernel. */
+export interface ProcessStats {
   readonly processorSeconds: number;
   readonly residentBytes: number;
-  /** Bytes read and written by system calls; sockets are nearly all of it. */
+  /** Bytes read and written by system calls, nearly all of them on sockets. */
   readonly bytes: number;
 }
 
-export function readProcess(pid: number): ProcessFigures {
+export function readProcess(pid: number): ProcessStats {
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
   const io = readFileSync(`/proc/${pid}/io`, "utf8");
   return {
@@ -23,7 +23,7 @@
   };
 }
 
-/** Over all threads, counted in nanoseconds where `stat` counts in ticks. */
+/** Sums `schedstat` over all threads; it has nanoseconds, `stat` only ticks. */
 function processorSeconds(pid: number): number {
   const folder = `/proc/${pid}/task`;
   let nanoseconds = 0;
@@ -34,12 +34,12 @@
   return nanoseconds / NANOSECONDS_PER_SECOND;
 }
 
-/** Rates of a process over a stretch of time. */
+/** Resource usage of a process over an interval. */
 export interface ProcessRates {
-  /** Share of one core. */
+  /** Fraction of one core. */
   readonly processorShare: number;
   readonly bytesPerSecond: number;
-  /** At the end of the stretch. */
+  /** At the end of the interval. */
   readonly residentBytes: number;
 }
 
@@ -61,8 +61,9 @@
 }
 
 /**
- * Bytes of live objects in this process. One collection leaves what the loop's
- * current turn still refers to, hence three with turns between them.
+ * Bytes of live objects in this process. Runs three garbage collections in
+ * separate turns of the event loop, because one leaves objects that the current
+ * turn still references.
  */
 export async function liveHeapBytes(): Promise<number> {
   setFlagsFromString("--expose-gc");
--- a/bench/side_host.ts
+++ b/bench/side_host.ts
@@ -11,10 +11,10 @@
 import { uuidv7 } from "../test/support/uuid.ts";
 import { MODEL, SLOTS, timer, ZONE } from "./bench_region.ts";
 
-/** A token a second: memory of a stream, with little work for it. */
+/** One token per second: streams use memory but little CPU time. */
 export const TOKEN_MILLISECONDS = 1_000;
 
-/** Sides on real sockets in this process, so that only the entry is measured. */
+/** Runs sides on real sockets in this process, separate from the entry. */
 export class SideHost {
   readonly sides: { id: string; address: string }[] = [];
   readonly #peers = new HttpPeers();
@@ -22,7 +22,7 @@
 
   async add(count: number, entries: readonly string[]): Promise<void> {
     for (let index = 0; index < count; index += 1) {
-      await this.#addOne(`engine-${index}`, entries);
+      await this.#addSide(`engine-${index}`, entries);
     }
   }
 
@@ -31,7 +31,7 @@
     this.#peers.close();
   }
 
-  async #addOne(id: string, entries: readonly string[]): Promise<void> {
+  async #addSide(id: string, entries: readonly string[]): Promise<void> {
     const core = new SideCore({
       name: identifier(`side-${id}`),
       incarnation: identifier(uuidv7()),
@@ -48,7 +48,7 @@
         tokens: 100_000,
       }),
       entries: this.#peers,
-      entryAddresses: entries.map((each) => identifier(each)),
+      entryAddresses: entries.map((address) => identifier(address)),
       limits: {
         mostRunning: SLOTS,
         mostWaiting: 16,
--- a/bench/slope_fit.ts
+++ b/bench/slope_fit.ts
@@ -4,15 +4,15 @@
   readonly y: number;
 }
 
-/** A straight line through points. */
+/** Linear fit of a series. */
 export interface Slope {
   readonly intercept: number;
   readonly slope: number;
-  /** Root of the mean square of what the line misses, as a share of the mean. */
+  /** Root mean square error, as a fraction of the mean. */
   readonly residual: number;
 }
 
-/** One value measured at several sizes of one variable. */
+/** One value, measured at several sizes of one variable. */
 export interface Series {
   readonly value: string;
   readonly variable: string;
@@ -20,21 +20,27 @@
   readonly points: readonly Point[];
 }
 
-/** The line with the least squares. */
+/** Fits a line by least squares. */
 export function fitLine(points: readonly Point[]): Slope {
   const count = points.length;
-  const meanX = sum(points.map((each) => each.x)) / count;
-  const meanY = sum(points.map((each) => each.y)) / count;
-  const spread = sum(points.map(({ x }) => (x - meanX) ** 2));
-  const along = sum(points.map(({ x, y }) => (x - meanX) * (y - meanY)));
-  const slope = spread === 0 ? 0 : along / spread;
+  const meanX = sum(points.map((point) => point.x)) / count;
+  const meanY = sum(points.map((point) => point.y)) / count;
+  const squaredDeviations = sum(points.map(({ x }) => (x - meanX) ** 2));
+  const crossDeviations = sum(
+    points.map(({ x, y }) => (x - meanX) * (y - meanY)),
+  );
+  const slope = squaredDeviations === 0
+    ? 0
+    : crossDeviations / squaredDeviations;
   const intercept = meanY - slope * meanX;
-  const missed = points.map(({ x, y }) => (y - intercept - slope * x) ** 2);
-  const residual = Math.sqrt(sum(missed) / count) / Math.abs(meanY || 1);
+  const squaredErrors = points.map(({ x, y }) =>
+    (y - intercept - slope * x) ** 2
+  );
+  const residual = Math.sqrt(sum(squaredErrors) / count) / Math.abs(meanY || 1);
   return { intercept, slope, residual };
 }
 
-/** Prints a series with its line; gives the line with its names. */
+/** Prints a series with its fit; returns both as an object for JSON output. */
 export function reportSeries(series: Series): Record<string, unknown> {
   const { value, variable, unit, points } = series;
   const { intercept, slope, residual } = fitLine(points);
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,8 +1,7 @@
 /**
- * How state, messages, processor time and memory grow with each size, as
- * straight lines: messages and live memory of many nodes in one process,
- * processor time and resident memory of the built binary. The last line is
- * JSON with every line's figures.
+ * Linear fits of how state, messages, CPU time and memory grow with each size:
+ * messages and live heap of many nodes in one process, CPU time and resident
+ * memory of the built binary. The last line is JSON with all fits.
  */
 import process from "node:process";
 import { measureBinary } from "./slopes_binary.ts";
@@ -11,7 +10,10 @@
 import { reportSeries, type Series } from "./slope_fit.ts";
 
 function report(part: string, series: readonly Series[]) {
-  return series.map((each) => ({ part, ...reportSeries(each) }));
+  return series.map((singleSeries) => ({
+    part,
+    ...reportSeries(singleSeries),
+  }));
 }
 
 const start = performance.now();
@@ -24,5 +26,5 @@
 const binary = report("binary", await measureBinary());
 const seconds = Math.round((performance.now() - start) / 1000);
 console.log(JSON.stringify({ slopes: [...inProcess, ...binary], seconds }));
-// Engines of this process still make tokens for streams that were cut off.
+// Engines in this process still generate tokens for aborted streams.
 process.exit(0);
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -1,4 +1,4 @@
-/** Slopes of the built binary: processor time and resident memory. */
+/** Slopes of the built binary: CPU time, resident memory and traffic. */
 import process from "node:process";
 import { builtBinary } from "../test/support/built_binary.ts";
 import { ENDPOINTS_PER_POOL } from "./bench_region.ts";
@@ -8,17 +8,17 @@
 import type { Series } from "./slope_fit.ts";
 
 const WINDOW_MILLISECONDS = 6_000;
-/** Every attached side ends one long poll within it. */
-const WATCH_MILLISECONDS = 15_000;
-/** Start-up, claims and the first compilation are over by then. */
+/** Every attached side completes one long poll within this window. */
+const LONG_POLL_WINDOW_MILLISECONDS = 15_000;
+/** Time for start-up, claims and initial JIT compilation. */
 const SETTLE_MILLISECONDS = 6_000;
 
-type Measured = readonly { x: number; rates: ProcessRates }[];
+type MeasuredSizes = readonly { x: number; rates: ProcessRates }[];
 
-function seriesOf(
+function makeSeries(
   name: string,
   variable: string,
-  measured: Measured,
+  measured: MeasuredSizes,
 ): Series[] {
   const points = (value: (rates: ProcessRates) => number) =>
     measured.map(({ x, rates }) => ({ x, y: value(rates) }));
@@ -44,20 +44,23 @@
   ];
 }
 
-/** All sizes at once: an idle entry takes a few hundredths of a core. */
-async function byEndpoints(): Promise<Series[]> {
+/** Measures all sizes concurrently; an idle entry uses a few percent of a core. */
+async function measureByEndpoints(): Promise<Series[]> {
   const runs = [16, 64, 128, 256].map(async (x) => {
     const entry = new EntryUnderTest();
     await entry.start(x);
     await sleep(SETTLE_MILLISECONDS);
-    const rates = await measureProcess(entry.pid, WATCH_MILLISECONDS);
+    const rates = await measureProcess(
+      entry.pid,
+      LONG_POLL_WINDOW_MILLISECONDS,
+    );
     await entry.close();
     return { x, rates };
   });
-  return seriesOf("entry", "endpoints", await Promise.all(runs));
+  return makeSeries("entry", "endpoints", await Promise.all(runs));
 }
 
-async function byStreams(): Promise<Series[]> {
+async function measureByStreams(): Promise<Series[]> {
   const measured: { x: number; rates: ProcessRates }[] = [];
   const entry = new EntryUnderTest();
   await entry.start(ENDPOINTS_PER_POOL);
@@ -71,10 +74,10 @@
     measured.push({ x, rates });
   }
   await entry.close();
-  return seriesOf("entry", "open streams", measured);
+  return makeSeries("entry", "open streams", measured);
 }
 
-async function byChanges(): Promise<Series[]> {
+async function measureByChanges(): Promise<Series[]> {
   const measured: { x: number; rates: ProcessRates }[] = [];
   const entry = new EntryUnderTest();
   await entry.start(64);
@@ -92,29 +95,29 @@
     measured.push({ x, rates: await measuring });
   }
   await entry.close();
-  return seriesOf("entry", "configuration changes a minute", measured);
+  return makeSeries("entry", "configuration changes a minute", measured);
 }
 
-/** Sides of the binary, each with a region of its own with more entries. */
-async function sideByEntries(): Promise<Series[]> {
+/** Measures one side per region, with regions of increasing entry counts. */
+async function measureSideByEntries(): Promise<Series[]> {
   const runs = [2, 4, 8, 16].map(async (x) => {
     const region = new EntryHost();
     const pid = await region.start(x);
     await sleep(2 * SETTLE_MILLISECONDS);
-    const rates = await measureProcess(pid, WATCH_MILLISECONDS);
+    const rates = await measureProcess(pid, LONG_POLL_WINDOW_MILLISECONDS);
     await region.close();
     return { x, rates };
   });
-  return seriesOf("side", "entries", await Promise.all(runs));
+  return makeSeries("side", "entries", await Promise.all(runs));
 }
 
-/** All slopes of the binary; bounded to about two minutes. */
+/** Measures all slopes of the binary; takes about two minutes. */
 export async function measureBinary(): Promise<Series[]> {
   process.env.FILBERTSHORE_BINARY = builtBinary();
   return [
-    ...await byEndpoints(),
-    ...await byStreams(),
-    ...await byChanges(),
-    ...await sideByEntries(),
+    ...await measureByEndpoints(),
+    ...await measureByStreams(),
+    ...await measureByChanges(),
+    ...await measureSideByEntries(),
   ];
 }
--- a/bench/slopes_folds.ts
+++ b/bench/slopes_folds.ts
@@ -1,15 +1,15 @@
-/** Live memory of what an entry holds of the streams `once` and `orders`. */
+/** Live heap of an entry's folds of the streams `once` and `orders`. */
 import { OnceFold, OrdersFold, type RecordBody } from "../src/mod.ts";
 import { numbered } from "../src/core/identity/mod.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import { liveHeapBytes } from "./process_figures.ts";
 import type { Point, Series } from "./slope_fit.ts";
 
-const START = Date.UTC(2026, 0, 1);
+const FIRST_KEY_TIME = Date.UTC(2026, 0, 1);
 
-/** Records of keys from within one window, each with an owner of its own. */
+/** Makes the record of a key; all key times are within one key window. */
 function keyRecord(index: number): RecordBody {
-  const keyTime = START + index;
+  const keyTime = FIRST_KEY_TIME + index;
   return {
     kind: "once",
     key: `workspace-${index % 3_400}/${uuidv7({ msecs: keyTime })}`,
@@ -31,17 +31,17 @@
   };
 }
 
-/** Memory of one fold by the number of records that it holds. */
-async function heapOf(
+/** Measures the live heap of one fold at several numbers of records. */
+async function measureHeap(
   sizes: readonly number[],
   fill: (count: number) => object,
 ): Promise<Point[]> {
   const points: Point[] = [];
   for (const x of sizes) {
     const before = await liveHeapBytes();
-    const held = fill(x);
+    const fold = fill(x);
     points.push({ x, y: await liveHeapBytes() - before });
-    if (held === undefined) throw new Error("The fold is gone");
+    if (fold === undefined) throw new Error("The fold was not retained");
   }
   return points;
 }
@@ -51,7 +51,9 @@
   for (let index = 0; index < count; index += 1) {
     fold.apply(numbered(index), keyRecord(index));
   }
-  if (fold.size !== count) throw new Error("Keys were not taken");
+  if (fold.size !== count) {
+    throw new Error(`Expected ${count} keys in the fold, found ${fold.size}`);
+  }
   return fold;
 }
 
@@ -62,7 +64,7 @@
     fold.apply(numbered(index), orderRecord(index));
   }
   if (fold.standingOrder(`engine-${count}`) === undefined) {
-    throw new Error("Orders were not taken");
+    throw new Error("The fold did not apply the orders");
   }
   return fold;
 }
@@ -73,13 +75,13 @@
       value: "heap of the once fold",
       variable: "live keys",
       unit: "B",
-      points: await heapOf([2_000, 10_000, 20_000, 40_000], fillOnce),
+      points: await measureHeap([2_000, 10_000, 20_000, 40_000], fillOnce),
     },
     {
       value: "heap of the orders fold",
       variable: "ordered endpoints",
       unit: "B",
-      points: await heapOf([500, 1_000, 2_000, 4_000], fillOrders),
+      points: await measureHeap([500, 1_000, 2_000, 4_000], fillOrders),
     },
   ];
 }
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -1,4 +1,4 @@
-/** Slopes through the embedding face: messages, live memory, time in force. */
+/** Slopes through the embedding API: messages, live heap and in-force times. */
 import { entryAddress, sideAddress } from "../examples/embedding/fleet.ts";
 import type { NetworkMessage } from "../examples/embedding/network.ts";
 import {
@@ -11,11 +11,11 @@
 
 const IDLE_SECONDS = 30;
 const ENDPOINTS_PER_POOL = 16;
-/** Deadlines and the sides' memory of attempts have lapsed by then. */
-const FORGET_MILLISECONDS = 150_000;
-const NO_SINK = { token: () => true, response() {}, finish() {} };
+/** After this time, deadlines and the sides' records of attempts have expired. */
+const EXPIRY_MILLISECONDS = 150_000;
+const DISCARDING_SINK = { token: () => true, response() {}, finish() {} };
 
-/** Bytes and messages of processes, while counting is on. */
+/** Bytes and messages by process, counted while `on` is set. */
 class Traffic {
   readonly #bytes = new Map<PeerAddress, number>();
   on = false;
@@ -24,8 +24,8 @@
   readonly count = (message: NetworkMessage): void => {
     if (!this.on) return;
     this.messages += 1;
-    for (const each of [message.from, message.to]) {
-      this.#bytes.set(each, (this.#bytes.get(each) ?? 0) + message.bytes);
+    for (const address of [message.from, message.to]) {
+      this.#bytes.set(address, (this.#bytes.get(address) ?? 0) + message.bytes);
     }
   };
 
@@ -34,9 +34,9 @@
   }
 }
 
-interface IdleFigures {
+interface IdleStats {
   readonly heapBytes: number;
-  /** The entry that plans and judges nothing; the second of the two. */
+  /** Of an entry that is not the planner. */
   readonly entryBytesPerSecond: number;
   readonly plannerBytesPerSecond: number;
   readonly sideBytesPerSecond: number;
@@ -53,7 +53,7 @@
   return { region, traffic, before };
 }
 
-async function measureIdle(options: InProcessOptions): Promise<IdleFigures> {
+async function measureIdle(options: InProcessOptions): Promise<IdleStats> {
   const { region, traffic, before } = await startRegion(options);
   traffic.on = true;
   await region.timer.advance(IDLE_SECONDS * 1000);
@@ -61,7 +61,7 @@
   const rates = region.fleet.entries.map((_, index) =>
     traffic.bytesOf(entryAddress(index)) / IDLE_SECONDS
   );
-  const planner = plannerOf(region);
+  const planner = plannerIndex(region);
   region.fleet.halt();
   return {
     heapBytes,
@@ -72,14 +72,14 @@
   };
 }
 
-/** Number of the entry that holds the planner's claim. */
-function plannerOf(region: InProcessRegion): number {
+/** Index of the entry that holds the planner's claim. */
+function plannerIndex(region: InProcessRegion): number {
   const holder = region.fleet.entries[0].status().claim?.holder ?? "";
   return Number(/^entry-(\d+)/.exec(holder)?.[1] ?? 0);
 }
 
-/** Two entries; more endpoints, in pools of sixteen. */
-async function byEndpoints(): Promise<Series[]> {
+/** Two entries with increasing numbers of endpoints, in pools of sixteen. */
+async function measureByEndpoints(): Promise<Series[]> {
   const variable = "endpoints";
   const heap: Point[] = [];
   const entry: Point[] = [];
@@ -98,8 +98,8 @@
   ];
 }
 
-/** The content of one publication, which names every endpoint. */
-function publicationByEndpoints(): Series {
+/** Size of one publication, whose content lists every endpoint. */
+function publicationBytesByEndpoints(): Series {
   const points = [32, 128, 512, 1_100].map((x) => {
     const models = Math.ceil(x / ENDPOINTS_PER_POOL);
     const region = new InProcessRegion({ entries: 1, endpoints: x, models });
@@ -108,8 +108,8 @@
   return { value: "publication", variable: "endpoints", unit: "B", points };
 }
 
-/** Thirty-two endpoints; more entries, each of which uses all of them. */
-async function byEntries(): Promise<Series[]> {
+/** 32 endpoints with increasing numbers of entries, each using all of them. */
+async function measureByEntries(): Promise<Series[]> {
   const variable = "entries";
   const heap: Point[] = [];
   const side: Point[] = [];
@@ -127,8 +127,8 @@
   ];
 }
 
-/** One entry and sixty-four endpoints, dealt out to more models. */
-async function byModels(): Promise<Series[]> {
+/** One entry and 64 endpoints, divided among increasing numbers of models. */
+async function measureByModels(): Promise<Series[]> {
   const variable = "models";
   const heap: Point[] = [];
   for (const x of [2, 4, 8, 16, 32]) {
@@ -138,8 +138,8 @@
   return [{ value: "heap of region", variable, unit: "B", points: heap }];
 }
 
-/** Each workspace has sent one request, which is answered. */
-async function byWorkspaces(): Promise<Series[]> {
+/** Measures after each workspace has completed one request. */
+async function measureByWorkspaces(): Promise<Series[]> {
   const variable = "workspaces";
   const heap: Point[] = [];
   for (const x of [400, 800, 1600, 3400]) {
@@ -150,18 +150,18 @@
     });
     for (let workspace = 0; workspace < x; workspace += 1) {
       const sender = { entry: 0, workspace: `workspace-${workspace}` };
-      region.generate(sender, NO_SINK);
+      region.generate(sender, DISCARDING_SINK);
       if (workspace % 100 === 99) await region.timer.advance(500);
     }
-    await region.timer.advance(FORGET_MILLISECONDS);
+    await region.timer.advance(EXPIRY_MILLISECONDS);
     heap.push({ x, y: await liveHeapBytes() - before });
     region.fleet.halt();
   }
   return [{ value: "heap of region", variable, unit: "B", points: heap }];
 }
 
-/** Open generations, each a token every 20 ms. */
-async function byStreams(): Promise<Series[]> {
+/** Open generations with one token every 20 ms. */
+async function measureByStreams(): Promise<Series[]> {
   const variable = "open streams";
   const heap: Point[] = [];
   const open: Point[] = [];
@@ -174,10 +174,10 @@
     });
     for (let stream = 0; stream < x; stream += 1) {
       const sender = { entry: 0, workspace: `workspace-${stream % 50}` };
-      region.generate(sender, NO_SINK);
+      region.generate(sender, DISCARDING_SINK);
     }
     await region.timer.advance(3_000);
-    open.push({ x, y: running(region) });
+    open.push({ x, y: countGenerations(region) });
     heap.push({ x, y: await liveHeapBytes() - before });
     region.fleet.halt();
   }
@@ -187,12 +187,12 @@
   ];
 }
 
-function running(region: InProcessRegion): number {
+function countGenerations(region: InProcessRegion): number {
   return region.engines.reduce((sum, each) => sum + each.generations, 0);
 }
 
-/** Publications at an even pace over a minute, with the log 20 ms away. */
-async function byChanges(): Promise<Series[]> {
+/** Evenly spaced publications over one minute, with a log latency of 20 ms. */
+async function measureByChanges(): Promise<Series[]> {
   const variable = "configuration changes a minute";
   const appends: Point[] = [];
   const entryBytes: Point[] = [];
@@ -223,7 +223,7 @@
     },
   });
   const { timer, log, fleet } = region;
-  const appendsBefore = total(log.appendCalls.values());
+  const appendsBefore = sumOf(log.appendCalls.values());
   traffic.on = true;
   let slowestMilliseconds = 0;
   for (let change = 0; change < changes; change += 1) {
@@ -236,34 +236,34 @@
       fleet.entries[0].configurationVersion,
     );
     await timer.advance(60_000 / changes);
-    if ((await published).isErr()) throw new Error("A change was not accepted");
+    if ((await published).isErr()) throw new Error("Publication was rejected");
     slowestMilliseconds = Math.max(slowestMilliseconds, lastInForce - asked);
   }
   fleet.halt();
   return {
     slowestMilliseconds,
-    appendsPerSecond: (total(log.appendCalls.values()) - appendsBefore) / 60,
+    appendsPerSecond: (sumOf(log.appendCalls.values()) - appendsBefore) / 60,
     entryBytesPerSecond: traffic.bytesOf(entryAddress(0)) / 60,
   };
 }
 
-function total(values: Iterable<number>): number {
+function sumOf(values: Iterable<number>): number {
   let sum = 0;
   for (const value of values) sum += value;
   return sum;
 }
 
-/** All slopes that need no processes. */
+/** Measures all slopes that need no separate processes. */
 export async function measureInProcess(): Promise<Series[]> {
-  // Code that runs for the first time leaves compiled code on the heap.
+  // Warms up, because the first run leaves compiled code on the heap.
   await measureIdle({ entries: 4, endpoints: 64, models: 4 });
   return [
-    ...await byEndpoints(),
-    publicationByEndpoints(),
-    ...await byEntries(),
-    ...await byModels(),
-    ...await byWorkspaces(),
-    ...await byStreams(),
-    ...await byChanges(),
+    ...await measureByEndpoints(),
+    publicationBytesByEndpoints(),
+    ...await measureByEntries(),
+    ...await measureByModels(),
+    ...await measureByWorkspaces(),
+    ...await measureByStreams(),
+    ...await measureByChanges(),
   ];
 }
--- a/bench/stream_load.ts
+++ b/bench/stream_load.ts
@@ -1,36 +1,36 @@
 import { connect, type Socket } from "node:net";
 
-/** What one stream has received so far. */
+/** Progress of one stream. */
 export interface StreamCounts {
-  /** From the request's last byte to the first token, milliseconds. */
+  /** Time from sending the request to the first token. */
   firstTokenMilliseconds: number;
   tokens: number;
   ended: boolean;
 }
 
-/** Counts over streams that are open at once. */
+/** Counts over concurrent streams. */
 export interface LoadCounts {
   readonly streams: readonly StreamCounts[];
-  /** Ages of tokens as they arrived, milliseconds; at most one a piece. */
-  readonly ages: number[];
+  /** Latencies of tokens in milliseconds, at most one per chunk. */
+  readonly tokenLatencies: number[];
 }
 
-const TOKEN_MARK = Buffer.from('"content":"');
-const END_MARK = "[DONE]";
-/** Digits of a time in milliseconds with three places behind the point. */
-const TIME_LENGTH = 17;
+const TOKEN_MARKER = Buffer.from('"content":"');
+const END_MARKER = "[DONE]";
+/** Characters of a timestamp in milliseconds with three decimal places. */
+const TIMESTAMP_LENGTH = 17;
 
 /**
- * Callers on plain sockets: an HTTP client would cost as much as the entry
- * that is measured. Tokens are counted by their mark in the bytes.
+ * Load generator on plain sockets, because an HTTP client would use as much CPU
+ * as the entry under test. Tokens are counted by searching for a marker.
  */
 export class StreamLoad {
   readonly #host: string;
   readonly #port: number;
   readonly #sockets = new Set<Socket>();
-  readonly ages: number[] = [];
-  /** Ages are kept while this is on. */
-  keepsAges = false;
+  readonly tokenLatencies: number[] = [];
+  /** Whether token latencies are recorded. */
+  recordsLatencies = false;
   tokens = 0;
 
   constructor(url: string) {
@@ -39,8 +39,8 @@
     this.#port = Number(port);
   }
 
-  /** Opens a stream; `first` settles with its first token, `end` at its end. */
-  open(mostTokens: number): {
+  /** Opens a stream; `first` resolves at its first token, `end` at its end. */
+  open(maxTokens: number): {
     counts: StreamCounts;
     first: Promise<void>;
     end: Promise<void>;
@@ -58,20 +58,20 @@
       let sentAt = 0;
       socket.on("connect", () => {
         sentAt = performance.now();
-        socket.write(this.#requestText(mostTokens));
+        socket.write(this.#requestText(maxTokens));
       });
-      socket.on("data", (piece) => {
-        const tokens = this.#count(piece);
+      socket.on("data", (chunk) => {
+        const tokens = this.#countTokens(chunk);
         if (tokens > 0 && counts.tokens === 0) {
           counts.firstTokenMilliseconds = performance.now() - sentAt;
           onFirst();
         }
         counts.tokens += tokens;
-        if (piece.includes(END_MARK)) {
+        if (chunk.includes(END_MARKER)) {
           counts.ended = true;
           socket.end();
-        } else if (counts.tokens === 0 && piece.includes("problem+json")) {
-          reject(new Error(`Refused: ${piece}`));
+        } else if (counts.tokens === 0 && chunk.includes("problem+json")) {
+          reject(new Error(`Request was refused: ${chunk}`));
         }
       });
       socket.on("error", () => {});
@@ -87,11 +87,11 @@
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  #requestText(mostTokens: number): string {
+  #requestText(maxTokens: number): string {
     const body = JSON.stringify({
       model: "triage-llm",
       stream: true,
-      max_tokens: mostTokens,
+      max_tokens: maxTokens,
       messages: [{ role: "user", content: "Lorry dumping by the river" }],
     });
     return `POST /v1/chat/completions HTTP/1.1\r\nhost: bench\r\n` +
@@ -99,26 +99,30 @@
       `content-length: ${body.length}\r\n\r\n${body}`;
   }
 
-  #count(piece: Buffer): number {
+  #countTokens(chunk: Buffer): number {
     let tokens = 0;
-    let last = -1;
+    let lastMarkerIndex = -1;
     for (
-      let at = piece.indexOf(TOKEN_MARK);
-      at >= 0;
-      at = piece.indexOf(TOKEN_MARK, at + TOKEN_MARK.length)
+      let index = chunk.indexOf(TOKEN_MARKER);
+      index >= 0;
+      index = chunk.indexOf(TOKEN_MARKER, index + TOKEN_MARKER.length)
     ) {
       tokens += 1;
-      last = at;
+      lastMarkerIndex = index;
     }
     this.tokens += tokens;
-    if (this.keepsAges && last >= 0) this.#keepAge(piece, last);
+    if (this.recordsLatencies && lastMarkerIndex >= 0) {
+      this.#recordLatency(chunk, lastMarkerIndex);
+    }
     return tokens;
   }
 
-  #keepAge(piece: Buffer, at: number): void {
-    const start = at + TOKEN_MARK.length;
-    const sent = Number(piece.toString("latin1", start, start + TIME_LENGTH));
+  #recordLatency(chunk: Buffer, markerIndex: number): void {
+    const start = markerIndex + TOKEN_MARKER.length;
+    const sentAt = Number(
+      chunk.toString("latin1", start, start + TIMESTAMP_LENGTH),
+    );
     const now = performance.timeOrigin + performance.now();
-    if (sent > 0) this.ages.push(now - sent);
+    if (sentAt > 0) this.tokenLatencies.push(now - sentAt);
   }
 }
--- a/bench/token_source.ts
+++ b/bench/token_source.ts
@@ -1,7 +1,8 @@
 /**
- * An engine that costs next to nothing: every open stream gets the same bytes,
- * made once for each beat. A token's text is the time at which it left, in
- * milliseconds since 1970. `POST /pace` sets beat and tokens for each beat.
+ * Engine stub with minimal CPU cost: every open stream gets the same bytes,
+ * formatted once per tick. A token's text is the time at which it was sent, in
+ * milliseconds since the Unix epoch. `POST /pace` sets the tick interval
+ * (`beatMilliseconds`) and the tokens per tick (`tokensPerBeat`).
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -13,9 +14,9 @@
 
 interface OpenStream {
   readonly response: ServerResponse;
-  /** The part of the beat in which it gets its tokens. */
+  /** Phase of the tick in which the stream gets its tokens. */
   readonly phase: number;
-  left: number;
+  remainingTokens: number;
 }
 
 const CHUNK_START =
@@ -23,32 +24,33 @@
 const CHUNK_END = `"}}]}\n\n`;
 const LAST_CHUNK =
   `data: {"id":"bench","object":"chat.completion.chunk","created":1,"model":"triage-llm","choices":[{"index":0,"finish_reason":"stop","delta":{}}]}\n\ndata: [DONE]\n\n`;
-const FIRST_BEAT_MILLISECONDS = 100;
+const INITIAL_TICK_MILLISECONDS = 100;
 /**
- * Streams get their tokens in so many parts of a long beat, by when they were
- * opened: all at once would be a burst that no engine makes, and a second
- * token right behind the first would tell the side of a pace that is none.
+ * Number of phases into which a long tick is split. A stream gets its tokens in
+ * the phase in which it was opened. Sending to all streams at once would be a
+ * burst that no engine produces, and a second token directly after the first
+ * would give the side a wrong estimate of the time between tokens.
  */
-const PHASES_OF_LONG_BEAT = 10;
-const SHORTEST_LONG_BEAT_MILLISECONDS = 50;
+const PHASES_PER_LONG_TICK = 10;
+const MIN_LONG_TICK_MILLISECONDS = 50;
 
 class TokenSource {
   readonly #streams = new Set<OpenStream>();
   readonly #server = new StandInServer((request, response, url) =>
     this.#handle(request, response, url)
   );
-  #beat: NodeJS.Timeout | undefined;
-  #tokensPerBeat = 1;
+  #phaseTimer: NodeJS.Timeout | undefined;
+  #tokensPerTick = 1;
   #phases = 1;
   #phase = 0;
 
   listen(port?: number): Promise<number> {
-    this.#setPace(FIRST_BEAT_MILLISECONDS, 1);
+    this.#setPace(INITIAL_TICK_MILLISECONDS, 1);
     return this.#server.listen(port);
   }
 
   close(): Promise<void> {
-    clearInterval(this.#beat);
+    clearInterval(this.#phaseTimer);
     return this.#server.close();
   }
 
@@ -77,46 +79,46 @@
     const stream = {
       response,
       phase: this.#phase,
-      left: Number(body.max_tokens),
+      remainingTokens: Number(body.max_tokens),
     };
     response.on("close", () => this.#streams.delete(stream));
     this.#streams.add(stream);
-    this.#send(stream, { text: tokenNow(), tokens: 1 });
+    this.#send(stream, { text: tokenChunk(), tokens: 1 });
   }
 
-  #setPace(beatMilliseconds: number, tokensPerBeat: number): void {
-    clearInterval(this.#beat);
-    this.#tokensPerBeat = tokensPerBeat;
-    this.#phases = beatMilliseconds >= SHORTEST_LONG_BEAT_MILLISECONDS
-      ? PHASES_OF_LONG_BEAT
+  #setPace(tickMilliseconds: number, tokensPerTick: number): void {
+    clearInterval(this.#phaseTimer);
+    this.#tokensPerTick = tokensPerTick;
+    this.#phases = tickMilliseconds >= MIN_LONG_TICK_MILLISECONDS
+      ? PHASES_PER_LONG_TICK
       : 1;
     this.#phase = 0;
-    this.#beat = setInterval(
+    this.#phaseTimer = setInterval(
       () => this.#onPhase(),
-      beatMilliseconds / this.#phases,
+      tickMilliseconds / this.#phases,
     );
   }
 
   #onPhase(): void {
     this.#phase = (this.#phase + 1) % this.#phases;
-    const token = tokenNow();
-    const tokens = this.#tokensPerBeat;
-    const beat = { text: token.repeat(tokens), tokens };
+    const token = tokenChunk();
+    const tokens = this.#tokensPerTick;
+    const chunk = { text: token.repeat(tokens), tokens };
     for (const stream of this.#streams) {
       if (stream.phase !== this.#phase) continue;
-      // A stream that can't keep up misses the beat.
-      if (!stream.response.writableNeedDrain) this.#send(stream, beat);
+      // Skips streams under backpressure.
+      if (!stream.response.writableNeedDrain) this.#send(stream, chunk);
     }
   }
 
-  #send(stream: OpenStream, beat: { text: string; tokens: number }): void {
-    stream.left -= beat.tokens;
-    if (stream.left > 0) {
-      stream.response.write(beat.text);
+  #send(stream: OpenStream, chunk: { text: string; tokens: number }): void {
+    stream.remainingTokens -= chunk.tokens;
+    if (stream.remainingTokens > 0) {
+      stream.response.write(chunk.text);
       return;
     }
     this.#streams.delete(stream);
-    stream.response.end(beat.text + LAST_CHUNK);
+    stream.response.end(chunk.text + LAST_CHUNK);
   }
 
   #status(): Record<string, unknown> {
@@ -132,7 +134,7 @@
   }
 }
 
-function tokenNow(): string {
+function tokenChunk(): string {
   const now = performance.timeOrigin + performance.now();
   return `${CHUNK_START}${now.toFixed(3)} ${CHUNK_END}`;
 }
--- a/examples/embedding/fleet.ts
+++ b/examples/embedding/fleet.ts
@@ -22,7 +22,7 @@
 } from "filbertshore";
 import { InProcessNetwork, type NetworkMessage } from "./network.ts";
 
-/** An endpoint with the pool that it belongs to. */
+/** An endpoint and its pool. */
 export interface FleetEndpoint {
   readonly id: string;
   readonly pool: string;
@@ -32,18 +32,18 @@
 
 export interface FleetOptions {
   readonly timer: TimerService;
-  /** A 32-bit integer; the same seed gives the same run. */
+  /** A 32-bit integer; runs with the same seed are identical. */
   readonly seed: number;
-  /** The log as the process of that name reaches it. */
+  /** Returns the log connection of the named process. */
   readonly logOf: (process: string) => LogService;
   readonly region: string;
   readonly availabilityZones: readonly string[];
   readonly entries: number;
   readonly endpoints: readonly FleetEndpoint[];
-  readonly fewestDelayMilliseconds?: number;
+  readonly minDelayMilliseconds?: number;
   readonly observe?: Observe;
   readonly onMessage?: (message: NetworkMessage) => void;
-  /** Settings of entries and sides other than the ones below. */
+  /** Overrides of the default options of entries and sides. */
   readonly entry?: Partial<EntryOptions>;
   readonly side?: Partial<SideOptions>;
 }
@@ -85,7 +85,7 @@
   tokenSilenceMilliseconds: 5_000,
 };
 
-/** Several entries and sides in one process, and an operator's publisher. */
+/** Runs several entries and sides in one process, and an operator's publisher. */
 export class Fleet {
   readonly entries: EntryCore[] = [];
   readonly sides: SideCore[] = [];
@@ -97,8 +97,8 @@
     this.#options = options;
     this.network = new InProcessNetwork({
       timer: options.timer,
-      random: this.#randomOf("network"),
-      fewestDelayMilliseconds: options.fewestDelayMilliseconds ?? 1,
+      random: this.#randomFor("network"),
+      minDelayMilliseconds: options.minDelayMilliseconds ?? 1,
       onMessage: options.onMessage,
     });
     for (let index = 0; index < options.entries; index += 1) {
@@ -115,12 +115,12 @@
     for (const side of this.sides) side.start();
   }
 
-  /** Ends all timers; the fleet can't be started again. */
+  /** Cancels all timers; the fleet can't be restarted. */
   halt(): void {
-    for (const each of [...this.entries, ...this.sides]) each.halt();
+    for (const process of [...this.entries, ...this.sides]) process.halt();
   }
 
-  /** Publishes for an operator; settles with the verdict. */
+  /** Publishes as an operator does; resolves to the verdict. */
   publish(content: ConfigurationContent, base: number) {
     const publicationId = `change-on-${base}`;
     return this.#publisher.publish(content, { publicationId, base });
@@ -146,10 +146,10 @@
         availabilityZones[index % availabilityZones.length],
       ),
       timer,
-      random: this.#randomOf(name),
+      random: this.#randomFor(name),
       log: this.#options.logOf(name),
       ...this.network.linksOf(address),
-      peerAddresses: this.#entryAddresses().filter((each) => each !== address),
+      peerAddresses: this.#entryAddresses().filter((peer) => peer !== address),
       hash: (text) => hashToUnit(text).toString(36),
       limits: ENTRY_LIMITS,
       times: ENTRY_TIMES,
@@ -170,7 +170,7 @@
       availabilityZone: identifier(endpoint.availabilityZone),
       kind: "engine",
       timer,
-      random: this.#randomOf(endpoint.id),
+      random: this.#randomFor(endpoint.id),
       endpoint: endpoint.link,
       entries: this.network.linksOf(address).entries,
       entryAddresses: this.#entryAddresses(),
@@ -191,7 +191,7 @@
       stream: identifier(`configuration.${region}`),
       fold,
       timer,
-      random: this.#randomOf("publisher"),
+      random: this.#randomFor("publisher"),
       writer: identifier("publisher"),
       incarnation: identifier("publisher-run-0"),
       appendDelayMilliseconds: 5,
@@ -209,18 +209,18 @@
     );
   }
 
-  /** A source of its own for each process: one's draws move no other's. */
-  #randomOf(name: string): Random {
+  /** Separate random source per process, so that none affects another. */
+  #randomFor(name: string): Random {
     return seededRandom(hashToUnit(`${this.#options.seed} ${name}`) * 2 ** 32);
   }
 }
 
-/** Where the entry of that number listens. */
+/** Address at which the entry with this index listens. */
 export function entryAddress(index: number): PeerAddress {
   return identifier(`entry-${index}:7000`);
 }
 
-/** Where the side of that endpoint listens. */
+/** Address at which the side of this endpoint listens. */
 export function sideAddress(endpoint: string): PeerAddress {
   return identifier(`${endpoint}:7001`);
 }
--- a/examples/embedding/memory_engine.ts
+++ b/examples/embedding/memory_engine.ts
@@ -12,19 +12,19 @@
 export interface MemoryEngineOptions {
   readonly timer: TimerService;
   readonly models: readonly string[];
-  /** Time to the first token. */
+  /** Time to first token. */
   readonly prefillMilliseconds: number;
   readonly millisecondsBetweenTokens: number;
-  /** Tokens of an answer, where the request does not ask for fewer. */
+  /** Tokens of an answer, unless the request asks for fewer. */
   readonly tokens: number;
 }
 
-/** A model engine in memory; its tokens are `w0`, `w1` and so on. */
+/** In-memory model engine that generates the tokens `w0`, `w1` and so on. */
 export class MemoryEngine implements EndpointLink {
   readonly #options: MemoryEngineOptions;
-  /** Generations that have begun. */
+  /** Number of generations started. */
   generations = 0;
-  /** Calls of a plain service, by body. */
+  /** Bodies of the calls to a plain service. */
   readonly calls: string[] = [];
   #role: EngineObservation["role"] = "mixed";
   #running = 0;
@@ -40,8 +40,8 @@
     this.generations += 1;
     this.#running += 1;
     const { work, deliveredTokens } = attempt;
-    const most = work.kind === "generation" ? work.mostOutputTokens : 0;
-    const total = Math.min(most, this.#options.tokens);
+    const maxTokens = work.kind === "generation" ? work.mostOutputTokens : 0;
+    const total = Math.min(maxTokens, this.#options.tokens);
     let index = deliveredTokens?.length ?? 0;
     let paused = false;
     let pending: Subscription;
@@ -49,11 +49,11 @@
       (resolve) => {
         const step = () => {
           if (!paused && index < total) onToken(`w${index++} `);
-          if (index < total) return next(step);
+          if (index < total) return scheduleNext(step);
           this.#running -= 1;
           resolve(ok("stop"));
         };
-        const next = (then: () => void) => {
+        const scheduleNext = (then: () => void) => {
           const { timer, millisecondsBetweenTokens } = this.#options;
           pending = timer.after(millisecondsBetweenTokens, then);
         };
--- a/examples/embedding/memory_log.ts
+++ b/examples/embedding/memory_log.ts
@@ -10,7 +10,7 @@
   type TimerService,
 } from "filbertshore";
 
-/** A log service in memory: append and read with offsets, and long polls. */
+/** In-memory log service with appends, reads by offset and long polling. */
 export class MemoryLog implements LogService {
   readonly #timer: TimerService;
   readonly #streams = new Map<StreamName, LogItem[]>();
@@ -34,7 +34,7 @@
   async read(stream: StreamName, options: LogReadOptions) {
     const items = this.#items(stream);
     if (items.length <= options.from) {
-      await this.#newRecord(options.waitMilliseconds);
+      await this.#waitForRecord(options.waitMilliseconds);
     }
     const page: LogPage = {
       records: items.slice(options.from, options.from + options.limit),
@@ -53,15 +53,15 @@
     return items;
   }
 
-  #newRecord(mostMilliseconds: number): Promise<void> {
+  #waitForRecord(timeoutMilliseconds: number): Promise<void> {
     return new Promise((resolve) => {
-      const wake = () => {
-        this.#waiting.delete(wake);
-        alarm.cancel();
+      const finish = () => {
+        this.#waiting.delete(finish);
+        timeout.cancel();
         resolve();
       };
-      const alarm = this.#timer.after(mostMilliseconds, wake);
-      this.#waiting.add(wake);
+      const timeout = this.#timer.after(timeoutMilliseconds, finish);
+      this.#waiting.add(finish);
     });
   }
 }
