--- a/examples/embedding/network.ts
+++ b/examples/embedding/network.ts
@@ -18,35 +18,36 @@
   type TimerService,
 } from "filbertshore";
 
-const NOT_SENT = defineError<{ address: string }>()({
+const PEER_NOT_REACHED = defineError<{ address: string }>()({
   name: "link_not_sent",
   title: "Peer not reached",
-  message: ({ address }) => `Nobody listens at ${address}`,
+  message: ({ address }) => `No process listens at ${address}`,
   hint: "Add the process to the network first",
 });
 
-const LOST = defineError<{ address: string }>()({
+const ANSWER_LOST = defineError<{ address: string }>()({
   name: "link_lost",
   title: "Peer's answer was lost",
-  message: ({ address }) => `The process at ${address} has gone`,
-  hint: "It may have acted before it went",
+  message: ({ address }) =>
+    `The process at ${address} stopped or sent no answer`,
+  hint: "It may have processed the message",
 });
 
-/** One message between two processes of the system. */
+/** One message between two processes. */
 export interface NetworkMessage {
   readonly from: PeerAddress;
   readonly to: PeerAddress;
   readonly kind: string;
-  /** Length as JSON, in bytes, without the transport's own. */
+  /** Length as JSON, in bytes, without transport overhead. */
   readonly bytes: number;
 }
 
 export interface InProcessNetworkOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** One way's time: `fewest` and up to as much again by chance. */
-  readonly fewestDelayMilliseconds: number;
-  /** Called as each message sets off; for counting. */
+  /** Minimum one-way delay; a random delay of up to the same length is added. */
+  readonly minDelayMilliseconds: number;
+  /** Called when a message is sent, for traffic counting. */
   readonly onMessage?: (message: NetworkMessage) => void;
 }
 
@@ -57,11 +58,11 @@
 
 interface Call<Answer> {
   readonly kind: string;
-  readonly question: unknown;
+  readonly request: unknown;
   readonly answer: () => Answer | Promise<Answer>;
 }
 
-const LAST_FRAMES: ReadonlySet<AttemptFrame["kind"]> = new Set([
+const FINAL_FRAMES: ReadonlySet<AttemptFrame["kind"]> = new Set([
   "end",
   "response",
   "not_run",
@@ -69,9 +70,9 @@
 ]);
 
 /**
- * Entries and sides in one process, linked by functions over the timer
- * service. Messages are copied as JSON, so that no two processes share an
- * object, and the frames of one attempt keep their order, as on a connection.
+ * Connects entries and sides in one process through delayed function calls.
+ * Messages are copied as JSON, so that processes share no objects, and the
+ * frames of one attempt stay in order, as on a connection.
  */
 export class InProcessNetwork {
   readonly #options: InProcessNetworkOptions;
@@ -90,13 +91,13 @@
     this.#sides.set(address, side);
   }
 
-  /** Nobody listens at the address from now on. */
+  /** Removes the process that listens at the address. */
   remove(address: PeerAddress): void {
     this.#entries.delete(address);
     this.#sides.delete(address);
   }
 
-  /** What the process at `from` needs to reach the others. */
+  /** Returns the links from the process at `from` to all others. */
   linksOf(from: PeerAddress): { sides: SideLink; entries: EntryLink } {
     return { sides: this.#sideLink(from), entries: this.#entryLink(from) };
   }
@@ -107,13 +108,13 @@
       ask: (to, question) =>
         this.#call({ from, to }, {
           kind: "ask",
-          question,
+          request: question,
           answer: () => this.#side(to).ask(question),
         }),
       report: (to) =>
         this.#call({ from, to }, {
           kind: "report",
-          question: {},
+          request: {},
           answer: () => this.#side(to).report(),
         }),
     };
@@ -124,24 +125,24 @@
       watch: async (to, question) => {
         const answer = await this.#call({ from, to }, {
           kind: "watch",
-          question,
+          request: question,
           answer: () => this.#entry(to).watch(question),
         });
-        return answered(answer, to);
+        return requireAnswer(answer, to);
       },
       status: (to, question) =>
         this.#call({ from, to }, {
           kind: "status",
-          question: question ?? {},
+          request: question ?? {},
           answer: () => this.#entry(to).status(question),
         }),
       snapshot: async (to, stream) => {
         const answer = await this.#call({ from, to }, {
           kind: "snapshot",
-          question: { stream },
+          request: { stream },
           answer: () => this.#entry(to).snapshot(stream),
         });
-        return answered(answer, to);
+        return requireAnswer(answer, to);
       },
     };
   }
@@ -150,13 +151,13 @@
     route: Route,
     call: Call<Answer>,
   ): Promise<Result<Answer, LinkFailure>> {
-    this.#count(route, call.kind, call.question);
-    await this.#travel();
-    if (!this.#listens(route.to)) return err(notSent(route.to));
-    const answer = copy(await call.answer());
-    if (!this.#listens(route.to)) return err(lost(route.to));
-    this.#count({ from: route.to, to: route.from }, call.kind, answer);
-    await this.#travel();
+    this.#reportMessage(route, call.kind, call.request);
+    await this.#waitOneWay();
+    if (!this.#isListening(route.to)) return err(notReachedFailure(route.to));
+    const answer = jsonCopy(await call.answer());
+    if (!this.#isListening(route.to)) return err(lostAnswerFailure(route.to));
+    this.#reportMessage({ from: route.to, to: route.from }, call.kind, answer);
+    await this.#waitOneWay();
     return ok(answer);
   }
 
@@ -165,53 +166,65 @@
     attempt: AttemptRequest,
     onFrame: (frame: AttemptFrame) => void,
   ): AttemptCall {
-    const way = new OrderedWay(this.#options.timer, () => this.#delay());
-    const back = new OrderedWay(this.#options.timer, () => this.#delay());
+    const outbound = new OrderedChannel(
+      this.#options.timer,
+      () => this.#delay(),
+    );
+    const inbound = new OrderedChannel(
+      this.#options.timer,
+      () => this.#delay(),
+    );
     let handle: AttemptHandle | undefined;
     let settle: (result: Result<void, LinkFailure>) => void;
     const closed = new Promise<Result<void, LinkFailure>>((resolve) => {
       settle = resolve;
     });
     const emit = (frame: AttemptFrame) => {
-      if (!this.#listens(route.to)) return settle(err(lost(route.to)));
-      this.#count({ from: route.to, to: route.from }, frame.kind, frame);
-      back.send(() => {
-        onFrame(copy(frame));
-        if (LAST_FRAMES.has(frame.kind)) settle(ok());
+      if (!this.#isListening(route.to)) {
+        return settle(err(lostAnswerFailure(route.to)));
+      }
+      this.#reportMessage(
+        { from: route.to, to: route.from },
+        frame.kind,
+        frame,
+      );
+      inbound.send(() => {
+        onFrame(jsonCopy(frame));
+        if (FINAL_FRAMES.has(frame.kind)) settle(ok());
       });
     };
-    this.#count(route, "run", attempt);
-    way.send(() => {
+    this.#reportMessage(route, "run", attempt);
+    outbound.send(() => {
       const side = this.#sides.get(route.to);
-      if (side === undefined) return settle(err(notSent(route.to)));
-      handle = side.run(copy(attempt), emit);
+      if (side === undefined) return settle(err(notReachedFailure(route.to)));
+      handle = side.run(jsonCopy(attempt), emit);
     });
     return {
       closed,
-      cancel: () => way.send(() => handle?.cancel()),
-      pause: () => way.send(() => handle?.pause()),
-      resume: () => way.send(() => handle?.resume()),
+      cancel: () => outbound.send(() => handle?.cancel()),
+      pause: () => outbound.send(() => handle?.pause()),
+      resume: () => outbound.send(() => handle?.resume()),
     };
   }
 
-  #count(route: Route, kind: string, content: unknown): void {
+  #reportMessage(route: Route, kind: string, content: unknown): void {
     const { onMessage } = this.#options;
     if (onMessage === undefined) return;
     onMessage({ ...route, kind, bytes: JSON.stringify(content ?? {}).length });
   }
 
-  #travel(): Promise<void> {
+  #waitOneWay(): Promise<void> {
     return new Promise((resolve) => {
       this.#options.timer.after(this.#delay(), resolve);
     });
   }
 
   #delay(): number {
-    const { fewestDelayMilliseconds, random } = this.#options;
-    return fewestDelayMilliseconds * (1 + random());
+    const { minDelayMilliseconds, random } = this.#options;
+    return minDelayMilliseconds * (1 + random());
   }
 
-  #listens(address: PeerAddress): boolean {
+  #isListening(address: PeerAddress): boolean {
     return this.#entries.has(address) || this.#sides.has(address);
   }
 
@@ -224,8 +237,8 @@
   }
 }
 
-/** One direction of a connection: nothing overtakes. */
-class OrderedWay {
+/** One direction of a connection; delivers in order. */
+class OrderedChannel {
   readonly #timer: TimerService;
   readonly #delay: () => number;
   #lastArrival = 0;
@@ -242,23 +255,25 @@
   }
 }
 
-function notSent(address: PeerAddress): LinkFailure {
-  return failure(NOT_SENT, { address });
+function notReachedFailure(address: PeerAddress): LinkFailure {
+  return failure(PEER_NOT_REACHED, { address });
 }
 
-function lost(address: PeerAddress): LinkFailure {
-  return failure(LOST, { address });
+function lostAnswerFailure(address: PeerAddress): LinkFailure {
+  return failure(ANSWER_LOST, { address });
 }
 
-function copy<Value>(value: Value): Value {
+function jsonCopy<Value>(value: Value): Value {
   return value === undefined ? value : JSON.parse(JSON.stringify(value));
 }
 
-/** An entry that has no answer at present is like one that gives none. */
-function answered<Answer>(
+/** Treats an undefined answer of an entry as a lost one. */
+function requireAnswer<Answer>(
   answer: Result<Answer | undefined, LinkFailure>,
   to: PeerAddress,
 ): Result<Answer, LinkFailure> {
   if (answer.isErr()) return err(answer.error);
-  return answer.value === undefined ? err(lost(to)) : ok(answer.value);
+  return answer.value === undefined
+    ? err(lostAnswerFailure(to))
+    : ok(answer.value);
 }
--- a/examples/embedding/run.ts
+++ b/examples/embedding/run.ts
@@ -16,11 +16,11 @@
 const ENTRIES = 3;
 const ENDPOINTS = 6;
 const REQUESTS = 30;
-/** Claim, publication, verdict and the sides' reports are through by then. */
-const START_MILLISECONDS = 30_000;
+/** Time for the claim, the publication, its verdict and the sides' reports. */
+const START_UP_MILLISECONDS = 30_000;
 const RUN_MILLISECONDS = 30_000;
 
-/** What came of a run; two runs with one seed give equal ones. */
+/** Result of a run; runs with the same seed have equal results. */
 export interface ExampleResult {
   readonly outcomes: readonly Outcome[];
   readonly answers: readonly string[];
@@ -29,9 +29,9 @@
 }
 
 /**
- * Three entries, six engines with their sides and a log in one process, on
- * virtual time: publishes an inventory, sends thirty requests, and drains an
- * engine by a second publication while they run.
+ * Runs three entries, six engines with their sides and a log in one process, on
+ * virtual time. Publishes an inventory, sends thirty requests, and drains an
+ * engine with a second publication while they run.
  */
 export async function runExample(seed: number): Promise<ExampleResult> {
   const timer = new ManualTimerService();
@@ -50,7 +50,7 @@
   });
   fleet.start();
   void fleet.publish(makeContent(endpoints, []), 0);
-  await timer.advance(START_MILLISECONDS);
+  await timer.advance(START_UP_MILLISECONDS);
 
   const callers = sendRequests(fleet);
   const version = fleet.entries[0].configurationVersion;
@@ -61,8 +61,8 @@
     outcomes: callers.outcomes,
     answers: callers.answers,
     history,
-    configurationVersions: fleet.entries.map((each) =>
-      each.configurationVersion
+    configurationVersions: fleet.entries.map((entry) =>
+      entry.configurationVersion
     ),
   };
 }
@@ -82,7 +82,7 @@
   }));
 }
 
-/** The inventory, with some of the endpoints draining. */
+/** Makes a configuration in which the given endpoints are draining. */
 function makeContent(
   endpoints: readonly FleetEndpoint[],
   draining: readonly string[],
