--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -53,9 +53,7 @@
   /** Stops the holder as SIGKILL does and starts a replacement entry. */
   replaceHolder(round: number): void {
     const killed = this.holder();
-    if (killed === undefined) {
-      throw new Error("No entry holds the planner's claim");
-    }
+    if (killed === undefined) throw new Error("No planner holds the claim");
     killed.faults.silent = true;
     killed.journal.stop();
     this.planners = this.planners.filter((planner) => planner !== killed);
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -100,9 +100,7 @@
   /** Simulates the loss of the VM whose entry is the judge. */
   killJudge(): void {
     const judge = this.entries.find(({ judge }) => judge.keeper.held);
-    if (judge === undefined) {
-      throw new Error("No entry holds the judge's claim");
-    }
+    if (judge === undefined) throw new Error("No judge holds the claim");
     this.inForce.delete(judge.id);
     for (const follower of [judge.judge, judge.planner]) {
       follower.faults.silent = true;
@@ -119,10 +117,10 @@
     const judge = makeJudge({ ...options, connect: connectCounted });
     const planner = makePlanner({ ...options, connect: connectCounted });
     const waiting = new Set<() => void>();
-    const versionTimes = new Map<number, number>();
-    this.inForce.set(id, versionTimes);
+    const times = new Map<number, number>();
+    this.inForce.set(id, times);
     judge.fold.onChange(() => {
-      versionTimes.set(judge.fold.version, this.timer.now());
+      times.set(judge.fold.version, this.timer.now());
       for (const wake of [...waiting]) wake();
     });
     const availabilityZone = `zone-${Math.floor(index / ENTRIES_IN_ZONE)}`;
@@ -132,24 +130,22 @@
   #startSide(index: number): void {
     const zones = Math.ceil(this.size.entries / ENTRIES_IN_ZONE);
     const id = `side-${index}`;
-    const versionTimes = new Map<number, number>();
-    this.inForce.set(id, versionTimes);
+    const times = new Map<number, number>();
+    this.inForce.set(id, times);
     const report = sampleReport(id);
-    const attachedEntries = attachments(this.entries, {
+    const entries = attachments(this.entries, {
       side: id,
       availabilityZone: `zone-${index % zones}`,
     });
-    for (const entry of attachedEntries) {
-      void this.#watch(entry, { report, versionTimes });
-    }
+    for (const entry of entries) void this.#watch(entry, { report, times });
   }
 
   /** Repeats a side's long poll at one entry. */
   async #watch(
     entry: Entry,
-    side: { report: SideReport; versionTimes: Map<number, number> },
+    side: { report: SideReport; times: Map<number, number> },
   ): Promise<never> {
-    const { report, versionTimes } = side;
+    const { report, times } = side;
     for (;;) {
       const request = JSON.stringify({
         report,
@@ -163,7 +159,7 @@
       await pause(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
       if (version <= report.configurationVersion) continue;
       report.configurationVersion = version;
-      versionTimes.set(version, this.timer.now());
+      times.set(version, this.timer.now());
     }
   }
 
--- a/bench/configuration_traffic.ts
+++ b/bench/configuration_traffic.ts
@@ -26,7 +26,7 @@
   traffic.bytes += bytes;
 }
 
-/** Size as JSON of a read request (offset, limit, wait) and of an empty page. */
+/** Sizes as JSON of a read request (offset, limit, wait) and an empty page. */
 const READ_REQUEST_BYTES = 90;
 const EMPTY_PAGE_BYTES = 50;
 
--- a/bench/engine_model.ts
+++ b/bench/engine_model.ts
@@ -155,7 +155,7 @@
     return tokens;
   }
 
-  /** Changes the role of an engine that its side has drained; causes downtime. */
+  /** Changes the role of a drained engine, which causes downtime. */
   changeRole(role: Role, onDone: () => void): void {
     this.#role = role;
     this.#cachedPrefixes.clear();
--- a/bench/entry_under_test.ts
+++ b/bench/entry_under_test.ts
@@ -148,9 +148,7 @@
         return;
       }
     }
-    throw new Error(
-      `Publication was not in force within ${IN_FORCE_TIMEOUT_MILLISECONDS} ms`,
-    );
+    throw new Error("Timed out before the publication was in force");
   }
 
   #content(states: Readonly<Record<string, string>>) {
--- a/bench/load_bound.ts
+++ b/bench/load_bound.ts
@@ -1,4 +1,4 @@
-/** Upper bound of goodput, with the mix known in advance and free role changes. */
+/** Upper bound of goodput, given the mix in advance and free role changes. */
 import { type RoleCounts, servedPerSecond } from "../src/core/roles/mod.ts";
 import type { Pool } from "../src/generated/inventory.ts";
 import { ROLE_PROFILES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
@@ -51,7 +51,7 @@
   }));
 }
 
-/** Highest number of requests served per second, and the roles that reach it. */
+/** Highest rate of requests served per second, and the roles that reach it. */
 export function bestServed(
   pool: Pool,
   shapes: readonly ClassShape[],
@@ -90,7 +90,7 @@
   return low;
 }
 
-/** Interval between the times of a swing period at which bounds are computed. */
+/** Interval between the times of a period at which bounds are computed. */
 const BOUND_STEP_SECONDS = 5;
 
 function ratesOverPeriod(
@@ -123,7 +123,7 @@
   );
 }
 
-/** Fixed roles that serve the varying mix best; all policies start with them. */
+/** Fixed roles that serve the swinging mix best; all policies start there. */
 export function bestStaticRoles(
   deployment: Deployment,
   pool: Pool,
--- a/bench/load_deployments.ts
+++ b/bench/load_deployments.ts
@@ -12,7 +12,7 @@
   readonly pool: string;
   /** Mean fraction of the pool's requests. */
   readonly share: number;
-  /** Half of a period with more requests: 1 the first, -1 the second, 0 none. */
+  /** Half of the period with more requests: 1 first, -1 second, 0 neither. */
   readonly swing: 1 | -1 | 0;
   readonly promptTokens: number;
   readonly outputTokens: number;
--- a/bench/load_job.ts
+++ b/bench/load_job.ts
@@ -60,7 +60,7 @@
 
 export function deploymentNamed(name: string): Deployment {
   const found = DEPLOYMENTS.find((deployment) => deployment.name === name);
-  if (found === undefined) throw new Error(`Unknown deployment: ${name}`);
+  if (found === undefined) throw new Error(`Unknown deployment ${name}`);
   return found;
 }
 
@@ -111,9 +111,7 @@
     changes.roleChangeWeight,
   );
   const variant = VARIANTS.find((candidate) => candidate.name === cell.variant);
-  if (variant === undefined) {
-    throw new Error(`Unknown variant: ${cell.variant}`);
-  }
+  if (variant === undefined) throw new Error(`Unknown variant ${cell.variant}`);
   const scale = scaleOf(deployment);
   const sum = new RunFigures();
   for (const seed of cell.seeds) {
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -1,4 +1,4 @@
-/** Simulates arrivals, entries, sides, engines and the planner on virtual time. */
+/** Simulates arrivals, entries, sides, engines and planner on virtual time. */
 import {
   type AvailabilityZoneId,
   type EndpointId,
@@ -92,7 +92,7 @@
   readonly figures = new RunFigures();
   readonly sides = new Map<string, SideModel>();
   readonly entries: Scheduler[] = [];
-  /** If false, no plans are made, as during a log outage or without a planner. */
+  /** False simulates a log outage or the loss of the planner: no plans. */
   plannerAlive = true;
   #lastArrivalAt = 0;
   reportsEnabled = true;
@@ -352,9 +352,7 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") {
-              this.#recordTokenTimes(open, firstTokenAt, now);
-            }
+            if (result === "answered") this.#addTimes(open, firstTokenAt, now);
             this.#onAttemptEnd(open, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
@@ -389,7 +387,7 @@
     this.#submitAttempt(open, { ...open.makeProfile, excluded });
   }
 
-  #recordTokenTimes(
+  #addTimes(
     open: OpenRequest,
     firstTokenAt: number | undefined,
     now: number,
@@ -414,7 +412,7 @@
 
 const PREFIX_BLOCKS = 10;
 
-/** Hashes of the prompt's blocks: those of the document first, then unique ones. */
+/** Hashes of the prompt's blocks: the document's first, then unique ones. */
 function prefixHashesOf(document: string, id: string): string[] {
   const shared = Math.round(DOCUMENT_SHARE * PREFIX_BLOCKS);
   return Array.from(
--- a/bench/load_side.ts
+++ b/bench/load_side.ts
@@ -1,4 +1,4 @@
-/** Models one endpoint: the side's limiter in front of the engine or service. */
+/** Models one endpoint: a side's limiter in front of an engine or service. */
 import { SideLimiter, type Slot } from "../src/core/limits/mod.ts";
 import type { Role } from "../src/core/roles/mod.ts";
 import type { TimerService } from "../src/core/time/mod.ts";
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -2,8 +2,8 @@
  * Overhead of entry and side compared with calling the engine directly: time to
  * first token, token latency, CPU time per token and memory per open stream.
  * Also measures the maximum tokens and requests per second of one entry and one
- * side. Every ratio compares two figures of the same run. The last line is JSON.
- * `--profile FOLDER` writes CPU profiles of entry and side.
+ * side. Every ratio compares two figures of the same run. The last line of the
+ * output is JSON. `--profile FOLDER` writes CPU profiles of entry and side.
  */
 import { mkdirSync } from "node:fs";
 import process from "node:process";
@@ -213,13 +213,11 @@
 
 builtBinary();
 const profileFlagIndex = process.argv.indexOf("--profile");
-const profileDirectory = profileFlagIndex < 0
+const profileFolder = profileFlagIndex < 0
   ? undefined
   : process.argv[profileFlagIndex + 1];
-if (profileDirectory !== undefined) {
-  mkdirSync(profileDirectory, { recursive: true });
-}
-const path = new PathProcesses({ profileDirectory });
+if (profileFolder !== undefined) mkdirSync(profileFolder, { recursive: true });
+const path = new PathProcesses({ profileFolder: profileFolder });
 await path.start();
 try {
   const figures = await measurePath(path);
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -12,7 +12,7 @@
 
 export interface PathOptions {
   /** Directory for CPU profiles of entry and side; none if absent. */
-  readonly profileDirectory?: string;
+  readonly profileFolder?: string;
 }
 
 const BUNDLE = "dist/filbertshore.cjs";
@@ -23,7 +23,7 @@
 
 /** Runs one entry, one side and the token source as processes. */
 export class PathProcesses {
-  readonly #directory = mkdtempSync(join(tmpdir(), "filbertshore-path-"));
+  readonly #folder = mkdtempSync(join(tmpdir(), "filbertshore-path-"));
   readonly #log = new LogServiceStandIn();
   readonly #options: PathOptions;
   readonly #children: ChildProcess[] = [];
@@ -100,19 +100,19 @@
       if (exited === undefined) child.kill("SIGKILL");
     }
     await this.#log.close();
-    rmSync(this.#directory, { recursive: true });
+    rmSync(this.#folder, { recursive: true });
   }
 
   #startProgram(
     role: "entry" | "side",
     settings: Record<string, unknown>,
   ): number {
-    const file = join(this.#directory, `${role}.toml`);
+    const file = join(this.#folder, `${role}.toml`);
     writeFileSync(file, stringify(settings));
-    const { profileDirectory } = this.#options;
-    const profiling = profileDirectory === undefined ? [] : [
+    const { profileFolder: profileFolder } = this.#options;
+    const profiling = profileFolder === undefined ? [] : [
       "--cpu-prof",
-      `--cpu-prof-dir=${profileDirectory}`,
+      `--cpu-prof-dir=${profileFolder}`,
       `--cpu-prof-name=${role}.cpuprofile`,
     ];
     return this.#spawn([...profiling, BUNDLE, role, "--settings", file]);
@@ -187,8 +187,6 @@
       if (response?.status === 200) return;
       await sleep(200);
     }
-    throw new Error(
-      `Entry and side were not ready within ${READY_TIMEOUT_MILLISECONDS} ms`,
-    );
+    throw new Error("Timed out before entry and side were ready");
   }
 }
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -44,7 +44,7 @@
   ];
 }
 
-/** Measures all sizes concurrently; an idle entry uses a few percent of a core. */
+/** Measures all sizes at once; an idle entry uses a few percent of a core. */
 async function measureByEndpoints(): Promise<Series[]> {
   const runs = [16, 64, 128, 256].map(async (x) => {
     const entry = new EntryUnderTest();
--- a/bench/slopes_folds.ts
+++ b/bench/slopes_folds.ts
@@ -51,9 +51,7 @@
   for (let index = 0; index < count; index += 1) {
     fold.apply(numbered(index), keyRecord(index));
   }
-  if (fold.size !== count) {
-    throw new Error(`Expected ${count} keys in the fold, found ${fold.size}`);
-  }
+  if (fold.size !== count) throw new Error("The fold is missing keys");
   return fold;
 }
 
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -11,7 +11,7 @@
 
 const IDLE_SECONDS = 30;
 const ENDPOINTS_PER_POOL = 16;
-/** After this time, deadlines and the sides' records of attempts have expired. */
+/** By then, deadlines and the sides' records of attempts have expired. */
 const EXPIRY_MILLISECONDS = 150_000;
 const DISCARDING_SINK = { token: () => true, response() {}, finish() {} };
 
--- a/bench/stream_load.ts
+++ b/bench/stream_load.ts
@@ -101,19 +101,17 @@
 
   #countTokens(chunk: Buffer): number {
     let tokens = 0;
-    let lastMarkerIndex = -1;
+    let last = -1;
     for (
       let index = chunk.indexOf(TOKEN_MARKER);
       index >= 0;
       index = chunk.indexOf(TOKEN_MARKER, index + TOKEN_MARKER.length)
     ) {
       tokens += 1;
-      lastMarkerIndex = index;
+      last = index;
     }
     this.tokens += tokens;
-    if (this.recordsLatencies && lastMarkerIndex >= 0) {
-      this.#recordLatency(chunk, lastMarkerIndex);
-    }
+    if (this.recordsLatencies && last >= 0) this.#recordLatency(chunk, last);
     return tokens;
   }
 
--- a/examples/embedding/fleet.ts
+++ b/examples/embedding/fleet.ts
@@ -85,7 +85,7 @@
   tokenSilenceMilliseconds: 5_000,
 };
 
-/** Runs several entries and sides in one process, and an operator's publisher. */
+/** Runs entries, sides and an operator's publisher in one process. */
 export class Fleet {
   readonly entries: EntryCore[] = [];
   readonly sides: SideCore[] = [];
--- a/examples/embedding/network.ts
+++ b/examples/embedding/network.ts
@@ -45,7 +45,7 @@
 export interface InProcessNetworkOptions {
   readonly timer: TimerService;
   readonly random: Random;
-  /** Minimum one-way delay; a random delay of up to the same length is added. */
+  /** Minimum one-way delay; random jitter of up to the same length is added. */
   readonly minDelayMilliseconds: number;
   /** Called when a message is sent, for traffic counting. */
   readonly onMessage?: (message: NetworkMessage) => void;
@@ -153,9 +153,9 @@
   ): Promise<Result<Answer, LinkFailure>> {
     this.#reportMessage(route, call.kind, call.request);
     await this.#waitOneWay();
-    if (!this.#isListening(route.to)) return err(notReachedFailure(route.to));
+    if (!this.#isListening(route.to)) return err(notReached(route.to));
     const answer = jsonCopy(await call.answer());
-    if (!this.#isListening(route.to)) return err(lostAnswerFailure(route.to));
+    if (!this.#isListening(route.to)) return err(answerLost(route.to));
     this.#reportMessage({ from: route.to, to: route.from }, call.kind, answer);
     await this.#waitOneWay();
     return ok(answer);
@@ -181,7 +181,7 @@
     });
     const emit = (frame: AttemptFrame) => {
       if (!this.#isListening(route.to)) {
-        return settle(err(lostAnswerFailure(route.to)));
+        return settle(err(answerLost(route.to)));
       }
       this.#reportMessage(
         { from: route.to, to: route.from },
@@ -196,7 +196,7 @@
     this.#reportMessage(route, "run", attempt);
     outbound.send(() => {
       const side = this.#sides.get(route.to);
-      if (side === undefined) return settle(err(notReachedFailure(route.to)));
+      if (side === undefined) return settle(err(notReached(route.to)));
       handle = side.run(jsonCopy(attempt), emit);
     });
     return {
@@ -255,11 +255,11 @@
   }
 }
 
-function notReachedFailure(address: PeerAddress): LinkFailure {
+function notReached(address: PeerAddress): LinkFailure {
   return failure(PEER_NOT_REACHED, { address });
 }
 
-function lostAnswerFailure(address: PeerAddress): LinkFailure {
+function answerLost(address: PeerAddress): LinkFailure {
   return failure(ANSWER_LOST, { address });
 }
 
@@ -273,7 +273,5 @@
   to: PeerAddress,
 ): Result<Answer, LinkFailure> {
   if (answer.isErr()) return err(answer.error);
-  return answer.value === undefined
-    ? err(lostAnswerFailure(to))
-    : ok(answer.value);
+  return answer.value === undefined ? err(answerLost(to)) : ok(answer.value);
 }
