--- a/bench/configuration_traffic.ts
+++ b/bench/configuration_traffic.ts
@@ -14,8 +14,8 @@
 
 /** Size as JSON, cached because hundreds of readers get the same records. */
 export function jsonBytes(value: object): number {
-  const known = sizeCache.get(value);
-  if (known !== undefined) return known;
+  const cached = sizeCache.get(value);
+  if (cached !== undefined) return cached;
   const size = Buffer.byteLength(JSON.stringify(value));
   sizeCache.set(value, size);
   return size;
--- a/bench/engine_model.ts
+++ b/bench/engine_model.ts
@@ -89,12 +89,10 @@
   #decoding = 0;
   #active = 0;
   #memoryUsed = 0;
-  #completionTimer: Subscription | undefined;
+  #nextEventTimer: Subscription | undefined;
   readonly #waiting: JobState[] = [];
   readonly #prefilling: JobState[] = [];
-  readonly #completions = new Heap<Completion>((one, other) =>
-    one.clock < other.clock
-  );
+  readonly #completions = new Heap<Completion>((a, b) => a.clock < b.clock);
   readonly #cachedPrefixes = new Map<string, true>();
 
   constructor(options: EngineModelOptions) {
@@ -230,21 +228,21 @@
   }
 
   #reschedule(): void {
-    this.#completionTimer?.cancel();
-    this.#completionTimer = undefined;
+    this.#nextEventTimer?.cancel();
+    this.#nextEventTimer = undefined;
     this.#dropStaleCompletions();
     const [first] = this.#prefilling;
-    const finish = this.#completions.peek();
+    const completion = this.#completions.peek();
     let delay = Infinity;
     if (this.#isPrefilling) {
       delay = Math.max(0, first.promptLeft) / this.#prefillPerMillisecond();
     }
-    if (finish !== undefined) {
-      const tokens = Math.max(0, finish.clock - this.#decodeClock);
+    if (completion !== undefined) {
+      const tokens = Math.max(0, completion.clock - this.#decodeClock);
       delay = Math.min(delay, tokens * this.millisecondsBetweenTokens);
     }
     if (delay === Infinity) return;
-    this.#completionTimer = this.#timer.after(
+    this.#nextEventTimer = this.#timer.after(
       delay + 1e-6,
       () => this.#onTimer(),
     );
@@ -259,11 +257,13 @@
       first.job.onFirstToken();
     }
     this.#dropStaleCompletions();
-    const finish = this.#completions.peek();
-    if (finish !== undefined && finish.clock <= this.#decodeClock + 1e-6) {
+    const completion = this.#completions.peek();
+    if (
+      completion !== undefined && completion.clock <= this.#decodeClock + 1e-6
+    ) {
       this.#completions.pop();
-      this.#removeJob(finish.state);
-      finish.state.job.onEnd();
+      this.#removeJob(completion.state);
+      completion.state.job.onEnd();
     }
     this.#admitWaiting();
     this.#reschedule();
@@ -288,10 +288,10 @@
 
   #dropStaleCompletions(): void {
     for (;;) {
-      const finish = this.#completions.peek();
-      if (finish === undefined) return;
-      const { phase, completionClock } = finish.state;
-      if (phase === "decode" && completionClock === finish.clock) return;
+      const completion = this.#completions.peek();
+      if (completion === undefined) return;
+      const { phase, completionClock } = completion.state;
+      if (phase === "decode" && completionClock === completion.clock) return;
       this.#completions.pop();
     }
   }
--- a/bench/load_baselines.ts
+++ b/bench/load_baselines.ts
@@ -41,12 +41,12 @@
   submit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const inFlight = this.#pools.get(profile.pool) as Map<EndpointId, number>;
     let leastLoaded: EndpointId | undefined;
-    let fewest = Infinity;
+    let minInFlight = Infinity;
     for (const [endpoint, count] of inFlight) {
-      if (count >= fewest || this.#unusable.has(endpoint)) continue;
+      if (count >= minInFlight || this.#unusable.has(endpoint)) continue;
       if (profile.excluded.has(endpoint)) continue;
       leastLoaded = endpoint;
-      fewest = count;
+      minInFlight = count;
     }
     const endpoint = leastLoaded ?? [...inFlight.keys()][0];
     inFlight.set(endpoint, (inFlight.get(endpoint) ?? 0) + 1);
--- a/bench/load_figures.ts
+++ b/bench/load_figures.ts
@@ -28,10 +28,10 @@
   }
 
   percentile(share: number): number {
-    let left = this.total * share;
+    let remaining = this.total * share;
     for (let bucket = 0; bucket < BUCKETS; bucket++) {
-      left -= this.counts[bucket];
-      if (left <= 0 && this.counts[bucket] > 0) {
+      remaining -= this.counts[bucket];
+      if (remaining <= 0 && this.counts[bucket] > 0) {
         return LOWEST_MILLISECONDS *
           2 ** ((bucket + 0.5) / BUCKETS_PER_DOUBLING);
       }
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -81,7 +81,7 @@
   readonly arrival: Arrival;
   readonly entry: Scheduler;
   readonly zone: string;
-  readonly makeProfile: RequestProfile;
+  readonly profile: RequestProfile;
   attempts: number;
   done: boolean;
   stop: () => void;
@@ -138,7 +138,9 @@
     this.timer.every(PLAN_MILLISECONDS, () => this.#runPlanner());
     this.#options.prepare?.(this);
     const longestDeadlineSeconds = Math.max(
-      ...this.#deployment.rules.classes.map((one) => one.deadlineSeconds),
+      ...this.#deployment.rules.classes.map((workClass) =>
+        workClass.deadlineSeconds
+      ),
     );
     await this.timer.advance((seconds + longestDeadlineSeconds + 1) * 1_000);
     for (const side of this.sides.values()) this.figures.pauses += side.pauses;
@@ -222,8 +224,12 @@
   #poolState(pool: Pool) {
     const demand = new Map<string, ClassDemand>();
     for (const entry of this.entries) {
-      const seen = entry.demand().find((one) => one.pool === pool.name);
-      for (const one of seen?.classes ?? []) mergeDemand(demand, one);
+      const poolDemand = entry.demand().find((candidate) =>
+        candidate.pool === pool.name
+      );
+      for (const classDemand of poolDemand?.classes ?? []) {
+        mergeDemand(demand, classDemand);
+      }
     }
     return {
       pool: pool.name,
@@ -247,11 +253,11 @@
     const { workClass } = arrival.shape;
     const index = arrival.entry;
     const zone = this.#inventory.availabilityZones[index];
-    const open: OpenRequest = {
+    const request: OpenRequest = {
       arrival,
       entry: this.entries[index],
       zone,
-      makeProfile: this.#profile(arrival, zone),
+      profile: this.#makeProfile(arrival, zone),
       attempts: 0,
       done: false,
       stop: () => {},
@@ -259,16 +265,19 @@
     if (arrival.at >= this.measuredFrom) {
       this.figures.of(workClass.name).offered += 1;
     }
-    const alarm = this.timer.after(workClass.deadlineSeconds * 1_000, () => {
-      if (open.done) return;
-      open.stop();
-      this.#finish(open, "late");
-    });
-    this.#submitAttempt(open, open.makeProfile);
-    if (open.done) alarm.cancel();
+    const deadlineTimer = this.timer.after(
+      workClass.deadlineSeconds * 1_000,
+      () => {
+        if (request.done) return;
+        request.stop();
+        this.#finish(request, "late");
+      },
+    );
+    this.#submitAttempt(request, request.profile);
+    if (request.done) deadlineTimer.cancel();
   }
 
-  #profile(arrival: Arrival, zone: string): RequestProfile {
+  #makeProfile(arrival: Arrival, zone: string): RequestProfile {
     const { shape } = arrival;
     const id = `request-${this.#nextRequestNumber++}`;
     return {
@@ -290,46 +299,46 @@
     };
   }
 
-  #submitAttempt(open: OpenRequest, profile: RequestProfile): void {
-    const submitted = open.attempts === 0
-      ? open.entry.submit(profile)
-      : open.entry.resubmit(profile);
-    open.attempts += 1;
-    if (submitted.isErr()) return this.#finish(open, "refused");
-    void this.#awaitPlacement(open, submitted.value);
+  #submitAttempt(request: OpenRequest, profile: RequestProfile): void {
+    const submitted = request.attempts === 0
+      ? request.entry.submit(profile)
+      : request.entry.resubmit(profile);
+    request.attempts += 1;
+    if (submitted.isErr()) return this.#finish(request, "refused");
+    void this.#awaitPlacement(request, submitted.value);
   }
 
   async #awaitPlacement(
-    open: OpenRequest,
+    request: OpenRequest,
     waiting: WaitingRequest,
   ): Promise<void> {
-    open.stop = () => waiting.cancel();
+    request.stop = () => waiting.cancel();
     const placed = await waiting.placed;
-    if (placed.isErr()) return this.#finish(open, "refused");
-    if (open.done) return placed.value.release(cancelledSummary());
-    this.#runAttempt(open, placed.value);
+    if (placed.isErr()) return this.#finish(request, "refused");
+    if (request.done) return placed.value.release(cancelledSummary());
+    this.#runAttempt(request, placed.value);
   }
 
-  #runAttempt(open: OpenRequest, placement: Placement): void {
-    const { arrival } = open;
+  #runAttempt(request: OpenRequest, placement: Placement): void {
+    const { arrival } = request;
     const side = this.sides.get(placement.endpoint) as SideModel;
-    const delay = this.#zoneByEndpoint.get(placement.endpoint) === open.zone
+    const delay = this.#zoneByEndpoint.get(placement.endpoint) === request.zone
       ? SAME_ZONE_LATENCY_MILLISECONDS
       : OTHER_ZONE_LATENCY_MILLISECONDS;
     const placedAt = this.timer.now();
     let firstTokenAt: number | undefined;
     let cancelAtSide: (() => void) | undefined;
-    const attemptId = `${open.makeProfile.requestId}/${open.attempts}`;
-    open.stop = () => {
+    const attemptId = `${request.profile.requestId}/${request.attempts}`;
+    request.stop = () => {
       placement.release(cancelledSummary());
       this.timer.after(delay, () => cancelAtSide?.());
       cancelAtSide ??= () => {};
     };
     this.timer.after(delay, () => {
-      if (open.done) return;
+      if (request.done) return;
       if (!side.reachable) {
         return this.timer.after(delay, () => {
-          this.#onAttemptEnd(open, placement, {
+          this.#onAttemptEnd(request, placement, {
             result: "failed",
             tokens: 0,
             totalMilliseconds: 2 * delay,
@@ -338,10 +347,10 @@
       }
       cancelAtSide = side.run({
         attemptId,
-        className: open.makeProfile.className,
+        className: request.profile.className,
         priority: arrival.shape.workClass.priority,
         mayPause: arrival.shape.workClass.mayPause ?? false,
-        deadlineMilliseconds: open.makeProfile.deadline - this.timer.now(),
+        deadlineMilliseconds: request.profile.deadline - this.timer.now(),
         promptTokens: arrival.promptTokens,
         outputTokens: arrival.outputTokens,
         callMilliseconds: arrival.callMilliseconds,
@@ -352,8 +361,8 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") this.#addTimes(open, firstTokenAt, now);
-            this.#onAttemptEnd(open, placement, {
+            if (result === "answered") this.#record(request, firstTokenAt, now);
+            this.#onAttemptEnd(request, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
               totalMilliseconds: now - placedAt,
@@ -369,41 +378,41 @@
   }
 
   #onAttemptEnd(
-    open: OpenRequest,
+    request: OpenRequest,
     placement: Placement,
     summary: AttemptSummary,
   ): void {
-    if (open.done) return;
+    if (request.done) return;
     placement.release(summary);
-    if (summary.result === "answered") return this.#finish(open, "onTime");
+    if (summary.result === "answered") return this.#finish(request, "onTime");
     this.figures.sentBack += 1;
     const retryable = summary.result === "not_run" ||
-      open.makeProfile.idempotent;
-    if (!retryable || open.attempts >= MAX_ATTEMPTS) {
-      return this.#finish(open, "refused");
+      request.profile.idempotent;
+    if (!retryable || request.attempts >= MAX_ATTEMPTS) {
+      return this.#finish(request, "refused");
     }
-    const excluded = new Set(open.makeProfile.excluded);
+    const excluded = new Set(request.profile.excluded);
     excluded.add(placement.endpoint);
-    this.#submitAttempt(open, { ...open.makeProfile, excluded });
+    this.#submitAttempt(request, { ...request.profile, excluded });
   }
 
-  #addTimes(
-    open: OpenRequest,
+  #record(
+    request: OpenRequest,
     firstTokenAt: number | undefined,
     now: number,
   ): void {
-    const { arrival } = open;
-    if (open.done || firstTokenAt === undefined) return;
+    const { arrival } = request;
+    if (request.done || firstTokenAt === undefined) return;
     if (arrival.at < this.measuredFrom) return;
     const figures = this.figures.of(arrival.shape.workClass.name);
     figures.firstToken.add(firstTokenAt - arrival.at);
     figures.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
   }
 
-  #finish(open: OpenRequest, result: "onTime" | "late" | "refused"): void {
-    if (open.done) return;
-    open.done = true;
-    const { arrival } = open;
+  #finish(request: OpenRequest, result: "onTime" | "late" | "refused"): void {
+    if (request.done) return;
+    request.done = true;
+    const { arrival } = request;
     if (arrival.at < this.measuredFrom) return;
     this.#options.onFinished?.(arrival, result);
     this.figures.of(arrival.shape.workClass.name)[result] += 1;
@@ -427,21 +436,22 @@
 
 function mergeDemand(
   sums: Map<string, ClassDemand>,
-  seen: Omit<ClassDemand, "value">,
+  added: Omit<ClassDemand, "value">,
 ): void {
-  const known = sums.get(seen.className);
-  if (known === undefined) {
-    sums.set(seen.className, { ...seen, value: 1 });
+  const current = sums.get(added.className);
+  if (current === undefined) {
+    sums.set(added.className, { ...added, value: 1 });
     return;
   }
-  const rate = known.arrivalsPerSecond + seen.arrivalsPerSecond;
-  const mean = (one: number, other: number) =>
-    (one * known.arrivalsPerSecond + other * seen.arrivalsPerSecond) / rate;
-  sums.set(seen.className, {
-    ...known,
+  const rate = current.arrivalsPerSecond + added.arrivalsPerSecond;
+  const mean = (currentValue: number, addedValue: number) =>
+    (currentValue * current.arrivalsPerSecond +
+      addedValue * added.arrivalsPerSecond) / rate;
+  sums.set(added.className, {
+    ...current,
     arrivalsPerSecond: rate,
-    promptTokens: mean(known.promptTokens, seen.promptTokens),
-    outputTokens: mean(known.outputTokens, seen.outputTokens),
+    promptTokens: mean(current.promptTokens, added.promptTokens),
+    outputTokens: mean(current.outputTokens, added.outputTokens),
   });
 }
 
@@ -458,8 +468,8 @@
       ...Array(counts.decode).fill("decode"),
       ...Array(counts.mixed).fill("mixed"),
     ];
-    const endpoints = pool.endpoints.map((one, index) => ({
-      ...one,
+    const endpoints = pool.endpoints.map((endpoint, index) => ({
+      ...endpoint,
       role: endpointRoles[index],
     }));
     return { ...pool, endpoints };
--- a/bench/once.ts
+++ b/bench/once.ts
@@ -248,7 +248,7 @@
 const carried = ENTRY_COUNTS.flatMap((entries) =>
   [0, 0.5, 0.9].map((sticky) => simulateCarryOver(entries, sticky))
 );
-for (const each of carried) console.log(JSON.stringify(each));
+for (const result of carried) console.log(JSON.stringify(result));
 const memory = { keys: STORED_KEY_COUNT, bytesPerKey: bytesPerKey() };
 console.log(JSON.stringify(memory));
 console.log(
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -88,9 +88,9 @@
     for (let change = 0; change < changes; change += 1) {
       const started = performance.now();
       await entry.publish(change % 2 ? {} : { "engine-1": "draining" });
-      const left = WINDOW_MILLISECONDS / changes -
+      const remainingMilliseconds = WINDOW_MILLISECONDS / changes -
         (performance.now() - started);
-      await sleep(Math.max(0, left));
+      await sleep(Math.max(0, remainingMilliseconds));
     }
     measured.push({ x, rates: await measuring });
   }
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -11,7 +11,7 @@
 
 const IDLE_SECONDS = 30;
 const ENDPOINTS_PER_POOL = 16;
-/** By then, deadlines and the sides' records of attempts have expired. */
+/** Time for deadlines and the sides' records of attempts to expire. */
 const EXPIRY_MILLISECONDS = 150_000;
 const DISCARDING_SINK = { token: () => true, response() {}, finish() {} };
 
@@ -188,7 +188,7 @@
 }
 
 function countGenerations(region: InProcessRegion): number {
-  return region.engines.reduce((sum, each) => sum + each.generations, 0);
+  return region.engines.reduce((sum, engine) => sum + engine.generations, 0);
 }
 
 /** Evenly spaced publications over one minute, with a log latency of 20 ms. */
@@ -211,14 +211,14 @@
 }
 
 async function runChanges(changes: number) {
-  let lastInForce = 0;
+  let lastInForceAt = 0;
   const { region, traffic } = await startRegion({
     entries: 4,
     endpoints: 64,
     logLatencyMilliseconds: 20,
     fleet: {
       observe: ({ kind, at }) => {
-        if (kind === "configuration_in_force") lastInForce = at;
+        if (kind === "configuration_in_force") lastInForceAt = at;
       },
     },
   });
@@ -227,7 +227,7 @@
   traffic.on = true;
   let slowestMilliseconds = 0;
   for (let change = 0; change < changes; change += 1) {
-    const asked = timer.now();
+    const startedAt = timer.now();
     const content = region.content(
       change % 2 ? {} : { "engine-0": "draining" },
     );
@@ -237,7 +237,10 @@
     );
     await timer.advance(60_000 / changes);
     if ((await published).isErr()) throw new Error("Publication was rejected");
-    slowestMilliseconds = Math.max(slowestMilliseconds, lastInForce - asked);
+    slowestMilliseconds = Math.max(
+      slowestMilliseconds,
+      lastInForceAt - startedAt,
+    );
   }
   fleet.halt();
   return {
--- a/examples/embedding/network.ts
+++ b/examples/embedding/network.ts
@@ -153,9 +153,9 @@
   ): Promise<Result<Answer, LinkFailure>> {
     this.#reportMessage(route, call.kind, call.request);
     await this.#waitOneWay();
-    if (!this.#isListening(route.to)) return err(notReached(route.to));
+    if (!this.#hasPeer(route.to)) return err(notReached(route.to));
     const answer = jsonCopy(await call.answer());
-    if (!this.#isListening(route.to)) return err(answerLost(route.to));
+    if (!this.#hasPeer(route.to)) return err(answerLost(route.to));
     this.#reportMessage({ from: route.to, to: route.from }, call.kind, answer);
     await this.#waitOneWay();
     return ok(answer);
@@ -180,9 +180,7 @@
       settle = resolve;
     });
     const emit = (frame: AttemptFrame) => {
-      if (!this.#isListening(route.to)) {
-        return settle(err(answerLost(route.to)));
-      }
+      if (!this.#hasPeer(route.to)) return settle(err(answerLost(route.to)));
       this.#reportMessage(
         { from: route.to, to: route.from },
         frame.kind,
@@ -224,7 +222,7 @@
     return minDelayMilliseconds * (1 + random());
   }
 
-  #isListening(address: PeerAddress): boolean {
+  #hasPeer(address: PeerAddress): boolean {
     return this.#entries.has(address) || this.#sides.has(address);
   }
 
