--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -224,12 +224,10 @@
   #poolState(pool: Pool) {
     const demand = new Map<string, ClassDemand>();
     for (const entry of this.entries) {
-      const poolDemand = entry.demand().find((candidate) =>
+      const found = entry.demand().find((candidate) =>
         candidate.pool === pool.name
       );
-      for (const classDemand of poolDemand?.classes ?? []) {
-        mergeDemand(demand, classDemand);
-      }
+      for (const item of found?.classes ?? []) mergeDemand(demand, item);
     }
     return {
       pool: pool.name,
