--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Publishes as an operator does; resolves to the accepted version. */
+  /** Publishes as an operator does; resolves to its version and start time. */
   async publish(publicationId: string, content: ConfigurationContent) {
     const fold = new ConfigurationFold();
     const { journal } = makeJournal(fold, {
