--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -1,4 +1,4 @@
-/** One run: arrivals, entries, sides, engines and the planner on virtual time. */
+/** Simulates arrivals, entries, sides, engines and planner on virtual time. */
 import {
   type AvailabilityZoneId,
   type EndpointId,
@@ -32,14 +32,14 @@
 import { RunFigures } from "./load_figures.ts";
 import { SideModel } from "./load_side.ts";
 
-/** One policy that is measured. */
+/** One policy under test. */
 export interface Variant {
   readonly name: string;
   readonly scheduling?: SchedulingPolicy;
-  /** Replaces the scheduler, for baselines. */
+  /** Creates the scheduler of a baseline instead of the default one. */
   readonly makeScheduler?: (options: SchedulerOptions) => Scheduler;
-  /** No priorities and no bound at the side. */
-  readonly plain?: boolean;
+  /** Sides use neither priorities nor a queue limit. */
+  readonly fifo?: boolean;
   readonly roles: () => RolePolicy;
   readonly sideWaiting?: number;
   readonly toleratedSlowdown?: number;
@@ -50,17 +50,17 @@
   readonly load: number;
   readonly capacities: ReadonlyMap<string, number>;
   readonly roles: ReadonlyMap<string, RoleCounts>;
-  /** Time from a side's report to its use by the entries. */
+  /** Delay from a side's report to its receipt by the entries. */
   readonly reportLagMilliseconds?: number;
   readonly seconds?: number;
   readonly periodSeconds?: number;
   readonly arrivals?: readonly Arrival[];
-  /** Told of the end of every measured request. */
+  /** Called when a measured request ends. */
   readonly onFinished?: (
     arrival: Arrival,
     result: "onTime" | "late" | "refused",
   ) => void;
-  /** Called once all is set up, to bring about faults. */
+  /** Called after set-up, for fault injection. */
   readonly prepare?: (run: LoadRun) => void;
 }
 
@@ -69,20 +69,20 @@
 const REPORT_MILLISECONDS = 500;
 const REPORT_LAG_MILLISECONDS = 300;
 const PLAN_MILLISECONDS = 2_000;
-/** From a plan to the side's receipt of the order: append and relay. */
-const ORDER_MILLISECONDS = 300;
-/** One way, entry to side, the same zone and another (brief: one or two). */
-const SAME_ZONE_MILLISECONDS = 0.5;
-const OTHER_ZONE_MILLISECONDS = 1.5;
-const MOST_TRIES = 3;
-const SIDE_WAITING = 8;
+/** Delay from a plan to the side's receipt of the order: append and relay. */
+const ORDER_DELAY_MILLISECONDS = 300;
+/** One-way latency between entry and side; 1 to 2 ms between zones. */
+const SAME_ZONE_LATENCY_MILLISECONDS = 0.5;
+const OTHER_ZONE_LATENCY_MILLISECONDS = 1.5;
+const MAX_ATTEMPTS = 3;
+const DEFAULT_SIDE_WAITING = 8;
 
-interface Open {
+interface OpenRequest {
   readonly arrival: Arrival;
   readonly entry: Scheduler;
   readonly zone: string;
   readonly profile: RequestProfile;
-  tries: number;
+  attempts: number;
   done: boolean;
   stop: () => void;
 }
@@ -92,18 +92,18 @@
   readonly figures = new RunFigures();
   readonly sides = new Map<string, SideModel>();
   readonly entries: Scheduler[] = [];
-  /** False: no plan is made, as while the log is out or no planner lives. */
+  /** False simulates a log outage or the loss of the planner: no plans. */
   plannerAlive = true;
-  #arrivalsEnd = 0;
-  reportsAlive = true;
+  #lastArrivalAt = 0;
+  reportsEnabled = true;
   reportLagMilliseconds: number;
   readonly #deployment: Deployment;
   readonly #variant: Variant;
   readonly #options: RunOptions;
   readonly #inventory: Inventory;
   readonly #planner: RolePlanner;
-  readonly #zoneOf = new Map<string, string>();
-  #sequence = 0;
+  readonly #zoneByEndpoint = new Map<string, string>();
+  #nextRequestNumber = 0;
 
   constructor(deployment: Deployment, variant: Variant, options: RunOptions) {
     this.#deployment = deployment;
@@ -132,15 +132,17 @@
         seconds,
         entries: this.entries.length,
       });
-    this.#arrivalsEnd = seconds * 1_000;
-    this.#arrive(arrivals, 0);
-    this.timer.every(REPORT_MILLISECONDS, () => this.#report());
-    this.timer.every(PLAN_MILLISECONDS, () => this.#plan());
+    this.#lastArrivalAt = seconds * 1_000;
+    this.#scheduleArrivals(arrivals, 0);
+    this.timer.every(REPORT_MILLISECONDS, () => this.#sendReports());
+    this.timer.every(PLAN_MILLISECONDS, () => this.#runPlanner());
     this.#options.prepare?.(this);
-    const longest = Math.max(
-      ...this.#deployment.rules.classes.map((one) => one.deadlineSeconds),
+    const longestDeadlineSeconds = Math.max(
+      ...this.#deployment.rules.classes.map((workClass) =>
+        workClass.deadlineSeconds
+      ),
     );
-    await this.timer.advance((seconds + longest + 1) * 1_000);
+    await this.timer.advance((seconds + longestDeadlineSeconds + 1) * 1_000);
     for (const side of this.sides.values()) this.figures.pauses += side.pauses;
     this.figures.runs = 1;
     return this.figures;
@@ -148,7 +150,7 @@
 
   #addSides(pool: Pool): void {
     for (const listed of pool.endpoints) {
-      this.#zoneOf.set(listed.id, listed.availabilityZone);
+      this.#zoneByEndpoint.set(listed.id, listed.availabilityZone);
       this.sides.set(
         listed.id,
         new SideModel({
@@ -157,8 +159,8 @@
           role: listed.role ?? "mixed",
           engine: pool.engine,
           serviceSlots: this.#deployment.serviceSlots,
-          plain: this.#variant.plain ?? false,
-          mostWaiting: this.#variant.sideWaiting ?? SIDE_WAITING,
+          fifo: this.#variant.fifo ?? false,
+          mostWaiting: this.#variant.sideWaiting ?? DEFAULT_SIDE_WAITING,
           toleratedSlowdown: this.#variant.toleratedSlowdown,
         }),
       );
@@ -180,17 +182,17 @@
     this.entries.push(entry);
   }
 
-  #arrive(arrivals: readonly Arrival[], index: number): void {
+  #scheduleArrivals(arrivals: readonly Arrival[], index: number): void {
     const arrival = arrivals[index];
     if (arrival === undefined) return;
     this.timer.after(arrival.at - this.timer.now(), () => {
-      this.#arrive(arrivals, index + 1);
+      this.#scheduleArrivals(arrivals, index + 1);
       this.#submit(arrival);
     });
   }
 
-  #report(): void {
-    if (!this.reportsAlive) return;
+  #sendReports(): void {
+    if (!this.reportsEnabled) return;
     for (const side of this.sides.values()) {
       if (!side.reachable) continue;
       const report = side.report();
@@ -202,28 +204,30 @@
     }
   }
 
-  #plan(): void {
-    if (!this.plannerAlive || this.timer.now() > this.#arrivalsEnd) return;
+  #runPlanner(): void {
+    if (!this.plannerAlive || this.timer.now() > this.#lastArrivalAt) return;
     const changes = this.#planner.plan({
       now: this.timer.now(),
       rules: this.#deployment.rules.planner ?? {},
       logAvailable: true,
       pools: this.#inventory.pools.filter((pool) => pool.engine)
-        .map((pool) => this.#poolPicture(pool)),
+        .map((pool) => this.#poolState(pool)),
     });
     for (const change of changes) {
       if (this.timer.now() >= this.measuredFrom) this.figures.roleChanges += 1;
-      this.timer.after(ORDER_MILLISECONDS, () => {
+      this.timer.after(ORDER_DELAY_MILLISECONDS, () => {
         this.sides.get(change.endpoint)?.changeRole(change.to, () => {});
       });
     }
   }
 
-  #poolPicture(pool: Pool) {
+  #poolState(pool: Pool) {
     const demand = new Map<string, ClassDemand>();
     for (const entry of this.entries) {
-      const seen = entry.demand().find((one) => one.pool === pool.name);
-      for (const one of seen?.classes ?? []) addDemand(demand, one);
+      const found = entry.demand().find((candidate) =>
+        candidate.pool === pool.name
+      );
+      for (const item of found?.classes ?? []) mergeDemand(demand, item);
     }
     return {
       pool: pool.name,
@@ -235,7 +239,7 @@
         return {
           endpoint: identifier<EndpointId>(listed.id),
           availabilityZone: listed.availabilityZone,
-          role: side.presentRole,
+          role: side.currentRole,
           changingTo: side.changingTo,
           serving: side.serving,
         };
@@ -247,30 +251,33 @@
     const { workClass } = arrival.shape;
     const index = arrival.entry;
     const zone = this.#inventory.availabilityZones[index];
-    const open: Open = {
+    const request: OpenRequest = {
       arrival,
       entry: this.entries[index],
       zone,
-      profile: this.#profile(arrival, zone),
-      tries: 0,
+      profile: this.#makeProfile(arrival, zone),
+      attempts: 0,
       done: false,
       stop: () => {},
     };
     if (arrival.at >= this.measuredFrom) {
       this.figures.of(workClass.name).offered += 1;
     }
-    const alarm = this.timer.after(workClass.deadlineSeconds * 1_000, () => {
-      if (open.done) return;
-      open.stop();
-      this.#finish(open, "late");
-    });
-    this.#try(open, open.profile);
-    if (open.done) alarm.cancel();
+    const deadlineTimer = this.timer.after(
+      workClass.deadlineSeconds * 1_000,
+      () => {
+        if (request.done) return;
+        request.stop();
+        this.#finish(request, "late");
+      },
+    );
+    this.#submitAttempt(request, request.profile);
+    if (request.done) deadlineTimer.cancel();
   }
 
-  #profile(arrival: Arrival, zone: string): RequestProfile {
+  #makeProfile(arrival: Arrival, zone: string): RequestProfile {
     const { shape } = arrival;
-    const id = `request-${this.#sequence++}`;
+    const id = `request-${this.#nextRequestNumber++}`;
     return {
       requestId: identifier<RequestId>(id),
       workspace: identifier<WorkspaceId>(arrival.workspace),
@@ -281,50 +288,55 @@
       mostOutputTokens: 2_000,
       deliveredTokens: 0,
       deadline: this.timer.now() + shape.workClass.deadlineSeconds * 1_000,
-      prefixHashes: arrival.document ? prefixesOf(arrival.document, id) : [],
+      prefixHashes: arrival.document
+        ? prefixHashesOf(arrival.document, id)
+        : [],
       idempotent: shape.idempotent,
       excluded: new Set(),
       availabilityZone: identifier<AvailabilityZoneId>(zone),
     };
   }
 
-  #try(open: Open, profile: RequestProfile): void {
-    const submitted = open.tries === 0
-      ? open.entry.submit(profile)
-      : open.entry.resubmit(profile);
-    open.tries += 1;
-    if (submitted.isErr()) return this.#finish(open, "refused");
-    void this.#place(open, submitted.value);
+  #submitAttempt(request: OpenRequest, profile: RequestProfile): void {
+    const submitted = request.attempts === 0
+      ? request.entry.submit(profile)
+      : request.entry.resubmit(profile);
+    request.attempts += 1;
+    if (submitted.isErr()) return this.#finish(request, "refused");
+    void this.#awaitPlacement(request, submitted.value);
   }
 
-  async #place(open: Open, waiting: WaitingRequest): Promise<void> {
-    open.stop = () => waiting.cancel();
+  async #awaitPlacement(
+    request: OpenRequest,
+    waiting: WaitingRequest,
+  ): Promise<void> {
+    request.stop = () => waiting.cancel();
     const placed = await waiting.placed;
-    if (placed.isErr()) return this.#finish(open, "refused");
-    if (open.done) return placed.value.release(cancelledSummary());
-    this.#attempt(open, placed.value);
+    if (placed.isErr()) return this.#finish(request, "refused");
+    if (request.done) return placed.value.release(cancelledSummary());
+    this.#runAttempt(request, placed.value);
   }
 
-  #attempt(open: Open, placement: Placement): void {
-    const { arrival } = open;
+  #runAttempt(request: OpenRequest, placement: Placement): void {
+    const { arrival } = request;
     const side = this.sides.get(placement.endpoint) as SideModel;
-    const delay = this.#zoneOf.get(placement.endpoint) === open.zone
-      ? SAME_ZONE_MILLISECONDS
-      : OTHER_ZONE_MILLISECONDS;
+    const delay = this.#zoneByEndpoint.get(placement.endpoint) === request.zone
+      ? SAME_ZONE_LATENCY_MILLISECONDS
+      : OTHER_ZONE_LATENCY_MILLISECONDS;
     const placedAt = this.timer.now();
     let firstTokenAt: number | undefined;
     let cancelAtSide: (() => void) | undefined;
-    const attemptId = `${open.profile.requestId}/${open.tries}`;
-    open.stop = () => {
+    const attemptId = `${request.profile.requestId}/${request.attempts}`;
+    request.stop = () => {
       placement.release(cancelledSummary());
       this.timer.after(delay, () => cancelAtSide?.());
       cancelAtSide ??= () => {};
     };
     this.timer.after(delay, () => {
-      if (open.done) return;
+      if (request.done) return;
       if (!side.reachable) {
         return this.timer.after(delay, () => {
-          this.#attemptEnded(open, placement, {
+          this.#onAttemptEnd(request, placement, {
             result: "failed",
             tokens: 0,
             totalMilliseconds: 2 * delay,
@@ -333,10 +345,10 @@
       }
       cancelAtSide = side.run({
         attemptId,
-        className: open.profile.className,
+        className: request.profile.className,
         priority: arrival.shape.workClass.priority,
         mayPause: arrival.shape.workClass.mayPause ?? false,
-        deadlineMilliseconds: open.profile.deadline - this.timer.now(),
+        deadlineMilliseconds: request.profile.deadline - this.timer.now(),
         promptTokens: arrival.promptTokens,
         outputTokens: arrival.outputTokens,
         callMilliseconds: arrival.callMilliseconds,
@@ -347,8 +359,8 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") this.#told(open, firstTokenAt, now);
-            this.#attemptEnded(open, placement, {
+            if (result === "answered") this.#record(request, firstTokenAt, now);
+            this.#onAttemptEnd(request, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
               totalMilliseconds: now - placedAt,
@@ -363,37 +375,42 @@
     });
   }
 
-  #attemptEnded(
-    open: Open,
+  #onAttemptEnd(
+    request: OpenRequest,
     placement: Placement,
     summary: AttemptSummary,
   ): void {
-    if (open.done) return;
+    if (request.done) return;
     placement.release(summary);
-    if (summary.result === "answered") return this.#finish(open, "onTime");
+    if (summary.result === "answered") return this.#finish(request, "onTime");
     this.figures.sentBack += 1;
-    const again = summary.result === "not_run" || open.profile.idempotent;
-    if (!again || open.tries >= MOST_TRIES) {
-      return this.#finish(open, "refused");
+    const retryable = summary.result === "not_run" ||
+      request.profile.idempotent;
+    if (!retryable || request.attempts >= MAX_ATTEMPTS) {
+      return this.#finish(request, "refused");
     }
-    const excluded = new Set(open.profile.excluded);
+    const excluded = new Set(request.profile.excluded);
     excluded.add(placement.endpoint);
-    this.#try(open, { ...open.profile, excluded });
+    this.#submitAttempt(request, { ...request.profile, excluded });
   }
 
-  #told(open: Open, firstTokenAt: number | undefined, now: number): void {
-    const { arrival } = open;
-    if (open.done || firstTokenAt === undefined) return;
+  #record(
+    request: OpenRequest,
+    firstTokenAt: number | undefined,
+    now: number,
+  ): void {
+    const { arrival } = request;
+    if (request.done || firstTokenAt === undefined) return;
     if (arrival.at < this.measuredFrom) return;
     const figures = this.figures.of(arrival.shape.workClass.name);
     figures.firstToken.add(firstTokenAt - arrival.at);
     figures.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
   }
 
-  #finish(open: Open, result: "onTime" | "late" | "refused"): void {
-    if (open.done) return;
-    open.done = true;
-    const { arrival } = open;
+  #finish(request: OpenRequest, result: "onTime" | "late" | "refused"): void {
+    if (request.done) return;
+    request.done = true;
+    const { arrival } = request;
     if (arrival.at < this.measuredFrom) return;
     this.#options.onFinished?.(arrival, result);
     this.figures.of(arrival.shape.workClass.name)[result] += 1;
@@ -402,8 +419,8 @@
 
 const PREFIX_BLOCKS = 10;
 
-/** Hashes of the prompt's blocks: the document's first, then its own. */
-function prefixesOf(document: string, id: string): string[] {
+/** Hashes of the prompt's blocks: the document's first, then unique ones. */
+function prefixHashesOf(document: string, id: string): string[] {
   const shared = Math.round(DOCUMENT_SHARE * PREFIX_BLOCKS);
   return Array.from(
     { length: PREFIX_BLOCKS },
@@ -415,27 +432,28 @@
   return { result: "cancelled", tokens: 0, totalMilliseconds: 0 };
 }
 
-function addDemand(
+function mergeDemand(
   sums: Map<string, ClassDemand>,
-  seen: Omit<ClassDemand, "value">,
+  added: Omit<ClassDemand, "value">,
 ): void {
-  const known = sums.get(seen.className);
-  if (known === undefined) {
-    sums.set(seen.className, { ...seen, value: 1 });
+  const current = sums.get(added.className);
+  if (current === undefined) {
+    sums.set(added.className, { ...added, value: 1 });
     return;
   }
-  const rate = known.arrivalsPerSecond + seen.arrivalsPerSecond;
-  const mean = (one: number, other: number) =>
-    (one * known.arrivalsPerSecond + other * seen.arrivalsPerSecond) / rate;
-  sums.set(seen.className, {
-    ...known,
+  const rate = current.arrivalsPerSecond + added.arrivalsPerSecond;
+  const mean = (currentValue: number, addedValue: number) =>
+    (currentValue * current.arrivalsPerSecond +
+      addedValue * added.arrivalsPerSecond) / rate;
+  sums.set(added.className, {
+    ...current,
     arrivalsPerSecond: rate,
-    promptTokens: mean(known.promptTokens, seen.promptTokens),
-    outputTokens: mean(known.outputTokens, seen.outputTokens),
+    promptTokens: mean(current.promptTokens, added.promptTokens),
+    outputTokens: mean(current.outputTokens, added.outputTokens),
   });
 }
 
-/** The inventory with its engines in the given roles, spread over the zones. */
+/** Returns the inventory with the given roles assigned to its engines. */
 function withRoles(
   inventory: Inventory,
   roles: ReadonlyMap<string, RoleCounts>,
@@ -443,14 +461,14 @@
   const pools = inventory.pools.map((pool) => {
     const counts = roles.get(pool.name);
     if (counts === undefined) return pool;
-    const list = [
+    const endpointRoles = [
       ...Array(counts.prefill).fill("prefill"),
       ...Array(counts.decode).fill("decode"),
       ...Array(counts.mixed).fill("mixed"),
     ];
-    const endpoints = pool.endpoints.map((one, index) => ({
-      ...one,
-      role: list[index],
+    const endpoints = pool.endpoints.map((endpoint, index) => ({
+      ...endpoint,
+      role: endpointRoles[index],
     }));
     return { ...pool, endpoints };
   });
