--- a/bench/append.ts
+++ b/bench/append.ts
@@ -8,7 +8,7 @@
 import { identifier } from "../src/core/identity/mod.ts";
 import type { StreamFold, StreamName } from "../src/core/journal/mod.ts";
 import { seededRandom } from "../src/core/random/mod.ts";
-import { ManualTimerService, pause } from "../src/core/time/mod.ts";
+import { ManualTimerService, sleep } from "../src/core/time/mod.ts";
 import type { RecordBody } from "../src/generated/log_records.ts";
 import { makeJournal } from "../test/support/coordination.ts";
 import { FakeLog } from "../test/support/fake_log.ts";
@@ -113,10 +113,10 @@
   let failed = 0;
   const appendRecord = async () => {
     const started = timer.now();
-    await pause(timer, (variant.roundTripMilliseconds ?? 0) / 2);
+    await sleep(timer, (variant.roundTripMilliseconds ?? 0) / 2);
     const writer = writers[Math.floor(random() * writers.length)];
     const appended = await writer({ kind: "renewal", claim: 0 });
-    await pause(timer, (variant.roundTripMilliseconds ?? 0) / 2);
+    await sleep(timer, (variant.roundTripMilliseconds ?? 0) / 2);
     if (appended) latencies.push(timer.now() - started);
     else failed += 1;
   };
--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -84,7 +84,7 @@
   await region.timer.advance(SETTLE_MILLISECONDS);
   const before = region.claims;
   for (const { faults } of region.planners) {
-    faults.slowMilliseconds = slowMilliseconds;
+    faults.addedLatencyMilliseconds = slowMilliseconds;
   }
   await region.timer.advance(FAULT_MILLISECONDS);
   return region.claims - before;
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -3,15 +3,15 @@
   ConfigurationFold,
   Publisher,
 } from "../src/core/configuration/mod.ts";
-import { attachments } from "../src/core/membership/mod.ts";
-import { ManualTimerService, pause } from "../src/core/time/mod.ts";
+import { selectAttachedEntries } from "../src/core/membership/mod.ts";
+import { ManualTimerService, sleep } from "../src/core/time/mod.ts";
 import type { SideReport } from "../src/generated/messages.ts";
 import {
   CONFIGURATION,
   makeJournal,
   makeJudge,
   makePlanner,
-  sampleContent,
+  sampleConfiguration,
   type TestJudge,
   type TestPlanner,
 } from "../test/support/coordination.ts";
@@ -80,7 +80,7 @@
       journal: { writesCheckpoints: false },
     });
     journal.start();
-    while (!journal.caughtUp) await pause(this.timer, 10);
+    while (!journal.caughtUp) await sleep(this.timer, 10);
     const publisher = new Publisher({
       journal,
       fold,
@@ -133,7 +133,7 @@
     const times = new Map<number, number>();
     this.inForce.set(id, times);
     const report = sampleReport(id);
-    const entries = attachments(this.entries, {
+    const entries = selectAttachedEntries(this.entries, {
       side: id,
       availabilityZone: `zone-${index % zones}`,
     });
@@ -152,11 +152,11 @@
         waitMilliseconds: LONG_POLL_MILLISECONDS,
       });
       this.#countMessage(request.length);
-      await pause(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
+      await sleep(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
       await this.#waitForNewerVersion(entry, report.configurationVersion);
       const version = entry.judge.fold.version;
       this.#countMessage(responseBytes(version));
-      await pause(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
+      await sleep(this.timer, ONE_WAY_LATENCY_MILLISECONDS);
       if (version <= report.configurationVersion) continue;
       report.configurationVersion = version;
       times.set(version, this.timer.now());
@@ -187,7 +187,7 @@
   sides: number,
   weights: string,
 ): ConfigurationContent {
-  const content = structuredClone(sampleContent(weights));
+  const content = structuredClone(sampleConfiguration(weights));
   const [pool] = content.inventory.pools;
   const [zone] = content.inventory.availabilityZones;
   pool.endpoints = Array.from({ length: sides }, (_, index) => ({
--- a/bench/entry_host.ts
+++ b/bench/entry_host.ts
@@ -1,5 +1,5 @@
 import {
-  HttpPeers,
+  HttpPeerClient,
   PEER_METHODS,
   PeerServer,
 } from "../src/adapters/peers/mod.ts";
@@ -8,7 +8,7 @@
 import { EntryCore } from "../src/entry/mod.ts";
 import type { WatchQuestion } from "../src/generated/messages.ts";
 import { FakeLog } from "../test/support/fake_log.ts";
-import { freePort } from "../test/support/free_port.ts";
+import { findFreePort } from "../test/support/free_port.ts";
 import { ProcessFleet } from "../test/support/process_fleet.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import { MODEL, REGION, SLOTS, timer, ZONE } from "./bench_region.ts";
@@ -16,7 +16,7 @@
 /** Runs entries on real sockets in this process, and one side of the binary. */
 export class EntryHost {
   readonly #fleet = new ProcessFleet();
-  readonly #peers = new HttpPeers();
+  readonly #peers = new HttpPeerClient();
   readonly #closers: (() => void)[] = [];
 
   async start(entries: number): Promise<number> {
@@ -26,7 +26,7 @@
       addresses.push(await this.#addEntry(index, log));
     }
     const engine = await this.#fleet.startStandIn("model_engine");
-    const port = await freePort();
+    const port = await findFreePort();
     const settings = this.#fleet.writeToml("side.toml", {
       name: "side-0",
       region: REGION,
@@ -38,7 +38,7 @@
       entries: addresses,
     });
     const side = this.#fleet.startProgram(["side", "--settings", settings]);
-    log.put(identifier(`configuration.${REGION}`), [
+    log.appendDirectly(identifier(`configuration.${REGION}`), [
       publicationOf(`127.0.0.1:${port}`),
     ]);
     return side.child.pid ?? 0;
--- a/bench/entry_under_test.ts
+++ b/bench/entry_under_test.ts
@@ -1,8 +1,8 @@
 import * as http from "node:http";
-import { HttpPeers } from "../src/adapters/peers/mod.ts";
+import { HttpPeerClient } from "../src/adapters/peers/mod.ts";
 import { identifier } from "../src/core/identity/mod.ts";
 import { LogServiceStandIn } from "../test/stand_ins/log_service.ts";
-import { freePort } from "../test/support/free_port.ts";
+import { findFreePort } from "../test/support/free_port.ts";
 import { ProcessFleet } from "../test/support/process_fleet.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import {
@@ -25,7 +25,7 @@
   readonly #fleet = new ProcessFleet();
   readonly #log = new LogServiceStandIn();
   readonly #sideHost = new SideHost();
-  readonly #peerClient = new HttpPeers();
+  readonly #peerClient = new HttpPeerClient();
   readonly #agent = new http.Agent({ keepAlive: true });
   #version = 0;
   #streamCount = 0;
@@ -36,7 +36,7 @@
 
   async start(endpoints: number): Promise<void> {
     this.#logUrl = `http://127.0.0.1:${await this.#log.listen()}`;
-    const [callers, peers] = [await freePort(), await freePort()];
+    const [callers, peers] = [await findFreePort(), await findFreePort()];
     this.#callerUrl = `http://127.0.0.1:${callers}`;
     this.#peerAddress = `127.0.0.1:${peers}`;
     const settings = this.#fleet.writeToml("entry.toml", {
--- a/bench/fleet_cost.ts
+++ b/bench/fleet_cost.ts
@@ -4,7 +4,7 @@
  */
 import process from "node:process";
 import { EntryFleet } from "../test/support/entry_fleet.ts";
-import { PlayedEngines } from "../test/support/forwarding_engines.ts";
+import { SimulatedEngines } from "../test/support/simulated_engines.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -12,7 +12,7 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../test/support/forwarding_values.ts";
+} from "../test/support/forwarding_fixtures.ts";
 import {
   type AvailabilityZoneId,
   identifier,
@@ -51,7 +51,7 @@
         },
       )),
   });
-  new PlayedEngines(fleet);
+  new SimulatedEngines(fleet);
   return fleet;
 }
 
@@ -70,7 +70,7 @@
       const promptIndex = Math.floor(
         random() * PROMPTS_PER_ENTRY * entries.length,
       );
-      fleet.ask(
+      fleet.submit(
         entry,
         makeRequest({
           id: identifier<RequestId>(`request-${timer.now()}-${requests}`),
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -6,14 +6,14 @@
 import { parseArgs } from "node:util";
 import { goodputBound } from "./load_bound.ts";
 import { DEPLOYMENTS } from "./load_deployments.ts";
-import { RunFigures } from "./load_figures.ts";
+import { RunStats } from "./load_stats.ts";
 import {
   type Cell,
   type CellResult,
   runCells,
-  scaleOf,
+  scaleFor,
   VARIANTS,
-} from "./load_job.ts";
+} from "./load_cells.ts";
 
 const LOADS = [0.5, 0.8, 1, 1.3, 2];
 /**
@@ -59,11 +59,11 @@
   return `${deployment}/${load}/${variant}`;
 }
 
-function merge(results: readonly CellResult[]): Map<string, RunFigures> {
-  const merged = new Map<string, RunFigures>();
+function merge(results: readonly CellResult[]): Map<string, RunStats> {
+  const merged = new Map<string, RunStats>();
   for (const { cell, figures } of results) {
     const name = resultKey(cell.deployment, cell.load, cell.variant);
-    const sum = merged.get(name) ?? new RunFigures();
+    const sum = merged.get(name) ?? new RunStats();
     sum.addSerialized(figures);
     merged.set(name, sum);
   }
@@ -74,8 +74,8 @@
   return (whole === 0 ? 0 : part / whole).toFixed(4);
 }
 
-function printRun(name: string, figures: RunFigures): void {
-  const all = figures.all();
+function printRun(name: string, figures: RunStats): void {
+  const all = figures.total();
   console.log(
     `  ${name.padEnd(9)} goodput ${all.goodput.toFixed(4)}` +
       ` late ${fraction(all.late, all.offered)}` +
@@ -98,33 +98,33 @@
   }
 }
 
-function urgentGoodput(figures: RunFigures, urgent: string): number {
-  return figures.of(urgent).goodput;
+function urgentGoodput(figures: RunStats, urgent: string): number {
+  return figures.forClass(urgent).goodput;
 }
 
 /** Figures of one deployment for the JSON line, mainly at full load. */
 function summarize(
   deployment: (typeof DEPLOYMENTS)[number],
-  merged: ReadonlyMap<string, RunFigures>,
+  merged: ReadonlyMap<string, RunStats>,
   bounds: ReadonlyMap<number, number>,
 ) {
   const statsAt = (load: number, variant: string) =>
-    merged.get(resultKey(deployment.name, load, variant)) as RunFigures;
+    merged.get(resultKey(deployment.name, load, variant)) as RunStats;
   const urgent = deployment.shapes[0].workClass.name;
   const round = (value: number) => Number(value.toFixed(4));
   const present = statsAt(1, "present");
   return {
-    goodput: round(present.all().goodput),
-    baseline: round(statsAt(1, "fifo").all().goodput),
+    goodput: round(present.total().goodput),
+    baseline: round(statsAt(1, "fifo").total().goodput),
     bound: round(bounds.get(1) as number),
     urgent_goodput: round(urgentGoodput(present, urgent)),
     role_changes: round(present.roleChanges / present.runs),
     threshold_role_changes: round(
       statsAt(1, "threshold").roleChanges / statsAt(1, "threshold").runs,
     ),
-    threshold_goodput: round(statsAt(1, "threshold").all().goodput),
+    threshold_goodput: round(statsAt(1, "threshold").total().goodput),
     goodput_by_load: LOADS.map((load) =>
-      round(statsAt(load, "present").all().goodput)
+      round(statsAt(load, "present").total().goodput)
     ),
     urgent_goodput_by_load: LOADS.map((load) =>
       round(urgentGoodput(statsAt(load, "present"), urgent))
@@ -140,7 +140,7 @@
 const merged = merge(await runCells(cellsOf(seeds)));
 const summaries: Record<string, unknown> = {};
 for (const deployment of DEPLOYMENTS) {
-  const scale = scaleOf(deployment);
+  const scale = scaleFor(deployment);
   const bounds = new Map<number, number>();
   for (const load of LOADS) {
     const { capacities, roles } = scale;
--- a/bench/load_baselines.ts
+++ b/bench/load_baselines.ts
@@ -9,7 +9,7 @@
   thresholdPolicy,
 } from "../src/core/roles/mod.ts";
 import {
-  FIRST_POLICY,
+  BASELINE_POLICY,
   type Placement,
   type PoolDemand,
   type Scheduler,
@@ -82,7 +82,7 @@
   }
 }
 
-export const PRESENT: Variant = {
+export const CURRENT: Variant = {
   name: "present",
   roles: () => costBasedPolicy(),
 };
@@ -98,7 +98,7 @@
 
 export const FIRST_VERSION: Variant = {
   name: "first",
-  scheduling: FIRST_POLICY,
+  scheduling: BASELINE_POLICY,
   roles: () => costBasedPolicy(),
 };
 
--- a/bench/load_bound.ts
+++ b/bench/load_bound.ts
@@ -1,5 +1,8 @@
 /** Upper bound of goodput, given the mix in advance and free role changes. */
-import { type RoleCounts, servedPerSecond } from "../src/core/roles/mod.ts";
+import {
+  type RoleCounts,
+  servedValuePerSecond,
+} from "../src/core/roles/mod.ts";
 import type { Pool } from "../src/generated/inventory.ts";
 import { ROLE_PROFILES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
 import {
@@ -64,7 +67,7 @@
   const offered = rates.reduce((sum, rate) => sum + rate, 0);
   let best = { served: -1, counts: { mixed: 0, prefill: 0, decode: 0 } };
   for (const counts of roleCompositions(pool.endpoints.length)) {
-    const served = servedPerSecond(demand, counts, options);
+    const served = servedValuePerSecond(demand, counts, options);
     if (served > best.served + 1e-9) best = { served, counts };
     if (served >= offered - 1e-9) break;
   }
@@ -118,7 +121,8 @@
   const capacity = { engine, profiles: BEST_PROFILES, usableShare: 1 };
   return options.rates.reduce(
     (sum, rates) =>
-      sum + servedPerSecond(demandOf(options.shapes, rates), counts, capacity),
+      sum +
+      servedValuePerSecond(demandOf(options.shapes, rates), counts, capacity),
     0,
   );
 }
--- a/bench/load_job.ts
+++ b/bench/load_cells.ts
@@ -14,7 +14,7 @@
 import * as baselines from "./load_baselines.ts";
 import { bestStaticRoles, capacityPerSecond } from "./load_bound.ts";
 import { type Deployment, DEPLOYMENTS } from "./load_deployments.ts";
-import { RunFigures, type SerializedStats } from "./load_figures.ts";
+import { RunStats, type SerializedStats } from "./load_stats.ts";
 import { LoadRun, type Variant } from "./load_run.ts";
 
 /** Capacities and initial roles of a deployment's pools. */
@@ -50,7 +50,7 @@
 }
 
 export const VARIANTS: readonly Variant[] = [
-  baselines.PRESENT,
+  baselines.CURRENT,
   baselines.LEAST_IN_FLIGHT,
   baselines.STATIC_ROLES,
   baselines.FIRST_VERSION,
@@ -66,7 +66,7 @@
 
 const scaleCache = new Map<string, DeploymentScale>();
 
-export function scaleOf(deployment: Deployment): DeploymentScale {
+export function scaleFor(deployment: Deployment): DeploymentScale {
   const cached = scaleCache.get(deployment.name);
   if (cached !== undefined) return cached;
   const capacities = new Map<string, number>();
@@ -104,7 +104,7 @@
 }
 
 /** Runs all seeds of one cell in sequence and merges their figures. */
-export async function runCell(cell: Cell): Promise<RunFigures> {
+export async function runCell(cell: Cell): Promise<RunStats> {
   const { changes = {} } = cell;
   const deployment = withRoleChangeWeight(
     deploymentNamed(cell.deployment),
@@ -112,8 +112,8 @@
   );
   const variant = VARIANTS.find((candidate) => candidate.name === cell.variant);
   if (variant === undefined) throw new Error(`Unknown variant ${cell.variant}`);
-  const scale = scaleOf(deployment);
-  const sum = new RunFigures();
+  const scale = scaleFor(deployment);
+  const sum = new RunStats();
   for (const seed of cell.seeds) {
     const run = new LoadRun(deployment, withChanges(variant, changes), {
       ...scale,
@@ -121,7 +121,7 @@
       seed,
       load: cell.load,
     });
-    sum.merge(await run.go());
+    sum.merge(await run.run());
   }
   return sum;
 }
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -29,7 +29,7 @@
 import { type Arrival, makeArrivals } from "./load_arrivals.ts";
 import { DOCUMENT_SHARE } from "./load_bound.ts";
 import type { Deployment } from "./load_deployments.ts";
-import { RunFigures } from "./load_figures.ts";
+import { RunStats } from "./load_stats.ts";
 import { SideModel } from "./load_side.ts";
 
 /** One policy under test. */
@@ -56,12 +56,12 @@
   readonly periodSeconds?: number;
   readonly arrivals?: readonly Arrival[];
   /** Called when a measured request ends. */
-  readonly onFinished?: (
+  readonly onRequestEnd?: (
     arrival: Arrival,
     result: "onTime" | "late" | "refused",
   ) => void;
   /** Called after set-up, for fault injection. */
-  readonly prepare?: (run: LoadRun) => void;
+  readonly injectFaults?: (run: LoadRun) => void;
 }
 
 const WARM_UP_SECONDS = 20;
@@ -89,11 +89,11 @@
 
 export class LoadRun {
   readonly timer = new ManualTimerService();
-  readonly figures = new RunFigures();
+  readonly figures = new RunStats();
   readonly sides = new Map<string, SideModel>();
   readonly entries: Scheduler[] = [];
   /** False simulates a log outage or the loss of the planner: no plans. */
-  plannerAlive = true;
+  plannerEnabled = true;
   #lastArrivalAt = 0;
   reportsEnabled = true;
   reportLagMilliseconds: number;
@@ -123,7 +123,7 @@
     return WARM_UP_SECONDS * 1_000;
   }
 
-  async go(): Promise<RunFigures> {
+  async run(): Promise<RunStats> {
     const seconds = this.#options.seconds ??
       WARM_UP_SECONDS + MEASURED_SECONDS;
     const arrivals = this.#options.arrivals ??
@@ -136,7 +136,7 @@
     this.#scheduleArrivals(arrivals, 0);
     this.timer.every(REPORT_MILLISECONDS, () => this.#sendReports());
     this.timer.every(PLAN_MILLISECONDS, () => this.#runPlanner());
-    this.#options.prepare?.(this);
+    this.#options.injectFaults?.(this);
     const longestDeadlineSeconds = Math.max(
       ...this.#deployment.rules.classes.map((workClass) =>
         workClass.deadlineSeconds
@@ -205,7 +205,7 @@
   }
 
   #runPlanner(): void {
-    if (!this.plannerAlive || this.timer.now() > this.#lastArrivalAt) return;
+    if (!this.plannerEnabled || this.timer.now() > this.#lastArrivalAt) return;
     const changes = this.#planner.plan({
       now: this.timer.now(),
       rules: this.#deployment.rules.planner ?? {},
@@ -261,7 +261,7 @@
       stop: () => {},
     };
     if (arrival.at >= this.measuredFrom) {
-      this.figures.of(workClass.name).offered += 1;
+      this.figures.forClass(workClass.name).offered += 1;
     }
     const deadlineTimer = this.timer.after(
       workClass.deadlineSeconds * 1_000,
@@ -383,7 +383,7 @@
     if (request.done) return;
     placement.release(summary);
     if (summary.result === "answered") return this.#finish(request, "onTime");
-    this.figures.sentBack += 1;
+    this.figures.failedAttempts += 1;
     const retryable = summary.result === "not_run" ||
       request.profile.idempotent;
     if (!retryable || request.attempts >= MAX_ATTEMPTS) {
@@ -402,7 +402,7 @@
     const { arrival } = request;
     if (request.done || firstTokenAt === undefined) return;
     if (arrival.at < this.measuredFrom) return;
-    const figures = this.figures.of(arrival.shape.workClass.name);
+    const figures = this.figures.forClass(arrival.shape.workClass.name);
     figures.firstToken.add(firstTokenAt - arrival.at);
     figures.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
   }
@@ -412,8 +412,8 @@
     request.done = true;
     const { arrival } = request;
     if (arrival.at < this.measuredFrom) return;
-    this.#options.onFinished?.(arrival, result);
-    this.figures.of(arrival.shape.workClass.name)[result] += 1;
+    this.#options.onRequestEnd?.(arrival, result);
+    this.figures.forClass(arrival.shape.workClass.name)[result] += 1;
   }
 }
 
--- a/bench/load_side.ts
+++ b/bench/load_side.ts
@@ -1,5 +1,5 @@
 /** Models one endpoint: a side's limiter in front of an engine or service. */
-import { SideLimiter, type Slot } from "../src/core/limits/mod.ts";
+import { EndpointLimiter, type Slot } from "../src/core/limits/mod.ts";
 import type { Role } from "../src/core/roles/mod.ts";
 import type { TimerService } from "../src/core/time/mod.ts";
 import type { EngineCharacteristics } from "../src/generated/inventory.ts";
@@ -40,7 +40,7 @@
 export class SideModel {
   readonly endpoint: string;
   readonly engine?: EngineModel;
-  readonly limiter: SideLimiter;
+  readonly limiter: EndpointLimiter;
   /** If positive, every attempt fails after 5 ms. */
   failureShare = 0;
   reachable = true;
@@ -63,11 +63,11 @@
         speed: options.speed,
       });
     }
-    this.limiter = new SideLimiter({
+    this.limiter = new EndpointLimiter({
       timer: options.timer,
       mostRunning: this.engine?.slots ?? options.serviceSlots,
       mostWaiting: options.fifo ? Infinity : options.mostWaiting,
-      mostBeforeFirstToken: options.engine === undefined ? 0 : 2,
+      maxBeforeFirstToken: options.engine === undefined ? 0 : 2,
       toleratedSlowdown: options.fifo ? Infinity : options.toleratedSlowdown,
     });
   }
@@ -104,7 +104,7 @@
 
   load(): EndpointLoad {
     if (this.engine === undefined) return this.limiter.load();
-    this.limiter.observeBetweenTokens(this.engine.millisecondsBetweenTokens);
+    this.limiter.observeTokenInterval(this.engine.millisecondsBetweenTokens);
     return {
       ...this.limiter.load(),
       prefillBacklogTokens: this.engine.prefillBacklogTokens,
@@ -121,7 +121,7 @@
   }
 
   /** Makes the endpoint unreachable and fails all its attempts. */
-  lose(): void {
+  disconnect(): void {
     this.reachable = false;
     for (const job of this.#jobs.values()) job.cancel();
     for (const failAttempt of [...this.#openAttempts]) failAttempt();
@@ -146,7 +146,7 @@
       return () => {};
     }
     this.#openAttempts.add(failAttempt);
-    void this.limiter.enter({
+    void this.limiter.acquire({
       ...attempt,
       priority: this.#options.fifo ? 0 : attempt.priority,
       mayPause: attempt.mayPause && !this.#options.fifo,
@@ -206,7 +206,7 @@
   }
 
   #pauseForUrgent(): void {
-    const slot = this.limiter.toPause();
+    const slot = this.limiter.nextToPause();
     if (slot === undefined) return;
     this.pauses += 1;
     this.#jobs.get(slot.attemptId as string)?.pause();
@@ -215,7 +215,7 @@
 
   #resumePaused(): void {
     for (;;) {
-      const slot = this.limiter.toResume();
+      const slot = this.limiter.nextToResume();
       if (slot === undefined) return;
       slot.resume();
       this.#jobs.get(slot.attemptId as string)?.resume();
@@ -229,7 +229,7 @@
     this.engine.changeRole(role, () => {
       this.#targetRole = undefined;
       this.#state = "serving";
-      this.limiter.useCeiling(this.engine?.slots ?? 1);
+      this.limiter.setCeiling(this.engine?.slots ?? 1);
       this.#onChanged?.();
     });
   }
--- a/bench/load_figures.ts
+++ b/bench/load_stats.ts
@@ -74,14 +74,14 @@
   readonly counts: readonly number[];
 }
 
-export class RunFigures {
+export class RunStats {
   readonly classes = new Map<string, ClassStats>();
   roleChanges = 0;
   runs = 0;
-  sentBack = 0;
+  failedAttempts = 0;
   pauses = 0;
 
-  of(className: string): ClassStats {
+  forClass(className: string): ClassStats {
     let figures = this.classes.get(className);
     if (figures === undefined) {
       figures = new ClassStats();
@@ -90,15 +90,17 @@
     return figures;
   }
 
-  merge(other: RunFigures): void {
-    for (const [name, figures] of other.classes) this.of(name).merge(figures);
+  merge(other: RunStats): void {
+    for (const [name, figures] of other.classes) {
+      this.forClass(name).merge(figures);
+    }
     this.roleChanges += other.roleChanges;
-    this.sentBack += other.sentBack;
+    this.failedAttempts += other.failedAttempts;
     this.pauses += other.pauses;
     this.runs += other.runs;
   }
 
-  all(): ClassStats {
+  total(): ClassStats {
     const sum = new ClassStats();
     for (const figures of this.classes.values()) sum.merge(figures);
     return sum;
@@ -112,13 +114,13 @@
         firstToken: stats.firstToken.counts,
         betweenTokens: stats.betweenTokens.counts,
       })),
-      counts: [this.roleChanges, this.sentBack, this.pauses, this.runs],
+      counts: [this.roleChanges, this.failedAttempts, this.pauses, this.runs],
     };
   }
 
   addSerialized(serialized: SerializedStats): void {
     for (const { name, counts, ...histograms } of serialized.classes) {
-      const stats = this.of(name);
+      const stats = this.forClass(name);
       stats.offered += counts[0];
       stats.onTime += counts[1];
       stats.late += counts[2];
@@ -127,7 +129,7 @@
       stats.betweenTokens.mergeCounts(histograms.betweenTokens);
     }
     this.roleChanges += serialized.counts[0];
-    this.sentBack += serialized.counts[1];
+    this.failedAttempts += serialized.counts[1];
     this.pauses += serialized.counts[2];
     this.runs += serialized.counts[3];
   }
--- a/bench/load_sweeps.ts
+++ b/bench/load_sweeps.ts
@@ -4,8 +4,8 @@
  */
 import { parseArgs } from "node:util";
 import { DEPLOYMENTS } from "./load_deployments.ts";
-import { RunFigures } from "./load_figures.ts";
-import { type Cell, type CellChanges, runCells } from "./load_job.ts";
+import { RunStats } from "./load_stats.ts";
+import { type Cell, type CellChanges, runCells } from "./load_cells.ts";
 
 interface Sweep {
   readonly name: string;
@@ -115,12 +115,12 @@
           cell.deployment === deployment.name && cell.load === load &&
           JSON.stringify(cell.changes) === JSON.stringify(changes)
         );
-        const figures = new RunFigures();
+        const figures = new RunStats();
         if (result !== undefined) figures.addSerialized(result.figures);
         const urgent = deployment.shapes[0].workClass.name;
         return [
-          figures.all().goodput.toFixed(4),
-          figures.of(urgent).goodput.toFixed(4),
+          figures.total().goodput.toFixed(4),
+          figures.forClass(urgent).goodput.toFixed(4),
           (figures.roleChanges / Math.max(1, figures.runs)).toFixed(1),
         ].join(" / ");
       })
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -5,7 +5,7 @@
 import process from "node:process";
 import { stringify } from "smol-toml";
 import { LogServiceStandIn } from "../test/stand_ins/log_service.ts";
-import { freePort } from "../test/support/free_port.ts";
+import { findFreePort } from "../test/support/free_port.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import { MODEL, REGION, ZONE } from "./bench_region.ts";
 import { sleep } from "./process_figures.ts";
@@ -40,10 +40,10 @@
   async start(): Promise<void> {
     const logService = `http://127.0.0.1:${await this.#log.listen()}`;
     const [callers, peers, side, engine] = [
-      await freePort(),
-      await freePort(),
-      await freePort(),
-      await freePort(),
+      await findFreePort(),
+      await findFreePort(),
+      await findFreePort(),
+      await findFreePort(),
     ];
     this.entryUrl = `http://127.0.0.1:${callers}`;
     this.engineUrl = `http://127.0.0.1:${engine}`;
--- a/bench/side_host.ts
+++ b/bench/side_host.ts
@@ -1,6 +1,6 @@
 import { MemoryEngine } from "../examples/embedding/memory_engine.ts";
 import {
-  HttpPeers,
+  HttpPeerClient,
   PEER_METHODS,
   PeerServer,
 } from "../src/adapters/peers/mod.ts";
@@ -17,7 +17,7 @@
 /** Runs sides on real sockets in this process, separate from the entry. */
 export class SideHost {
   readonly sides: { id: string; address: string }[] = [];
-  readonly #peers = new HttpPeers();
+  readonly #peers = new HttpPeerClient();
   readonly #closers: (() => void)[] = [];
 
   async add(count: number, entries: readonly string[]): Promise<void> {
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -4,7 +4,7 @@
 import {
   type InProcessOptions,
   InProcessRegion,
-} from "../test/support/in_process.ts";
+} from "../test/support/in_process_region.ts";
 import type { PeerAddress } from "../src/core/links/mod.ts";
 import { liveHeapBytes } from "./process_figures.ts";
 import type { Point, Series } from "./slope_fit.ts";
--- a/examples/embedding/fleet.ts
+++ b/examples/embedding/fleet.ts
@@ -35,7 +35,7 @@
   /** A 32-bit integer; runs with the same seed are identical. */
   readonly seed: number;
   /** Returns the log connection of the named process. */
-  readonly logOf: (process: string) => LogService;
+  readonly connectLog: (process: string) => LogService;
   readonly region: string;
   readonly availabilityZones: readonly string[];
   readonly entries: number;
@@ -147,7 +147,7 @@
       ),
       timer,
       random: this.#randomFor(name),
-      log: this.#options.logOf(name),
+      log: this.#options.connectLog(name),
       ...this.network.linksOf(address),
       peerAddresses: this.#entryAddresses().filter((peer) => peer !== address),
       hash: (text) => hashToUnit(text).toString(36),
@@ -187,7 +187,7 @@
     const { timer, region } = this.#options;
     const fold = new ConfigurationFold();
     const journal = new Journal({
-      log: this.#options.logOf("publisher"),
+      log: this.#options.connectLog("publisher"),
       stream: identifier(`configuration.${region}`),
       fold,
       timer,
--- a/examples/embedding/run.ts
+++ b/examples/embedding/run.ts
@@ -41,7 +41,7 @@
   const fleet = new Fleet({
     timer,
     seed,
-    logOf: () => log,
+    connectLog: () => log,
     region: REGION,
     availabilityZones: ZONES,
     entries: ENTRIES,
--- a/scripts/demo/deployment.ts
+++ b/scripts/demo/deployment.ts
@@ -12,7 +12,7 @@
 import { ModelEngineStandIn } from "../../test/stand_ins/model_engine.ts";
 import { PlainServiceStandIn } from "../../test/stand_ins/plain_service.ts";
 import type { StandIn } from "../../test/stand_ins/stand_in_server.ts";
-import { freePort } from "../../test/support/free_port.ts";
+import { findFreePort } from "../../test/support/free_port.ts";
 import { ProcessFleet, waitFor } from "../../test/support/process_fleet.ts";
 
 const EXAMPLE = "examples/koperasi";
@@ -63,8 +63,8 @@
     this.#platform = { logService: `http://${HOST}:${logPort}` };
     const zones = this.#inventory.availabilityZones.slice(0, 2);
     const ports = await Promise.all(zones.map(async () => ({
-      callers: await freePort(),
-      peers: await freePort(),
+      callers: await findFreePort(),
+      peers: await findFreePort(),
     })));
     this.#peers.push(...ports.map(({ peers }) => `${HOST}:${peers}`));
     zones.forEach((zone, index) => this.#startEntry(zone, ports[index]));
@@ -137,7 +137,7 @@
 
   async #startEndpoint(pool: Pool, endpoint: InventoryEndpoint): Promise<void> {
     const target = await this.#startStandIn(pool);
-    const port = await freePort();
+    const port = await findFreePort();
     endpoint.side = `${HOST}:${port}`;
     const file = this.#fleet.writeToml(`side-${endpoint.id}.toml`, {
       name: `side-${endpoint.id}`,
--- a/scripts/matrix.ts
+++ b/scripts/matrix.ts
@@ -10,14 +10,14 @@
 import { hideBin } from "yargs/helpers";
 import {
   allCells,
-  type Cell,
   cellName,
-  cellOf,
   FAULTS,
+  findCell,
+  type MatrixCell,
   STEPS,
-} from "../test/matrix/table.ts";
-import { GUARDS, tryGuard } from "../test/matrix/guards.ts";
-import { type CellRun, runCell, runCells } from "../test/matrix/run.ts";
+} from "../test/matrix/fault_table.ts";
+import { GUARD_CASES, runWithoutGuard } from "../test/matrix/guard_cases.ts";
+import { type CellRun, runCell, runCells } from "../test/matrix/run_cells.ts";
 
 const options = await yargs(hideBin(process.argv))
   .option("seed", { type: "number" })
@@ -38,7 +38,7 @@
   reached: number;
 }
 
-async function runAll(cells: readonly Cell[]): Promise<boolean> {
+async function runAll(cells: readonly MatrixCell[]): Promise<boolean> {
   const tallies = new Map<string, CellTally>();
   for (const cell of cells) {
     const tally: CellTally = { runs: 0, violations: 0, reached: 0 };
@@ -53,7 +53,7 @@
 
 function addRun(tally: CellTally, run: CellRun): void {
   tally.runs += 1;
-  if (run.reached) tally.reached += 1;
+  if (run.faultsInjected) tally.reached += 1;
   if (run.violations.length === 0) return;
   tally.violations += 1;
   const { condition, detail } = run.violations[0];
@@ -95,7 +95,7 @@
 }
 
 async function replay(name: string): Promise<boolean> {
-  const cell = cellOf(name);
+  const cell = findCell(name);
   if (cell === undefined) {
     console.error(`Cannot find cell "${name}"`);
     return false;
@@ -107,7 +107,7 @@
     cells: 1,
     runs: 1,
     violations: run.violations.length === 0 ? 0 : 1,
-    unreached: run.reached ? 0 : 1,
+    unreached: run.faultsInjected ? 0 : 1,
   };
   console.log(JSON.stringify({ matrix }));
   return run.violations.length === 0;
@@ -124,7 +124,7 @@
     const seed = firstSeed + number;
     const run = await runCells(pair, { seed });
     pairs.runs += 1;
-    if (run.reached) pairs.bothTookHold += 1;
+    if (run.faultsInjected) pairs.bothTookHold += 1;
     if (run.violations.length === 0) continue;
     pairs.violations += 1;
     const { condition, detail } = run.violations[0];
@@ -138,15 +138,16 @@
 /** Disables one guard at a time; each run must then find a violation. */
 async function runWithoutGuards(): Promise<boolean> {
   let caught = 0;
-  for (const guard of GUARDS) {
-    const { name, seed, violation, withGuard } = await tryGuard(guard, options);
+  for (const guard of GUARD_CASES) {
+    const { name, seed, violation, violationsWithGuard: withGuard } =
+      await runWithoutGuard(guard, options);
     if (violation !== undefined && withGuard === 0) caught += 1;
     const found = violation === undefined
       ? "NOT CAUGHT"
       : `seed ${seed}: ${violation.condition}: ${violation.detail}`;
     console.log(`without ${name}: ${found}; with it: ${withGuard} violations`);
   }
-  const total = GUARDS.length;
+  const total = GUARD_CASES.length;
   console.log(JSON.stringify({ guards: { total, caught } }));
   return caught === total;
 }
--- a/scripts/search.ts
+++ b/scripts/search.ts
@@ -3,15 +3,15 @@
  * searches every interleaving of small instances and prints the counts.
  */
 import process from "node:process";
-import { onceModel } from "../test/model/once_model.ts";
-import { ordersModel } from "../test/model/orders_model.ts";
-import { search, type SearchResult } from "../test/model/search.ts";
+import { createOnceModel } from "../test/model/once_model.ts";
+import { createOrdersModel } from "../test/model/orders_model.ts";
+import { type SearchResult, searchStates } from "../test/model/state_search.ts";
 import {
   ONCE_GUARDS,
   ONCE_SEARCHES,
   ORDERS_GUARDS,
   ORDERS_SEARCHES,
-} from "../test/model/searches.ts";
+} from "../test/model/search_cases.ts";
 
 /** Limits one search to about 1 GB of memory. */
 const MAX_STATES = 450_000;
@@ -49,18 +49,21 @@
   if (result.violation !== undefined) totals.caught += 1;
 }
 
-const limits = { mostStates: MAX_STATES };
+const limits = { maxStates: MAX_STATES };
 for (const [name, { budget }] of Object.entries(ORDERS_SEARCHES)) {
-  recordSearch(`orders, ${name}`, search(ordersModel(budget), limits));
+  recordSearch(
+    `orders, ${name}`,
+    searchStates(createOrdersModel(budget), limits),
+  );
 }
 for (const [name, { budget }] of Object.entries(ONCE_SEARCHES)) {
-  recordSearch(`once, ${name}`, search(onceModel(budget), limits));
+  recordSearch(`once, ${name}`, searchStates(createOnceModel(budget), limits));
 }
 for (const [name, { budget, guards }] of Object.entries(ORDERS_GUARDS)) {
-  recordGuard(name, search(ordersModel(budget, guards), limits));
+  recordGuard(name, searchStates(createOrdersModel(budget, guards), limits));
 }
 for (const [name, { budget, guards }] of Object.entries(ONCE_GUARDS)) {
-  recordGuard(name, search(onceModel(budget, guards), limits));
+  recordGuard(name, searchStates(createOnceModel(budget, guards), limits));
 }
 console.log(JSON.stringify({ search: totals }));
 const passed = totals.violations === 0 && totals.caught === totals.guards;
--- a/src/adapters/forwarding/caller_response.ts
+++ b/src/adapters/forwarding/caller_response.ts
@@ -1,5 +1,8 @@
 import type { ServerResponse } from "node:http";
-import type { CallerSink, Refusal } from "../../entry/forwarding/links.ts";
+import type {
+  CallerSink,
+  ForwardingRefusal,
+} from "../../entry/forwarding/network_interfaces.ts";
 
 const UNAUTHORIZED = 401;
 /** HTTP authentication scheme of callers' API keys. */
@@ -20,7 +23,7 @@
     response.on("close", () => this.#gone = true);
   }
 
-  get gone(): boolean {
+  get isDisconnected(): boolean {
     return this.#gone;
   }
 
@@ -45,7 +48,7 @@
     this.#response.end();
   }
 
-  cut(): void {
+  abort(): void {
     if (this.#isFinished) return;
     this.#isFinished = true;
     // Without its last chunk or full length, the caller sees a truncated
@@ -57,13 +60,13 @@
     this.#response.on("drain", listener);
   }
 
-  onGone(listener: () => void): void {
+  onDisconnect(listener: () => void): void {
     this.#response.on("close", () => {
       if (!this.#isFinished) listener();
     });
   }
 
-  refuse(refusal: Refusal): void {
+  refuse(refusal: ForwardingRefusal): void {
     if (this.#gone || this.#isFinished) return;
     this.#isFinished = true;
     const body = JSON.stringify({ reason: refusal.reason });
--- a/src/adapters/forwarding/caller_server.ts
+++ b/src/adapters/forwarding/caller_server.ts
@@ -7,7 +7,10 @@
 import type { Socket } from "node:net";
 import type { ForwardedRequest } from "../../core/forwarding/mod.ts";
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
-import type { CallerSink, Refusal } from "../../entry/forwarding/links.ts";
+import type {
+  CallerSink,
+  ForwardingRefusal,
+} from "../../entry/forwarding/network_interfaces.ts";
 import { CallerResponse } from "./caller_response.ts";
 
 /** Upper bound of the header size; the configured limit is smaller. */
@@ -47,7 +50,7 @@
  * balancer's grace period ended. A long response that starts now would be
  * truncated when the process exits.
  */
-const STOPPING_REFUSAL: Refusal = {
+const STOPPING_REFUSAL: ForwardingRefusal = {
   status: 503,
   reason: "stopping",
   retryAfterMilliseconds: STOPPING_RETRY_AFTER_MILLISECONDS,
@@ -118,7 +121,7 @@
   }
 
   /** Number of open requests. */
-  get open(): number {
+  get openRequests(): number {
     return this.#openRequests;
   }
 
@@ -190,7 +193,7 @@
     });
     incoming.on("error", () => {});
     incoming.on("end", () => {
-      if (refused || sink.gone) return;
+      if (refused || sink.isDisconnected) return;
       if (this.#isClosing) return sink.refuse(STOPPING_REFUSAL);
       const request = this.#options.decode({
         method: incoming.method ?? "GET",
@@ -250,7 +253,9 @@
     setImmediate(() =>
       setImmediate(() => {
         const { socket } = incoming;
-        if (sink.gone || socket.destroyed || socket.readableEnded) return;
+        if (
+          sink.isDisconnected || socket.destroyed || socket.readableEnded
+        ) return;
         const { deadlineMilliseconds } = request;
         this.#options.handle({
           ...request,
@@ -262,7 +267,7 @@
     );
   }
 
-  #bodyRefusal(bodyBytes: number): Refusal | undefined {
+  #bodyRefusal(bodyBytes: number): ForwardingRefusal | undefined {
     if (bodyBytes > this.#options.limits().mostBodyBytes) {
       return { status: 413, reason: "body_too_large" };
     }
--- a/src/adapters/forwarding/caller_server_test.ts
+++ b/src/adapters/forwarding/caller_server_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { Agent, request } from "node:http";
 import { connect } from "node:net";
-import { freePort } from "../../../test/support/free_port.ts";
+import { findFreePort } from "../../../test/support/free_port.ts";
 import {
   rawRequest,
   sendRaw,
@@ -9,7 +9,7 @@
 } from "../../../test/support/raw_http.ts";
 import type { ForwardedRequest } from "../../core/forwarding/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
-import type { CallerSink } from "../../entry/forwarding/links.ts";
+import type { CallerSink } from "../../entry/forwarding/network_interfaces.ts";
 import { SystemTimerService } from "../time/mod.ts";
 import { CallerServer } from "./mod.ts";
 
@@ -27,7 +27,7 @@
 
   beforeEach(async () => {
     forwarded = [];
-    port = await freePort();
+    port = await findFreePort();
     server = new CallerServer({
       host: "127.0.0.1",
       port,
@@ -124,7 +124,7 @@
     sink.head(200, []);
     sink.write(Buffer.from("half"));
     await new Promise((resolve) => setTimeout(resolve, 30));
-    sink.cut();
+    sink.abort();
     const bytes = await received;
     expect(bytes).to.contain("half");
     expect(bytes.endsWith("0\r\n\r\n")).to.equal(false);
@@ -135,11 +135,11 @@
     socket.write(rawRequest("GET /a", ["Host: h"]));
     await untilForwarded(1);
     const gone = new Promise<void>((resolve) =>
-      forwarded[0].sink.onGone(resolve)
+      forwarded[0].sink.onDisconnect(resolve)
     );
     socket.destroy();
     await gone;
-    expect(forwarded[0].sink.gone).to.equal(true);
+    expect(forwarded[0].sink.isDisconnected).to.equal(true);
   });
 
   describe("a late event loop", () => {
--- a/src/adapters/forwarding/endpoint_exchanges.ts
+++ b/src/adapters/forwarding/endpoint_http_client.ts
@@ -2,13 +2,13 @@
 import type { Socket } from "node:net";
 import { err, ok, type Result } from "../../core/errors/result.ts";
 import { failure } from "../../core/errors/mod.ts";
-import type { AnswerHead } from "../../core/forwarding/mod.ts";
+import type { ResponseHead } from "../../core/forwarding/mod.ts";
 import type { TimerService } from "../../core/time/mod.ts";
 import type {
-  EndpointAnswer,
+  EndpointResponse,
   Exchange,
   ExchangeFailure,
-} from "../../entry/forwarding/links.ts";
+} from "../../entry/forwarding/network_interfaces.ts";
 import {
   EXCHANGE_FOREIGN,
   EXCHANGE_LOST,
@@ -36,7 +36,7 @@
 }
 
 /** Options of `EndpointExchanges`. */
-export interface EndpointExchangesOptions {
+export interface EndpointHttpClientOptions {
   readonly timer: TimerService;
   /** Maximum number of connections to the endpoint at the address. */
   readonly mostConnections: (address: string) => number;
@@ -44,15 +44,15 @@
   readonly decodeHead: (
     status: number,
     headers: readonly string[],
-  ) => AnswerHead;
+  ) => ResponseHead;
 }
 
 /** HTTP client for endpoints with keep-alive connections. */
-export class EndpointExchanges {
-  readonly #options: EndpointExchangesOptions;
+export class EndpointHttpClient {
+  readonly #options: EndpointHttpClientOptions;
   readonly #agents = new Map<string, KeepAliveAgent>();
 
-  constructor(options: EndpointExchangesOptions) {
+  constructor(options: EndpointHttpClientOptions) {
     this.#options = options;
   }
 
@@ -85,7 +85,7 @@
       if (socket.connecting) socket.once("connect", onConnected);
       else onConnected();
     });
-    const answer = new Promise<Result<EndpointAnswer, ExchangeFailure>>(
+    const answer = new Promise<Result<EndpointResponse, ExchangeFailure>>(
       (resolve) => {
         clientRequest.on("response", (incoming) => {
           const accepted = this.#acceptResponse(incoming, outgoing);
@@ -117,7 +117,7 @@
    * requests after its registration ends, and another endpoint may already use
    * the address.
    */
-  forget(address: string): void {
+  closeIdleConnections(address: string): void {
     this.#agents.get(address)?.closeIdle();
   }
 
@@ -138,7 +138,7 @@
   #acceptResponse(
     incoming: IncomingMessage,
     outgoing: OutgoingRequest,
-  ): Result<EndpointAnswer, ExchangeFailure> {
+  ): Result<EndpointResponse, ExchangeFailure> {
     const head = this.#options.decodeHead(
       incoming.statusCode ?? 0,
       incoming.rawHeaders,
@@ -155,9 +155,9 @@
 }
 
 function createAnswer(
-  head: AnswerHead,
+  head: ResponseHead,
   incoming: IncomingMessage,
-): EndpointAnswer {
+): EndpointResponse {
   // On a keep-alive connection each response would add listeners to the socket.
   const wasReset = isCloseDelimited(incoming)
     ? detectReset(incoming.socket)
--- a/src/adapters/forwarding/endpoint_exchanges_test.ts
+++ b/src/adapters/forwarding/endpoint_http_client_test.ts
@@ -3,21 +3,21 @@
 import process from "node:process";
 import {
   answerBytes,
-  type Script,
+  type ReplicaScript,
   ScriptedReplica,
 } from "../../../test/support/scripted_replica.ts";
-import type { AnswerHead } from "../../core/forwarding/mod.ts";
-import type { BodyEnd } from "../../entry/forwarding/links.ts";
+import type { ResponseHead } from "../../core/forwarding/mod.ts";
+import type { BodyEnd } from "../../entry/forwarding/network_interfaces.ts";
 import { SystemTimerService } from "../time/mod.ts";
-import { EndpointExchanges } from "./mod.ts";
+import { EndpointHttpClient } from "./mod.ts";
 
-function decodeHead(status: number, headers: readonly string[]): AnswerHead {
+function decodeHead(status: number, headers: readonly string[]): ResponseHead {
   const index = headers.findIndex((name) => /^x-request-id$/i.test(name));
   return {
     status,
     headers,
     requestId: index < 0 ? undefined : headers[index + 1],
-    notRun: false,
+    notExecuted: false,
   };
 }
 
@@ -30,9 +30,9 @@
 describe("EndpointExchanges", () => {
   let replica: ScriptedReplica;
   let address: string;
-  let exchanges: EndpointExchanges;
+  let exchanges: EndpointHttpClient;
 
-  async function startReplica(script: Script): Promise<void> {
+  async function startReplica(script: ReplicaScript): Promise<void> {
     replica = new ScriptedReplica(script);
     address = await replica.listen();
   }
@@ -58,7 +58,7 @@
   }
 
   beforeEach(() => {
-    exchanges = new EndpointExchanges({
+    exchanges = new EndpointHttpClient({
       timer: new SystemTimerService(),
       mostConnections: () => 4,
       decodeHead,
@@ -230,9 +230,9 @@
     });
     const pendingOutcome = send();
     await new Promise((resolve) => setTimeout(resolve, 30));
-    exchanges.forget(address);
+    exchanges.closeIdleConnections(address);
     expect(await pendingOutcome).to.deep.equal({ body: "hello", end: "whole" });
-    exchanges.forget(address);
+    exchanges.closeIdleConnections(address);
     await send();
     expect(replica.connections).to.equal(2);
   });
--- a/src/adapters/forwarding/mod.ts
+++ b/src/adapters/forwarding/mod.ts
@@ -5,8 +5,8 @@
   type CallerServerOptions,
 } from "./caller_server.ts";
 export {
-  EndpointExchanges,
+  EndpointHttpClient,
   type OutgoingRequest,
-} from "./endpoint_exchanges.ts";
-export { PeerDatagrams } from "./peer_datagrams.ts";
+} from "./endpoint_http_client.ts";
+export { PeerNotificationSocket } from "./peer_notification_socket.ts";
 export { digestOf } from "./request_digest.ts";
--- a/src/adapters/forwarding/peer_datagrams.ts
+++ b/src/adapters/forwarding/peer_notification_socket.ts
@@ -12,7 +12,7 @@
 }
 
 /** Options of `PeerDatagrams`. */
-export interface PeerDatagramsOptions {
+export interface PeerNotificationSocketOptions {
   readonly host: string;
   readonly port: number;
   readonly onNotification: (method: string, params: unknown) => void;
@@ -24,11 +24,11 @@
  * may be lost or reordered: each carries a complete state that the next one
  * replaces.
  */
-export class PeerDatagrams {
-  readonly #options: PeerDatagramsOptions;
+export class PeerNotificationSocket {
+  readonly #options: PeerNotificationSocketOptions;
   readonly #socket: Socket;
 
-  constructor(options: PeerDatagramsOptions) {
+  constructor(options: PeerNotificationSocketOptions) {
     this.#options = options;
     this.#socket = createSocket("udp4");
     this.#socket.on("error", (cause) => options.onError(cause.message));
--- a/src/adapters/forwarding/request_digest_test.ts
+++ b/src/adapters/forwarding/request_digest_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { makeRequest } from "../../../test/support/forwarding_values.ts";
+import { makeRequest } from "../../../test/support/forwarding_fixtures.ts";
 import type { ForwardedRequest } from "../../core/forwarding/mod.ts";
 import {
   identifier,
--- a/src/adapters/http_client/mod.ts
+++ b/src/adapters/http_client/mod.ts
@@ -19,7 +19,7 @@
 >;
 
 /** A complete response. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
@@ -122,7 +122,7 @@
   async call(
     path: string,
     options: HttpCallOptions,
-  ): Promise<Result<HttpAnswer, HttpFailure>> {
+  ): Promise<Result<HttpResponse, HttpFailure>> {
     const exchange = this.open(path, options);
     const timeout = this.#timer.after(
       options.timeoutMilliseconds,
@@ -170,7 +170,7 @@
 function readResponse(
   incoming: IncomingMessage,
   options: { url: string; maxBytes: number; encoding: BufferEncoding },
-): Promise<Result<HttpAnswer, HttpFailure>> {
+): Promise<Result<HttpResponse, HttpFailure>> {
   const { url, maxBytes, encoding } = options;
   const chunks: Buffer[] = [];
   let bytesRead = 0;
--- a/src/adapters/peers/mod.ts
+++ b/src/adapters/peers/mod.ts
@@ -1,5 +1,5 @@
 /** Communication between the system's own processes over HTTP. */
-export { HttpPeers } from "./peer_client.ts";
+export { HttpPeerClient } from "./peer_client.ts";
 export { PeerServer } from "./peer_server.ts";
 export type {
   PeerMethods,
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -47,7 +47,7 @@
 }
 
 /** Calls sides and entries over keep-alive HTTP connections. */
-export class HttpPeers implements SideLink, EntryLink {
+export class HttpPeerClient implements SideLink, EntryLink {
   readonly #agent = new http.Agent({
     keepAlive: true,
     maxFreeSockets: MAX_IDLE_CONNECTIONS,
--- a/src/adapters/telemetry/forwarding_record.ts
+++ b/src/adapters/telemetry/forwarding_telemetry.ts
@@ -1,10 +1,10 @@
 /** Logs and metrics of the forwarding path. */
 import { Counter, Gauge, Histogram, type Registry } from "prom-client";
-import type { RepeatUse } from "../../core/forwarding/mod.ts";
+import type { RetryBudgetUsage } from "../../core/forwarding/mod.ts";
 import type { Logger } from "../../core/observation/mod.ts";
 import type { TimerService } from "../../core/time/mod.ts";
 import type {
-  LoadQuestionOutcome,
+  LoadQueryOutcome,
   ObserveForwarding,
   ReportOutcome,
 } from "../../entry/forwarding/mod.ts";
@@ -41,7 +41,9 @@
 }
 
 /** Returns a function that counts registrations that became unreadable. */
-export function countUnreadable(registry: Registry): () => void {
+export function createUnreadableRegistrationCounter(
+  registry: Registry,
+): () => void {
   const counter = new Counter({
     name: "filbertshore_unreadable_registrations_total",
     help: "Keys among the registrations that became unreadable",
@@ -51,9 +53,9 @@
 }
 
 /** Returns a function that counts load queries by outcome. */
-export function countLoadQuestions(
+export function createLoadQueryCounter(
   registry: Registry,
-): (outcome: LoadQuestionOutcome) => void {
+): (outcome: LoadQueryOutcome) => void {
   const questions = new Counter({
     name: "filbertshore_load_questions_total",
     help: "Questions to other entries for an endpoint's load, by outcome",
@@ -64,7 +66,7 @@
 }
 
 /** Returns a function that counts usage reports by outcome. */
-export function countUsageReports(
+export function createUsageReportCounter(
   registry: Registry,
 ): (outcome: ReportOutcome | "given_up") => void {
   const reports = new Counter({
@@ -79,7 +81,7 @@
 /**
  * Exports the fencing token of usage reports; -1 if another entry sends them.
  */
-export function showUsageFencing(
+export function registerUsageFencingGauge(
   registry: Registry,
   fencing: () => number | undefined,
 ): void {
@@ -94,9 +96,9 @@
 }
 
 /** Exports the retries of each pool and this entry's limit on them. */
-export function showRepeats(
+export function registerRetryGauges(
   registry: Registry,
-  uses: () => readonly RepeatUse[],
+  uses: () => readonly RetryBudgetUsage[],
 ): void {
   new Gauge({
     name: "filbertshore_repeats",
@@ -121,7 +123,7 @@
 /**
  * Exports the number of requests that are blocked because they crash endpoints.
  */
-export function showBlockedRequests(
+export function registerBlockedRequestsGauge(
   registry: Registry,
   blocked: () => number,
 ): void {
@@ -136,7 +138,7 @@
 }
 
 /** Returns a function that logs and counts decisions of the forwarding path. */
-export function recordForwarding(
+export function createForwardingObserver(
   options: ForwardingObserverOptions,
 ): ObserveForwarding {
   const { registry, logger, timer } = options;
--- a/src/adapters/telemetry/forwarding_record_test.ts
+++ b/src/adapters/telemetry/forwarding_telemetry_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { Registry } from "prom-client";
-import { showRepeats } from "./mod.ts";
+import { registerRetryGauges } from "./mod.ts";
 
 describe("showRepeats", () => {
   // When engines receive more retries than the fleet allows, on-call engineers
@@ -8,7 +8,10 @@
   it("exports the current retries of each pool and their limit", async () => {
     const registry = new Registry();
     let counted = 3;
-    showRepeats(registry, () => [{ pool: "engines", counted, allowed: 20.5 }]);
+    registerRetryGauges(
+      registry,
+      () => [{ pool: "engines", counted, allowed: 20.5 }],
+    );
     counted = 4;
     const output = await registry.metrics();
     expect(output).to.include('filbertshore_repeats{pool="engines"} 4');
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -11,9 +11,9 @@
 const STDOUT_FILE_DESCRIPTOR = 1;
 
 /** A logger that can create child loggers for the components of the process. */
-export interface LabelledLogger extends Logger {
+export interface ComponentLogger extends Logger {
   /** Returns a child logger that adds the component's name to each line. */
-  labelled(part: string): LabelledLogger;
+  forComponent(part: string): ComponentLogger;
 }
 
 /** Options of `createLogger`. */
@@ -29,7 +29,7 @@
  * Creates the logger of a process. It uses no worker threads because they are
  * not available in the single-binary build.
  */
-export function createLogger(options: LoggerOptions): LabelledLogger {
+export function createLogger(options: LoggerOptions): ComponentLogger {
   const destination = options.destination ?? pino.destination({
     dest: STDOUT_FILE_DESCRIPTOR,
     sync: false,
@@ -44,12 +44,12 @@
   return createPinoAdapter(root);
 }
 
-function createPinoAdapter(log: pino.Logger): LabelledLogger {
+function createPinoAdapter(log: pino.Logger): ComponentLogger {
   return {
     debug: (fields, message) => log.debug(fields, message),
     info: (fields, message) => log.info(fields, message),
     warn: (fields, message) => log.warn(fields, message),
     error: (fields, message) => log.error(fields, message),
-    labelled: (part) => createPinoAdapter(log.child({ part })),
+    forComponent: (part) => createPinoAdapter(log.child({ part })),
   };
 }
--- a/src/adapters/telemetry/mod.ts
+++ b/src/adapters/telemetry/mod.ts
@@ -1,17 +1,17 @@
 /** Logging, metrics and tracing of a process. */
 export {
+  type ComponentLogger,
   createLogger,
-  type LabelledLogger,
   type LoggerOptions,
 } from "./logger.ts";
 export { Metrics, type MetricsOptions } from "./metrics.ts";
 export {
-  countLoadQuestions,
-  countUnreadable,
-  countUsageReports,
-  recordForwarding,
-  showBlockedRequests,
-  showRepeats,
-  showUsageFencing,
-} from "./forwarding_record.ts";
+  createForwardingObserver,
+  createLoadQueryCounter,
+  createUnreadableRegistrationCounter,
+  createUsageReportCounter,
+  registerBlockedRequestsGauge,
+  registerRetryGauges,
+  registerUsageFencingGauge,
+} from "./forwarding_telemetry.ts";
 export { createTracing, type Tracing, type TracingOptions } from "./tracing.ts";
--- a/src/adapters/telemetry/mod_test.ts
+++ b/src/adapters/telemetry/mod_test.ts
@@ -18,7 +18,7 @@
       process: "entry-1",
       destination: { write: (line) => void lines.push(line) },
     });
-    log.labelled("watch").warn({ side: "side-1" }, "Side does not answer");
+    log.forComponent("watch").warn({ side: "side-1" }, "Side does not answer");
     log.debug({}, "Left out");
     expect(lines).to.have.length(1);
     expect(JSON.parse(lines[0])).to.include({
--- a/src/adapters/telemetry/tracing.ts
+++ b/src/adapters/telemetry/tracing.ts
@@ -19,9 +19,9 @@
   TraceIdRatioBasedSampler,
 } from "@opentelemetry/sdk-trace-base";
 import {
-  NO_TRACER,
+  NOOP_TRACER,
   type Span,
-  type SpanFacts,
+  type SpanAttributes,
   type SpanName,
   type SpanOptions,
   type Tracer,
@@ -53,7 +53,7 @@
 export function createTracing(options: TracingOptions): Tracing {
   const exporter = createExporter(options);
   if (exporter === undefined) {
-    return { tracer: NO_TRACER, shutdown: () => Promise.resolve() };
+    return { tracer: NOOP_TRACER, shutdown: () => Promise.resolve() };
   }
   const provider = new BasicTracerProvider({
     resource: resourceFromAttributes({
@@ -110,7 +110,7 @@
     this.traceparent = `00-${traceId}-${spanId}-${flags}`;
   }
 
-  add(facts: SpanFacts): void {
+  add(facts: SpanAttributes): void {
     this.#span.setAttributes(facts);
   }
 
--- a/src/adapters/weight_store/mod.ts
+++ b/src/adapters/weight_store/mod.ts
@@ -5,7 +5,11 @@
 import type { TimerService } from "../../core/time/mod.ts";
 import type { WeightsAnswer } from "../../generated/platform.ts";
 import { validateWeightsAnswer } from "../../generated/validators.js";
-import { type HttpAnswer, HttpClient, parseJson } from "../http_client/mod.ts";
+import {
+  HttpClient,
+  type HttpResponse,
+  parseJson,
+} from "../http_client/mod.ts";
 import { MODEL_UNKNOWN, WEIGHT_STORE_UNAVAILABLE } from "./errors.ts";
 
 const TIMEOUT_MILLISECONDS = 5_000;
@@ -74,7 +78,7 @@
 
 function parseVersions(
   model: string,
-  response: HttpAnswer,
+  response: HttpResponse,
 ): Result<readonly string[], WeightStoreFailure> {
   if (response.status === 404) return err(failure(MODEL_UNKNOWN, { model }));
   if (response.status !== 200) {
--- a/src/cli/check/run_check.ts
+++ b/src/cli/check/run_check.ts
@@ -9,7 +9,7 @@
 import { SystemTimerService } from "../../adapters/time/mod.ts";
 import { HttpWeightStore } from "../../adapters/weight_store/mod.ts";
 import type { Inventory } from "../../generated/inventory.ts";
-import { EXIT_CODE_BAD_SETTINGS, EXIT_CODE_SUCCESS } from "../exit_codes.ts";
+import { EXIT_CODE_INVALID_INPUT, EXIT_CODE_SUCCESS } from "../exit_codes.ts";
 import type { CheckArguments } from "./command.ts";
 
 /** Checks the files and prints all problems; returns the exit code. */
@@ -32,7 +32,7 @@
       ? "No problems\n"
       : `${count} problem${count === 1 ? "" : "s"}\n`,
   );
-  return count === 0 ? EXIT_CODE_SUCCESS : EXIT_CODE_BAD_SETTINGS;
+  return count === 0 ? EXIT_CODE_SUCCESS : EXIT_CODE_INVALID_INPUT;
 }
 
 function findSettingsProblems(
--- a/src/cli/entry/run_entry.ts
+++ b/src/cli/entry/run_entry.ts
@@ -15,7 +15,7 @@
 } from "../../generated/messages.ts";
 import { EntryCore } from "../../entry/mod.ts";
 import {
-  EXIT_CODE_BAD_SETTINGS,
+  EXIT_CODE_INVALID_INPUT,
   EXIT_CODE_LISTEN_FAILED,
 } from "../exit_codes.ts";
 import {
@@ -32,7 +32,7 @@
   const settings = loadSettings(settingsFile, "entry");
   if (settings.isErr()) {
     reportInvalidSettings(settings.error);
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
   return await new EntryProcess(settings.value).run();
 }
@@ -124,7 +124,7 @@
       times: coordination,
       observe: this.#context.metrics.observe,
       tracer: this.#context.tracing.tracer,
-      logger: this.#context.logger.labelled("entry"),
+      logger: this.#context.logger.forComponent("entry"),
     });
   }
 
@@ -136,7 +136,7 @@
       port: callers.port,
       mostBodyBytes: limits.mostBodyBytes,
       service: this.#core,
-      logger: this.#context.logger.labelled("callers"),
+      logger: this.#context.logger.forComponent("callers"),
       newRequestId: () =>
         identifier(`${name}-${incarnation}-${this.#requestCount++}`),
       wallClockSeconds: () =>
--- a/src/cli/exit_codes.ts
+++ b/src/cli/exit_codes.ts
@@ -3,7 +3,7 @@
 /** The command failed; the log or the output gives the reason. */
 export const EXIT_CODE_FAILURE = 1;
 /** Arguments, settings or other files are invalid. */
-export const EXIT_CODE_BAD_SETTINGS = 2;
+export const EXIT_CODE_INVALID_INPUT = 2;
 /** An address in the settings cannot be bound. */
 export const EXIT_CODE_LISTEN_FAILED = 3;
 /** Whether the publication took effect is unknown; it may still do so. */
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import { hideBin } from "yargs/helpers";
 import yargs from "yargs";
-import { EXIT_CODE_BAD_SETTINGS } from "./exit_codes.ts";
+import { EXIT_CODE_INVALID_INPUT } from "./exit_codes.ts";
 import { checkCommand } from "./check/command.ts";
 import { entryCommand } from "./entry/command.ts";
 import { publishCommand } from "./publish/command.ts";
@@ -25,7 +25,7 @@
       // input.
       if (message === null) throw error;
       process.stderr.write(`${message}\nSee filbertshore --help\n`);
-      process.exit(EXIT_CODE_BAD_SETTINGS);
+      process.exit(EXIT_CODE_INVALID_INPUT);
     });
   await parser.parseAsync();
 }
--- a/src/cli/process_context.ts
+++ b/src/cli/process_context.ts
@@ -1,13 +1,13 @@
-import { HttpPeers } from "../adapters/peers/mod.ts";
+import { HttpPeerClient } from "../adapters/peers/mod.ts";
 import { newIncarnation } from "../adapters/random/mod.ts";
 import type {
   CheckedEntrySettings,
   CheckedSideSettings,
 } from "../adapters/settings/mod.ts";
 import {
+  type ComponentLogger,
   createLogger,
   createTracing,
-  type LabelledLogger,
   Metrics,
   type Tracing,
 } from "../adapters/telemetry/mod.ts";
@@ -24,8 +24,8 @@
   readonly incarnation: Incarnation = newIncarnation();
   readonly timer = new SystemTimerService();
   readonly metrics = new Metrics({ processMetrics: true });
-  readonly peers = new HttpPeers();
-  readonly logger: LabelledLogger;
+  readonly peers = new HttpPeerClient();
+  readonly logger: ComponentLogger;
   readonly tracing: Tracing;
 
   constructor(settings: ProcessSettings) {
--- a/src/cli/publish/run_publish.ts
+++ b/src/cli/publish/run_publish.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import { v7 as uuidv7 } from "uuid";
 import { HttpLogService } from "../../adapters/log_service/mod.ts";
-import { HttpPeers } from "../../adapters/peers/mod.ts";
+import { HttpPeerClient } from "../../adapters/peers/mod.ts";
 import { newIncarnation, systemRandom } from "../../adapters/random/mod.ts";
 import {
   type CheckedOperatorSettings,
@@ -18,8 +18,8 @@
 import { identifier } from "../../core/identity/mod.ts";
 import { Journal } from "../../core/journal/mod.ts";
 import {
-  EXIT_CODE_BAD_SETTINGS,
   EXIT_CODE_FAILURE,
+  EXIT_CODE_INVALID_INPUT,
   EXIT_CODE_OUTCOME_UNKNOWN,
   EXIT_CODE_ROLLOUT_INCOMPLETE,
   EXIT_CODE_SUCCESS,
@@ -39,14 +39,14 @@
   const settings = loadSettings(options.settings, "operator");
   if (settings.isErr()) {
     reportInvalidSettings(settings.error);
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
   const content = loadConfiguration(options);
   if (content.isErr()) {
     for (const problem of content.error) {
       process.stderr.write(`${formatProblem(problem)}\n`);
     }
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
   const publication = new PublicationRun(settings.value, {
     region: content.value.inventory.region,
@@ -65,7 +65,7 @@
   readonly #arguments: PublishArguments;
   readonly #settings: CheckedOperatorSettings;
   readonly #timer = new SystemTimerService();
-  readonly #peers = new HttpPeers();
+  readonly #peers = new HttpPeerClient();
   readonly #fold = new ConfigurationFold();
   readonly #log: HttpLogService;
   readonly #journal: Journal;
@@ -144,7 +144,7 @@
       { outcome: "not_made", version },
       `Version ${version} is in force. Pass --base ${version} if the files are based on it, or --base latest to replace the current version`,
     );
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
 
   #reportFailure(error: PublicationFailure): number {
@@ -164,7 +164,7 @@
   async #waitUntilInForce(version: number): Promise<number> {
     const deadline = this.#timer.now() + this.#arguments["wait-seconds"] * 1000;
     const addresses = this.#settings.entries.map((each) =>
-      identifier<Parameters<HttpPeers["status"]>[0]>(each)
+      identifier<Parameters<HttpPeerClient["status"]>[0]>(each)
     );
     this.#printProgress(`Accepted as version ${version}`);
     let lastProgress = "";
--- a/src/cli/side/run_side.ts
+++ b/src/cli/side/run_side.ts
@@ -9,7 +9,7 @@
 import type { OnceQuestion } from "../../generated/messages.ts";
 import { SideCore } from "../../side/mod.ts";
 import {
-  EXIT_CODE_BAD_SETTINGS,
+  EXIT_CODE_INVALID_INPUT,
   EXIT_CODE_LISTEN_FAILED,
 } from "../exit_codes.ts";
 import {
@@ -28,7 +28,7 @@
   const settings = loadSettings(settingsFile, "side");
   if (settings.isErr()) {
     reportInvalidSettings(settings.error);
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
   return await new SideProcess(settings.value).run();
 }
@@ -88,7 +88,7 @@
       times: coordination,
       observe: this.#context.metrics.observe,
       tracer: this.#context.tracing.tracer,
-      logger: this.#context.logger.labelled("side"),
+      logger: this.#context.logger.forComponent("side"),
     });
   }
 
--- a/src/cli/status/run_status.ts
+++ b/src/cli/status/run_status.ts
@@ -1,10 +1,10 @@
 import process from "node:process";
-import { HttpPeers } from "../../adapters/peers/mod.ts";
+import { HttpPeerClient } from "../../adapters/peers/mod.ts";
 import { loadSettings } from "../../adapters/settings/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
 import {
-  EXIT_CODE_BAD_SETTINGS,
   EXIT_CODE_FAILURE,
+  EXIT_CODE_INVALID_INPUT,
   EXIT_CODE_SUCCESS,
 } from "../exit_codes.ts";
 import { reportInvalidSettings } from "../process_lifecycle.ts";
@@ -19,9 +19,9 @@
   const settings = loadSettings(options.settings, "operator");
   if (settings.isErr()) {
     reportInvalidSettings(settings.error);
-    return EXIT_CODE_BAD_SETTINGS;
+    return EXIT_CODE_INVALID_INPUT;
   }
-  const peers = new HttpPeers();
+  const peers = new HttpPeerClient();
   const fleet = await queryFleet(
     peers,
     settings.value.entries.map((each) => identifier(each)),
--- a/src/core/admission/class_thinning.ts
+++ b/src/core/admission/class_share_limiter.ts
@@ -16,13 +16,13 @@
  * completed in total. The share follows from how the work is divided among the
  * engine roles.
  */
-export class ClassThinning {
+export class ClassShareLimiter {
   readonly #countsByClass = new Map<string, ClassCounts>();
 
   /**
    * Counts an offered request and returns whether it exceeds the class's share.
    */
-  isOver(className: string, servedShare: number): boolean {
+  exceedsShare(className: string, servedShare: number): boolean {
     const counts = this.#countsOf(className);
     counts.offered = counts.offered * DECAY_PER_REQUEST + 1;
     counts.admitted *= DECAY_PER_REQUEST;
--- a/src/core/admission/drain_meter.ts
+++ b/src/core/admission/drain_rate_estimator.ts
@@ -15,7 +15,7 @@
  * from free slots alone is wrong when prompts are the bottleneck, and the
  * reverse.
  */
-export class DrainMeter {
+export class DrainRateEstimator {
   readonly #arrivals: DecayingRate[] = [];
   readonly #drain: DecayingRate = { value: 0, at: 0 };
   #busySince: number | undefined;
@@ -31,7 +31,9 @@
    * Records work that was dispatched to an endpoint; `othersWait` is true if
    * other work was queued at the time.
    */
-  dispatched(work: { cost: number; now: number; othersWait: boolean }): void {
+  recordDispatch(
+    work: { cost: number; now: number; othersWait: boolean },
+  ): void {
     if (!work.othersWait) {
       this.#busySince = undefined;
       return;
--- a/src/core/admission/loop_guard.ts
+++ b/src/core/admission/load_shedder.ts
@@ -10,10 +10,10 @@
 const SHED_STEP_MILLISECONDS = 40;
 
 /** Sheds the least urgent classes while the entry's event loop is delayed. */
-export class LoopGuard {
+export class LoadShedder {
   #averageDelay = 0;
 
-  measured(milliseconds: number): void {
+  recordLoopDelay(milliseconds: number): void {
     this.#averageDelay += SMOOTHING_FACTOR *
       (milliseconds - this.#averageDelay);
   }
@@ -22,7 +22,7 @@
    * Returns whether requests of this rank are refused; rank 0 is the most
    * urgent.
    */
-  sheds(rank: number, rankCount: number): boolean {
+  shouldShed(rank: number, rankCount: number): boolean {
     const steps = Math.floor(this.#averageDelay / SHED_STEP_MILLISECONDS);
     return rankCount - rank <= Math.min(steps, rankCount - 1);
   }
--- a/src/core/admission/mod.ts
+++ b/src/core/admission/mod.ts
@@ -1,7 +1,7 @@
 /** Admission control: predicts which requests can be answered on time. */
-export { ClassThinning } from "./class_thinning.ts";
-export { DrainMeter } from "./drain_meter.ts";
-export { LoopGuard } from "./loop_guard.ts";
-export { OutputLengths } from "./output_lengths.ts";
-export { PredictionError } from "./prediction_error.ts";
+export { ClassShareLimiter } from "./class_share_limiter.ts";
+export { DrainRateEstimator } from "./drain_rate_estimator.ts";
+export { LoadShedder } from "./load_shedder.ts";
+export { OutputLengthEstimator } from "./output_length_estimator.ts";
+export { PredictionCorrection } from "./prediction_correction.ts";
 export { refusal } from "./refusals.ts";
--- a/src/core/admission/output_lengths.ts
+++ b/src/core/admission/output_length_estimator.ts
@@ -8,16 +8,16 @@
  * request a maximum far above what they receive; admission by that maximum
  * would refuse most requests that can be answered on time.
  */
-export class OutputLengths {
+export class OutputLengthEstimator {
   readonly #meanTokensByClass = new Map<string, number>();
 
   /** Sets the initial value of a class; a learned value is kept. */
-  expectInitially(className: string, tokens?: number): void {
+  setInitial(className: string, tokens?: number): void {
     if (this.#meanTokensByClass.has(className)) return;
     this.#meanTokensByClass.set(className, tokens ?? DEFAULT_OUTPUT_TOKENS);
   }
 
-  learn(className: string, tokens: number): void {
+  record(className: string, tokens: number): void {
     const mean = this.#meanTokensByClass.get(className) ?? tokens;
     this.#meanTokensByClass.set(
       className,
@@ -26,7 +26,7 @@
   }
 
   /** Tokens that are still expected, bounded by the caller's maximum. */
-  expected(
+  expectedRemaining(
     className: string,
     bounds: { most: number; delivered: number },
   ): number {
--- a/src/core/admission/prediction_error.ts
+++ b/src/core/admission/prediction_correction.ts
@@ -17,10 +17,10 @@
  * asset register, an unknown mix) is corrected within some dozens of answers
  * and does not make all further answers late.
  */
-export class PredictionError {
+export class PredictionCorrection {
   readonly #statisticsByClass = new Map<string, RatioStatistics>();
 
-  learn(className: string, ratio: number): void {
+  record(className: string, ratio: number): void {
     const statistics = this.#statisticsOf(className);
     const bounded = Math.min(MAX_RATIO, ratio);
     const error = bounded - statistics.mean;
--- a/src/core/attempts/answer_assembler.ts
+++ b/src/core/attempts/answer_assembler.ts
@@ -66,7 +66,7 @@
   /**
    * Starts a new attempt; frames of all earlier ones are dropped from now on.
    */
-  begin(attemptId: string): void {
+  beginAttempt(attemptId: string): void {
     this.#currentAttemptId = attemptId;
     this.#buffered = undefined;
     this.#endFrame = undefined;
@@ -80,7 +80,7 @@
   }
 
   /** Whether the current attempt has shown that its endpoint started. */
-  get started(): boolean {
+  get attemptStarted(): boolean {
     return this.#currentAttemptStarted;
   }
 
--- a/src/core/attempts/answer_assembler_test.ts
+++ b/src/core/attempts/answer_assembler_test.ts
@@ -24,9 +24,9 @@
     // An endpoint is cut off and the answer continues elsewhere; then the old
     // stream is delivered after all. Its words must not appear twice.
     const { answer, tokens } = createAssembler();
-    answer.begin("a");
+    answer.beginAttempt("a");
     answer.receive(token("a", 0));
-    answer.begin("b");
+    answer.beginAttempt("b");
     expect(answer.receive(token("a", 1))).to.equal("dropped");
     expect(answer.receive(end("a", 1))).to.equal("dropped");
     expect(answer.receive(token("b", 1))).to.equal("taken");
@@ -37,7 +37,7 @@
     // A frame is lost and the end arrives. Shown as complete, the answer would
     // lack a word such as "not" and mean the opposite.
     const { answer } = createAssembler();
-    answer.begin("a");
+    answer.beginAttempt("a");
     answer.receive(token("a", 0));
     answer.receive(token("a", 2));
     expect(answer.receive(end("a", 3))).to.equal("held");
@@ -48,9 +48,9 @@
 
   it("abandons an attempt that contradicts the delivered tokens", () => {
     const { answer } = createAssembler();
-    answer.begin("a");
+    answer.beginAttempt("a");
     answer.receive(token("a", 0));
-    answer.begin("b");
+    answer.beginAttempt("b");
     expect(answer.receive(end("b", 0))).to.equal("broken");
     expect(answer.complete).to.equal(undefined);
   });
@@ -60,7 +60,7 @@
     // saturated. Accepted, the refusal would report "not run" for work that has
     // run.
     const { answer } = createAssembler();
-    answer.begin("a");
+    answer.beginAttempt("a");
     answer.receive({ kind: "started", attemptId: "a" });
     expect(
       answer.receive({ kind: "not_run", attemptId: "a", reason: "saturated" }),
@@ -80,9 +80,9 @@
     fc.assert(
       fc.property(schedule, fc.nat(60), (received, switchIndex) => {
         const { answer, tokens } = createAssembler();
-        answer.begin("a");
+        answer.beginAttempt("a");
         received.forEach((frame, index) => {
-          if (index === switchIndex) answer.begin("b");
+          if (index === switchIndex) answer.beginAttempt("b");
           answer.receive(frame);
         });
         expect(tokens).to.deep.equal(TEXTS.slice(0, tokens.length));
--- a/src/core/authority/authority_test.ts
+++ b/src/core/authority/authority_test.ts
@@ -195,7 +195,7 @@
   it("does not move the claim while the log is slow", async () => {
     await timer.advance(5_000);
     const before = claims();
-    for (const { faults } of planners) faults.slowMilliseconds = 4_000;
+    for (const { faults } of planners) faults.addedLatencyMilliseconds = 4_000;
     await timer.advance(180_000);
     expect(claims()).to.equal(before);
   });
@@ -208,7 +208,9 @@
     const [holder] = holders();
     holder.faults.silent = true;
     holder.journal.stop();
-    for (const planner of planners) planner.faults.slowMilliseconds = 500;
+    for (const planner of planners) {
+      planner.faults.addedLatencyMilliseconds = 500;
+    }
     await timer.advance(60_000);
     const next = holders().filter((planner) => planner !== holder);
     expect(next).to.have.length(1);
--- a/src/core/authority/schedules_test.ts
+++ b/src/core/authority/schedules_test.ts
@@ -64,7 +64,7 @@
   async applyStep({ kind, target, wait }: Step): Promise<void> {
     const { faults, keeper } = this.planners[target];
     if (kind === "lag") faults.lagRecords = 4;
-    else if (kind === "slow") faults.slowMilliseconds = 2_000;
+    else if (kind === "slow") faults.addedLatencyMilliseconds = 2_000;
     else if (kind === "down" || kind === "silent") faults[kind] = true;
     else if (kind === "everyoneDown") {
       for (const planner of this.planners) planner.faults.down = true;
--- a/src/core/configuration/configuration_test.ts
+++ b/src/core/configuration/configuration_test.ts
@@ -3,7 +3,7 @@
   CONFIGURATION,
   makeJournal,
   makeJudge,
-  sampleContent,
+  sampleConfiguration,
 } from "../../../test/support/coordination.ts";
 import { FakeLog } from "../../../test/support/fake_log.ts";
 import type { RecordBody } from "../../generated/log_records.ts";
@@ -17,7 +17,7 @@
 } from "./mod.ts";
 
 function publication(publicationId: string, base: number): RecordBody {
-  const content = { ...sampleContent(publicationId) };
+  const content = { ...sampleConfiguration(publicationId) };
   return { kind: "publication", publicationId, base, content };
 }
 
@@ -168,13 +168,13 @@
   function changed(
     change: (content: ConfigurationContent) => void,
   ): ConfigurationContent {
-    const content = structuredClone(sampleContent());
+    const content = structuredClone(sampleConfiguration());
     change(content);
     return content;
   }
 
   it("finds no problems in a valid configuration", () => {
-    expect(checkConfiguration(sampleContent())).to.deep.equal([]);
+    expect(checkConfiguration(sampleConfiguration())).to.deep.equal([]);
   });
 
   it("reports the path, the found and the expected value", () => {
@@ -265,7 +265,7 @@
     base = 0,
   ): { outcome?: string; message?: string } {
     const tracked: { outcome?: string; message?: string } = {};
-    void publisher.publish(sampleContent(publicationId), {
+    void publisher.publish(sampleConfiguration(publicationId), {
       publicationId,
       base,
       publisher: `operator of ${publicationId}`,
@@ -347,7 +347,7 @@
     makeJudge({ log, timer, name: "a" });
     const one = operator("one");
     await timer.advance(5_000);
-    const content = structuredClone(sampleContent());
+    const content = structuredClone(sampleConfiguration());
     content.rules.defaultClass = "none";
     let message = "";
     void one.publisher.publish(content, { publicationId: "bad", base: 0 })
--- a/src/core/configuration/publisher.ts
+++ b/src/core/configuration/publisher.ts
@@ -1,7 +1,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { failure } from "../errors/mod.ts";
 import type { Journal } from "../journal/mod.ts";
-import { pause, type TimerService } from "../time/mod.ts";
+import { sleep, type TimerService } from "../time/mod.ts";
 import type { ConfigurationContent } from "./check.ts";
 import type {
   ConfigurationFold,
@@ -116,7 +116,7 @@
     const deadline = timer.now() + verdictMilliseconds;
     while (!condition()) {
       if (timer.now() >= deadline) return false;
-      await pause(timer, POLL_INTERVAL_MILLISECONDS);
+      await sleep(timer, POLL_INTERVAL_MILLISECONDS);
     }
     return true;
   }
--- a/src/core/configuration/schedules_test.ts
+++ b/src/core/configuration/schedules_test.ts
@@ -4,7 +4,7 @@
   CONFIGURATION,
   makeJournal,
   makeJudge,
-  sampleContent,
+  sampleConfiguration,
   type TestJudge,
 } from "../../../test/support/coordination.ts";
 import {
@@ -106,7 +106,7 @@
     this.attempts.push(attempt);
     const base = this.entries[0].fold.version;
     void this.operators[operator].publisher.publish(
-      sampleContent(publicationId),
+      sampleConfiguration(publicationId),
       { publicationId, base },
     ).then((result) => {
       attempt.outcome = result.isOk() ? "accepted" : result.error.name;
@@ -145,7 +145,7 @@
       const last = this.attempts.at(-1)?.publicationId;
       if (last !== undefined) this.publish(operator, last);
     } else if (kind === "lag") faults.lagRecords = 3;
-    else if (kind === "slow") faults.slowMilliseconds = 1_500;
+    else if (kind === "slow") faults.addedLatencyMilliseconds = 1_500;
     else if (kind === "down") faults.down = true;
     else if (kind === "heal") Object.assign(faults, noFaults());
     else if (kind === "handOver") void this.entries[entry].keeper.stop();
--- a/src/core/forwarding/admission/engine_admission.ts
+++ b/src/core/forwarding/admission/engine_admission.ts
@@ -9,7 +9,7 @@
  * answer may use. The rest covers the error of a long prediction and the answer
  * itself: 300 ms of two seconds.
  */
-export const LEFT_SHARE = 0.85;
+export const REMAINING_TIME_SHARE = 0.85;
 
 /**
  * Longest delay in the entry at which a late answer is still admitted. Beyond
@@ -28,10 +28,10 @@
  * - `entry_full`: this entry is the bottleneck; another entry may still answer
  *   on time.
  */
-export type Admission = "on_time" | "late" | "engines_full" | "entry_full";
+export type AdmissionKind = "on_time" | "late" | "engines_full" | "entry_full";
 
 /** Predicted and elapsed times of a request that needs a prefill. */
-export interface AdmissionQuestion {
+export interface AdmissionInput {
   /** Predicted time until the prefill ends if the prompt is sent now. */
   readonly onTimeMilliseconds: number;
   /**
@@ -52,7 +52,7 @@
 }
 
 /** Decides whether a prompt that needs a prefill is admitted. */
-export function judgeAdmission(input: AdmissionQuestion): Admission {
+export function decideAdmission(input: AdmissionInput): AdmissionKind {
   const {
     elapsedMilliseconds,
     entryMilliseconds,
@@ -67,7 +67,7 @@
   if (entryMilliseconds > MAX_LATE_ENTRY_MILLISECONDS) return "entry_full";
   const lateMilliseconds = entryMilliseconds + input.lateMilliseconds +
     input.handoverMilliseconds;
-  return lateMilliseconds <= LEFT_SHARE * leftMilliseconds
+  return lateMilliseconds <= REMAINING_TIME_SHARE * leftMilliseconds
     ? "late"
     : "engines_full";
 }
--- a/src/core/forwarding/admission/engine_admission_test.ts
+++ b/src/core/forwarding/admission/engine_admission_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { type AdmissionQuestion, judgeAdmission } from "../mod.ts";
+import { type AdmissionInput, decideAdmission } from "../mod.ts";
 
-const IDLE_INPUT: AdmissionQuestion = {
+const IDLE_INPUT: AdmissionInput = {
   onTimeMilliseconds: 20,
   lateMilliseconds: 20,
   handoverMilliseconds: 15,
@@ -11,8 +11,8 @@
   leftMilliseconds: 2_000,
 };
 
-function decide(values: Partial<AdmissionQuestion>) {
-  return judgeAdmission({ ...IDLE_INPUT, ...values });
+function decide(values: Partial<AdmissionInput>) {
+  return decideAdmission({ ...IDLE_INPUT, ...values });
 }
 
 describe("judgeAdmission", () => {
--- a/src/core/forwarding/admission/held_prompts.ts
+++ b/src/core/forwarding/admission/held_prompt_queue.ts
@@ -14,7 +14,7 @@
   /** Chooses an engine that can start now, if there is one; must not reject. */
   readonly choose: () => Promise<Choice | undefined>;
   /** True once the request has ended, such as by a disconnect of its caller. */
-  readonly isOver: () => boolean;
+  readonly isCancelled: () => boolean;
 }
 
 interface WaitingPrompt<Choice> extends HeldPrompt<Choice> {
@@ -26,7 +26,7 @@
  * nearly idle. Engines process prompts in order of arrival, so late prompts
  * sent early would delay those behind them. Ordered by rank, then by expiry.
  */
-export class HeldPrompts<Choice> {
+export class HeldPromptQueue<Choice> {
   readonly #timer: TimerService;
   #waiting: WaitingPrompt<Choice>[] = [];
   #nextPoll: Subscription | undefined;
@@ -54,7 +54,7 @@
   /**
    * Resolves with the chosen engine, or undefined once the prompt is dropped.
    */
-  hold(prompt: HeldPrompt<Choice>): Promise<Choice | undefined> {
+  enqueue(prompt: HeldPrompt<Choice>): Promise<Choice | undefined> {
     return new Promise((resolve) => {
       this.#waiting.push({ ...prompt, resolve });
       this.#waiting.sort(byUrgency);
@@ -88,7 +88,7 @@
   #dropObsolete(): void {
     const now = this.#timer.now();
     const isObsolete = (each: WaitingPrompt<Choice>) =>
-      now >= each.expiresAt || each.isOver();
+      now >= each.expiresAt || each.isCancelled();
     const obsolete = this.#waiting.filter(isObsolete);
     if (obsolete.length === 0) return;
     this.#waiting = this.#waiting.filter((each) => !isObsolete(each));
--- a/src/core/forwarding/admission/held_prompts_test.ts
+++ b/src/core/forwarding/admission/held_prompt_queue_test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import { ManualTimerService } from "../../time/mod.ts";
-import { HeldPrompts } from "./held_prompts.ts";
+import { HeldPromptQueue } from "./held_prompt_queue.ts";
 
 describe("HeldPrompts", () => {
   let timer: ManualTimerService;
-  let queue: HeldPrompts<string>;
+  let queue: HeldPromptQueue<string>;
   /** Engines that are nearly idle, in the order in which they are chosen. */
   let idleEngines: string[];
   let started: string[];
@@ -12,7 +12,7 @@
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    queue = new HeldPrompts(timer);
+    queue = new HeldPromptQueue(timer);
     idleEngines = [];
     started = [];
     dropped = [];
@@ -27,12 +27,12 @@
     } = {},
   ): void {
     const { rank = 1, expiresAt = 1_000, isOver = () => false } = values;
-    void queue.hold({
+    void queue.enqueue({
       rank,
       expiresAt,
       workMilliseconds: 50,
       choose: () => Promise.resolve(idleEngines.shift()),
-      isOver,
+      isCancelled: isOver,
     }).then((engine) => {
       if (engine === undefined) dropped.push(name);
       else started.push(`${name} at ${engine}`);
--- a/src/core/forwarding/admission/link_queue.ts
+++ b/src/core/forwarding/admission/link_backlog.ts
@@ -17,7 +17,7 @@
  * The estimate is derived from the bytes sent, since the kernel does not report
  * the backlog.
  */
-export class LinkQueue {
+export class LinkBacklog {
   readonly #timer: TimerService;
   readonly #bytesPerMillisecond: number;
   #drainedAt = -Infinity;
@@ -32,10 +32,10 @@
   }
 
   /** Records bytes that were handed to the link. */
-  sent(bytes: number): void {
+  recordSent(bytes: number): void {
     const now = this.#timer.now();
     this.#drainedAt = Math.max(now, this.#drainedAt) +
-      this.carryMilliseconds(bytes);
+      this.transmissionMilliseconds(bytes);
   }
 
   /** Time until all bytes sent so far have left. */
@@ -44,7 +44,7 @@
   }
 
   /** Time that the link needs to carry this many bytes. */
-  carryMilliseconds(bytes: number): number {
+  transmissionMilliseconds(bytes: number): number {
     return bytes / this.#bytesPerMillisecond;
   }
 }
--- a/src/core/forwarding/admission/link_queue_test.ts
+++ b/src/core/forwarding/admission/link_backlog_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { ManualTimerService } from "../../time/mod.ts";
-import { LinkQueue } from "../mod.ts";
+import { LinkBacklog } from "../mod.ts";
 
 describe("LinkQueue", () => {
   let timer: ManualTimerService;
@@ -12,8 +12,8 @@
   // Eight requests of 10 KB arrive at once at an entry with 8 Mbit/s, of which
   // 80% are usable: the last one leaves after 100 ms.
   it("accumulates the backlog until it has drained", async () => {
-    const link = new LinkQueue(timer, 8);
-    for (let count = 0; count < 8; count++) link.sent(10_000);
+    const link = new LinkBacklog(timer, 8);
+    for (let count = 0; count < 8; count++) link.recordSent(10_000);
     expect(link.waitMilliseconds).to.equal(100);
     await timer.advance(60);
     expect(link.waitMilliseconds).to.equal(40);
@@ -22,15 +22,15 @@
   });
 
   it("accumulates no credit while the link is idle", async () => {
-    const link = new LinkQueue(timer, 8);
+    const link = new LinkBacklog(timer, 8);
     await timer.advance(10_000);
-    link.sent(8_000);
+    link.recordSent(8_000);
     expect(link.waitMilliseconds).to.equal(10);
   });
 
   it("has no backlog where the link speed is unknown", () => {
-    const link = new LinkQueue(timer, undefined);
-    link.sent(1e9);
+    const link = new LinkBacklog(timer, undefined);
+    link.recordSent(1e9);
     expect(link.waitMilliseconds).to.equal(0);
   });
 });
--- a/src/core/forwarding/admission/request_arrivals.ts
+++ b/src/core/forwarding/admission/request_arrivals.ts
@@ -1,9 +1,9 @@
-import type { RepeatPermit, RetryAllowance } from "./retry_allowance.ts";
+import type { RetryPermit, SharedRetryBudget } from "./shared_retry_budget.ts";
 
 /** What a request is about to send. */
-export interface NextSends {
+export interface NextAttempt {
   /** True where a prefill engine processes the prompt before the send. */
-  readonly reading: boolean;
+  readonly prefill: boolean;
 }
 
 /**
@@ -19,31 +19,31 @@
  * arrivals where the fleet's limit was 320.
  */
 export class RequestArrivals {
-  readonly #budget: RetryAllowance;
+  readonly #budget: SharedRetryBudget;
   readonly #pool: string;
   /** Permits granted and not yet consumed. */
-  readonly #permits: RepeatPermit[] = [];
+  readonly #permits: RetryPermit[] = [];
   #arrivals = 0;
   #hasPrefilled = false;
   /** True while an engine processes the prompt. */
   #isPrefilling = false;
   /** Permit that the last send consumed; undefined where the send was free. */
-  #lastPermit: RepeatPermit | undefined;
+  #lastPermit: RetryPermit | undefined;
 
-  constructor(budget: RetryAllowance, pool: string) {
+  constructor(budget: SharedRetryBudget, pool: string) {
     this.#budget = budget;
     this.#pool = pool;
   }
 
   /** True once an engine has prefilled the prompt. */
-  get hasRead(): boolean {
+  get hasPrefilled(): boolean {
     return this.#hasPrefilled;
   }
 
   /**
    * Reserves permits for the next sends; false where the budget is exhausted.
    */
-  cover({ reading }: NextSends): boolean {
+  reserve({ prefill: reading }: NextAttempt): boolean {
     const nextArrivals = reading && this.#hasPrefilled ? 2 : 1;
     const freeArrivals = this.#arrivals === 0 ? 1 : 0;
     while (this.#permits.length < nextArrivals - freeArrivals) {
@@ -55,25 +55,25 @@
   }
 
   /** Records that the request is sent to an endpoint that may run it. */
-  sent(): void {
+  recordSend(): void {
     this.#lastPermit = undefined;
     this.#countArrival();
   }
 
   /** Reverts the last send, which did not reach the endpoint. */
-  notArrived(): void {
+  revertSend(): void {
     this.#arrivals -= 1;
     this.#lastPermit?.release();
     this.#lastPermit = undefined;
   }
 
   /** Records that an engine is asked to prefill the prompt. */
-  readingSent(): void {
+  prefillSent(): void {
     this.#isPrefilling = true;
   }
 
   /** Records the end of a prefill that reached its engine. */
-  readingEnded({ accepted }: { readonly accepted: boolean }): void {
+  prefillEnded({ accepted }: { readonly accepted: boolean }): void {
     if (!this.#isPrefilling) return;
     this.#isPrefilling = false;
     const isFree = accepted && !this.#hasPrefilled;
@@ -85,7 +85,7 @@
    * Records that the prefill did not reach the engine: it refused the
    * connection.
    */
-  readingNotSent(): void {
+  prefillNotSent(): void {
     this.#isPrefilling = false;
   }
 
@@ -93,7 +93,7 @@
    * Ends the request and returns unused permits. A cancelled prefill counts.
    */
   release(): void {
-    this.readingEnded({ accepted: false });
+    this.prefillEnded({ accepted: false });
     for (const permit of this.#permits.splice(0)) permit.release();
   }
 
--- a/src/core/forwarding/admission/returning_callers.ts
+++ b/src/core/forwarding/admission/returning_callers.ts
@@ -16,7 +16,10 @@
 const MAX_UNREPORTED_REFUSALS = 500;
 
 /** A rejection reported to peers: the prompt and the caller's wait so far. */
-export type ToldRefusal = readonly [prompt: string, waitedMilliseconds: number];
+export type RefusalReport = readonly [
+  prompt: string,
+  waitedMilliseconds: number,
+];
 
 /**
  * Tracks how long callers have waited since their first attempt. The target
@@ -33,14 +36,14 @@
    * First arrival of each rejected prompt's caller, ordered by last rejection.
    */
   readonly #firstArrivals = new Map<string, number>();
-  #unreported: ToldRefusal[] = [];
+  #unreported: RefusalReport[] = [];
 
   constructor(timer: TimerService) {
     this.#timer = timer;
   }
 
   /** Time since the first attempt with this prompt, in milliseconds. */
-  waited(prompt: string | undefined): number {
+  elapsedSinceFirstAttempt(prompt: string | undefined): number {
     if (prompt === undefined) return 0;
     const firstArrival = this.#firstArrivals.get(prompt);
     const now = this.#timer.now();
@@ -54,14 +57,14 @@
   }
 
   /** Records a rejection by this entry and the caller's wait so far. */
-  refused(prompt: string, waitedMilliseconds: number): void {
-    this.peerRefused([prompt, waitedMilliseconds]);
+  record(prompt: string, waitedMilliseconds: number): void {
+    this.recordPeer([prompt, waitedMilliseconds]);
     if (this.#unreported.length >= MAX_UNREPORTED_REFUSALS) return;
     this.#unreported.push([prompt, Math.round(waitedMilliseconds)]);
   }
 
   /** Records a rejection that a peer reported. */
-  peerRefused([prompt, waitedMilliseconds]: ToldRefusal): void {
+  recordPeer([prompt, waitedMilliseconds]: RefusalReport): void {
     this.#firstArrivals.delete(prompt);
     this.#firstArrivals.set(prompt, this.#timer.now() - waitedMilliseconds);
     if (this.#firstArrivals.size <= MAX_REFUSALS) return;
@@ -72,14 +75,14 @@
   }
 
   /** Returns and clears this entry's rejections since the last call. */
-  takeUntold(): readonly ToldRefusal[] {
+  takeUnreported(): readonly RefusalReport[] {
     const unreported = this.#unreported;
     this.#unreported = [];
     return unreported;
   }
 
   /** True while rejections wait to be reported to peers. */
-  get hasUntold(): boolean {
+  get hasUnreported(): boolean {
     return this.#unreported.length > 0;
   }
 }
--- a/src/core/forwarding/admission/returning_callers_test.ts
+++ b/src/core/forwarding/admission/returning_callers_test.ts
@@ -12,47 +12,47 @@
   });
 
   it("measures the wait of a returning caller", async () => {
-    callers.refused("a", 20);
+    callers.record("a", 20);
     await timer.advance(300);
-    expect(callers.waited("a")).to.equal(320);
+    expect(callers.elapsedSinceFirstAttempt("a")).to.equal(320);
   });
 
   it("sums up the waits of several attempts", async () => {
-    callers.refused("a", 0);
+    callers.record("a", 0);
     await timer.advance(300);
-    callers.refused("a", callers.waited("a"));
+    callers.record("a", callers.elapsedSinceFirstAttempt("a"));
     await timer.advance(300);
-    expect(callers.waited("a")).to.equal(600);
+    expect(callers.elapsedSinceFirstAttempt("a")).to.equal(600);
   });
 
   // Deadlines differ between callers. A new caller with a short deadline that
   // is taken for a returning one would be queued behind all others.
   it("reports no wait for callers that were not rejected", () => {
-    callers.refused("a", 0);
-    expect(callers.waited("b")).to.equal(0);
-    expect(callers.waited(undefined)).to.equal(0);
+    callers.record("a", 0);
+    expect(callers.elapsedSinceFirstAttempt("b")).to.equal(0);
+    expect(callers.elapsedSinceFirstAttempt(undefined)).to.equal(0);
   });
 
   // The load balancer sends most retries to another entry.
   it("recognizes callers that a peer has rejected", async () => {
     const peer = new ReturningCallers(timer);
-    callers.refused("a", 20);
-    for (const report of callers.takeUntold()) peer.peerRefused(report);
+    callers.record("a", 20);
+    for (const report of callers.takeUnreported()) peer.recordPeer(report);
     await timer.advance(300);
-    expect(peer.waited("a")).to.equal(320);
-    expect(peer.takeUntold()).to.deep.equal([]);
-    expect(callers.takeUntold()).to.deep.equal([]);
+    expect(peer.elapsedSinceFirstAttempt("a")).to.equal(320);
+    expect(peer.takeUnreported()).to.deep.equal([]);
+    expect(callers.takeUnreported()).to.deep.equal([]);
   });
 
   it("forgets a rejection after its retention time", async () => {
-    callers.refused("a", 0);
+    callers.record("a", 0);
     await timer.advance(3_001);
-    expect(callers.waited("a")).to.equal(0);
+    expect(callers.elapsedSinceFirstAttempt("a")).to.equal(0);
   });
 
   it("keeps a bounded number of the newest rejections", () => {
-    for (let index = 0; index < 5_001; index++) callers.refused(`${index}`, 10);
-    expect(callers.waited("0")).to.equal(0);
-    expect(callers.waited("5000")).to.equal(10);
+    for (let index = 0; index < 5_001; index++) callers.record(`${index}`, 10);
+    expect(callers.elapsedSinceFirstAttempt("0")).to.equal(0);
+    expect(callers.elapsedSinceFirstAttempt("5000")).to.equal(10);
   });
 });
--- a/src/core/forwarding/admission/retry_allowance.ts
+++ b/src/core/forwarding/admission/shared_retry_budget.ts
@@ -13,7 +13,7 @@
  */
 const STARTUP_USABLE_SHARE = 1 - USABLE_SHARE;
 
-export interface RetryBudgetOptions {
+export interface SharedRetryBudgetOptions {
   readonly timer: TimerService;
   /** Retries allowed per request in the window, across the fleet. */
   readonly ratio: number;
@@ -25,7 +25,7 @@
 }
 
 /** This entry's use of its part of one pool's retry budget. */
-export interface RepeatUse {
+export interface RetryBudgetUsage {
   readonly pool: string;
   /** Retries sent in the current window, and those granted and not yet sent. */
   readonly counted: number;
@@ -34,7 +34,7 @@
 }
 
 /** Permission for one retry, valid until consumed or released. */
-export interface RepeatPermit {
+export interface RetryPermit {
   /** Marks the retry as sent; it counts for a whole window from now. */
   consume(): void;
   /** Returns the permit of a retry that was not sent or not delivered. */
@@ -60,24 +60,24 @@
  * A retry counts from its grant, since it may wait for seconds before it is
  * sent, and then for a whole window from its send.
  */
-export class RetryAllowance {
-  readonly #options: RetryBudgetOptions;
+export class SharedRetryBudget {
+  readonly #options: SharedRetryBudgetOptions;
   readonly #pools = new Map<string, PoolWindow>();
   readonly #startedAt: number;
 
-  constructor(options: RetryBudgetOptions) {
+  constructor(options: SharedRetryBudgetOptions) {
     this.#options = options;
     this.#startedAt = options.timer.now();
   }
 
   /** Records the first arrival of a request for the pool. */
-  requestArrived(pool: string): void {
+  recordRequest(pool: string): void {
     this.#windowOf(pool).requests.push(this.#options.timer.now());
   }
 
   /** Grants one retry; undefined where the budget is exhausted. */
-  grant(pool: string): RepeatPermit | undefined {
-    const { allowed, counted } = this.use(pool);
+  grant(pool: string): RetryPermit | undefined {
+    const { allowed, counted } = this.usageOf(pool);
     if (allowed - counted < 1) return undefined;
     const window = this.#windowOf(pool);
     window.granted += 1;
@@ -85,12 +85,12 @@
   }
 
   /** Budget use of each pool that has received requests. */
-  uses(): RepeatUse[] {
-    return [...this.#pools.keys()].map((pool) => this.use(pool));
+  usageByPool(): RetryBudgetUsage[] {
+    return [...this.#pools.keys()].map((pool) => this.usageOf(pool));
   }
 
   /** Budget use of one pool. */
-  use(pool: string): RepeatUse {
+  usageOf(pool: string): RetryBudgetUsage {
     const { granted, retries } = this.#windowOf(pool);
     return {
       pool,
@@ -126,7 +126,7 @@
   }
 }
 
-class GrantedRetry implements RepeatPermit {
+class GrantedRetry implements RetryPermit {
   readonly #window: PoolWindow;
   readonly #timer: TimerService;
   #state: "granted" | "consumed" | "released" = "granted";
--- a/src/core/forwarding/admission/retry_allowance_test.ts
+++ b/src/core/forwarding/admission/shared_retry_budget_test.ts
@@ -1,18 +1,18 @@
 import { expect } from "chai";
 import { ManualTimerService } from "../../time/mod.ts";
-import { RetryAllowance } from "../mod.ts";
+import { SharedRetryBudget } from "../mod.ts";
 
 const WINDOW_MILLISECONDS = 10_000;
 
 describe("RetryAllowance", () => {
   let timer: ManualTimerService;
   let entries: number;
-  let budget: RetryAllowance;
+  let budget: SharedRetryBudget;
 
   beforeEach(async () => {
     timer = new ManualTimerService();
     entries = 5;
-    budget = new RetryAllowance({
+    budget = new SharedRetryBudget({
       timer,
       ratio: 0.2,
       windowMilliseconds: WINDOW_MILLISECONDS,
@@ -36,7 +36,7 @@
   // limit the remaining engines would receive twice the load and fail as well.
   it("keeps the retries of all entries within the fleet's limit", () => {
     for (let request = 0; request < 100; request++) {
-      budget.requestArrived("engines");
+      budget.recordRequest("engines");
     }
     const fleetRetries = entries * consumeAll("engines");
     expect(fleetRetries).to.be.at.most(0.2 * 500 + 50);
@@ -73,9 +73,9 @@
     await timer.advance(9_000);
     permit?.consume();
     await timer.advance(9_000);
-    expect(budget.use("engines").counted).to.equal(1);
+    expect(budget.usageOf("engines").counted).to.equal(1);
     await timer.advance(1_001);
-    expect(budget.use("engines").counted).to.equal(0);
+    expect(budget.usageOf("engines").counted).to.equal(0);
   });
 
   it("returns a retry that was not delivered, and only once", () => {
@@ -87,6 +87,6 @@
     other?.consume();
     one?.release();
     one?.release();
-    expect(budget.use("engines").counted).to.equal(1);
+    expect(budget.usageOf("engines").counted).to.equal(1);
   });
 });
--- a/src/core/forwarding/caches/prefix_directory.ts
+++ b/src/core/forwarding/caches/prefix_directory.ts
@@ -1,4 +1,4 @@
-import type { EndpointId, ReplicaStart } from "../../identity/mod.ts";
+import type { EndpointId, ReplicaStartTime } from "../../identity/mod.ts";
 
 /**
  * One part of a prompt; prompts that share the part have the same id for it.
@@ -15,10 +15,10 @@
 const CACHE_SHARE = 0.8;
 
 /** A prompt whose parts an engine has cached, as reported to peers. */
-export interface ReadPrompt {
+export interface CachedPrompt {
   readonly engine: EndpointId;
   /** Start of the engine's run; absent where the engine does not report it. */
-  readonly engineStartedAt?: ReplicaStart;
+  readonly engineStartedAt?: ReplicaStartTime;
   readonly parts: readonly PromptPart[];
   readonly memoryTokens: number;
 }
@@ -70,7 +70,7 @@
  */
 export class PrefixDirectory {
   readonly #engines = new Map<EndpointId, CachedParts>();
-  #unreported: ReadPrompt[] = [];
+  #unreported: CachedPrompt[] = [];
 
   /** Tokens of the cached prefix of the prompt at the engine. */
   keptTokens(engine: EndpointId, parts: readonly PromptPart[]): number {
@@ -85,8 +85,8 @@
   }
 
   /** Records a cached prompt of this entry and queues it for the peers. */
-  read(prompt: ReadPrompt): void {
-    this.peerRead(prompt);
+  recordCached(prompt: CachedPrompt): void {
+    this.recordPeerCached(prompt);
     if (this.#unreported.length < MAX_UNREPORTED) this.#unreported.push(prompt);
   }
 
@@ -94,7 +94,7 @@
    * Records a cached prompt of a peer. The prompt's own part counts as well: it
    * takes the space of shared parts although it is seldom requested again.
    */
-  peerRead({ engine, parts, memoryTokens }: ReadPrompt): void {
+  recordPeerCached({ engine, parts, memoryTokens }: CachedPrompt): void {
     let cached = this.#engines.get(engine);
     if (cached === undefined) {
       cached = new CachedParts();
@@ -106,7 +106,7 @@
   }
 
   /** Returns and clears this entry's prompts since the last call. */
-  takeUntold(): readonly ReadPrompt[] {
+  takeUnreported(): readonly CachedPrompt[] {
     const unreported = this.#unreported;
     this.#unreported = [];
     return unreported;
--- a/src/core/forwarding/caches/prefix_directory_test.ts
+++ b/src/core/forwarding/caches/prefix_directory_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { makePrompt } from "../../../../test/support/forwarding_values.ts";
+import { makePrompt } from "../../../../test/support/forwarding_fixtures.ts";
 import { type EndpointId, identifier } from "../../identity/mod.ts";
 import { PrefixDirectory } from "../mod.ts";
 
@@ -13,7 +13,7 @@
 
   function record(subject: string, memoryTokens = 100_000): void {
     const { parts } = makePrompt(subject);
-    prefixes.read({ engine, parts, memoryTokens });
+    prefixes.recordCached({ engine, parts, memoryTokens });
   }
 
   it("finds the prefix that two prompts share", () => {
@@ -46,12 +46,12 @@
 
   it("reports each prompt of its own once, and none of its peers", () => {
     record("river");
-    prefixes.peerRead({
+    prefixes.recordPeerCached({
       engine,
       parts: makePrompt("hill").parts,
       memoryTokens: 100_000,
     });
-    expect(prefixes.takeUntold()).to.have.length(1);
-    expect(prefixes.takeUntold()).to.have.length(0);
+    expect(prefixes.takeUnreported()).to.have.length(1);
+    expect(prefixes.takeUnreported()).to.have.length(0);
   });
 });
--- a/src/core/forwarding/claims/exclusive_claim.ts
+++ b/src/core/forwarding/claims/exclusive_claim.ts
@@ -10,7 +10,7 @@
 const TAKEOVER_MARGIN_MILLISECONDS = 1_000;
 
 /** The newest claim on a duty that only one holder at a time may perform. */
-export interface StandingClaim {
+export interface CurrentClaim {
   readonly holder: string;
   /** Offset of its record in the store, used as the fencing token. */
   readonly offset: number;
@@ -33,7 +33,7 @@
  */
 export class ExclusiveClaim {
   readonly #options: ExclusiveClaimOptions;
-  #current: StandingClaim | undefined;
+  #current: CurrentClaim | undefined;
   #lastSeenAt = -Infinity;
   #validUntil = -Infinity;
 
@@ -42,7 +42,7 @@
   }
 
   /** Records the newest claim as seen by the store or a peer. */
-  saw(claim: StandingClaim): void {
+  observe(claim: CurrentClaim): void {
     if (claim.offset <= (this.#current?.offset ?? -1)) return;
     this.#current = claim;
     this.#lastSeenAt = this.#options.timer.now();
@@ -53,7 +53,7 @@
    * Returns whether a claim may be appended without violating another holder's
    * lease.
    */
-  mayClaim(): boolean {
+  canClaim(): boolean {
     const { leaseMilliseconds, self, timer } = this.#options;
     const current = this.#current;
     if (current === undefined || current.holder === self) return true;
@@ -66,7 +66,7 @@
    * Records an own claim that was appended; `sentAt` is the time before the
    * append.
    */
-  gained(offset: number, sentAt: number): void {
+  recordAcquired(offset: number, sentAt: number): void {
     this.#current = { holder: this.#options.self, offset };
     this.#lastSeenAt = this.#options.timer.now();
     this.#validUntil = sentAt + CLAIM_VALIDITY_MILLISECONDS;
--- a/src/core/forwarding/claims/exclusive_claim_test.ts
+++ b/src/core/forwarding/claims/exclusive_claim_test.ts
@@ -12,21 +12,21 @@
   });
 
   it("may be claimed if there is no other claim", () => {
-    expect(claim.mayClaim()).to.equal(true);
+    expect(claim.canClaim()).to.equal(true);
   });
 
   // Another entry has just sent orders. Orders from two holders within the
   // lease conflict at engines that do not check fencing tokens.
   it("waits until the lease of another holder has expired", async () => {
-    claim.saw({ holder: "other", offset: 4 });
+    claim.observe({ holder: "other", offset: 4 });
     await timer.advance(4_000);
-    expect(claim.mayClaim()).to.equal(false);
+    expect(claim.canClaim()).to.equal(false);
     await timer.advance(2_000);
-    expect(claim.mayClaim()).to.equal(true);
+    expect(claim.canClaim()).to.equal(true);
   });
 
   it("uses the offset of its record as the fencing token", () => {
-    claim.gained(7, timer.now());
+    claim.recordAcquired(7, timer.now());
     expect(claim.fencing).to.equal(7);
   });
 
@@ -35,25 +35,25 @@
   it("returns no fencing token once the claim has expired", async () => {
     const sentAt = timer.now();
     await timer.advance(1_400);
-    claim.gained(7, sentAt);
+    claim.recordAcquired(7, sentAt);
     expect(claim.fencing).to.equal(7);
     await timer.advance(200);
     expect(claim.fencing).to.equal(undefined);
   });
 
   it("returns no fencing token once another holder has a newer claim", () => {
-    claim.gained(7, timer.now());
-    claim.saw({ holder: "other", offset: 9 });
+    claim.recordAcquired(7, timer.now());
+    claim.observe({ holder: "other", offset: 9 });
     expect(claim.fencing).to.equal(undefined);
-    expect(claim.mayClaim()).to.equal(false);
+    expect(claim.canClaim()).to.equal(false);
   });
 
   // An engine reports that it has seen a higher token. Continuing with the old
   // one would repeat an order that is no longer authorized.
   it("invalidates the claim when an engine refuses its fencing token", () => {
-    claim.gained(7, timer.now());
+    claim.recordAcquired(7, timer.now());
     claim.refused();
     expect(claim.fencing).to.equal(undefined);
-    expect(claim.mayClaim()).to.equal(false);
+    expect(claim.canClaim()).to.equal(false);
   });
 });
--- a/src/core/forwarding/configuration.ts
+++ b/src/core/forwarding/configuration.ts
@@ -2,7 +2,7 @@
 import type {
   AvailabilityZoneId,
   EndpointId,
-  ReplicaStart,
+  ReplicaStartTime,
   ServiceName,
 } from "../identity/mod.ts";
 import type { WorkspaceKeys } from "./callers/key_directory.ts";
@@ -12,7 +12,7 @@
  * most once for each attempt of the caller. `stream`: once; on a resumable
  * route, a further run may continue after the last event.
  */
-export type RepeatRule = "idempotent" | "once" | "stream";
+export type RepeatPolicy = "idempotent" | "once" | "stream";
 
 /** Share of a route's requests that goes to a pool. */
 export interface PoolShare {
@@ -28,7 +28,7 @@
   readonly pathPrefix: string;
   /** True if callers need no key. */
   readonly isPublic?: boolean;
-  readonly repeat: RepeatRule;
+  readonly repeat: RepeatPolicy;
   readonly resumable: boolean;
   /** Maximum time a caller is kept waiting, milliseconds. */
   readonly timeoutMilliseconds: number;
@@ -101,7 +101,7 @@
    * Identifies the run of the replica; absent if the replica does not report
    * it.
    */
-  readonly startedAt?: ReplicaStart;
+  readonly startedAt?: ReplicaStartTime;
   readonly pool: ServiceName;
   /** `host:port`; may be reused by another replica. */
   readonly address: string;
--- a/src/core/forwarding/crashes/crash_reports.ts
+++ b/src/core/forwarding/crashes/crash_reports.ts
@@ -31,7 +31,7 @@
   }
 
   /** Sets the listener that is called whenever there is something to report. */
-  onNews(listener: () => void): void {
+  onPending(listener: () => void): void {
     this.#onPending = listener;
   }
 
--- a/src/core/forwarding/crashes/crash_suspects.ts
+++ b/src/core/forwarding/crashes/crash_tracker.ts
@@ -1,7 +1,7 @@
 import type { RequestDigest } from "../../identity/mod.ts";
 import type { TimerService } from "../../time/mod.ts";
 import type { RegisteredEndpoint } from "../configuration.ts";
-import type { EndpointMemory } from "../endpoints/endpoint_registry.ts";
+import type { EndpointStateHolder } from "../endpoints/endpoint_registry.ts";
 import type { EndpointRun } from "../endpoints/endpoint_runs.ts";
 import { CrashReports } from "./crash_reports.ts";
 import {
@@ -39,7 +39,7 @@
   readonly losses: readonly ReportedLoss[];
 }
 
-export interface CrashSuspectsOptions {
+export interface CrashTrackerOptions {
   readonly timer: TimerService;
   /**
    * Called when a request becomes blocked; `isOwn` is true if this entry has
@@ -74,8 +74,8 @@
  * flight when an endpoint crashed is a suspect until another endpoint completes
  * it.
  */
-export class CrashSuspects implements EndpointMemory {
-  readonly #options: CrashSuspectsOptions;
+export class CrashTracker implements EndpointStateHolder {
+  readonly #options: CrashTrackerOptions;
   /** Ordered by the time of the last loss, the oldest first. */
   readonly #suspects = new Map<RequestDigest, Suspect>();
   /** Recently lost runs, which may turn out to be alive. */
@@ -83,7 +83,7 @@
   /** Pending reports to peers. */
   readonly reports: CrashReports;
 
-  constructor(options: CrashSuspectsOptions) {
+  constructor(options: CrashTrackerOptions) {
     this.#options = options;
     this.reports = new CrashReports(options.timer);
   }
@@ -124,13 +124,13 @@
   }
 
   /** Number of successive crashes under the request; 0 if none is known. */
-  crashesUnder(digest: RequestDigest): number {
+  crashCount(digest: RequestDigest): number {
     const suspect = this.#suspects.get(digest);
     return suspect === undefined ? 0 : crashCountOf(suspect);
   }
 
   /** Records a loss that a peer has observed. */
-  peerLost(loss: ReportedLoss): void {
+  recordPeerLoss(loss: ReportedLoss): void {
     const suspect = this.#suspects.get(digestOfLoss(loss));
     const wasBlocked = suspect !== undefined &&
       this.#blockedMilliseconds(suspect) > 0;
@@ -150,7 +150,7 @@
     { ageMilliseconds }: { readonly ageMilliseconds: number },
   ): boolean {
     if (ageMilliseconds >= BLOCK_MILLISECONDS) return false;
-    for (const loss of losses) this.peerLost(loss);
+    for (const loss of losses) this.recordPeerLoss(loss);
     return true;
   }
 
@@ -173,7 +173,7 @@
    * Records that the run refuses connections: it has ended, and later answers
    * at its address do not show that it is alive.
    */
-  refusedConnection(run: EndpointRun): void {
+  recordRefusedConnection(run: EndpointRun): void {
     this.#lostRuns.delete(keyOfRun(run));
   }
 
@@ -183,16 +183,16 @@
   }
 
   /** Records that an endpoint has completed the request without a crash. */
-  completed(digest: RequestDigest): void {
+  recordCompletion(digest: RequestDigest): void {
     const suspect = this.#suspects.get(digest);
     if (suspect === undefined) return;
-    this.peerCompleted(digest);
+    this.recordPeerCompletion(digest);
     this.reports.addCleared(digest);
     if (suspect.wasBlocked) this.#options.onCleared?.(digest);
   }
 
   /** Records the same for a peer's endpoint. */
-  peerCompleted(digest: RequestDigest): void {
+  recordPeerCompletion(digest: RequestDigest): void {
     this.#suspects.delete(digest);
     this.reports.discard(digest);
   }
@@ -207,7 +207,7 @@
   }
 
   /** Losses of the blocked requests, for a peer that has just started. */
-  lossesOfBlocked(): readonly ReportedLoss[] {
+  blockedLosses(): readonly ReportedLoss[] {
     return [...this.#suspects.values()]
       .filter((suspect) => this.#blockedMilliseconds(suspect) > 0)
       .slice(-MAX_BLOCKED_REPORTED)
--- a/src/core/forwarding/crashes/crash_suspects_test.ts
+++ b/src/core/forwarding/crashes/crash_tracker_test.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
-import { makeEndpoint } from "../../../../test/support/forwarding_values.ts";
+import { makeEndpoint } from "../../../../test/support/forwarding_fixtures.ts";
 import type { RegisteredEndpoint } from "../configuration.ts";
 import {
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
   type RequestDigest,
 } from "../../identity/mod.ts";
 import { ManualTimerService } from "../../time/mod.ts";
-import { CrashSuspects } from "./crash_suspects.ts";
+import { CrashTracker } from "./crash_tracker.ts";
 
 const MINUTE_MILLISECONDS = 60_000;
 const CRASHING = identifier<RequestDigest>("crashing");
@@ -16,7 +16,7 @@
 
 describe("CrashSuspects", () => {
   let timer: ManualTimerService;
-  let suspects: CrashSuspects;
+  let suspects: CrashTracker;
   let blocked: string[];
   let ownBlocked: string[];
 
@@ -24,7 +24,7 @@
     timer = new ManualTimerService();
     blocked = [];
     ownBlocked = [];
-    suspects = new CrashSuspects({
+    suspects = new CrashTracker({
       timer,
       onBlocked: ({ digest }, { isOwn }) => {
         blocked.push(digest);
@@ -41,9 +41,9 @@
     digest: RequestDigest,
     values: Partial<RegisteredEndpoint> = {},
   ): number {
-    const knownBefore = suspects.crashesUnder(digest);
+    const knownBefore = suspects.crashCount(digest);
     suspects.lost(makeEndpoint(endpoint, values), { digest, knownBefore });
-    return suspects.crashesUnder(digest);
+    return suspects.crashCount(digest);
   }
 
   /** Crashes the endpoint with these requests on it. */
@@ -69,7 +69,7 @@
 
     it("counts one crash once, however many copies of the request ran there", () => {
       for (let copy = 0; copy < 5; copy++) crash("a", CRASHING);
-      expect(suspects.crashesUnder(CRASHING)).to.equal(1);
+      expect(suspects.crashCount(CRASHING)).to.equal(1);
     });
 
     it("counts endpoints that crash at the same time once", () => {
@@ -79,13 +79,13 @@
           knownBefore: 0,
         });
       }
-      expect(suspects.crashesUnder(BYSTANDER)).to.equal(1);
+      expect(suspects.crashCount(BYSTANDER)).to.equal(1);
       expect(isBlocked(BYSTANDER)).to.equal(false);
     });
 
     it("counts each run of an endpoint that keeps its id", () => {
       for (const start of [1, 2, 3]) {
-        lose("a", CRASHING, { startedAt: numbered<ReplicaStart>(start) });
+        lose("a", CRASHING, { startedAt: numbered<ReplicaStartTime>(start) });
       }
       expect(isBlocked(CRASHING)).to.equal(true);
     });
@@ -136,7 +136,7 @@
     it("is cleared when an endpoint has completed it", () => {
       crash("a", CRASHING, BYSTANDER);
       crash("b", CRASHING, BYSTANDER);
-      suspects.completed(BYSTANDER);
+      suspects.recordCompletion(BYSTANDER);
       crash("c", CRASHING, BYSTANDER);
       expect(isBlocked(CRASHING)).to.equal(true);
       expect(isBlocked(BYSTANDER)).to.equal(false);
@@ -170,7 +170,7 @@
     it("retracts nothing once the endpoint has refused connections", async () => {
       lose("a", CRASHING);
       await timer.advance(50);
-      suspects.refusedConnection(makeEndpoint("a"));
+      suspects.recordRefusedConnection(makeEndpoint("a"));
       await timer.advance(500);
       suspects.answered(makeEndpoint("a"), timer.now());
       expect(lose("b", CRASHING)).to.equal(2);
@@ -197,7 +197,7 @@
 
     it("ends permanently once the request has been completed", async () => {
       await timer.advance(11 * MINUTE_MILLISECONDS);
-      suspects.completed(CRASHING);
+      suspects.recordCompletion(CRASHING);
       crash("d", CRASHING);
       expect(isBlocked(CRASHING)).to.equal(false);
     });
@@ -225,7 +225,7 @@
   describe("reports to peers", () => {
     it("contain each loss once", () => {
       let calls = 0;
-      suspects.reports.onNews(() => calls += 1);
+      suspects.reports.onPending(() => calls += 1);
       crash("a", CRASHING);
       expect(calls).to.equal(1);
       expect(suspects.reports.take()).to.deep.equal({
@@ -237,7 +237,7 @@
 
     it("repeat own losses for some seconds", async () => {
       crash("a", CRASHING);
-      suspects.peerLost([CRASHING, "b", null, 2]);
+      suspects.recordPeerLoss([CRASHING, "b", null, 2]);
       expect(suspects.reports.recentLosses()).to.have.length(1);
       await timer.advance(4_000);
       expect(suspects.reports.recentLosses()).to.deep.equal([]);
@@ -246,40 +246,40 @@
     it("contain a completed request, and no more of its losses", () => {
       crash("a", BYSTANDER);
       suspects.reports.take();
-      suspects.completed(BYSTANDER);
+      suspects.recordCompletion(BYSTANDER);
       expect(suspects.reports.take()).to.deep.equal({
         losses: [],
         cleared: [BYSTANDER],
       });
       expect(suspects.reports.recentLosses()).to.deep.equal([]);
-      suspects.completed(BYSTANDER);
+      suspects.recordCompletion(BYSTANDER);
       expect(suspects.reports.take()).to.equal(undefined);
     });
 
     it("end a block when a peer has completed the request", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, BYSTANDER);
-      suspects.peerCompleted(BYSTANDER);
+      suspects.recordPeerCompletion(BYSTANDER);
       expect(isBlocked(BYSTANDER)).to.equal(false);
       expect(suspects.reports.recentLosses()).to.deep.equal([]);
     });
 
     it("add to the losses observed by this entry", () => {
       crash("a", CRASHING);
-      suspects.peerLost([CRASHING, "b", 5, 2]);
-      suspects.peerLost([CRASHING, "b", 5, 2]);
+      suspects.recordPeerLoss([CRASHING, "b", 5, 2]);
+      suspects.recordPeerLoss([CRASHING, "b", 5, 2]);
       expect(isBlocked(CRASHING)).to.equal(false);
-      suspects.peerLost([CRASHING, "c", null, 3]);
+      suspects.recordPeerLoss([CRASHING, "c", null, 3]);
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
     it("mark a block as own only where a loss was observed", () => {
       const peerLost = (digest: RequestDigest) => {
-        suspects.peerLost([digest, "b", null, 2]);
-        suspects.peerLost([digest, "c", null, 3]);
+        suspects.recordPeerLoss([digest, "b", null, 2]);
+        suspects.recordPeerLoss([digest, "c", null, 3]);
       };
       lose("a", CRASHING);
       peerLost(CRASHING);
-      suspects.peerLost([BYSTANDER, "d", null, 1]);
+      suspects.recordPeerLoss([BYSTANDER, "d", null, 1]);
       peerLost(BYSTANDER);
       expect(blocked).to.deep.equal([CRASHING, BYSTANDER]);
       expect(ownBlocked).to.deep.equal([CRASHING]);
@@ -288,15 +288,15 @@
     it("contain all losses of a blocked request that a peer still sends", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
       suspects.reports.take();
-      suspects.peerLost([CRASHING, "d", null, 1]);
+      suspects.recordPeerLoss([CRASHING, "d", null, 1]);
       expect(suspects.reports.take()?.losses).to.have.length(4);
     });
 
     it("contain the blocked requests for a peer that has just started", () => {
       crash("a", BYSTANDER);
-      expect(suspects.lossesOfBlocked()).to.deep.equal([]);
+      expect(suspects.blockedLosses()).to.deep.equal([]);
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
-      expect(suspects.lossesOfBlocked()).to.have.length(3);
+      expect(suspects.blockedLosses()).to.have.length(3);
     });
 
     it("fit a datagram after many losses", () => {
--- a/src/core/forwarding/crashes/reported_loss.ts
+++ b/src/core/forwarding/crashes/reported_loss.ts
@@ -2,7 +2,7 @@
   type EndpointId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
   type RequestDigest,
 } from "../../identity/mod.ts";
 import type { EndpointRun } from "../endpoints/endpoint_runs.ts";
@@ -38,7 +38,7 @@
     id: identifier<EndpointId>(endpoint),
     startedAt: startedAt === null
       ? undefined
-      : numbered<ReplicaStart>(startedAt),
+      : numbered<ReplicaStartTime>(startedAt),
   };
 }
 
--- a/src/core/forwarding/endpoints/endpoint_outcomes.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability.ts
@@ -8,11 +8,11 @@
  * the maximum share is well above theirs.
  */
 const HEALTH_LIMITS: HealthLimits = {
-  mostFailureShare: 0.3,
-  fewestAttempts: 8,
-  mostSlowness: 4,
-  firstEjectionMilliseconds: 1_000,
-  longestEjectionMilliseconds: 8_000,
+  maxFailureShare: 0.3,
+  minAttempts: 8,
+  maxSlowness: 4,
+  initialEjectionMilliseconds: 1_000,
+  maxEjectionMilliseconds: 8_000,
 };
 /**
  * Number of successive refused connections after which an endpoint is
@@ -38,7 +38,7 @@
 const MAX_SKIP_MILLISECONDS = 2_000;
 
 /** Neutral times, as attempts are not judged by their speed here. */
-const NEUTRAL_TIMES = { overExpected: 1, overRated: 1 };
+const NEUTRAL_TIMES = { ratioToPredicted: 1, ratioToRated: 1 };
 
 interface EndpointState {
   readonly health: EndpointHealth;
@@ -58,7 +58,7 @@
  * Tracks the outcomes of attempts, and skips endpoints that fail, refuse
  * connections, reject requests or do not respond.
  */
-export class EndpointOutcomes {
+export class EndpointAvailability {
   readonly #timer: TimerService;
   readonly #states = new Map<EndpointId, EndpointState>();
   /**
@@ -74,7 +74,7 @@
    * Returns the healthy endpoints, or all reachable ones if too few are
    * healthy.
    */
-  wellAmong<Endpoint extends { readonly id: EndpointId }>(
+  filterHealthy<Endpoint extends { readonly id: EndpointId }>(
     endpoints: readonly Endpoint[],
   ): readonly Endpoint[] {
     // Most endpoints of a large pool have received no request from this entry.
@@ -91,7 +91,7 @@
   }
 
   /** Returns the endpoints that are not skipped because of rejections. */
-  openAmong<Endpoint extends { readonly id: EndpointId }>(
+  filterAccepting<Endpoint extends { readonly id: EndpointId }>(
     endpoints: readonly Endpoint[],
   ): readonly Endpoint[] {
     return endpoints.filter(({ id }) => !this.#isSkipped(id));
@@ -106,7 +106,7 @@
   }
 
   /** Records a response from the endpoint. */
-  heard(id: EndpointId): void {
+  recordResponse(id: EndpointId): void {
     const state = this.#stateOf(id);
     state.silentSince = this.#timer.now();
     state.refusals = 0;
@@ -118,7 +118,7 @@
     state.openAttempts = Math.max(0, state.openAttempts - 1);
   }
 
-  succeeded(id: EndpointId): void {
+  recordSuccess(id: EndpointId): void {
     this.#stateOf(id).rejections = 0;
     this.#stateOf(id).health.succeeded(NEUTRAL_TIMES, this.#timer.now());
   }
@@ -127,10 +127,10 @@
     const { health } = this.#stateOf(id);
     const now = this.#timer.now();
     health.failed(now);
-    if (health.isBad(1)) health.eject(now);
+    if (health.shouldEject(1)) health.eject(now);
   }
 
-  refusedConnection(id: EndpointId): void {
+  recordRefusedConnection(id: EndpointId): void {
     const state = this.#stateOf(id);
     state.refusals += 1;
     state.nextProbeAt = this.#timer.now() + PROBE_INTERVAL_MILLISECONDS;
@@ -141,14 +141,14 @@
    * changed its role. Its registration shows this within seconds; until then
    * every request sent there would be rejected and count as a repeat.
    */
-  misdirected(id: EndpointId): void {
+  recordMisdirected(id: EndpointId): void {
     this.#stateOf(id).skippedUntil = this.#timer.now() + MAX_SKIP_MILLISECONDS;
   }
 
   /** Records that the endpoint guarantees not to have run the attempt. */
-  rejected(id: EndpointId): void {
+  recordRejection(id: EndpointId): void {
     const state = this.#stateOf(id);
-    state.health.untold();
+    state.health.recordInconclusive();
     state.rejections += 1;
     const excess = state.rejections - REJECTIONS_UNTIL_SKIPPED;
     if (excess < 0) return;
@@ -163,9 +163,9 @@
    * Records that the endpoint accepts no requests for this time, as announced
    * by itself.
    */
-  overloaded(id: EndpointId, milliseconds: number): void {
+  recordOverload(id: EndpointId, milliseconds: number): void {
     const state = this.#stateOf(id);
-    state.health.untold();
+    state.health.recordInconclusive();
     state.rejections = 0;
     const until = this.#timer.now() + milliseconds;
     const before = this.#overloadedUntil.get(id) ?? -Infinity;
@@ -176,7 +176,7 @@
    * Remaining time in which the endpoint accepts no requests, milliseconds; 0
    * if it accepts them.
    */
-  overloadMilliseconds(id: EndpointId): number {
+  remainingOverloadMilliseconds(id: EndpointId): number {
     const until = this.#overloadedUntil.get(id);
     if (until === undefined) return 0;
     const left = until - this.#timer.now();
@@ -185,8 +185,8 @@
   }
 
   /** Records an abandoned attempt, which does not count as an outcome. */
-  untold(id: EndpointId): void {
-    this.#stateOf(id).health.untold();
+  recordAbandoned(id: EndpointId): void {
+    this.#stateOf(id).health.recordInconclusive();
   }
 
   forget({ id }: { readonly id: EndpointId }): void {
--- a/src/core/forwarding/endpoints/endpoint_outcomes_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability_test.ts
@@ -1,21 +1,21 @@
 import { expect } from "chai";
-import { makeEndpoint } from "../../../../test/support/forwarding_values.ts";
+import { makeEndpoint } from "../../../../test/support/forwarding_fixtures.ts";
 import { ManualTimerService } from "../../time/mod.ts";
-import { EndpointOutcomes } from "../mod.ts";
+import { EndpointAvailability } from "../mod.ts";
 
 describe("EndpointOutcomes", () => {
   const endpoints = ["a", "b", "c"].map((id) => makeEndpoint(id));
   const [a, b, c] = endpoints;
   let timer: ManualTimerService;
-  let outcomes: EndpointOutcomes;
+  let outcomes: EndpointAvailability;
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    outcomes = new EndpointOutcomes(timer);
+    outcomes = new EndpointAvailability(timer);
   });
 
   function healthyIds(): string[] {
-    return outcomes.wellAmong(endpoints).map(({ id }) => String(id));
+    return outcomes.filterHealthy(endpoints).map(({ id }) => String(id));
   }
 
   // Two of three engines change their role and reject all requests for seconds.
@@ -23,53 +23,55 @@
   // although no request has failed.
   it("skips endpoints that reject requests, even most of the pool", () => {
     for (const endpoint of [a, b]) {
-      outcomes.rejected(endpoint.id);
-      outcomes.rejected(endpoint.id);
+      outcomes.recordRejection(endpoint.id);
+      outcomes.recordRejection(endpoint.id);
     }
     expect(healthyIds()).to.deep.equal(["c"]);
   });
 
   it("retries a skipped endpoint after an increasing delay", async () => {
-    outcomes.rejected(a.id);
-    outcomes.rejected(a.id);
+    outcomes.recordRejection(a.id);
+    outcomes.recordRejection(a.id);
     await timer.advance(260);
     expect(healthyIds()).to.contain("a");
-    outcomes.rejected(a.id);
+    outcomes.recordRejection(a.id);
     await timer.advance(260);
     expect(healthyIds()).to.not.contain("a");
     await timer.advance(300);
-    outcomes.succeeded(a.id);
-    outcomes.rejected(a.id);
+    outcomes.recordSuccess(a.id);
+    outcomes.recordRejection(a.id);
     expect(healthyIds()).to.contain("a");
   });
 
   describe("overloaded", () => {
     it("lasts for the longest time that the endpoint has announced", async () => {
-      outcomes.overloaded(a.id, 3_000);
-      outcomes.overloaded(a.id, 500);
-      expect(outcomes.overloadMilliseconds(a.id)).to.equal(3_000);
+      outcomes.recordOverload(a.id, 3_000);
+      outcomes.recordOverload(a.id, 500);
+      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(3_000);
       await timer.advance(2_000);
-      expect(outcomes.overloadMilliseconds(a.id)).to.equal(1_000);
+      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(1_000);
       await timer.advance(1_000);
-      expect(outcomes.overloadMilliseconds(a.id)).to.equal(0);
+      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(0);
     });
 
     it("applies to one endpoint only, and to one run of it", () => {
-      outcomes.overloaded(a.id, 3_000);
-      expect(outcomes.overloadMilliseconds(b.id)).to.equal(0);
+      outcomes.recordOverload(a.id, 3_000);
+      expect(outcomes.remainingOverloadMilliseconds(b.id)).to.equal(0);
       outcomes.forget(a);
-      expect(outcomes.overloadMilliseconds(a.id)).to.equal(0);
+      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(0);
     });
 
     it("does not skip the endpoint after that time", async () => {
-      for (let count = 0; count < 5; count++) outcomes.overloaded(a.id, 200);
+      for (let count = 0; count < 5; count++) {
+        outcomes.recordOverload(a.id, 200);
+      }
       await timer.advance(200);
       expect(healthyIds()).to.contain("a");
     });
   });
 
   it("skips an endpoint whose address another replica uses", () => {
-    outcomes.misdirected(b.id);
+    outcomes.recordMisdirected(b.id);
     expect(healthyIds()).to.deep.equal(["a", "c"]);
   });
 
@@ -79,13 +81,13 @@
     outcomes.started(a.id);
     await timer.advance(700);
     expect(healthyIds()).to.deep.equal(["b", "c"]);
-    outcomes.heard(a.id);
+    outcomes.recordResponse(a.id);
     expect(healthyIds()).to.contain("a");
   });
 
   it("skips an endpoint that refuses connections", () => {
-    outcomes.refusedConnection(c.id);
-    outcomes.refusedConnection(c.id);
+    outcomes.recordRefusedConnection(c.id);
+    outcomes.recordRefusedConnection(c.id);
     expect(healthyIds()).to.deep.equal(["a", "b"]);
   });
 
@@ -93,7 +95,7 @@
   it("skips an endpoint that fails more often than the others", () => {
     for (let count = 0; count < 20; count++) {
       outcomes.failed(a.id);
-      outcomes.succeeded(b.id);
+      outcomes.recordSuccess(b.id);
     }
     expect(healthyIds()).to.deep.equal(["b", "c"]);
   });
--- a/src/core/forwarding/endpoints/endpoint_registry.ts
+++ b/src/core/forwarding/endpoints/endpoint_registry.ts
@@ -30,7 +30,7 @@
   | "back";
 
 /** Holds state of an endpoint across requests. */
-export interface EndpointMemory {
+export interface EndpointStateHolder {
   /** Discards the state of the endpoint; the known run is over. */
   forget(endpoint: RegisteredEndpoint): void;
 }
@@ -41,7 +41,7 @@
    * Holders of endpoint state. When a replica restarts under the same id, they
    * discard the state of the previous run.
    */
-  readonly memories?: readonly EndpointMemory[];
+  readonly stateHolders?: readonly EndpointStateHolder[];
   readonly onChange?: (
     change: RegistryChange,
     endpoint: RegisteredEndpoint,
@@ -112,7 +112,7 @@
   }
 
   /** Adds or updates an endpoint; returns whether anything changed. */
-  put(endpoint: RegisteredEndpoint): boolean {
+  upsert(endpoint: RegisteredEndpoint): boolean {
     const known = this.#endpoints.get(endpoint.id);
     const order = this.#runs.observe(endpoint);
     if (order === "older") return false;
@@ -139,7 +139,7 @@
    * registration of the run makes it usable again, even after its registration
    * has vanished. Returns the endpoint if it was not yet known to be leaving.
    */
-  saidLeaving(run: EndpointRun): RegisteredEndpoint | undefined {
+  markLeaving(run: EndpointRun): RegisteredEndpoint | undefined {
     if (!this.#runs.markLeaving(run)) return undefined;
     const endpoint = this.#endpoints.get(run.id);
     if (endpoint === undefined || endpoint.leaving) return undefined;
@@ -181,7 +181,7 @@
     for (const id of [...this.#endpoints.keys()]) {
       if (!named.has(id)) this.remove(id);
     }
-    for (const endpoint of endpoints) this.put(endpoint);
+    for (const endpoint of endpoints) this.upsert(endpoint);
   }
 
   #expireLapsed(): void {
@@ -208,7 +208,9 @@
   }
 
   #forget(endpoint: RegisteredEndpoint): void {
-    for (const memory of this.#options.memories ?? []) memory.forget(endpoint);
+    for (const memory of this.#options.stateHolders ?? []) {
+      memory.forget(endpoint);
+    }
   }
 
   #notify(change: RegistryChange, endpoint: RegisteredEndpoint): void {
--- a/src/core/forwarding/endpoints/endpoint_registry_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_registry_test.ts
@@ -2,8 +2,8 @@
 import {
   makeEndpoint,
   PORTAL,
-} from "../../../../test/support/forwarding_values.ts";
-import { numbered, type ReplicaStart } from "../../identity/mod.ts";
+} from "../../../../test/support/forwarding_fixtures.ts";
+import { numbered, type ReplicaStartTime } from "../../identity/mod.ts";
 import { ManualTimerService } from "../../time/mod.ts";
 import {
   EndpointRegistry,
@@ -28,8 +28,8 @@
 
   describe("an endpoint that leaves", () => {
     it("gets no work after the record that marks it as leaving", () => {
-      registry.put(endpoint);
-      registry.put({ ...endpoint, leaving: true });
+      registry.upsert(endpoint);
+      registry.upsert({ ...endpoint, leaving: true });
       expect(registry.inPool(PORTAL)).to.deep.equal([]);
       expect(changes).to.deep.equal(["registered", "leaving"]);
     });
@@ -38,13 +38,13 @@
     // records is read again. The endpoint would get new work and abort it
     // seconds later.
     it("is not made usable by an older record", () => {
-      registry.put({ ...endpoint, leaving: true });
-      registry.put(endpoint);
+      registry.upsert({ ...endpoint, leaving: true });
+      registry.upsert(endpoint);
       expect(registry.usable(endpoint.id)).to.equal(undefined);
     });
 
     it("is removed at once if its registration vanishes without an outage", () => {
-      registry.put(endpoint);
+      registry.upsert(endpoint);
       registry.remove(endpoint.id);
       expect(registry.size).to.equal(0);
     });
@@ -55,12 +55,12 @@
     // period, all endpoints are gone for two seconds after its return, and
     // callers are refused although all engines run.
     it("keeps an endpoint whose registration lapsed until it is registered again", async () => {
-      registry.put(endpoint);
+      registry.upsert(endpoint);
       registry.storeFailed();
       registry.replaceAll([]);
       expect(registry.inPool(PORTAL)).to.have.length(1);
       await timer.advance(1_000);
-      registry.put(endpoint);
+      registry.upsert(endpoint);
       await timer.advance(5_000);
       expect(registry.inPool(PORTAL)).to.have.length(1);
       expect(changes).to.deep.equal(["registered", "lapsed", "back"]);
@@ -69,7 +69,7 @@
     // The endpoint ended during the outage. If it were kept longer, it would
     // get requests that nobody answers.
     it("removes it if it is not registered again in time", async () => {
-      registry.put(endpoint);
+      registry.upsert(endpoint);
       registry.storeFailed();
       registry.remove(endpoint.id);
       await timer.advance(1_900);
@@ -82,7 +82,7 @@
     // leaves. If this counted as a lapse, the endpoint would get work during
     // the grace period and abort it when it ends.
     it("removes an endpoint that vanishes well after the outage", async () => {
-      registry.put(endpoint);
+      registry.upsert(endpoint);
       registry.storeFailed();
       await timer.advance(3_000);
       registry.remove(endpoint.id);
@@ -90,7 +90,7 @@
     });
 
     it("removes a leaving endpoint at once", () => {
-      registry.put({ ...endpoint, leaving: true });
+      registry.upsert({ ...endpoint, leaving: true });
       registry.storeFailed();
       registry.remove(endpoint.id);
       expect(registry.size).to.equal(0);
@@ -102,7 +102,7 @@
   // work for the lifetime of the entry, or be expected to hold caches that it
   // lacks.
   describe("a replica that restarts under its id", () => {
-    const startedAt = (time: number) => numbered<ReplicaStart>(time);
+    const startedAt = (time: number) => numbered<ReplicaStartTime>(time);
     const first = { ...endpoint, startedAt: startedAt(1_000) };
     const second = { ...endpoint, startedAt: startedAt(2_000) };
     let discarded: RegisteredEndpoint[];
@@ -111,29 +111,29 @@
       discarded = [];
       registry = new EndpointRegistry({
         timer,
-        memories: [{ forget: (each) => discarded.push(each) }],
+        stateHolders: [{ forget: (each) => discarded.push(each) }],
         onChange: (change) => changes.push(change),
       });
     });
 
     it("gets work although its previous run was leaving", () => {
-      registry.put({ ...first, leaving: true });
-      registry.put(second);
+      registry.upsert({ ...first, leaving: true });
+      registry.upsert(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
     it("gets work after its previous run has left and was removed", () => {
-      registry.put({ ...first, leaving: true });
+      registry.upsert({ ...first, leaving: true });
       registry.remove(endpoint.id);
-      registry.put(second);
+      registry.upsert(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
     it("starts without the state of its previous run", () => {
-      registry.put(first);
-      registry.put(first);
+      registry.upsert(first);
+      registry.upsert(first);
       expect(discarded).to.deep.equal([]);
-      registry.put(second);
+      registry.upsert(second);
       expect(discarded).to.deep.equal([first]);
       expect(changes).to.deep.equal(["registered", "restarted"]);
     });
@@ -141,31 +141,31 @@
     // A peer or an outdated page reports the previous run after the new one is
     // known.
     it("is not replaced by an older record of its previous run", () => {
-      registry.put(second);
-      expect(registry.put({ ...first, leaving: true })).to.equal(false);
-      registry.put(second);
+      registry.upsert(second);
+      expect(registry.upsert({ ...first, leaving: true })).to.equal(false);
+      registry.upsert(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
     });
 
     it("is not restored by a record of its previous run after its removal", () => {
-      registry.put(second);
+      registry.upsert(second);
       registry.remove(endpoint.id);
-      registry.put(first);
+      registry.upsert(first);
       expect(registry.size).to.equal(0);
     });
 
     it("stays leaving if the same run is registered again after its removal", () => {
-      registry.put({ ...second, leaving: true });
+      registry.upsert({ ...second, leaving: true });
       registry.remove(endpoint.id);
-      registry.put(second);
+      registry.upsert(second);
       expect(registry.inPool(PORTAL)).to.deep.equal([]);
     });
 
     it("is not taken for the lapsed run after an outage", async () => {
-      registry.put(first);
+      registry.upsert(first);
       registry.storeFailed();
       registry.remove(endpoint.id);
-      registry.put(second);
+      registry.upsert(second);
       expect(changes).to.deep.equal(["registered", "lapsed", "restarted"]);
       await timer.advance(5_000);
       expect(registry.inPool(PORTAL)).to.deep.equal([second]);
@@ -175,7 +175,7 @@
   // Another writer overwrites the entry of a replica during a store outage. The
   // grace period for lapsed registrations would keep it in use for 1.8 s.
   it("removes the endpoint of an unreadable entry at once", () => {
-    registry.put(endpoint);
+    registry.upsert(endpoint);
     registry.storeFailed();
     registry.withdraw(endpoint.id);
     expect(registry.size).to.equal(0);
@@ -185,10 +185,10 @@
     const timer = new ManualTimerService();
     const registry = new EndpointRegistry({ timer });
     const endpoint = makeEndpoint("lapsed");
-    registry.put(endpoint);
+    registry.upsert(endpoint);
     registry.storeFailed();
     registry.remove(endpoint.id);
-    registry.saidLeaving(endpoint);
+    registry.markLeaving(endpoint);
     expect(registry.usable(endpoint.id)).to.equal(undefined);
     await timer.advance(2_000);
     expect([...registry.all]).to.deep.equal([]);
--- a/src/core/forwarding/endpoints/endpoint_runs.ts
+++ b/src/core/forwarding/endpoints/endpoint_runs.ts
@@ -1,4 +1,4 @@
-import type { EndpointId, ReplicaStart } from "../../identity/mod.ts";
+import type { EndpointId, ReplicaStartTime } from "../../identity/mod.ts";
 import type { RegisteredEndpoint } from "../configuration.ts";
 
 /**
@@ -14,7 +14,7 @@
 export type RunOrder = "same" | "newer" | "older";
 
 interface KnownRun {
-  readonly startedAt: ReplicaStart | undefined;
+  readonly startedAt: ReplicaStartTime | undefined;
   /** True once the run is leaving; this is final. */
   leaving: boolean;
 }
@@ -75,8 +75,8 @@
 }
 
 function compareStarts(
-  startedAt: ReplicaStart | undefined,
-  known: ReplicaStart | undefined,
+  startedAt: ReplicaStartTime | undefined,
+  known: ReplicaStartTime | undefined,
 ): RunOrder {
   if (startedAt === known) return "same";
   if (startedAt === undefined) return "older";
--- a/src/core/forwarding/endpoints/load_picture.ts
+++ b/src/core/forwarding/endpoints/fleet_load.ts
@@ -86,14 +86,14 @@
 }
 
 /** The work of a request without a prompt. */
-export const NO_PROMPT: PromptWork = { milliseconds: 0, tokens: 0 };
+export const NO_PROMPT_WORK: PromptWork = { milliseconds: 0, tokens: 0 };
 
 /**
  * Open work of all entries at each endpoint. An endpoint's own report is only
  * as recent as its last answer, and all entries would choose the same engine by
  * it.
  */
-export class LoadPicture {
+export class FleetLoad {
   readonly #timer: TimerService;
   readonly #own = new Map<EndpointId, OwnWork>();
   readonly #peers = new Map<string, PeerReport>();
@@ -112,7 +112,10 @@
     this.#timer = timer;
   }
 
-  started(endpoint: EndpointId, prompt: PromptWork = NO_PROMPT): WorkHandle {
+  started(
+    endpoint: EndpointId,
+    prompt: PromptWork = NO_PROMPT_WORK,
+  ): WorkHandle {
     const { milliseconds, tokens } = prompt;
     const ownWork = this.#own.get(endpoint) ?? { work: NO_WORK };
     this.#own.set(endpoint, ownWork);
@@ -165,7 +168,7 @@
   }
 
   /** Records the owner's report of the other entries' work at the endpoint. */
-  ownerTold(endpoint: EndpointId, others: OpenWork): void {
+  recordOwnerReport(endpoint: EndpointId, others: OpenWork): void {
     this.#ownerReports.set(endpoint, { work: others, at: this.#timer.now() });
   }
 
@@ -188,19 +191,19 @@
   /** Own open work at these endpoints. */
   reportOf(endpoints: Iterable<EndpointId>): WorkReport {
     return [...endpoints].map((endpoint) =>
-      workRow(endpoint, this.own(endpoint))
+      encodeWork(endpoint, this.own(endpoint))
     );
   }
 
   /** Returns whether there are changes to report to peers. */
-  get hasChanged(): boolean {
+  get hasUnreported(): boolean {
     return this.#changed.size > 0;
   }
 
   /**
    * Applies a peer's report; one that is older than the last report is ignored.
    */
-  peerReported(peer: string, reported: PeerWork): void {
+  applyPeerReport(peer: string, reported: PeerWork): void {
     const known = this.#peers.get(peer);
     const isSameRun = known?.incarnation === reported.incarnation;
     if (isSameRun && reported.sequence <= known.sequence) return;
@@ -259,7 +262,7 @@
 }
 
 /** Encodes work for a report to other entries. */
-export function workRow(
+export function encodeWork(
   endpoint: EndpointId,
   { prefillMilliseconds, requests, tokens }: OpenWork,
 ): WorkReport[number] {
--- a/src/core/forwarding/endpoints/load_picture_test.ts
+++ b/src/core/forwarding/endpoints/fleet_load_test.ts
@@ -1,20 +1,20 @@
 import { expect } from "chai";
 import { type EndpointId, identifier } from "../../identity/mod.ts";
 import { ManualTimerService } from "../../time/mod.ts";
-import { LoadPicture } from "../mod.ts";
+import { FleetLoad } from "../mod.ts";
 
 describe("LoadPicture", () => {
   const engine = identifier<EndpointId>("engine");
   let timer: ManualTimerService;
-  let load: LoadPicture;
+  let load: FleetLoad;
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    load = new LoadPicture(timer);
+    load = new FleetLoad(timer);
   });
 
   function report(sequence: number, prefill: number, incarnation = "a"): void {
-    load.peerReported("peer", {
+    load.applyPeerReport("peer", {
       incarnation,
       sequence,
       whole: true,
@@ -61,14 +61,14 @@
     report(1, 500);
     const other = identifier<EndpointId>("other");
     const partial = { incarnation: "a", whole: false };
-    load.peerReported("peer", {
+    load.applyPeerReport("peer", {
       ...partial,
       sequence: 2,
       work: [[other, 2, 7, 0]],
     });
     expect(load.total(engine).prefillMilliseconds).to.equal(500);
     expect(load.total(other).requests).to.equal(2);
-    load.peerReported("peer", {
+    load.applyPeerReport("peer", {
       ...partial,
       sequence: 3,
       work: [[other, 0, 0, 0]],
@@ -79,7 +79,7 @@
   it("reports each change once, including ended work", () => {
     const handle = load.started(engine);
     expect(load.report({ whole: false })).to.have.length(1);
-    expect(load.hasChanged).to.equal(false);
+    expect(load.hasUnreported).to.equal(false);
     handle.end();
     expect(load.report({ whole: false })).to.deep.equal([[engine, 0, 0, 0]]);
   });
--- a/src/core/forwarding/endpoints/load_owners.ts
+++ b/src/core/forwarding/endpoints/load_owners.ts
@@ -53,7 +53,7 @@
   }
 
   /** Records that a message from the entry was received. */
-  heard(name: ProcessId): void {
+  recordMessage(name: ProcessId): void {
     if (!this.#members.has(name)) return;
     const known = this.#peers.get(name);
     const receivedAt = this.#timer.now();
@@ -89,7 +89,7 @@
   /**
    * Groups the endpoints by the other entries that own them, without own ones.
    */
-  byOtherOwner(
+  groupByOtherOwner(
     endpoints: Iterable<EndpointId>,
   ): ReadonlyMap<ProcessId, readonly EndpointId[]> {
     const byOwner = new Map<ProcessId, EndpointId[]>();
@@ -104,13 +104,16 @@
   }
 
   /** Returns whether this owner should be queried. */
-  mayAsk(owner: ProcessId): boolean {
+  mayQuery(owner: ProcessId): boolean {
     const known = this.#peers.get(owner);
     return known !== undefined && this.#timer.now() >= known.skippedUntil;
   }
 
   /** Records whether the owner answered a query in time. */
-  asked(owner: ProcessId, { answered }: { readonly answered: boolean }): void {
+  recordQuery(
+    owner: ProcessId,
+    { answered }: { readonly answered: boolean },
+  ): void {
     const known = this.#peers.get(owner);
     if (known === undefined) return;
     known.unanswered = answered ? 0 : known.unanswered + 1;
--- a/src/core/forwarding/endpoints/load_owners_test.ts
+++ b/src/core/forwarding/endpoints/load_owners_test.ts
@@ -33,7 +33,7 @@
   function ownersAt(self: number, others: readonly number[]): LoadOwners {
     const owners = new LoadOwners({ self: entry(self), timer });
     owners.setMembers(others.map(entry));
-    for (const other of others) owners.heard(entry(other));
+    for (const other of others) owners.recordMessage(entry(other));
     return owners;
   }
 
@@ -66,7 +66,7 @@
     const owners = ownersAt(0, range(20).slice(1));
     const before = ENGINES.map((each) => owners.ownerOf(each));
     await timer.advance(1_500);
-    for (const index of range(20).slice(2)) owners.heard(entry(index));
+    for (const index of range(20).slice(2)) owners.recordMessage(entry(index));
     await timer.advance(200);
     const after = ENGINES.map((each) => owners.ownerOf(each));
     expect(before).to.include(entry(1));
@@ -79,7 +79,7 @@
     const owners = new LoadOwners({ self: entry(0), timer });
     owners.setMembers([entry(1)]);
     expect(owners.ownerOf(ENGINES[0])).to.equal(entry(0));
-    owners.heard(entry(9));
+    owners.recordMessage(entry(9));
     expect(owners.ownerOf(ENGINES[0])).to.equal(entry(0));
   });
 
@@ -87,12 +87,12 @@
   // request would wait for an answer that does not arrive.
   it("are not queried for a while after unanswered queries", async () => {
     const owners = ownersAt(0, [1]);
-    for (const _ of range(2)) owners.asked(entry(1), { answered: false });
-    expect(owners.mayAsk(entry(1))).to.equal(true);
-    owners.asked(entry(1), { answered: false });
-    expect(owners.mayAsk(entry(1))).to.equal(false);
+    for (const _ of range(2)) owners.recordQuery(entry(1), { answered: false });
+    expect(owners.mayQuery(entry(1))).to.equal(true);
+    owners.recordQuery(entry(1), { answered: false });
+    expect(owners.mayQuery(entry(1))).to.equal(false);
     await timer.advance(501);
-    expect(owners.mayAsk(entry(1))).to.equal(true);
+    expect(owners.mayQuery(entry(1))).to.equal(true);
   });
 
   it("are always members, whichever entries come and go", () => {
@@ -104,7 +104,7 @@
       const owners = new LoadOwners({ self: entry(0), timer });
       for (const { listed, heard } of steps) {
         owners.setMembers(listed.map(entry));
-        for (const index of heard) owners.heard(entry(index));
+        for (const index of heard) owners.recordMessage(entry(index));
         const allowed = [0, ...listed].map(entry);
         for (const each of ENGINES) {
           expect(allowed).to.include(owners.ownerOf(each));
--- a/src/core/forwarding/estimates/engine_slowness.ts
+++ b/src/core/forwarding/estimates/engine_slowness.ts
@@ -50,7 +50,7 @@
   }
 
   /** Records a prefill's measured time and the time predicted for the pool. */
-  took(
+  record(
     engine: EndpointId,
     times: { readonly milliseconds: number; readonly predicted: number },
   ): void {
--- a/src/core/forwarding/estimates/engine_slowness_test.ts
+++ b/src/core/forwarding/estimates/engine_slowness_test.ts
@@ -13,13 +13,13 @@
     timer = new ManualTimerService();
     slowness = new EngineSlowness(timer);
     for (const other of others) {
-      slowness.took(other, { milliseconds: 100, predicted: 100 });
+      slowness.record(other, { milliseconds: 100, predicted: 100 });
     }
   });
 
   function recordPrefills(ratio: number, times: number): void {
     for (let count = 0; count < times; count++) {
-      slowness.took(engine, { milliseconds: 100 * ratio, predicted: 100 });
+      slowness.record(engine, { milliseconds: 100 * ratio, predicted: 100 });
     }
   }
 
@@ -38,7 +38,7 @@
     for (let count = 0; count < 10; count++) {
       recordPrefills(3, 1);
       for (const other of others) {
-        slowness.took(other, { milliseconds: 300, predicted: 100 });
+        slowness.record(other, { milliseconds: 300, predicted: 100 });
       }
     }
     expect(slowness.factor(engine)).to.equal(1);
--- a/src/core/forwarding/estimates/mod.ts
+++ b/src/core/forwarding/estimates/mod.ts
@@ -2,7 +2,7 @@
 export {
   EngineEstimates,
   type PoolEstimates,
-  type ToldSpeed,
+  type PrefillSpeedReport,
 } from "./pool_estimates.ts";
 export { EngineSlowness } from "./engine_slowness.ts";
 export { WorkRate } from "./work_rate.ts";
--- a/src/core/forwarding/estimates/pool_estimates.ts
+++ b/src/core/forwarding/estimates/pool_estimates.ts
@@ -4,12 +4,12 @@
 
 /** Estimates for the engines of one pool, which are of one kind. */
 export interface PoolEstimates {
-  readonly reading: PrefillSpeed;
+  readonly prefill: PrefillSpeed;
   readonly handover: HandoverTime;
 }
 
 /** Report of a pool's prefill costs to peers: sample count, then the costs. */
-export type ToldSpeed = readonly [
+export type PrefillSpeedReport = readonly [
   pool: string,
   samples: number,
   callMilliseconds: number,
@@ -23,18 +23,18 @@
   readonly #pools = new Map<string, PoolEstimates>();
 
   /** The pool's estimates, created on first use. */
-  of(pool: ServiceName): PoolEstimates {
+  forPool(pool: ServiceName): PoolEstimates {
     let estimates = this.#pools.get(pool);
     if (estimates === undefined) {
-      estimates = { reading: new PrefillSpeed(), handover: new HandoverTime() };
+      estimates = { prefill: new PrefillSpeed(), handover: new HandoverTime() };
       this.#pools.set(pool, estimates);
     }
     return estimates;
   }
 
   /** This entry's own costs, for its peers. */
-  tell(): ToldSpeed[] {
-    return [...this.#pools].flatMap(([pool, { reading }]) => {
+  report(): PrefillSpeedReport[] {
+    return [...this.#pools].flatMap(([pool, { prefill: reading }]) => {
       const costs = reading.ownCosts;
       if (costs === undefined) return [];
       return [
@@ -50,10 +50,10 @@
   }
 
   /** Records a peer's costs; a malformed report is ignored. */
-  peerTold(report: unknown): void {
+  recordPeerReport(report: unknown): void {
     if (!isSpeedReport(report)) return;
     const [pool, samples, call, token, pairs] = report;
-    this.of(pool as ServiceName).reading.recordPeerCosts({
+    this.forPool(pool as ServiceName).prefill.recordPeerCosts({
       callMilliseconds: call,
       millisecondsPerToken: token,
       millisecondsPerMillionAttentionPairs: pairs,
@@ -61,7 +61,7 @@
   }
 }
 
-function isSpeedReport(value: unknown): value is ToldSpeed {
+function isSpeedReport(value: unknown): value is PrefillSpeedReport {
   if (!Array.isArray(value) || value.length !== REPORT_LENGTH) return false;
   const [pool, ...figures] = value;
   return typeof pool === "string" &&
--- a/src/core/forwarding/estimates/prefill_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -112,7 +112,7 @@
   }
 
   /** Records a prefill on an engine that had no other work. */
-  took(sample: PrefillSample): void {
+  record(sample: PrefillSample): void {
     const isUsable = sample.milliseconds > 0 &&
       uncachedTokens(sample.promptTokens, sample.keptTokens) > 0;
     if (!isUsable) return;
--- a/src/core/forwarding/estimates/prefill_speed_test.ts
+++ b/src/core/forwarding/estimates/prefill_speed_test.ts
@@ -56,7 +56,7 @@
   const speed = new PrefillSpeed();
   for (let count = 0; count < PROMPTS; count++) {
     const { promptTokens, kept } = randomPrompt(random);
-    speed.took({
+    speed.record({
       promptTokens,
       keptTokens: kept,
       milliseconds: distort(actualMilliseconds(engine, promptTokens, kept)),
@@ -98,7 +98,7 @@
     for (let count = 0; count < 12; count++) {
       const { promptTokens, kept } = randomPrompt(random);
       const milliseconds = actualMilliseconds(engine, promptTokens, kept);
-      speed.took({ promptTokens, keptTokens: kept, milliseconds });
+      speed.record({ promptTokens, keptTokens: kept, milliseconds });
     }
     expect(medianError(speed, engine, random)).to.be.below(MAX_MEDIAN_ERROR);
   });
@@ -106,7 +106,7 @@
   it("always predicts a positive time", () => {
     const speed = new PrefillSpeed();
     for (let count = 0; count < 50; count++) {
-      speed.took({ promptTokens: 1_000, keptTokens: 0, milliseconds: 0.01 });
+      speed.record({ promptTokens: 1_000, keptTokens: 0, milliseconds: 0.01 });
     }
     expect(speed.predictMilliseconds(20_000, 0)).to.be.above(0);
     expect(speed.predictMilliseconds(20_000, 19_999)).to.be.above(0);
@@ -126,7 +126,7 @@
     const random = seededRandom(404);
     for (let count = 0; count < 41; count++) {
       const { promptTokens, kept } = randomPrompt(random);
-      speed.took({ promptTokens, keptTokens: kept, milliseconds: 100 });
+      speed.record({ promptTokens, keptTokens: kept, milliseconds: 100 });
     }
     expect(speed.costs).to.not.equal(costs);
   });
--- a/src/core/forwarding/estimates/work_rate.ts
+++ b/src/core/forwarding/estimates/work_rate.ts
@@ -18,7 +18,7 @@
   }
 
   /** Records started work, in milliseconds of one engine. */
-  begun(milliseconds: number): void {
+  recordStarted(milliseconds: number): void {
     this.#decay();
     this.#decayedWork += milliseconds;
   }
--- a/src/core/forwarding/mod.ts
+++ b/src/core/forwarding/mod.ts
@@ -1,7 +1,7 @@
 /** Decisions on requests whose bodies are forwarded unchanged. */
 export type * from "./configuration.ts";
 export type * from "./requests.ts";
-export { drawPool, RouteTable } from "./route_table.ts";
+export { RouteTable, selectPool } from "./route_table.ts";
 export {
   authenticate,
   type AuthenticationFailure,
@@ -13,62 +13,59 @@
   type WorkspaceKeys,
 } from "./callers/key_directory.ts";
 export {
-  type EndpointMemory,
   EndpointRegistry,
+  type EndpointStateHolder,
   type RegistryChange,
 } from "./endpoints/endpoint_registry.ts";
 export type { EndpointRun } from "./endpoints/endpoint_runs.ts";
 export {
-  type NextSends,
+  type NextAttempt,
   RequestArrivals,
 } from "./admission/request_arrivals.ts";
 export {
-  type RepeatPermit,
-  type RepeatUse,
-  RetryAllowance,
-} from "./admission/retry_allowance.ts";
-export {
-  type BlockedRequest,
-  CrashSuspects,
-} from "./crashes/crash_suspects.ts";
+  type RetryBudgetUsage,
+  type RetryPermit,
+  SharedRetryBudget,
+} from "./admission/shared_retry_budget.ts";
+export { type BlockedRequest, CrashTracker } from "./crashes/crash_tracker.ts";
 export type { CrashReport } from "./crashes/crash_reports.ts";
 export { isReportedLoss, type ReportedLoss } from "./crashes/reported_loss.ts";
 export {
   EngineEstimates,
   EngineSlowness,
-  type ToldSpeed,
+  type PrefillSpeedReport,
   WorkRate,
 } from "./estimates/mod.ts";
 export { EventSplitter } from "./event_splitter.ts";
 export { LoadOwners } from "./endpoints/load_owners.ts";
 export {
   addWork,
-  LoadPicture,
-  NO_PROMPT,
+  encodeWork,
+  FleetLoad,
+  NO_PROMPT_WORK,
   type OpenWork,
   type PeerWork,
   type PromptWork,
   type WorkHandle,
   type WorkReport,
-  workRow,
-} from "./endpoints/load_picture.ts";
+} from "./endpoints/fleet_load.ts";
 export {
+  type CachedPrompt,
   PrefixDirectory,
   type PromptPart,
-  type ReadPrompt,
 } from "./caches/prefix_directory.ts";
-export { EndpointOutcomes } from "./endpoints/endpoint_outcomes.ts";
+export { EndpointAvailability } from "./endpoints/endpoint_availability.ts";
 export { EnginePlacement } from "./placement/engine_placement.ts";
-export { chooseService } from "./placement/service_placement.ts";
-export { placeOf, positionOf } from "./store/log_position.ts";
+export { chooseServiceReplica } from "./placement/service_placement.ts";
+export { decodePosition, encodePosition } from "./store/log_position.ts";
 export {
   type KeyedRecord,
   type KeyedRecords,
   type KeyedTopic,
-  type PeerReading,
+  type PeerReadResult,
   type StoreFailure,
+  type TopicRange,
   TopicReader,
-  type TopicSpan,
 } from "./store/topic_reader.ts";
 export type {
   DecodeChoice,
@@ -76,24 +73,24 @@
   PrefillChoice,
 } from "./placement/engine_placement.ts";
 export {
-  type Admission,
-  type AdmissionQuestion,
-  judgeAdmission,
-  LEFT_SHARE,
+  type AdmissionInput,
+  type AdmissionKind,
+  decideAdmission,
+  REMAINING_TIME_SHARE,
 } from "./admission/engine_admission.ts";
-export { type HeldPrompt, HeldPrompts } from "./admission/held_prompts.ts";
-export { LinkQueue } from "./admission/link_queue.ts";
+export {
+  type HeldPrompt,
+  HeldPromptQueue,
+} from "./admission/held_prompt_queue.ts";
+export { LinkBacklog } from "./admission/link_backlog.ts";
 export { RoleDemand } from "./roles/role_demand.ts";
 export {
+  type EngineRoleChange,
   planRoles,
-  prefillShareFor,
-  prefillShareOf,
-  type RoleChange,
+  prefillShareBySlots,
+  prefillShareForDemand,
 } from "./roles/role_plan.ts";
-export {
-  ExclusiveClaim,
-  type StandingClaim,
-} from "./claims/exclusive_claim.ts";
+export { type CurrentClaim, ExclusiveClaim } from "./claims/exclusive_claim.ts";
 export { FleetClock } from "./usage/fleet_clock.ts";
 export {
   UsageLedger,
@@ -106,6 +103,6 @@
   type UsageReport,
 } from "./usage/usage_reports.ts";
 export {
+  type RefusalReport,
   ReturningCallers,
-  type ToldRefusal,
 } from "./admission/returning_callers.ts";
--- a/src/core/forwarding/placement/decode_capacity.ts
+++ b/src/core/forwarding/placement/decode_capacity.ts
@@ -1,5 +1,5 @@
 import type { Pool, RegisteredEndpoint } from "../configuration.ts";
-import type { LoadPicture } from "../endpoints/load_picture.ts";
+import type { FleetLoad } from "../endpoints/fleet_load.ts";
 
 /**
  * Share of an engine's memory that open requests may use before the engine gets
@@ -17,7 +17,7 @@
 export function hasCapacity(
   { id, slots }: RegisteredEndpoint,
   options: {
-    readonly load: LoadPicture;
+    readonly load: FleetLoad;
     readonly pool: Pool;
     readonly tokens: number;
   },
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -3,10 +3,10 @@
 import type { Pool, RegisteredEndpoint } from "../configuration.ts";
 import { hasCapacity } from "./decode_capacity.ts";
 import { sampleDecodeEngines, samplePrefillEngines } from "./engine_sample.ts";
-import type { EndpointOutcomes } from "../endpoints/endpoint_outcomes.ts";
+import type { EndpointAvailability } from "../endpoints/endpoint_availability.ts";
 import type { EngineEstimates, EngineSlowness } from "../estimates/mod.ts";
-import { POLL_MILLISECONDS } from "../admission/held_prompts.ts";
-import type { LoadPicture, PromptWork } from "../endpoints/load_picture.ts";
+import { POLL_MILLISECONDS } from "../admission/held_prompt_queue.ts";
+import type { FleetLoad, PromptWork } from "../endpoints/fleet_load.ts";
 import type { PrefixDirectory } from "../caches/prefix_directory.ts";
 import {
   bestSources,
@@ -70,7 +70,7 @@
   /** Time until the prefill ends: the backlog, the work and the call itself. */
   readonly predictedMilliseconds: number;
   /** Measured slowdown of the engine relative to its pool; 1 is normal. */
-  readonly slowness: number;
+  readonly slowdown: number;
   /** Open requests of all entries at the engine. */
   readonly openRequests: number;
 }
@@ -88,15 +88,15 @@
   /**
    * Subset of `engines` that may prefill the prompt; all of them by default.
    */
-  readonly readers?: readonly RegisteredEndpoint[];
+  readonly prefillEngines?: readonly RegisteredEndpoint[];
 }
 
 export interface EnginePlacementOptions {
   /** Zone of this entry. */
   readonly availabilityZone: AvailabilityZoneId;
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly prefixes: PrefixDirectory;
-  readonly outcomes: EndpointOutcomes;
+  readonly outcomes: EndpointAvailability;
   readonly estimates: EngineEstimates;
   readonly slowness: EngineSlowness;
   readonly random: Random;
@@ -111,14 +111,14 @@
   }
 
   /** True where the prompt is long enough for a separate prefill engine. */
-  wantsHandover(
+  needsHandover(
     prompt: Prompt,
     { pool, targetMilliseconds }: {
       readonly pool: Pool;
       readonly targetMilliseconds: number;
     },
   ): boolean {
-    const { reading } = this.#options.estimates.of(pool.name);
+    const { prefill: reading } = this.#options.estimates.forPool(pool.name);
     const inlineMilliseconds = DECODE_ENGINE_PREFILL_SLOWDOWN *
       reading.predictWorkMilliseconds(prompt.inputTokens, 0);
     return inlineMilliseconds >
@@ -127,23 +127,23 @@
 
   /** Conservative time from the end of the prefill to the first byte. */
   handoverMilliseconds(prompt: Prompt, pool: Pool): number {
-    const { handover } = this.#options.estimates.of(pool.name);
+    const { handover } = this.#options.estimates.forPool(pool.name);
     return handover.conservativeMilliseconds +
       handoverTransferMilliseconds(prompt, pool);
   }
 
   /** Records the time to first byte of an answer after a handover. */
-  handedOver(prompt: Prompt, pool: Pool, milliseconds: number): void {
-    const { handover } = this.#options.estimates.of(pool.name);
+  recordHandover(prompt: Prompt, pool: Pool, milliseconds: number): void {
+    const { handover } = this.#options.estimates.forPool(pool.name);
     handover.record(milliseconds, handoverTransferMilliseconds(prompt, pool));
   }
 
   /** Prefill engines whose load is refreshed before the prompt is placed. */
-  readersToAsk(
+  prefillEnginesToRefresh(
     prompt: Prompt,
     engines: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
-    const prefillEngines = this.#options.outcomes.wellAmong(
+    const prefillEngines = this.#options.outcomes.filterHealthy(
       engines.filter(isPrefillEngine),
     );
     return samplePrefillEngines(prompt, {
@@ -156,14 +156,14 @@
    * Decode engines whose load is refreshed before an answer is placed. `keptIn`
    * is the zone of the prompt's cache.
    */
-  decodersToAsk(
+  decodeEnginesToRefresh(
     engines: readonly RegisteredEndpoint[],
-    { keptIn }: { readonly keptIn?: AvailabilityZoneId },
+    { cacheZone: cacheZone }: { readonly cacheZone?: AvailabilityZoneId },
   ): readonly RegisteredEndpoint[] {
     const { availabilityZone, outcomes, random } = this.#options;
-    return sampleDecodeEngines(outcomes.wellAmong(engines), {
+    return sampleDecodeEngines(outcomes.filterHealthy(engines), {
       random,
-      availabilityZone: keptIn ?? availabilityZone,
+      availabilityZone: cacheZone ?? availabilityZone,
     });
   }
 
@@ -176,7 +176,7 @@
   }
 
   /** The same among the prefill engines that are nearly idle. */
-  chooseIdlePrefill(
+  chooseNearlyIdlePrefill(
     prompt: Prompt,
     candidates: PrefillCandidates,
   ): PrefillChoice | undefined {
@@ -196,16 +196,16 @@
   ): PrefillChoice | undefined {
     const { engines, isEligible = () => true, pool } = options;
     const { availabilityZone, outcomes, prefixes } = this.#options;
-    const prefillEngines = (options.readers ?? engines).filter((each) =>
+    const prefillEngines = (options.prefillEngines ?? engines).filter((each) =>
       isPrefillEngine(each) && isEligible(each)
     );
     const sources = bestSources(prompt.parts, {
-      engines: outcomes.wellAmong(engines),
+      engines: outcomes.filterHealthy(engines),
       prefixes,
     });
     let best: PrefillChoice | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.wellAmong(prefillEngines)) {
+    for (const endpoint of outcomes.filterHealthy(prefillEngines)) {
       const choice = this.#prefillChoiceAt(endpoint, { prompt, pool, sources });
       const isOtherZone = endpoint.availabilityZone !== availabilityZone;
       const cost = choice.backlogMilliseconds +
@@ -229,7 +229,7 @@
     const { estimates, load, prefixes, slowness } = this.#options;
     const { pool, prompt, sources } = options;
     const slowdown = slowness.factor(endpoint.id);
-    const { reading } = estimates.of(pool.name);
+    const { prefill: reading } = estimates.forPool(pool.name);
     const keptTokens = prefixes.keptTokens(endpoint.id, prompt.parts);
     const openWork = load.total(endpoint.id);
     const plan = fastestPrefillPlan(prompt, {
@@ -248,7 +248,7 @@
       backlogMilliseconds,
       predictedMilliseconds: backlogMilliseconds + workMilliseconds +
         reading.costs.callMilliseconds,
-      slowness: slowdown,
+      slowdown: slowdown,
       openRequests: openWork.requests,
     };
   }
@@ -260,18 +260,23 @@
       readonly prompt: Prompt;
       readonly pool: Pool;
       /** Zone of the prompt's cache after a handover. */
-      readonly keptIn?: AvailabilityZoneId;
+      readonly cacheZone?: AvailabilityZoneId;
       /** True: considers only engines that have capacity now. */
-      readonly withRoom?: boolean;
+      readonly requiresCapacity?: boolean;
     },
   ): DecodeChoice | undefined {
     const { estimates, load, outcomes, prefixes, random } = this.#options;
-    const { keptIn, pool, prompt, withRoom = false } = options;
+    const {
+      cacheZone: keptIn,
+      pool,
+      prompt,
+      requiresCapacity: withRoom = false,
+    } = options;
     const decodeEngines = engines.filter((engine) => engine.role !== "prefill");
     const tokens = prompt.inputTokens + prompt.mostOutputTokens;
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.wellAmong(decodeEngines)) {
+    for (const endpoint of outcomes.filterHealthy(decodeEngines)) {
       if (withRoom && !hasCapacity(endpoint, { load, pool, tokens })) continue;
       const isOtherZone = keptIn !== undefined &&
         endpoint.availabilityZone !== keptIn;
@@ -290,7 +295,7 @@
         milliseconds: keptIn !== undefined
           ? 0
           : DECODE_ENGINE_PREFILL_SLOWDOWN *
-            estimates.of(pool.name).reading.predictWorkMilliseconds(
+            estimates.forPool(pool.name).prefill.predictWorkMilliseconds(
               prompt.inputTokens,
               keptTokens,
             ),
--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -5,14 +5,14 @@
   makeEngine,
   makePool,
   makePrompt,
-} from "../../../../test/support/forwarding_values.ts";
+} from "../../../../test/support/forwarding_fixtures.ts";
 import { type AvailabilityZoneId, identifier } from "../../identity/mod.ts";
 import { ManualTimerService } from "../../time/mod.ts";
 import {
-  EndpointOutcomes,
+  EndpointAvailability,
   EnginePlacement,
   EngineSlowness,
-  LoadPicture,
+  FleetLoad,
   PrefixDirectory,
   type RegisteredEndpoint,
 } from "../mod.ts";
@@ -21,20 +21,20 @@
 const SHARED = PROMPT.parts.slice(0, 2);
 
 describe("EnginePlacement", () => {
-  let load: LoadPicture;
+  let load: FleetLoad;
   let prefixes: PrefixDirectory;
   let placement: EnginePlacement;
   let engines: RegisteredEndpoint[];
 
   beforeEach(() => {
     const timer = new ManualTimerService();
-    load = new LoadPicture(timer);
+    load = new FleetLoad(timer);
     prefixes = new PrefixDirectory();
     placement = new EnginePlacement({
       availabilityZone: identifier<AvailabilityZoneId>("zone-1"),
       load,
       prefixes,
-      outcomes: new EndpointOutcomes(timer),
+      outcomes: new EndpointAvailability(timer),
       estimates: knownEstimates(),
       slowness: new EngineSlowness(timer),
       random: () => 0.5,
@@ -43,7 +43,7 @@
   });
 
   function cachePrefix(engine: RegisteredEndpoint, parts = SHARED): void {
-    prefixes.read({ engine: engine.id, parts, memoryTokens: 200_000 });
+    prefixes.recordCached({ engine: engine.id, parts, memoryTokens: 200_000 });
   }
 
   function addBacklog(engine: RegisteredEndpoint, milliseconds: number): void {
@@ -77,7 +77,7 @@
       placement.chooseDecode([decodeEngine], {
         prompt: PROMPT,
         pool,
-        withRoom,
+        requiresCapacity: withRoom,
       });
 
     // An engine queues a few requests itself and starts them as others end.
--- a/src/core/forwarding/placement/engine_sample_test.ts
+++ b/src/core/forwarding/placement/engine_sample_test.ts
@@ -2,7 +2,7 @@
 import {
   makeEngine,
   makePrompt,
-} from "../../../../test/support/forwarding_values.ts";
+} from "../../../../test/support/forwarding_fixtures.ts";
 import { type AvailabilityZoneId, identifier } from "../../identity/mod.ts";
 import { seededRandom } from "../../random/mod.ts";
 import { sampleDecodeEngines, samplePrefillEngines } from "./engine_sample.ts";
--- a/src/core/forwarding/placement/service_placement.ts
+++ b/src/core/forwarding/placement/service_placement.ts
@@ -1,7 +1,7 @@
 import type { AvailabilityZoneId } from "../../identity/mod.ts";
 import type { Random } from "../../random/mod.ts";
 import type { RegisteredEndpoint } from "../configuration.ts";
-import type { LoadPicture } from "../endpoints/load_picture.ts";
+import type { FleetLoad } from "../endpoints/fleet_load.ts";
 
 /**
  * Cost of another availability zone, in busy slots. It is less than one
@@ -12,7 +12,7 @@
 const TIE_BREAK_JITTER_SLOTS = 0.3;
 
 export interface ServicePlacementOptions {
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly random: Random;
   /** Zone of this entry. */
   readonly availabilityZone: AvailabilityZoneId;
@@ -23,7 +23,7 @@
  * entries relative to its slots. Short calls arrive in bursts at several
  * entries and would otherwise queue behind each other at the same replica.
  */
-export function chooseService(
+export function chooseServiceReplica(
   candidates: readonly RegisteredEndpoint[],
   options: ServicePlacementOptions,
 ): RegisteredEndpoint | undefined {
--- a/src/core/forwarding/requests.ts
+++ b/src/core/forwarding/requests.ts
@@ -2,7 +2,7 @@
 import type {
   EndpointId,
   ModelName,
-  ReplicaStart,
+  ReplicaStartTime,
   RequestId,
   WorkspaceId,
 } from "../identity/mod.ts";
@@ -40,17 +40,17 @@
 }
 
 /** Key-value cache of a prompt that an engine keeps for a hand-over. */
-export interface KeptPrompt {
+export interface PrefilledPrompt {
   readonly engine: EndpointId;
   /** Run of the engine that keeps the cache; a later run does not have it. */
-  readonly engineStartedAt?: ReplicaStart;
+  readonly engineStartedAt?: ReplicaStartTime;
   /** `host:port` of the engine. */
   readonly address: string;
   readonly handle: string;
 }
 
 /** Options of one attempt, which are added to the forwarded request. */
-export interface AttemptOptions {
+export interface ForwardAttemptOptions {
   readonly endpoint: EndpointId;
   /** Workspace of the caller's key; absent if callers need no key. */
   readonly workspace?: WorkspaceId;
@@ -59,21 +59,21 @@
   readonly priority?: number;
   /** Process only the prompt and keep its cache for a hand-over. */
   readonly prefillOnly?: boolean;
-  readonly keptPrompt?: KeptPrompt;
+  readonly prefilledPrompt?: PrefilledPrompt;
   /** `host:port` of an engine from which cached parts are fetched first. */
   readonly fetchFrom?: string;
   readonly lastEventId?: string;
 }
 
 /** The decoded head of an endpoint's answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** Alternating names and values, without hop-by-hop headers. */
   readonly headers: readonly string[];
   /** Id of the request that it answers, if present. */
   readonly requestId: string | undefined;
   /** The endpoint guarantees that it did not run the request and never will. */
-  readonly notRun: boolean;
+  readonly notExecuted: boolean;
   /** The endpoint announces that it is leaving. */
   readonly leaving?: boolean;
   /**
--- a/src/core/forwarding/roles/role_demand.ts
+++ b/src/core/forwarding/roles/role_demand.ts
@@ -27,7 +27,7 @@
   }
 
   /** Records a sample of the current load. */
-  note(sample: RoleSample): void {
+  record(sample: RoleSample): void {
     const at = this.#timer.now();
     const oldest = at - WINDOW_MILLISECONDS;
     this.#samples = this.#samples.filter((each) => each.at > oldest);
@@ -39,7 +39,7 @@
    * engines: prompts can queue for each other, while an answer needs a slot as
    * long as it runs. Undefined while there are too few samples.
    */
-  get usual(): RoleSample | undefined {
+  get typical(): RoleSample | undefined {
     const samples = this.#samples;
     if (samples.length < MIN_SAMPLES) return undefined;
     const answers = samples.map((sample) => sample.answers)
--- a/src/core/forwarding/roles/role_demand_test.ts
+++ b/src/core/forwarding/roles/role_demand_test.ts
@@ -1,7 +1,11 @@
 import { expect } from "chai";
-import { makeEngine } from "../../../../test/support/forwarding_values.ts";
+import { makeEngine } from "../../../../test/support/forwarding_fixtures.ts";
 import { ManualTimerService } from "../../time/mod.ts";
-import { prefillShareFor, prefillShareOf, RoleDemand } from "../mod.ts";
+import {
+  prefillShareBySlots,
+  prefillShareForDemand,
+  RoleDemand,
+} from "../mod.ts";
 
 const SAMPLE_MILLISECONDS = 250;
 
@@ -28,7 +32,7 @@
   ): Promise<void> {
     for (let at = 0; at < milliseconds; at += SAMPLE_MILLISECONDS) {
       const isPrefillPhase = Math.floor(at / phaseMilliseconds) % 2 === 0;
-      demand.note(
+      demand.record(
         isPrefillPhase
           ? { answers: 60, busyReaders: 18 }
           : { answers: 260, busyReaders: 2 },
@@ -39,17 +43,17 @@
 
   it("is unknown after a few samples", async () => {
     await alternate(3_000, 2_000);
-    expect(demand.usual).to.equal(undefined);
+    expect(demand.typical).to.equal(undefined);
   });
 
   for (const phaseMilliseconds of [3_000, 15_000]) {
     it(`does not follow a mix that alternates every ${phaseMilliseconds} ms`, async () => {
       await alternate(phaseMilliseconds, 30_000);
-      const first = demand.usual;
+      const first = demand.typical;
       await alternate(phaseMilliseconds, phaseMilliseconds);
       expect(first).to.deep.include({ answers: 260 });
-      expect(demand.usual?.answers).to.equal(260);
-      expect(demand.usual?.busyReaders)
+      expect(demand.typical?.answers).to.equal(260);
+      expect(demand.typical?.busyReaders)
         .to.be.closeTo(first?.busyReaders ?? 0, 5);
     });
   }
@@ -57,21 +61,21 @@
   it("forgets samples older than half a minute", async () => {
     await alternate(15_000, 30_000);
     for (let at = 0; at < 31_000; at += SAMPLE_MILLISECONDS) {
-      demand.note({ answers: 20, busyReaders: 5 });
+      demand.record({ answers: 20, busyReaders: 5 });
       await timer.advance(SAMPLE_MILLISECONDS);
     }
-    expect(demand.usual).to.deep.equal({ answers: 20, busyReaders: 5 });
+    expect(demand.typical).to.deep.equal({ answers: 20, busyReaders: 5 });
   });
 });
 
 describe("prefillShareFor", () => {
   it("depends on the slots alone while the demand is unknown", () => {
-    expect(prefillShareFor(engines(29), undefined))
-      .to.equal(prefillShareOf(engines(29)));
+    expect(prefillShareForDemand(engines(29), undefined))
+      .to.equal(prefillShareBySlots(engines(29)));
   });
 
   it("gives answers the engines that prefill can spare", () => {
-    const share = prefillShareFor(engines(29), {
+    const share = prefillShareForDemand(engines(29), {
       answers: 260,
       busyReaders: 9,
     });
@@ -80,13 +84,13 @@
 
   it("takes no engine from a busy prefill role", () => {
     const usual = { answers: 160, busyReaders: 5 };
-    expect(prefillShareFor(engines(8, 64), usual)).to.equal(0.7);
+    expect(prefillShareForDemand(engines(8, 64), usual)).to.equal(0.7);
   });
 
   it("gives prompts at least half and at most the share by slots", () => {
     for (const answers of [0, 100, 1_000, 100_000]) {
       const usual = { answers, busyReaders: 0 };
-      expect(prefillShareFor(engines(10), usual)).to.be.within(0.5, 0.7);
+      expect(prefillShareForDemand(engines(10), usual)).to.be.within(0.5, 0.7);
     }
   });
 });
--- a/src/core/forwarding/roles/role_plan.ts
+++ b/src/core/forwarding/roles/role_plan.ts
@@ -20,7 +20,9 @@
 const MIN_PREFILL_SHARE = 0.5;
 
 /** Share of the engines that should prefill, by their slots alone. */
-export function prefillShareOf(engines: readonly RegisteredEndpoint[]): number {
+export function prefillShareBySlots(
+  engines: readonly RegisteredEndpoint[],
+): number {
   const sum = engines.reduce((slots, engine) => slots + engine.slots, 0);
   const slots = Math.max(1, sum / engines.length);
   const halvings = Math.max(0, Math.log2(SLOTS_FOR_MAX_PREFILL_SHARE / slots));
@@ -38,11 +40,11 @@
  * engines get spare slots for the answers as far as prefill can do without the
  * engines.
  */
-export function prefillShareFor(
+export function prefillShareForDemand(
   engines: readonly RegisteredEndpoint[],
   demand: RoleSample | undefined,
 ): number {
-  const bySlots = prefillShareOf(engines);
+  const bySlots = prefillShareBySlots(engines);
   if (demand === undefined || engines.length === 0) return bySlots;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
   const shareSparedByAnswers = 1 -
@@ -64,7 +66,7 @@
 const MAX_DECODE_SLOT_UTILIZATION = 0.6;
 
 /** A change of one engine's role. */
-export interface RoleChange {
+export interface EngineRoleChange {
   readonly endpoint: RegisteredEndpoint;
   readonly role: "prefill" | "decode";
 }
@@ -86,12 +88,12 @@
  * Plans role changes for a pool. Each change takes an engine out of service for
  * seconds, so nothing changes while the counts are within tolerance.
  */
-export function planRoles(options: RolePlanOptions): RoleChange[] {
+export function planRoles(options: RolePlanOptions): EngineRoleChange[] {
   const { engines, openRequests, changing } = options;
   if (engines.length < 2) return [];
   const roleOf = (engine: RegisteredEndpoint) =>
     changing.get(engine.id) ?? engine.role;
-  const share = options.prefillShare ?? prefillShareOf(engines);
+  const share = options.prefillShare ?? prefillShareBySlots(engines);
   const exactTarget = share * engines.length;
   const target = Math.min(
     engines.length - 1,
--- a/src/core/forwarding/roles/role_plan_test.ts
+++ b/src/core/forwarding/roles/role_plan_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
-import { makeEngine } from "../../../../test/support/forwarding_values.ts";
+import { makeEngine } from "../../../../test/support/forwarding_fixtures.ts";
 import { type AvailabilityZoneId, identifier } from "../../identity/mod.ts";
 import { planRoles, type RegisteredEndpoint } from "../mod.ts";
-import { prefillShareOf } from "./role_plan.ts";
+import { prefillShareBySlots } from "./role_plan.ts";
 
 const NO_CHANGES = new Map();
 const NO_OPEN_REQUESTS = () => 0;
@@ -144,28 +144,28 @@
   }
 
   it("gives prompts 70% of the engines where slots are many", () => {
-    expect(prefillShareOf(engines(8, 64))).to.equal(0.7);
-    expect(prefillShareOf(engines(8, 128))).to.equal(0.7);
+    expect(prefillShareBySlots(engines(8, 64))).to.equal(0.7);
+    expect(prefillShareBySlots(engines(8, 128))).to.equal(0.7);
   });
 
   // 42 answers per second take three seconds each, with three times as many in
   // a burst. On nine of 29 engines they would wait for slots.
   it("gives answers 40% of the engines at 32 slots", () => {
-    expect(prefillShareOf(engines(29, 32))).to.be.closeTo(0.6, 0.001);
+    expect(prefillShareBySlots(engines(29, 32))).to.be.closeTo(0.6, 0.001);
   });
 
   // Engines run eight answers at once, and 90 urgent ones of three seconds each
   // are open. On three of ten engines urgent callers would wait for a second,
   // while the prefill engines are idle for 80% of the time.
   it("gives answers more engines where each has few slots", () => {
-    const share = prefillShareOf(engines(34, 8));
+    const share = prefillShareBySlots(engines(34, 8));
     expect(Math.round((1 - share) * 34) * 8).to.be.at.least(100);
   });
 
   it("falls with the slots, but not below 60%", () => {
     let previousShare = 0;
     for (const slots of [1, 4, 8, 16, 24, 32, 64]) {
-      const share = prefillShareOf(engines(34, slots));
+      const share = prefillShareBySlots(engines(34, slots));
       expect(share).to.be.within(Math.max(0.6, previousShare), 0.7);
       previousShare = share;
     }
--- a/src/core/forwarding/route_table.ts
+++ b/src/core/forwarding/route_table.ts
@@ -49,7 +49,7 @@
 }
 
 /** Selects a pool at random by the weights of the route. */
-export function drawPool(
+export function selectPool(
   route: Route,
   random: Random,
 ): ServiceName | undefined {
--- a/src/core/forwarding/route_table_test.ts
+++ b/src/core/forwarding/route_table_test.ts
@@ -3,8 +3,8 @@
 import {
   makeConfiguration,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
-import { drawPool, RouteTable } from "./mod.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
+import { RouteTable, selectPool } from "./mod.ts";
 
 describe("RouteTable", () => {
   const table = new RouteTable(makeConfiguration({
@@ -40,11 +40,11 @@
   });
 
   it("follows the weights", () => {
-    expect(drawPool(route, () => 0.89)).to.equal("most");
-    expect(drawPool(route, () => 0.91)).to.equal("few");
+    expect(selectPool(route, () => 0.89)).to.equal("most");
+    expect(selectPool(route, () => 0.91)).to.equal("few");
   });
 
   it("returns undefined for a route without pools", () => {
-    expect(drawPool(makeRoute({ shares: [] }), () => 0)).to.equal(undefined);
+    expect(selectPool(makeRoute({ shares: [] }), () => 0)).to.equal(undefined);
   });
 });
--- a/src/core/forwarding/store/log_position.ts
+++ b/src/core/forwarding/store/log_position.ts
@@ -13,11 +13,11 @@
   readonly offset: number;
 }
 
-export function positionOf({ epoch, offset }: LogLocation): number {
+export function encodePosition({ epoch, offset }: LogLocation): number {
   return epoch * OFFSETS_PER_EPOCH + offset;
 }
 
-export function placeOf(position: number): LogLocation {
+export function decodePosition(position: number): LogLocation {
   return {
     epoch: Math.floor(position / OFFSETS_PER_EPOCH),
     offset: position % OFFSETS_PER_EPOCH,
--- a/src/core/forwarding/store/topic_reader.ts
+++ b/src/core/forwarding/store/topic_reader.ts
@@ -11,7 +11,7 @@
 }
 
 /** A range of records of a topic, from one position up to another. */
-export interface TopicSpan {
+export interface TopicRange {
   readonly from: number;
   /** Position after the last record. */
   readonly to: number;
@@ -45,7 +45,7 @@
  * `apart`: it misses records that this reader has not read. `older`: this
  * reader is further ahead.
  */
-export type PeerReading = "ahead" | "same" | "apart" | "older";
+export type PeerReadResult = "ahead" | "same" | "apart" | "older";
 
 export interface TopicReaderOptions {
   readonly topic: KeyedTopic;
@@ -60,14 +60,14 @@
   /** Called after a read from a position, with or without records. */
   readonly onRecords: (
     records: readonly KeyedRecord[],
-    span: TopicSpan,
+    span: TopicRange,
   ) => void;
   readonly onFailure: (failure: StoreFailure) => void;
   /**
    * Called after each successful read; `lost` is true if the previous one had
    * failed.
    */
-  readonly onReached: (options: { readonly lost: boolean }) => void;
+  readonly onReadSucceeded: (options: { readonly lost: boolean }) => void;
 }
 
 /**
@@ -127,7 +127,7 @@
    * the span is empty: a quiet topic has no records for minutes, and each entry
    * would otherwise continue to poll it.
    */
-  peerRead({ from, to }: TopicSpan): PeerReading {
+  applyPeerRead({ from, to }: TopicRange): PeerReadResult {
     const position = this.#position;
     if (position === undefined || position < from || this.#stopped) {
       return "apart";
@@ -162,8 +162,12 @@
   }
 
   #applyRead(read: KeyedRecords, from: number | undefined): void {
-    const { onReached, onRecords, onSnapshot, pauseMilliseconds } =
-      this.#options;
+    const {
+      onReadSucceeded: onReached,
+      onRecords,
+      onSnapshot,
+      pauseMilliseconds,
+    } = this.#options;
     onReached({ lost: this.#failures > 0 });
     this.#failures = 0;
     this.#position = read.next;
--- a/src/core/forwarding/store/topic_reader_test.ts
+++ b/src/core/forwarding/store/topic_reader_test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import { ok, type Result } from "neverthrow";
-import { settled } from "../../../../test/support/forwarding_bench.ts";
+import { flushPromises } from "../../../../test/support/forwarding_harness.ts";
 import { ManualTimerService } from "../../time/mod.ts";
 import {
+  encodePosition,
   type KeyedRecords,
-  positionOf,
   type StoreFailure,
   TopicReader,
 } from "../mod.ts";
@@ -39,7 +39,7 @@
       onRecords: (records) =>
         receivedKeys.push(...records.map(({ key }) => key)),
       onFailure() {},
-      onReached() {},
+      onReadSucceeded() {},
     });
     reader.start();
     await answer({ records: [], next: 10 });
@@ -49,31 +49,31 @@
 
   async function answer(read: KeyedRecords): Promise<void> {
     reads.shift()?.answer(read);
-    await settled();
+    await flushPromises();
   }
 
   const record = (key: string) => ({ key, value: Buffer.from("{}") });
 
   it("continues after a span that a peer has read", async () => {
-    expect(reader.peerRead({ from: 8, to: 14 })).to.equal("ahead");
+    expect(reader.applyPeerRead({ from: 8, to: 14 })).to.equal("ahead");
     await timer.advance(PAUSE_MILLISECONDS);
     expect(reads.map(({ from }) => from)).to.deep.equal([14]);
   });
 
   it("does not apply a span of another epoch", async () => {
-    const next = positionOf({ epoch: 2, offset: 10 });
+    const next = encodePosition({ epoch: 2, offset: 10 });
     await timer.advance(PAUSE_MILLISECONDS);
     await answer({ records: [], next });
-    expect(reader.peerRead({ from: 8, to: 14 })).to.equal("older");
-    expect(reader.peerRead({
-      from: positionOf({ epoch: 3, offset: 8 }),
-      to: positionOf({ epoch: 3, offset: 14 }),
+    expect(reader.applyPeerRead({ from: 8, to: 14 })).to.equal("older");
+    expect(reader.applyPeerRead({
+      from: encodePosition({ epoch: 3, offset: 8 }),
+      to: encodePosition({ epoch: 3, offset: 14 }),
     })).to.equal("apart");
   });
 
   it("restarts its pause, so that one entry reads for all", async () => {
     await timer.advance(PAUSE_MILLISECONDS - 1);
-    reader.peerRead({ from: 10, to: 14 });
+    reader.applyPeerRead({ from: 10, to: 14 });
     await timer.advance(PAUSE_MILLISECONDS - 1);
     expect(reads).to.deep.equal([]);
   });
@@ -82,7 +82,7 @@
   // store make 27 calls per second without a result.
   it("restarts its pause after an empty read of a peer", async () => {
     await timer.advance(PAUSE_MILLISECONDS - 1);
-    expect(reader.peerRead({ from: 10, to: 10 })).to.equal("same");
+    expect(reader.applyPeerRead({ from: 10, to: 10 })).to.equal("same");
     await timer.advance(PAUSE_MILLISECONDS - 1);
     expect(reads).to.deep.equal([]);
     await timer.advance(1);
@@ -91,14 +91,14 @@
 
   it("keeps a pending read when a peer reads nothing", async () => {
     await timer.advance(PAUSE_MILLISECONDS);
-    expect(reader.peerRead({ from: 10, to: 10 })).to.equal("same");
+    expect(reader.applyPeerRead({ from: 10, to: 10 })).to.equal("same");
     await answer({ records: [record("new")], next: 11 });
     expect(receivedKeys).to.deep.equal(["new"]);
   });
 
   it("ignores spans after a gap, and older ones", () => {
-    expect(reader.peerRead({ from: 11, to: 14 })).to.equal("apart");
-    expect(reader.peerRead({ from: 7, to: 9 })).to.equal("older");
+    expect(reader.applyPeerRead({ from: 11, to: 14 })).to.equal("apart");
+    expect(reader.applyPeerRead({ from: 7, to: 9 })).to.equal("older");
   });
 
   // A peer reports a span that extends beyond the result of a pending read. If
@@ -106,7 +106,7 @@
   // has left.
   it("ignores a result that is older than the span", async () => {
     await timer.advance(PAUSE_MILLISECONDS);
-    reader.peerRead({ from: 10, to: 14 });
+    reader.applyPeerRead({ from: 10, to: 14 });
     await answer({ records: [record("old")], next: 12 });
     expect(receivedKeys).to.deep.equal([]);
     await timer.advance(PAUSE_MILLISECONDS);
@@ -115,7 +115,7 @@
 
   it("does not read after stop, whatever peers report", async () => {
     reader.stop();
-    expect(reader.peerRead({ from: 10, to: 14 })).to.equal("apart");
+    expect(reader.applyPeerRead({ from: 10, to: 14 })).to.equal("apart");
     reader.readNow();
     await timer.advance(PAUSE_MILLISECONDS);
     expect(reads).to.deep.equal([]);
--- a/src/core/forwarding/usage/fleet_clock.ts
+++ b/src/core/forwarding/usage/fleet_clock.ts
@@ -27,7 +27,7 @@
   }
 
   /** Records the current wall clock of a peer, Unix milliseconds. */
-  peerSaid(peer: ProcessId, wallClock: number): void {
+  recordPeerClock(peer: ProcessId, wallClock: number): void {
     const at = this.#timer.now();
     this.#samples.set(peer, { offset: wallClock - at, at });
   }
--- a/src/core/forwarding/usage/fleet_clock_test.ts
+++ b/src/core/forwarding/usage/fleet_clock_test.ts
@@ -14,7 +14,10 @@
 
   function recordPeerClocks(offsets: readonly number[]): void {
     offsets.forEach((offset, index) =>
-      clock.peerSaid(identifier(`entry-${index}`), timer.wallClock() + offset)
+      clock.recordPeerClock(
+        identifier(`entry-${index}`),
+        timer.wallClock() + offset,
+      )
     );
   }
 
--- a/src/core/forwarding/usage/usage_ledger.ts
+++ b/src/core/forwarding/usage/usage_ledger.ts
@@ -58,7 +58,7 @@
   /**
    * Counts a request of the workspace that started at `at`, Unix milliseconds.
    */
-  began(workspace: WorkspaceId, at: number): void {
+  recordStart(workspace: WorkspaceId, at: number): void {
     const { self, since, windowMilliseconds } = this.#options;
     const window = numbered<UsageWindow>(Math.floor(at / windowMilliseconds));
     const counts = countsOf(this.#run(self, since), window);
@@ -74,7 +74,7 @@
    * This run's counts to send: those that have changed, or with `all` every
    * window.
    */
-  takeOwn({ all }: { readonly all: boolean }): WindowCounts[] {
+  takeOwnCounts({ all }: { readonly all: boolean }): WindowCounts[] {
     const { self, since } = this.#options;
     const { windows } = this.#run(self, since);
     const wanted = all ? [...windows.keys()] : [...this.#unsent];
@@ -83,7 +83,7 @@
   }
 
   /** Merges the counts of a peer's run, which are complete up to `until`. */
-  peerCounted(
+  mergePeerCounts(
     run: EntryRunName,
     counted: {
       readonly since: number;
@@ -141,7 +141,7 @@
    * Discards all earlier windows, and other runs that have ended and have no
    * later window.
    */
-  forgetBefore(oldest: UsageWindow): void {
+  discardBefore(oldest: UsageWindow): void {
     const oldestTime = oldest * this.#options.windowMilliseconds;
     for (const [run, { until, windows }] of this.#runs) {
       for (const window of windows.keys()) {
--- a/src/core/forwarding/usage/usage_ledger_test.ts
+++ b/src/core/forwarding/usage/usage_ledger_test.ts
@@ -21,33 +21,38 @@
 describe("UsageLedger", () => {
   it("counts requests in the window in which they started", () => {
     const ledger = makeLedger();
-    ledger.began(ONE, 9_999);
-    ledger.began(ONE, 10_000);
-    ledger.began(TWO, 10_001);
+    ledger.recordStart(ONE, 9_999);
+    ledger.recordStart(ONE, 10_000);
+    ledger.recordStart(TWO, 10_001);
     expect([...ledger.totals(windowAt(1))]).to.deep.equal([[ONE, 1]]);
     expect([...ledger.totals(windowAt(2))]).to.deep.equal([[ONE, 1], [TWO, 1]]);
   });
 
   it("adds each peer's run once, in whatever order its counts arrive", () => {
     const ledger = makeLedger();
-    ledger.began(ONE, 1);
+    ledger.recordStart(ONE, 1);
     const sent = (count: number) => ({
       since: 0,
       until: count,
       usage: [[0, [["one", count]]]] as const,
     });
-    for (const count of [4, 2, 4, 7, 5]) ledger.peerCounted("b#1", sent(count));
-    ledger.peerCounted("b#2", sent(3));
+    for (const count of [4, 2, 4, 7, 5]) {
+      ledger.mergePeerCounts("b#1", sent(count));
+    }
+    ledger.mergePeerCounts("b#2", sent(3));
     expect(ledger.totals(windowAt(0)).get(ONE)).to.equal(1 + 7 + 3);
   });
 
   it("returns the changed counts, or all counts on request", () => {
     const ledger = makeLedger();
-    ledger.began(ONE, 1);
-    expect(ledger.takeOwn({ all: false })).to.deep.equal([[0, [["one", 1]]]]);
-    expect(ledger.takeOwn({ all: false })).to.deep.equal([]);
-    ledger.began(TWO, 5_001);
-    expect(ledger.takeOwn({ all: true })).to.deep.equal([
+    ledger.recordStart(ONE, 1);
+    expect(ledger.takeOwnCounts({ all: false })).to.deep.equal([[0, [[
+      "one",
+      1,
+    ]]]]);
+    expect(ledger.takeOwnCounts({ all: false })).to.deep.equal([]);
+    ledger.recordStart(TWO, 5_001);
+    expect(ledger.takeOwnCounts({ all: true })).to.deep.equal([
       [0, [["one", 1]]],
       [1, [["two", 1]]],
     ]);
@@ -57,7 +62,7 @@
     const ledger = makeLedger(12_000);
     expect(ledger.covers(windowAt(2))).to.equal(false);
     expect(ledger.covers(windowAt(3))).to.equal(true);
-    ledger.peerCounted("b#1", { since: 9_000, until: 12_000, usage: [] });
+    ledger.mergePeerCounts("b#1", { since: 9_000, until: 12_000, usage: [] });
     expect(ledger.covers(windowAt(2))).to.equal(true);
   });
 });
@@ -81,13 +86,13 @@
 
   it("keeps the counts of a window that an earlier holder has fixed", () => {
     const ledger = makeLedger();
-    ledger.began(ONE, 15_001);
+    ledger.recordStart(ONE, 15_001);
     expect(next(ledger, [3])).to.deep.equal([fixed[1]]);
   });
 
   it("adds only windows after the newest fixed one", () => {
     const ledger = makeLedger();
-    ledger.began(TWO, 20_001);
+    ledger.recordStart(TWO, 20_001);
     const added = {
       window: windowAt(4),
       counts: new Map([[TWO, 1]]),
--- a/src/core/forwarding/usage/usage_reports.ts
+++ b/src/core/forwarding/usage/usage_reports.ts
@@ -1,5 +1,5 @@
 import type { UsageWindow } from "../../identity/mod.ts";
-import type { StandingClaim } from "../claims/exclusive_claim.ts";
+import type { CurrentClaim } from "../claims/exclusive_claim.ts";
 import type { UsageLedger, WorkspaceCounts } from "./usage_ledger.ts";
 
 /**
@@ -13,7 +13,7 @@
 }
 
 /** A claim on reporting usage, and the reports that it fixes. */
-export interface UsageClaim extends StandingClaim {
+export interface UsageClaim extends CurrentClaim {
   readonly reports: readonly UsageReport[];
 }
 
--- a/src/core/handover/mod.ts
+++ b/src/core/handover/mod.ts
@@ -18,7 +18,7 @@
  * takes longer than that. The threshold is where the prefill time saved equals
  * the time for transfer and calls.
  */
-export function fewestTokensToHandOver(
+export function minTransferTokens(
   engine: EngineCharacteristics | undefined,
 ): number | undefined {
   if (engine === undefined || !engine.exportsKeyValueCache) return undefined;
