--- a/src/core/identity/mod.ts
+++ b/src/core/identity/mod.ts
@@ -17,7 +17,7 @@
  * restart under the same id; the id and this time together identify one run of
  * it.
  */
-export type ReplicaStart = Branded<number, "ReplicaStart">;
+export type ReplicaStartTime = Branded<number, "ReplicaStart">;
 /** A process of the system, entry or side, as named in its settings. */
 export type ProcessId = Branded<string, "ProcessId">;
 /** One run of a process; a restarted process has a new one. */
--- a/src/core/journal/appender.ts
+++ b/src/core/journal/appender.ts
@@ -5,10 +5,10 @@
 import type { Incarnation, LogOffset, ProcessId } from "../identity/mod.ts";
 import { type Random, withJitter } from "../random/mod.ts";
 import {
-  beforeDeadline,
-  pause,
+  sleep,
   type Subscription,
   type TimerService,
+  withTimeout,
 } from "../time/mod.ts";
 import {
   APPEND_NOT_MADE,
@@ -164,7 +164,7 @@
 
   async #run(): Promise<void> {
     this.#running = true;
-    await pause(this.#options.timer, this.#options.delayMilliseconds);
+    await sleep(this.#options.timer, this.#options.delayMilliseconds);
     while (this.#queue.length > 0 && !this.#stopped) {
       const batch = this.#queue.splice(0, MAX_RECORDS_PER_APPEND);
       for (const pending of batch) {
@@ -207,7 +207,7 @@
     const before = unconfirmed.map((pending) => pending.mayBeAppended);
     for (const pending of unconfirmed) pending.mayBeAppended = true;
     this.calls += 1;
-    const answer = await beforeDeadline(
+    const answer = await withTimeout(
       this.#options.log.append(
         this.#options.stream,
         unconfirmed.map((pending) => pending.record),
--- a/src/core/journal/journal.ts
+++ b/src/core/journal/journal.ts
@@ -8,7 +8,7 @@
 } from "../identity/mod.ts";
 import type { StreamSnapshot } from "../links/mod.ts";
 import type { Random } from "../random/mod.ts";
-import { beforeDeadline, type TimerService } from "../time/mod.ts";
+import { type TimerService, withTimeout } from "../time/mod.ts";
 import { Appender } from "./appender.ts";
 import { CheckpointWriter } from "./checkpoint_writer.ts";
 import type { JournalFailure } from "./errors.ts";
@@ -169,7 +169,7 @@
   /** Reads the log to check that this process has read all of it. */
   async isFresh(): Promise<boolean> {
     const { log, stream, timer } = this.#options;
-    const answer = await beforeDeadline(
+    const answer = await withTimeout(
       log.read(stream, {
         from: numbered(this.position + 1),
         limit: 1,
--- a/src/core/journal/journal_test.ts
+++ b/src/core/journal/journal_test.ts
@@ -5,7 +5,7 @@
   type TestProcessOptions,
 } from "../../../test/support/coordination.ts";
 import { FakeLog } from "../../../test/support/fake_log.ts";
-import { ListFold } from "../../../test/support/list_fold.ts";
+import { ClaimHoldersFold } from "../../../test/support/claim_holders_fold.ts";
 import type { RecordBody } from "../../generated/log_records.ts";
 import type { LogOffset } from "../identity/mod.ts";
 import { ManualTimerService } from "../time/mod.ts";
@@ -57,7 +57,7 @@
     journal: TestProcessOptions["journal"] = {},
   ) {
     const options = { log, timer, name, stream: ORDERS, journal };
-    const parts = makeJournal(new ListFold(), options);
+    const parts = makeJournal(new ClaimHoldersFold(), options);
     parts.journal.start();
     return parts;
   }
@@ -182,7 +182,11 @@
     // trusted it would return to a configuration that has been replaced.
     it("keeps its position when a replica answers with an older head", async () => {
       const one = start("one");
-      log.put(ORDERS, [record("a", 0), record("b", 1), record("c", 2)]);
+      log.appendDirectly(ORDERS, [
+        record("a", 0),
+        record("b", 1),
+        record("c", 2),
+      ]);
       await timer.advance(1_000);
       one.faults.lagRecords = 2;
       await timer.advance(30_000);
@@ -194,7 +198,7 @@
     // open. Without a pause, the reader would query it in a tight loop.
     it("pauses between reads of a replica that is behind", async () => {
       const one = start("one");
-      log.put(ORDERS, [record("a", 0), record("b", 1)]);
+      log.appendDirectly(ORDERS, [record("a", 0), record("b", 1)]);
       await timer.advance(100);
       one.faults.lagRecords = 2;
       const before = log.readCalls;
@@ -206,7 +210,7 @@
     // continue after it.
     it("skips records that do not match the schema", async () => {
       const one = start("one");
-      log.put(ORDERS, ["garbage", record("a", 0), {
+      log.appendDirectly(ORDERS, ["garbage", record("a", 0), {
         ...record("b", 1) as object,
         body: { kind: "something newer" },
       }, record("c", 2)]);
@@ -222,7 +226,7 @@
     it("stores the sequence number of records with an unknown body", async () => {
       const one = start("one");
       const newer = { ...record("b", 5) as object, body: { kind: "newer" } };
-      log.put(ORDERS, [newer, record("late", 4)]);
+      log.appendDirectly(ORDERS, [newer, record("late", 4)]);
       await timer.advance(1_000);
       expect(one.fold.taken).to.deep.equal([]);
     });
@@ -232,10 +236,10 @@
       const one = start("one", { onState: (state) => states.push(state) });
       await timer.advance(100);
       one.faults.down = true;
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(5_000);
       one.faults.down = false;
-      log.put(ORDERS, [record("b", 1)]);
+      log.appendDirectly(ORDERS, [record("b", 1)]);
       await timer.advance(5_000);
       expect(states).to.deep.equal([false, true]);
       expect(one.fold.taken).to.deep.equal(["a", "b"]);
@@ -248,7 +252,7 @@
       await timer.advance(100);
       one.faults.silent = true;
       await timer.advance(15_000);
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       one.faults.silent = false;
       await timer.advance(20_000);
       expect(one.fold.taken).to.deep.equal(["a"]);
@@ -280,7 +284,7 @@
 
     it("does not skip records silently when there is no checkpoint", async () => {
       const one = start("one", { writesCheckpoints: false });
-      log.put(ORDERS, ["a", "b", "c", "d"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c", "d"].map(record));
       log.expire(ORDERS, 2);
       await timer.advance(20_000);
       expect(one.fold.taken).to.deep.equal([]);
@@ -293,9 +297,9 @@
     // claim.
     it("skips a checkpoint that leaves a gap", async () => {
       const one = start("one", { writesCheckpoints: false });
-      log.put(ORDERS, ["a", "b", "c", "d"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c", "d"].map(record));
       const state = { fold: { taken: ["a"] }, writers: [] };
-      log.put(ORDERS, [{
+      log.appendDirectly(ORDERS, [{
         writer: "x",
         incarnation: "x",
         sequence: 0,
@@ -311,7 +315,7 @@
     // has no checkpoint yet; its peers still have the state.
     it("restores a peer's state after a gap", async () => {
       const peer = start("peer", { writesCheckpoints: false });
-      log.put(ORDERS, ["a", "b", "c", "d"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c", "d"].map(record));
       await timer.advance(100);
       log.expire(ORDERS, 3);
       const late = start("late", {
@@ -327,7 +331,7 @@
     // retry.
     it("finds the oldest record when a read of expired records fails", async () => {
       const peer = start("peer", { writesCheckpoints: false });
-      log.put(ORDERS, ["a", "b", "c", "d"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c", "d"].map(record));
       await timer.advance(100);
       log.expire(ORDERS, 3);
       let asked = 0;
@@ -352,7 +356,10 @@
         (_, index) => start(`entry-${index}`, { checkpointRecords: 10 }),
       );
       await timer.advance(100);
-      log.put(ORDERS, Array.from({ length: 10 }, (_, i) => record(`r${i}`, i)));
+      log.appendDirectly(
+        ORDERS,
+        Array.from({ length: 10 }, (_, i) => record(`r${i}`, i)),
+      );
       await timer.advance(20_000);
       const written = all.reduce(
         (sum, one) => sum + one.journal.counts.checkpointsWritten,
@@ -365,7 +372,7 @@
     // Without checkpoints by time, the last claim expires.
     it("writes checkpoints by time when records are few", async () => {
       const one = start("one", { checkpointMilliseconds: 60_000 });
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(200_000);
       expect(one.journal.counts.checkpointsWritten).to.be.within(2, 3);
     });
@@ -376,7 +383,7 @@
     // configuration and could serve no caller.
     it("restores a peer's state while the log is down", async () => {
       const peer = start("peer");
-      log.put(ORDERS, ["a", "b"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b"].map(record));
       await timer.advance(100);
       const options = {
         log,
@@ -385,14 +392,14 @@
         stream: ORDERS,
         journal: { peers: () => Promise.resolve(peer.journal.snapshot()) },
       };
-      const fresh = makeJournal(new ListFold(), options);
+      const fresh = makeJournal(new ClaimHoldersFold(), options);
       fresh.faults.down = true;
       fresh.journal.start();
       await timer.advance(3_000);
       expect(fresh.fold.taken).to.deep.equal(["a", "b"]);
       expect(fresh.journal.caughtUp).to.equal(false);
       fresh.faults.down = false;
-      log.put(ORDERS, [record("c", 2)]);
+      log.appendDirectly(ORDERS, [record("c", 2)]);
       await timer.advance(5_000);
       expect(fresh.fold.taken).to.deep.equal(["a", "b", "c"]);
     });
@@ -407,7 +414,7 @@
           return Promise.resolve(undefined);
         },
       });
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(1_000);
       one.faults.down = true;
       asked = 0;
@@ -424,11 +431,11 @@
         peers: () => Promise.resolve(peer.journal.snapshot()),
       });
       await timer.advance(1_000);
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(1_000);
       one.faults.down = true;
       await timer.advance(10_000);
-      log.put(ORDERS, [record("b", 1)]);
+      log.appendDirectly(ORDERS, [record("b", 1)]);
       await timer.advance(60_000);
       expect(one.fold.taken).to.deep.equal(["a", "b"]);
     });
@@ -443,7 +450,7 @@
       });
       await timer.advance(1_000);
       one.faults.lagRecords = 100;
-      log.put(ORDERS, [record("a", 0)]);
+      log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(10_000);
       expect(one.journal.caughtUp).to.equal(true);
       one.journal.noteHead(peer.journal.position + 1);
@@ -469,7 +476,7 @@
         peers: () =>
           Promise.resolve({ upTo: 0, state: { fold: { taken: ["a"] } } }),
       });
-      log.put(ORDERS, ["a", "b", "c"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c"].map(record));
       await timer.advance(1_000);
       one.faults.down = true;
       await timer.advance(30_000);
@@ -481,7 +488,7 @@
     // its peers it would follow an older configuration than before.
     it("starts from the highest state of log and peers", async () => {
       const peer = start("peer");
-      log.put(ORDERS, ["a", "b", "c"].map(record));
+      log.appendDirectly(ORDERS, ["a", "b", "c"].map(record));
       await timer.advance(100);
       const options = {
         log,
@@ -490,7 +497,7 @@
         stream: ORDERS,
         journal: { peers: () => Promise.resolve(peer.journal.snapshot()) },
       };
-      const fresh = makeJournal(new ListFold(), options);
+      const fresh = makeJournal(new ClaimHoldersFold(), options);
       fresh.faults.lagRecords = 2;
       fresh.journal.start();
       await timer.advance(1_000);
--- a/src/core/journal/peer_source.ts
+++ b/src/core/journal/peer_source.ts
@@ -1,5 +1,5 @@
 import type { StreamSnapshot } from "../links/mod.ts";
-import { beforeDeadline, type TimerService } from "../time/mod.ts";
+import { type TimerService, withTimeout } from "../time/mod.ts";
 
 export interface PeerSourceOptions {
   readonly timer: TimerService;
@@ -46,7 +46,7 @@
     if (peers === undefined) return;
     if (timer.now() - this.#lastQueryAt < QUERY_INTERVAL_MILLISECONDS) return;
     this.#lastQueryAt = timer.now();
-    const snapshot = await beforeDeadline(peers(), {
+    const snapshot = await withTimeout(peers(), {
       timer,
       milliseconds: ANSWER_TIMEOUT_MILLISECONDS,
     });
--- a/src/core/journal/schedules_test.ts
+++ b/src/core/journal/schedules_test.ts
@@ -6,7 +6,7 @@
   type TestJournal,
 } from "../../../test/support/coordination.ts";
 import { FakeLog, noFaults } from "../../../test/support/fake_log.ts";
-import { ListFold } from "../../../test/support/list_fold.ts";
+import { ClaimHoldersFold } from "../../../test/support/claim_holders_fold.ts";
 import type { StreamSnapshot } from "../links/mod.ts";
 import { ManualTimerService } from "../time/mod.ts";
 import type { JournalGuards } from "./mod.ts";
@@ -43,7 +43,7 @@
   readonly outcomes = new Map<string, string>();
   readonly runs: number[] = Array(PROCESSES).fill(0);
   readonly guards: Partial<JournalGuards>;
-  readonly parts: TestJournal<ListFold>[];
+  readonly parts: TestJournal<ClaimHoldersFold>[];
   #appended = 0;
 
   constructor(guards: Partial<JournalGuards>) {
@@ -54,8 +54,8 @@
     );
   }
 
-  start(index: number): TestJournal<ListFold> {
-    const parts = makeJournal(new ListFold(), {
+  start(index: number): TestJournal<ClaimHoldersFold> {
+    const parts = makeJournal(new ClaimHoldersFold(), {
       log: this.log,
       timer: this.timer,
       name: `process-${index}`,
@@ -92,7 +92,7 @@
     else if (kind === "burst") {
       for (let count = 0; count < 5; count += 1) this.append(process);
     } else if (kind === "lag") faults.lagRecords = 3;
-    else if (kind === "slow") faults.slowMilliseconds = 2_500;
+    else if (kind === "slow") faults.addedLatencyMilliseconds = 2_500;
     else if (kind === "down" || kind === "silent") faults[kind] = true;
     else if (kind === "heal") Object.assign(faults, noFaults());
     else if (kind === "expire") this.expire();
--- a/src/core/journal/stream_reader.ts
+++ b/src/core/journal/stream_reader.ts
@@ -1,7 +1,7 @@
 import type { LogOffset } from "../identity/mod.ts";
 import { numbered } from "../identity/mod.ts";
 import { type Random, withJitter } from "../random/mod.ts";
-import { beforeDeadline, pause, type TimerService } from "../time/mod.ts";
+import { sleep, type TimerService, withTimeout } from "../time/mod.ts";
 import type {
   LogItem,
   LogPage,
@@ -115,7 +115,7 @@
     // whole timeout.
     const skipsLongPoll = this.#highestHead < 0 || !this.#reachable;
     const waitMilliseconds = skipsLongPoll ? 0 : LONG_POLL_MILLISECONDS;
-    const answer = await beforeDeadline(
+    const answer = await withTimeout(
       this.#options.log.read(this.#options.stream, {
         from,
         limit: MAX_RECORDS_PER_PAGE,
@@ -185,7 +185,7 @@
   }
 
   #pause(milliseconds: number): Promise<void> {
-    return pause(
+    return sleep(
       this.#options.timer,
       withJitter(milliseconds, { random: this.#options.random, share: 0.5 }),
     );
--- a/src/core/limits/side_limiter.ts
+++ b/src/core/limits/endpoint_limiter.ts
@@ -7,7 +7,7 @@
 
 export type AcquireRefusal = Failure<"saturated" | "late">;
 
-export interface SideLimiterOptions {
+export interface EndpointLimiterOptions {
   readonly timer: TimerService;
   readonly mostRunning: number;
   readonly mostWaiting: number;
@@ -16,7 +16,7 @@
    * process prompts sequentially, and a waiting prompt occupies no place in the
    * batch; without extra prompts, the batch is not full while one is processed.
    */
-  readonly mostBeforeFirstToken?: number;
+  readonly maxBeforeFirstToken?: number;
   /**
    * Target interval between tokens; if absent, it follows from the best one
    * observed.
@@ -77,10 +77,10 @@
  * admitted up to an adaptive limit, the most urgent first; a bounded number
  * waits, and the rest is refused as not run.
  */
-export class SideLimiter {
+export class EndpointLimiter {
   readonly #timer: TimerService;
   readonly #mostWaiting: number;
-  readonly #mostBeforeFirstToken: number;
+  readonly #maxBeforeFirstToken: number;
   readonly #limit: AdaptiveLimit;
   readonly #active = new Set<ActiveAttempt>();
   /** Sorted, most urgent first; the length is bounded by `mostWaiting`. */
@@ -92,10 +92,10 @@
   #paused = 0;
   #nextOrder = 0;
 
-  constructor(options: SideLimiterOptions) {
+  constructor(options: EndpointLimiterOptions) {
     this.#timer = options.timer;
     this.#mostWaiting = options.mostWaiting;
-    this.#mostBeforeFirstToken = options.mostBeforeFirstToken ?? 0;
+    this.#maxBeforeFirstToken = options.maxBeforeFirstToken ?? 0;
     this.#limit = new AdaptiveLimit({
       mostRunning: options.mostRunning,
       targetMilliseconds: options.targetMillisecondsBetweenTokens,
@@ -107,7 +107,7 @@
    * Requests a slot. The result resolves immediately if there is capacity or if
    * the attempt is refused, else when a slot is free or the deadline passes.
    */
-  enter(options: AcquireOptions): Promise<Result<Slot, AcquireRefusal>> {
+  acquire(options: AcquireOptions): Promise<Result<Slot, AcquireRefusal>> {
     if (options.deadlineMilliseconds <= 0) {
       return Promise.resolve(
         err(failure(DeadlineExceededError, { waitedMilliseconds: 0 })),
@@ -123,7 +123,7 @@
   }
 
   /** Sets a new upper bound, such as the slots of the engine's new role. */
-  useCeiling(mostRunning: number): void {
+  setCeiling(mostRunning: number): void {
     this.#limit.setCeiling(mostRunning);
     this.#admitWaiting();
   }
@@ -131,7 +131,7 @@
   /**
    * Records one interval between tokens that is not reported through a slot.
    */
-  observeBetweenTokens(milliseconds: number): void {
+  observeTokenInterval(milliseconds: number): void {
     this.#limit.observe(milliseconds);
     this.#limit.adjust(this.#timer.now(), this.#running);
   }
@@ -141,7 +141,7 @@
    * while a more urgent one waits. The caller pauses it at the endpoint and
    * then calls `pause` of the slot.
    */
-  toPause(): Slot | undefined {
+  nextToPause(): Slot | undefined {
     const first = this.#waiting[0];
     if (first === undefined) return undefined;
     let chosen: ActiveAttempt | undefined;
@@ -159,7 +159,7 @@
    * Paused attempt that may be resumed: there is capacity, and no more urgent
    * attempt waits.
    */
-  toResume(): Slot | undefined {
+  nextToResume(): Slot | undefined {
     if (!this.#hasCapacity) return undefined;
     const chosen = this.#mostUrgentPaused();
     if (chosen === undefined) return undefined;
@@ -179,7 +179,7 @@
     return {
       running: this.#active.size,
       waiting: this.#waiting.length,
-      limit: this.#limit.limit + this.#mostBeforeFirstToken,
+      limit: this.#limit.limit + this.#maxBeforeFirstToken,
       millisecondsBetweenTokens: this.#limit.millisecondsBetweenTokens,
       prefillBacklogTokens: backlog,
     };
@@ -209,7 +209,7 @@
   #recordToken(attempt: ActiveAttempt): void {
     const now = this.#timer.now();
     if (attempt.lastTokenAt !== undefined) {
-      this.observeBetweenTokens(now - attempt.lastTokenAt);
+      this.observeTokenInterval(now - attempt.lastTokenAt);
     }
     attempt.lastTokenAt = now;
     if (attempt.hasFirstToken || !this.#active.has(attempt)) return;
@@ -243,7 +243,7 @@
   }
 
   get #hasCapacity(): boolean {
-    const extra = Math.min(this.#beforeFirstToken, this.#mostBeforeFirstToken);
+    const extra = Math.min(this.#beforeFirstToken, this.#maxBeforeFirstToken);
     return this.#running - extra < this.#limit.limit;
   }
 
--- a/src/core/limits/side_limiter_test.ts
+++ b/src/core/limits/endpoint_limiter_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { describe, it } from "mocha";
 import { ManualTimerService } from "../time/mod.ts";
-import { type AcquireOptions, AdaptiveLimit, SideLimiter } from "./mod.ts";
+import { type AcquireOptions, AdaptiveLimit, EndpointLimiter } from "./mod.ts";
 
 const BULK: AcquireOptions = {
   priority: 9,
@@ -19,23 +19,23 @@
   const timer = new ManualTimerService();
   return {
     timer,
-    limiter: new SideLimiter({ timer, mostRunning, mostWaiting }),
+    limiter: new EndpointLimiter({ timer, mostRunning, mostWaiting }),
   };
 }
 
 describe("SideLimiter", () => {
   it("refuses attempts beyond the limit and the wait queue", async () => {
     const { limiter } = makeLimiter(1, 1);
-    await limiter.enter(BULK);
-    void limiter.enter(BULK);
-    const third = await limiter.enter(BULK);
+    await limiter.acquire(BULK);
+    void limiter.acquire(BULK);
+    const third = await limiter.acquire(BULK);
     expect(third._unsafeUnwrapErr().name).to.equal("saturated");
   });
 
   it("refuses a waiting attempt at its deadline", async () => {
     const { limiter, timer } = makeLimiter(1);
-    await limiter.enter(BULK);
-    const waiting = limiter.enter(URGENT);
+    await limiter.acquire(BULK);
+    const waiting = limiter.acquire(URGENT);
     await timer.advance(5_000);
     expect((await waiting)._unsafeUnwrapErr().name).to.equal("late");
     expect(limiter.load().waiting).to.equal(0);
@@ -43,9 +43,9 @@
 
   it("evicts waiting bulk work for urgent work", async () => {
     const { limiter } = makeLimiter(1, 1);
-    const running = (await limiter.enter(BULK))._unsafeUnwrap();
-    const bulk = limiter.enter(BULK);
-    const urgent = limiter.enter(URGENT);
+    const running = (await limiter.acquire(BULK))._unsafeUnwrap();
+    const bulk = limiter.acquire(BULK);
+    const urgent = limiter.acquire(URGENT);
     expect((await bulk)._unsafeUnwrapErr().name).to.equal("saturated");
     running.release();
     expect((await urgent).isOk()).to.equal(true);
@@ -57,25 +57,25 @@
   // rest.
   it("pauses bulk for urgent work and resumes it before new bulk", async () => {
     const { limiter } = makeLimiter(1, 4);
-    const bulk = (await limiter.enter({ ...BULK, attemptId: "first" }))
+    const bulk = (await limiter.acquire({ ...BULK, attemptId: "first" }))
       ._unsafeUnwrap();
-    const urgent = limiter.enter(URGENT);
-    expect(limiter.toPause()).to.equal(bulk);
+    const urgent = limiter.acquire(URGENT);
+    expect(limiter.nextToPause()).to.equal(bulk);
     bulk.pause();
     const alert = (await urgent)._unsafeUnwrap();
     let newBulkRuns = false;
-    void limiter.enter(BULK).then(() => newBulkRuns = true);
+    void limiter.acquire(BULK).then(() => newBulkRuns = true);
     alert.release();
     await Promise.resolve();
     expect(newBulkRuns).to.equal(false);
-    expect(limiter.toResume()).to.equal(bulk);
+    expect(limiter.nextToResume()).to.equal(bulk);
     bulk.resume();
-    expect(limiter.toResume()).to.equal(undefined);
+    expect(limiter.nextToResume()).to.equal(undefined);
   });
 
   it("counts a released slot once", async () => {
     const { limiter } = makeLimiter(2);
-    const slot = (await limiter.enter(BULK))._unsafeUnwrap();
+    const slot = (await limiter.acquire(BULK))._unsafeUnwrap();
     slot.release();
     slot.release();
     expect(limiter.load().running).to.equal(0);
--- a/src/core/limits/mod.ts
+++ b/src/core/limits/mod.ts
@@ -1,10 +1,10 @@
 /** Concurrency limits of an endpoint, enforced next to it. */
-export { SideLimiter } from "./side_limiter.ts";
+export { EndpointLimiter } from "./endpoint_limiter.ts";
 export type {
   AcquireOptions,
   AcquireRefusal,
-  SideLimiterOptions,
+  EndpointLimiterOptions,
   Slot,
-} from "./side_limiter.ts";
+} from "./endpoint_limiter.ts";
 export { AdaptiveLimit } from "./adaptive_limit.ts";
 export type { AdaptiveLimitOptions } from "./adaptive_limit.ts";
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -2,9 +2,9 @@
 import type { ListedVm, VmList } from "../links/mod.ts";
 import { type Random, withJitter } from "../random/mod.ts";
 import {
-  beforeDeadline,
   type Subscription,
   type TimerService,
+  withTimeout,
 } from "../time/mod.ts";
 
 /** Checks that a test can disable; production code leaves all enabled. */
@@ -119,7 +119,7 @@
    * Applies a side's direct report; returns false if it is from an older
    * incarnation.
    */
-  sideReported(report: SideReport): boolean {
+  recordSideReport(report: SideReport): boolean {
     const { side, incarnation, state } = report;
     return this.#recordReport(side, {
       incarnation,
@@ -163,7 +163,7 @@
 
   /** Reads the VM list once; a failed read changes nothing. */
   async refresh(): Promise<void> {
-    const answer = await beforeDeadline(this.#options.vmList.read(), {
+    const answer = await withTimeout(this.#options.vmList.read(), {
       timer: this.#options.timer,
       milliseconds: READ_TIMEOUT_MILLISECONDS,
     });
--- a/src/core/membership/membership_test.ts
+++ b/src/core/membership/membership_test.ts
@@ -6,7 +6,7 @@
 import type { ListedVm, VmList } from "../links/mod.ts";
 import { seededRandom } from "../random/mod.ts";
 import { ManualTimerService } from "../time/mod.ts";
-import { attachments, Membership, rendezvousSubset } from "./mod.ts";
+import { Membership, rendezvousSubset, selectAttachedEntries } from "./mod.ts";
 
 const UNAVAILABLE = defineError<Record<never, never>>()({
   name: "vm_list_unavailable",
@@ -103,7 +103,7 @@
   it("keeps a member that reports although the list lacks it", async () => {
     listed = [vm("b")];
     for (let second = 0; second < 60; second += 1) {
-      membership.sideReported(report("a", "run-1"));
+      membership.recordSideReport(report("a", "run-1"));
       await timer.advance(1_000);
     }
     expect(membership.isUsable("a")).to.equal(true);
@@ -112,7 +112,7 @@
   // A side reports that it is leaving, and the lagging list still shows it
   // as active. Work sent there would be refused repeatedly.
   it("uses a side's leaving report before the list shows it", async () => {
-    membership.sideReported(report("a", "run-1", "leaving"));
+    membership.recordSideReport(report("a", "run-1", "leaving"));
     await timer.advance(READ_MILLISECONDS * 3);
     expect(membership.isUsable("a")).to.equal(false);
   });
@@ -137,10 +137,10 @@
   // A side restarts. A delayed report of its earlier incarnation says that
   // it is leaving, which would take the new incarnation out of service.
   it("ignores a report of an older incarnation", () => {
-    membership.sideReported(report("a", "run-1"));
-    membership.sideReported(report("a", "run-2"));
+    membership.recordSideReport(report("a", "run-1"));
+    membership.recordSideReport(report("a", "run-2"));
     const late = report("a", "run-1", "leaving");
-    expect(membership.sideReported(late)).to.equal(false);
+    expect(membership.recordSideReport(late)).to.equal(false);
     expect(membership.isUsable("a")).to.equal(true);
   });
 
@@ -153,30 +153,30 @@
       suspectMilliseconds: 3_000,
       guards: { checksIncarnation: false },
     });
-    unchecked.sideReported(report("a", "run-2"));
-    unchecked.sideReported(report("a", "run-1", "leaving"));
+    unchecked.recordSideReport(report("a", "run-2"));
+    unchecked.recordSideReport(report("a", "run-1", "leaving"));
     expect(unchecked.isUsable("a")).to.equal(false);
   });
 
   // The same, at an entry that has no report of the earlier incarnation.
   it("does not treat an older incarnation as a new one", () => {
-    membership.sideReported(report("a", "run-2"));
+    membership.recordSideReport(report("a", "run-2"));
     const late = report("a", "run-1", "leaving");
-    expect(membership.sideReported(late)).to.equal(false);
+    expect(membership.recordSideReport(late)).to.equal(false);
   });
 
   // A VM's clock was set back before its side restarted, so the new
   // incarnation sorts below the old one. Rejected permanently, the side
   // would never get work again.
   it("accepts a lower incarnation once the other stops reporting", async () => {
-    membership.sideReported(report("a", "run-2"));
+    membership.recordSideReport(report("a", "run-2"));
     await timer.advance(4_000);
-    expect(membership.sideReported(report("a", "run-1"))).to.equal(true);
+    expect(membership.recordSideReport(report("a", "run-1"))).to.equal(true);
   });
 
   it("does not carry the leaving state over to a new incarnation", () => {
-    membership.sideReported(report("a", "run-1", "leaving"));
-    membership.sideReported(report("a", "run-2"));
+    membership.recordSideReport(report("a", "run-1", "leaving"));
+    membership.recordSideReport(report("a", "run-2"));
     expect(membership.isUsable("a")).to.equal(true);
   });
 
@@ -259,7 +259,7 @@
   });
 
   it("attaches a side to two entries of its zone", () => {
-    const picked = attachments(members, {
+    const picked = selectAttachedEntries(members, {
       side: "side-1",
       availabilityZone: "klang-port",
     });
--- a/src/core/membership/mod.ts
+++ b/src/core/membership/mod.ts
@@ -7,13 +7,13 @@
   MembershipOptions,
 } from "./membership.ts";
 export {
-  attachments,
   rendezvousFirst,
   rendezvousOrder,
   rendezvousSubset,
+  selectAttachedEntries,
 } from "./rendezvous.ts";
 export type {
   AttachmentOptions,
   RendezvousMember,
-  SubsetOptions,
+  RendezvousSubsetOptions,
 } from "./rendezvous.ts";
--- a/src/core/membership/rendezvous.ts
+++ b/src/core/membership/rendezvous.ts
@@ -12,7 +12,7 @@
   readonly availabilityZone: string;
 }
 
-export interface SubsetOptions {
+export interface RendezvousSubsetOptions {
   /** Name of the process that picks; each picker gets its own subset. */
   readonly picker: string;
   readonly availabilityZone: string;
@@ -34,7 +34,7 @@
  */
 export function rendezvousSubset<Member extends RendezvousMember>(
   members: readonly Member[],
-  options: SubsetOptions,
+  options: RendezvousSubsetOptions,
 ): readonly Member[] {
   const ranked = rendezvousOrder(members, options.picker);
   const own = ranked.filter((member) => isOwnZone(member, options));
@@ -59,7 +59,7 @@
  * if the zone has too few. With a single entry, a pause of that entry would
  * block its sides.
  */
-export function attachments<Member extends RendezvousMember>(
+export function selectAttachedEntries<Member extends RendezvousMember>(
   entries: readonly Member[],
   options: AttachmentOptions,
 ): readonly Member[] {
@@ -70,7 +70,10 @@
   });
 }
 
-function isOwnZone(member: RendezvousMember, options: SubsetOptions): boolean {
+function isOwnZone(
+  member: RendezvousMember,
+  options: RendezvousSubsetOptions,
+): boolean {
   return member.availabilityZone === options.availabilityZone;
 }
 
--- a/src/core/observation/emit_event.ts
+++ b/src/core/observation/emit_event.ts
@@ -5,22 +5,22 @@
 export type EventFields = Readonly<Record<string, string | number | boolean>>;
 
 /** Emits an event of one process. */
-export type Tell = (kind: HistoryEventKind, facts: EventFields) => void;
+export type EmitEvent = (kind: HistoryEventKind, facts: EventFields) => void;
 
 export interface EmitEventOptions {
   readonly observe: Observe | undefined;
   readonly timer: TimerService;
   readonly process: string;
   /** Fields added to every event of the process, such as its incarnation. */
-  readonly always: EventFields;
+  readonly commonFields: EventFields;
 }
 
 /**
  * Creates the function with which a process emits its events; a no-op without
  * an observer.
  */
-export function makeTell(options: EmitEventOptions): Tell {
-  const { observe, timer, process, always } = options;
+export function createEmitEvent(options: EmitEventOptions): EmitEvent {
+  const { observe, timer, process, commonFields: always } = options;
   if (observe === undefined) return () => {};
   return (kind, facts) =>
     observe({ at: timer.now(), process, kind, facts: { ...facts, ...always } });
--- a/src/core/observation/logger.ts
+++ b/src/core/observation/logger.ts
@@ -1,22 +1,22 @@
 /** Fields of a log line; plain JSON values. */
-export type LogFacts = Readonly<Record<string, unknown>>;
+export type LogFields = Readonly<Record<string, unknown>>;
 
 /**
  * Structured log of one component; lines already carry the component's label.
  */
 export interface Logger {
   /** Details for debugging the program. */
-  debug(facts: LogFacts, message: string): void;
+  debug(facts: LogFields, message: string): void;
   /** A change of state that an operator expects to see. */
-  info(facts: LogFacts, message: string): void;
+  info(facts: LogFields, message: string): void;
   /** Something failed and the system continues without an operator. */
-  warn(facts: LogFacts, message: string): void;
+  warn(facts: LogFields, message: string): void;
   /** Something failed that an operator has to look at. */
-  error(facts: LogFacts, message: string): void;
+  error(facts: LogFields, message: string): void;
 }
 
 /** Discards everything; for tests and embedders that want no log. */
-export const SILENT_LOGGER: Logger = {
+export const NOOP_LOGGER: Logger = {
   debug() {},
   info() {},
   warn() {},
--- a/src/core/observation/mod.ts
+++ b/src/core/observation/mod.ts
@@ -106,15 +106,15 @@
 
 export type Observe = (event: HistoryEvent) => void;
 
-export type { LogFacts, Logger } from "./logger.ts";
-export { SILENT_LOGGER } from "./logger.ts";
+export type { LogFields, Logger } from "./logger.ts";
+export { NOOP_LOGGER } from "./logger.ts";
 export type {
   Span,
-  SpanFacts,
+  SpanAttributes,
   SpanName,
   SpanOptions,
   Tracer,
 } from "./tracer.ts";
-export { NO_TRACER } from "./tracer.ts";
-export type { EmitEventOptions, EventFields, Tell } from "./emit_event.ts";
-export { makeTell } from "./emit_event.ts";
+export { NOOP_TRACER } from "./tracer.ts";
+export type { EmitEvent, EmitEventOptions, EventFields } from "./emit_event.ts";
+export { createEmitEvent } from "./emit_event.ts";
--- a/src/core/observation/tracer.ts
+++ b/src/core/observation/tracer.ts
@@ -8,7 +8,9 @@
   | "endpoint.call";
 
 /** Attributes of a span; plain values. */
-export type SpanFacts = Readonly<Record<string, string | number | boolean>>;
+export type SpanAttributes = Readonly<
+  Record<string, string | number | boolean>
+>;
 
 /** A hop in progress. */
 export interface Span {
@@ -17,7 +19,7 @@
    * hop then passes on the value that it received itself.
    */
   readonly traceparent: string | undefined;
-  add(facts: SpanFacts): void;
+  add(facts: SpanAttributes): void;
   /** Marks the hop as failed; it still has to end. */
   fail(reason: string): void;
   end(): void;
@@ -26,7 +28,7 @@
 export interface SpanOptions {
   /** Parent in W3C form; without it the span starts a trace. */
   readonly traceparent?: string;
-  readonly facts?: SpanFacts;
+  readonly facts?: SpanAttributes;
 }
 
 /** Creates spans; keeps the core independent of a tracing library. */
@@ -42,4 +44,4 @@
 };
 
 /** Records nothing; used while tracing is off. */
-export const NO_TRACER: Tracer = { start: () => NOOP_SPAN };
+export const NOOP_TRACER: Tracer = { start: () => NOOP_SPAN };
--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -11,7 +11,7 @@
   LogOffset,
 } from "../identity/mod.ts";
 import type { JournalFailure } from "../journal/mod.ts";
-import type { OnceFold, OnceOwner } from "./fold.ts";
+import type { KeyOwner, OnceFold } from "./fold.ts";
 import { timeOfKey } from "./key.ts";
 import {
   type AcquireResult,
@@ -35,7 +35,7 @@
 /**
  * The endpoint that a request would run on, and the incarnation of its side.
  */
-export interface OnceChoice {
+export interface ExecutionTarget {
   readonly endpoint: EndpointId;
   readonly sideIncarnation: Incarnation;
 }
@@ -46,7 +46,7 @@
   readonly fingerprint: string;
   /** Permit that the request has already sent and whose outcome is unknown. */
   readonly lostPermit?: OncePermit;
-  choice?: OnceChoice;
+  choice?: ExecutionTarget;
   /** Offset of this request's newest record on the log. */
   ownRecord?: LogOffset;
   /** `replaces` of the newest append; undefined before the first. */
@@ -57,7 +57,7 @@
   /** Record that its side has barred, so that it never runs. */
   barredRecord?: LogOffset;
   /** Record that its side had not seen, and since when (timer time). */
-  notSeen?: { readonly record: LogOffset; readonly since: number };
+  unseenRecord?: { readonly record: LogOffset; readonly since: number };
 }
 
 /** The next step of an acquisition. */
@@ -67,7 +67,7 @@
   | { readonly kind: "append"; readonly body: OnceRecord }
   | {
     readonly kind: "ask";
-    readonly owner: OnceOwner;
+    readonly owner: KeyOwner;
     readonly question: OnceQuestion;
   }
   /** Wait for further records on the log. */
@@ -145,10 +145,10 @@
  */
 function shouldBar(
   acquisition: Acquisition,
-  view: { readonly owner: OnceOwner; readonly now: number },
+  view: { readonly owner: KeyOwner; readonly now: number },
 ): boolean {
   if (acquisition.lostPermit?.record === view.owner.record) return true;
-  const { notSeen } = acquisition;
+  const { unseenRecord: notSeen } = acquisition;
   if (notSeen?.record !== view.owner.record) return false;
   return view.now - notSeen.since >= BAR_GRACE_MILLISECONDS;
 }
@@ -157,7 +157,10 @@
  * Records that an append has started; the record may appear on the log at any
  * time from now on.
  */
-export function noteAppend(acquisition: Acquisition, body: OnceRecord): void {
+export function recordAppendStart(
+  acquisition: Acquisition,
+  body: OnceRecord,
+): void {
   acquisition.appended = body.replaces;
   acquisition.inDoubt = true;
 }
@@ -170,7 +173,7 @@
  * later names a permit that was never sent, and any reader of that record bars
  * it first.
  */
-export function takeAppended(
+export function recordAppendOutcome(
   acquisition: Acquisition,
   outcome: { offset: LogOffset } | { failure: JournalFailure["name"] },
 ): "log_down" | undefined {
@@ -187,7 +190,7 @@
  * Result after a failed append. Another request may own the key by now; its
  * record decides then, and an answer that its side stores needs no log.
  */
-export function whenLogDown(
+export function resultAfterFailedAppend(
   acquisition: Acquisition,
   fold: OnceFold,
 ): AcquireResult | undefined {
@@ -203,7 +206,7 @@
  * "now" to decide again at once, or "later" to query the side again after a
  * delay.
  */
-export function takeAnswer(
+export function handleSideAnswer(
   acquisition: Acquisition,
   response: {
     readonly record: LogOffset;
@@ -219,8 +222,11 @@
       acquisition.mayHaveRun = false;
       return "now";
     case "not_seen":
-      if (acquisition.notSeen?.record !== response.record) {
-        acquisition.notSeen = { record: response.record, since: response.now };
+      if (acquisition.unseenRecord?.record !== response.record) {
+        acquisition.unseenRecord = {
+          record: response.record,
+          since: response.now,
+        };
       }
       return "later";
     case "running":
@@ -240,7 +246,7 @@
  * while the outcome of an append is unknown: any later reader of that record
  * has to bar it first.
  */
-export function giveUp(
+export function resultAtDeadline(
   acquisition: Acquisition,
   fold: OnceFold,
 ): AcquireResult {
--- a/src/core/once/coordinator.ts
+++ b/src/core/once/coordinator.ts
@@ -15,12 +15,12 @@
   beginAcquisition,
   decide,
   type Decision,
-  giveUp,
-  noteAppend,
-  type OnceChoice,
-  takeAnswer,
-  takeAppended,
-  whenLogDown,
+  type ExecutionTarget,
+  handleSideAnswer,
+  recordAppendOutcome,
+  recordAppendStart,
+  resultAfterFailedAppend,
+  resultAtDeadline,
 } from "./acquisition.ts";
 import type { OnceFold } from "./fold.ts";
 import { scopedKey, timeOfKey } from "./key.ts";
@@ -32,7 +32,7 @@
 } from "./results.ts";
 import { DeadlineWaiter } from "./deadline_waiter.ts";
 
-export interface AcquireOptions {
+export interface AcquireKeyOptions {
   /**
    * The caller's `Idempotency-Key` as received; undefined gives `key_needed`.
    */
@@ -43,7 +43,7 @@
   /**
    * Picks where to run; called at most once, and only if a record is needed.
    */
-  readonly choose: () => Promise<Result<OnceChoice, Refusal>>;
+  readonly choose: () => Promise<Result<ExecutionTarget, Refusal>>;
   /** Timer time at which the request stops waiting, milliseconds. */
   readonly deadline?: number;
   /**
@@ -94,7 +94,7 @@
 /** One call of `acquire` in progress. */
 interface AcquireCall {
   readonly acquisition: Acquisition;
-  readonly choose: AcquireOptions["choose"];
+  readonly choose: AcquireKeyOptions["choose"];
   readonly deadline: number;
   /** Timer time of the first lost query since the side's last answer. */
   unreachableSince?: number;
@@ -115,7 +115,7 @@
     this.#waiter = new DeadlineWaiter(options);
   }
 
-  async acquire(options: AcquireOptions): Promise<AcquireResult> {
+  async acquire(options: AcquireKeyOptions): Promise<AcquireResult> {
     if (options.key === undefined) return keyRequired();
     const key = scopedKey(options.workspace ?? "", options.key);
     if (key.isErr()) return keyInvalid(key.error.message);
@@ -146,7 +146,9 @@
     for (;;) {
       const decision = decide(call.acquisition, { fold, now: timer.now() });
       if (decision.kind === "result") return decision.result;
-      if (timer.now() >= call.deadline) return giveUp(call.acquisition, fold);
+      if (timer.now() >= call.deadline) {
+        return resultAtDeadline(call.acquisition, fold);
+      }
       const result = await this.#execute(call, decision);
       if (result !== undefined) return result;
     }
@@ -182,20 +184,20 @@
     call: AcquireCall,
     body: OnceRecord,
   ): Promise<AcquireResult | undefined> {
-    noteAppend(call.acquisition, body);
+    recordAppendStart(call.acquisition, body);
     const outcome = await this.#waiter.beforeDeadline(
       call.deadline,
       this.#options.append(body),
     );
     if (outcome === undefined) return undefined;
-    const result = takeAppended(
+    const result = recordAppendOutcome(
       call.acquisition,
       outcome.isOk()
         ? { offset: outcome.value }
         : { failure: outcome.error.name },
     );
     if (result === undefined) return undefined;
-    return whenLogDown(call.acquisition, this.#options.fold);
+    return resultAfterFailedAppend(call.acquisition, this.#options.fold);
   }
 
   async #query(
@@ -210,7 +212,7 @@
     if (answer === undefined) return undefined;
     if (answer.isErr()) return await this.#handleFailedQuery(call);
     call.unreachableSince = undefined;
-    const result = takeAnswer(call.acquisition, {
+    const result = handleSideAnswer(call.acquisition, {
       record: owner.record,
       answer: answer.value,
       now: this.#options.timer.now(),
@@ -231,7 +233,7 @@
     const now = this.#options.timer.now();
     call.unreachableSince ??= now;
     if (now - call.unreachableSince >= UNREACHABLE_TIMEOUT_MILLISECONDS) {
-      return giveUp(call.acquisition, this.#options.fold);
+      return resultAtDeadline(call.acquisition, this.#options.fold);
     }
     return await this.#waitForNextQuery(call);
   }
--- a/src/core/once/coordinator_test.ts
+++ b/src/core/once/coordinator_test.ts
@@ -9,7 +9,7 @@
 import type { LinkFailure } from "../links/mod.ts";
 import { ManualTimerService } from "../time/mod.ts";
 import {
-  type AcquireOptions,
+  type AcquireKeyOptions,
   type AcquireResult,
   OnceCoordinator,
   OnceFold,
@@ -54,7 +54,7 @@
     return offset;
   }
 
-  acquire(options: Partial<AcquireOptions> = {}): Promise<AcquireResult> {
+  acquire(options: Partial<AcquireKeyOptions> = {}): Promise<AcquireResult> {
     return this.coordinator.acquire({
       key: KEY,
       workspace: "crew",
@@ -70,7 +70,7 @@
   }
 
   async acquireAndAdvance(
-    options: Partial<AcquireOptions> = {},
+    options: Partial<AcquireKeyOptions> = {},
   ): Promise<AcquireResult> {
     const result = this.acquire(options);
     await this.timer.advance(6_000);
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -13,7 +13,7 @@
 /**
  * The record that currently owns a key, and the only place that may execute it.
  */
-export interface OnceOwner {
+export interface KeyOwner {
   readonly key: IdempotencyKey;
   readonly record: LogOffset;
   readonly fingerprint: string;
@@ -33,7 +33,7 @@
  * rule or treats it as void, and a saved state contains the writer's expiry
  * threshold.
  */
-export const ONCE_WINDOW_MILLISECONDS = 30 * 60_000;
+export const KEY_RETENTION_MILLISECONDS = 30 * 60_000;
 
 /**
  * Width of the time buckets in which keys expire, so no sorted list is needed.
@@ -43,14 +43,14 @@
 export interface OnceFoldOptions {
   readonly windowMilliseconds?: number;
   /** Called after a record has become the owner of its key. */
-  readonly onOwner?: (owner: OnceOwner, replaces: number) => void;
+  readonly onOwner?: (owner: KeyOwner, replaces: number) => void;
   /**
    * Replaces the compare-and-set on `replaces`; only the schedule search and
    * the fault matrix set it, to show the failures that it prevents.
    */
   readonly mayReplace?: (
     record: OnceRecord,
-    current: OnceOwner | undefined,
+    current: KeyOwner | undefined,
   ) => boolean;
 }
 
@@ -67,9 +67,9 @@
  */
 export class OnceFold implements StreamFold {
   readonly #window: number;
-  readonly #onOwner: (owner: OnceOwner, replaces: number) => void;
+  readonly #onOwner: (owner: KeyOwner, replaces: number) => void;
   readonly #mayReplace: NonNullable<OnceFoldOptions["mayReplace"]>;
-  readonly #owners = new Map<string, OnceOwner>();
+  readonly #owners = new Map<string, KeyOwner>();
   readonly #keysByBucket = new Map<number, string[]>();
   /** Interned endpoint and incarnation strings, shared by all keys. */
   readonly #strings = new Map<string, string>();
@@ -80,7 +80,7 @@
   #upTo = -1;
 
   constructor(options: OnceFoldOptions = {}) {
-    this.#window = options.windowMilliseconds ?? ONCE_WINDOW_MILLISECONDS;
+    this.#window = options.windowMilliseconds ?? KEY_RETENTION_MILLISECONDS;
     this.#onOwner = options.onOwner ?? (() => {});
     this.#mayReplace = options.mayReplace ?? replacesCurrent;
   }
@@ -102,7 +102,7 @@
   /**
    * Current owner of a key; undefined if there is none or the key has expired.
    */
-  owner(key: IdempotencyKey): OnceOwner | undefined {
+  owner(key: IdempotencyKey): KeyOwner | undefined {
     const owner = this.#owners.get(key);
     return owner === undefined || this.isExpired(key) ? undefined : owner;
   }
@@ -146,7 +146,7 @@
     this.#upTo = Number(state.upTo ?? -1);
     this.#streamTime = Number(state.streamTime ?? 0);
     this.#expiryThreshold = expiryThresholdOf(state, this.#window);
-    for (const owner of (state.owners ?? []) as OnceOwner[]) this.#store(owner);
+    for (const owner of (state.owners ?? []) as KeyOwner[]) this.#store(owner);
     for (const listener of [...this.#listeners]) listener();
   }
 
@@ -158,7 +158,7 @@
     const key = identifier<IdempotencyKey>(record.key);
     const current = this.#owners.get(key);
     if (!this.#mayReplace(record, current)) return;
-    const owner: OnceOwner = {
+    const owner: KeyOwner = {
       key,
       record: numbered<LogOffset>(offset),
       fingerprint: record.fingerprint,
@@ -169,7 +169,7 @@
     this.#onOwner(owner, record.replaces);
   }
 
-  #store(owner: OnceOwner): void {
+  #store(owner: KeyOwner): void {
     const known = this.#owners.has(owner.key);
     this.#owners.set(owner.key, owner);
     if (known) return;
@@ -235,7 +235,7 @@
  */
 function replacesCurrent(
   record: OnceRecord,
-  current: OnceOwner | undefined,
+  current: KeyOwner | undefined,
 ): boolean {
   if (current === undefined) return record.replaces === -1;
   return record.replaces === current.record &&
--- a/src/core/once/mod.ts
+++ b/src/core/once/mod.ts
@@ -4,16 +4,16 @@
  */
 export { scopedKey, timeOfKey } from "./key.ts";
 export {
-  ONCE_WINDOW_MILLISECONDS,
+  KEY_RETENTION_MILLISECONDS,
+  type KeyOwner,
   OnceFold,
   type OnceFoldOptions,
-  type OnceOwner,
 } from "./fold.ts";
 export {
-  type KeptAnswer,
   SideOnceTable,
   type SideOnceTableGuards,
   type SideOnceTableOptions,
+  type StoredAnswer,
 } from "./side_table.ts";
 export {
   type Acquisition,
@@ -21,15 +21,15 @@
   beginAcquisition,
   decide,
   type Decision,
-  giveUp,
-  noteAppend,
-  type OnceChoice,
-  takeAnswer,
-  takeAppended,
-  whenLogDown,
+  type ExecutionTarget,
+  handleSideAnswer,
+  recordAppendOutcome,
+  recordAppendStart,
+  resultAfterFailedAppend,
+  resultAtDeadline,
 } from "./acquisition.ts";
 export {
-  type AcquireOptions,
+  type AcquireKeyOptions,
   OnceCoordinator,
   type OnceCoordinatorOptions,
 } from "./coordinator.ts";
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -5,8 +5,8 @@
   RefusalReason,
   UnknownOutcome,
 } from "../requests/mod.ts";
-import type { OnceOwner } from "./fold.ts";
-import type { KeptAnswer } from "./side_table.ts";
+import type { KeyOwner } from "./fold.ts";
+import type { StoredAnswer } from "./side_table.ts";
 
 /**
  * Result of acquiring an idempotency key. `run`: send the work with this
@@ -20,11 +20,11 @@
     readonly permit: OncePermit;
     readonly endpoint: EndpointId;
   }
-  | { readonly kind: "answered"; readonly answer: KeptAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredAnswer }
   | { readonly kind: "refused"; readonly refusal: Refusal }
   | { readonly kind: "unknown"; readonly outcome: UnknownOutcome };
 
-export function runResult(owner: OnceOwner): AcquireResult {
+export function runResult(owner: KeyOwner): AcquireResult {
   return {
     kind: "run",
     endpoint: owner.endpoint,
--- a/src/core/once/side_table.ts
+++ b/src/core/once/side_table.ts
@@ -6,7 +6,7 @@
 } from "../../generated/messages.ts";
 
 /** The endpoint's answer, stored for repeated requests. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   readonly status: number;
   readonly contentType?: string;
   readonly body: string;
@@ -15,7 +15,7 @@
 interface RecordState {
   readonly key: string;
   readonly state: "barred" | "running" | "answered" | "failed";
-  readonly answer?: KeptAnswer;
+  readonly answer?: StoredAnswer;
   /** Memory accounted for the answer, bytes. */
   readonly size: number;
 }
@@ -144,7 +144,7 @@
   /**
    * Records the end of the call; an undefined answer means an unknown outcome.
    */
-  finish(permit: OncePermit, answer: KeptAnswer | undefined): void {
+  finish(permit: OncePermit, answer: StoredAnswer | undefined): void {
     const known = this.#records.get(permit.record);
     if (known === undefined || known.state !== "running") return;
     if (answer === undefined) {
--- a/src/core/orders/engine_channel.ts
+++ b/src/core/orders/engine_channel.ts
@@ -1,6 +1,6 @@
 import type { StandingOrder } from "../../generated/messages.ts";
 import type { EndpointLink, EngineObservation } from "../links/mod.ts";
-import { beforeDeadline, type TimerService } from "../time/mod.ts";
+import { type TimerService, withTimeout } from "../time/mod.ts";
 
 export interface EngineChannelOptions {
   readonly endpoint: EndpointLink;
@@ -47,7 +47,7 @@
     const { endpoint, longestOrderMilliseconds, timer } = this.#options;
     this.#lastSentOffset = order.offset;
     this.#lastSentAt = timer.now();
-    const answer = await beforeDeadline(
+    const answer = await withTimeout(
       endpoint.order(order.target, order.offset),
       { timer, milliseconds: ANSWER_TIMEOUT_MILLISECONDS },
     );
@@ -70,7 +70,7 @@
   async observe(): Promise<EngineObservation | undefined> {
     const { checksAge, endpoint, timer } = this.#options;
     const requestedAt = timer.now();
-    const answer = await beforeDeadline(endpoint.observe(), {
+    const answer = await withTimeout(endpoint.observe(), {
       timer,
       milliseconds: ANSWER_TIMEOUT_MILLISECONDS,
     });
--- a/src/core/orders/engine_state.ts
+++ b/src/core/orders/engine_state.ts
@@ -37,6 +37,8 @@
 }
 
 /** Target as JSON with its keys in a fixed order, for events. */
-export function targetText({ role, models, weights }: EngineTarget): string {
+export function serializeTarget(
+  { role, models, weights }: EngineTarget,
+): string {
   return JSON.stringify({ role, models, weights });
 }
--- a/src/core/orders/load_budget.ts
+++ b/src/core/orders/load_budget.ts
@@ -16,7 +16,7 @@
   /** Endpoints whose valid order loads weights and is not confirmed yet. */
   readonly loading: ReadonlySet<string>;
   /** Maximum number of concurrent loads in the region. */
-  readonly mostAtOnce: number;
+  readonly maxConcurrentLoads: number;
 }
 
 /**
@@ -24,11 +24,14 @@
  * on the log, so a planner that takes over counts the same ones: the budget
  * needs no record or lease of its own.
  */
-export function pickLoads(
+export function selectWithinLoadBudget(
   candidates: readonly LoadCandidate[],
   options: LoadSelectionOptions,
 ): readonly LoadCandidate[] {
-  let remaining = Math.max(0, options.mostAtOnce - options.loading.size);
+  let remaining = Math.max(
+    0,
+    options.maxConcurrentLoads - options.loading.size,
+  );
   return candidates.filter((candidate) => {
     if (!candidate.needsLoading) return true;
     if (options.loading.has(candidate.endpoint)) return true;
@@ -41,11 +44,11 @@
 export interface LoadStartDelayOptions {
   /** Engines of the region that may need the same weights at once. */
   readonly engines: number;
-  readonly mostAtOnce: number;
+  readonly maxConcurrentLoads: number;
   /** Duration of one load while the store is not overloaded, milliseconds. */
   readonly loadMilliseconds: number;
   /** Number in [0, 1) that is specific to the endpoint, such as a hash. */
-  readonly place: number;
+  readonly unitHash: number;
 }
 
 /**
@@ -56,7 +59,9 @@
  * the maximum number runs concurrently; each side computes its delay without
  * any message.
  */
-export function loadSpread(options: LoadStartDelayOptions): number {
-  const rounds = Math.ceil(options.engines / Math.max(1, options.mostAtOnce));
-  return options.place * (rounds - 1) * options.loadMilliseconds;
+export function loadStartDelay(options: LoadStartDelayOptions): number {
+  const rounds = Math.ceil(
+    options.engines / Math.max(1, options.maxConcurrentLoads),
+  );
+  return options.unitHash * (rounds - 1) * options.loadMilliseconds;
 }
--- a/src/core/orders/load_budget_test.ts
+++ b/src/core/orders/load_budget_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import { hashToUnit } from "../membership/mod.ts";
-import { loadSpread, pickLoads } from "./mod.ts";
+import { loadStartDelay, selectWithinLoadBudget } from "./mod.ts";
 
 describe("Load budget", () => {
   const candidates = Array.from({ length: 10 }, (_, index) => ({
@@ -12,9 +12,9 @@
   // at once, every one would be out of service while it waits for its part of
   // the weight store's rate.
   it("limits concurrent loads and lets other changes through", () => {
-    const picked = pickLoads(candidates, {
+    const picked = selectWithinLoadBudget(candidates, {
       loading: new Set(),
-      mostAtOnce: 2,
+      maxConcurrentLoads: 2,
     });
     expect(picked.map((one) => one.endpoint)).to.deep.equal([
       "triage-0",
@@ -26,9 +26,9 @@
   // A planner takes over during a rollout. If it ignored the loads in progress,
   // it would allow twice as many as the store can serve.
   it("counts the loads already in progress", () => {
-    const picked = pickLoads(candidates, {
+    const picked = selectWithinLoadBudget(candidates, {
       loading: new Set(["triage-8", "triage-9"]),
-      mostAtOnce: 2,
+      maxConcurrentLoads: 2,
     });
     expect(picked.map((one) => one.endpoint)).to.deep.equal([
       "triage-5",
@@ -45,11 +45,11 @@
   it("spreads the loads of a zone that restarts", () => {
     const loadMilliseconds = 60_000;
     const starts = Array.from({ length: 60 }, (_, index) =>
-      loadSpread({
+      loadStartDelay({
         engines: 60,
-        mostAtOnce: 4,
+        maxConcurrentLoads: 4,
         loadMilliseconds,
-        place: hashToUnit(`triage-${index}`),
+        unitHash: hashToUnit(`triage-${index}`),
       }));
     const running = starts.map((at) =>
       starts.filter((other) => other <= at && at < other + loadMilliseconds)
@@ -60,7 +60,9 @@
   });
 
   it("does not delay a load if all may run concurrently", () => {
-    const options = { engines: 3, mostAtOnce: 4, place: 0.9 };
-    expect(loadSpread({ ...options, loadMilliseconds: 60_000 })).to.equal(0);
+    const options = { engines: 3, maxConcurrentLoads: 4, unitHash: 0.9 };
+    expect(loadStartDelay({ ...options, loadMilliseconds: 60_000 })).to.equal(
+      0,
+    );
   });
 });
--- a/src/core/orders/mod.ts
+++ b/src/core/orders/mod.ts
@@ -3,7 +3,7 @@
   isSameTarget,
   isTargetReached,
   needsLoading,
-  targetText,
+  serializeTarget,
 } from "./engine_state.ts";
 export { OrderExecutor } from "./order_executor.ts";
 export type {
@@ -12,10 +12,10 @@
   OrderExecutorState,
   ReleaseLoadPermit,
 } from "./order_executor.ts";
-export { loadSpread, pickLoads } from "./load_budget.ts";
+export { loadStartDelay, selectWithinLoadBudget } from "./load_budget.ts";
 export type {
   LoadCandidate,
   LoadSelectionOptions,
   LoadStartDelayOptions,
 } from "./load_budget.ts";
-export { TakenOrders } from "./order_watermarks.ts";
+export { OrderWatermarks } from "./order_watermarks.ts";
--- a/src/core/orders/order_executor.ts
+++ b/src/core/orders/order_executor.ts
@@ -2,9 +2,13 @@
 import { type Incarnation, type LogOffset, numbered } from "../identity/mod.ts";
 import type { EndpointLink, EngineObservation } from "../links/mod.ts";
 import type { HistoryEventKind, Observe } from "../observation/mod.ts";
-import { pause, type Subscription, type TimerService } from "../time/mod.ts";
+import { sleep, type Subscription, type TimerService } from "../time/mod.ts";
 import { EngineChannel } from "./engine_channel.ts";
-import { isTargetReached, needsLoading, targetText } from "./engine_state.ts";
+import {
+  isTargetReached,
+  needsLoading,
+  serializeTarget,
+} from "./engine_state.ts";
 
 /** Returns a permit of the load budget. */
 export type ReleaseLoadPermit = () => void;
@@ -199,7 +203,7 @@
         return observation;
       }
       this.#state = "settling";
-      await pause(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
+      await sleep(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -238,7 +242,7 @@
     if (this.#engineChecksFencing()) return;
     while (!this.#noOtherOrderInFlight(order) && this.#isNewest(order)) {
       this.#state = "settling";
-      await pause(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
+      await sleep(this.#options.timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -303,7 +307,7 @@
         if (isTargetReached(observation, order.target)) return;
         if (timer.now() - sentAt >= REISSUE_DELAY_MILLISECONDS) return;
       }
-      await pause(timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
+      await sleep(timer, CHANGE_POLL_INTERVAL_MILLISECONDS);
     }
   }
 
@@ -313,7 +317,7 @@
       backoff * 2,
       MAX_REFUSAL_BACKOFF_MILLISECONDS,
     );
-    await pause(this.#options.timer, backoff);
+    await sleep(this.#options.timer, backoff);
   }
 
   #confirm(order: StandingOrder): void {
@@ -339,7 +343,7 @@
         endpoint: this.#options.endpointId,
         order: order.offset,
         claim: order.claim,
-        target: targetText(order.target),
+        target: serializeTarget(order.target),
         incarnation: this.#options.incarnation,
       },
     });
--- a/src/core/orders/order_executor_test.ts
+++ b/src/core/orders/order_executor_test.ts
@@ -3,7 +3,7 @@
 import { FakeEngine } from "../../../test/support/fake_engine.ts";
 import type { EngineTarget } from "../../generated/log_records.ts";
 import { identifier } from "../identity/mod.ts";
-import { ManualTimerService, pause } from "../time/mod.ts";
+import { ManualTimerService, sleep } from "../time/mod.ts";
 import {
   OrderExecutor,
   type OrderExecutorGuards,
@@ -219,7 +219,7 @@
     void engine.link().order({ role: "decode" }, 5);
     await timer.advance(100);
     const { executor } = startExecutor(engine, {
-      drain: () => pause(timer, 8_000),
+      drain: () => sleep(timer, 8_000),
     });
     executor.take(order(6, "prefill"));
     await timer.advance(90_000);
--- a/src/core/orders/order_watermarks.ts
+++ b/src/core/orders/order_watermarks.ts
@@ -13,18 +13,18 @@
  * side, so one that has been running since then knows of the newer order. An
  * engine that checks fencing doesn't need this.
  */
-export class TakenOrders {
+export class OrderWatermarks {
   readonly #highestOffsets = new Map<string, number>();
 
   /** Records the offsets in a report of any run of a side. */
-  note(report: SideReport): void {
+  recordReport(report: SideReport): void {
     const known = this.#highestOffsets.get(report.endpoint) ?? -1;
     const reported = Math.max(report.orderTaken, report.orderApplied ?? -1);
     if (reported > known) this.#highestOffsets.set(report.endpoint, reported);
   }
 
   /** Order to answer with; undefined while this entry is behind the side. */
-  answerWith(
+  selectOrder(
     endpoint: string,
     order: StandingOrder | undefined,
   ): StandingOrder | undefined {
@@ -34,7 +34,7 @@
   }
 
   /** Removes the endpoints that are no longer in the inventory. */
-  keepOnly(endpoints: ReadonlySet<string>): void {
+  retainEndpoints(endpoints: ReadonlySet<string>): void {
     for (const endpoint of [...this.#highestOffsets.keys()]) {
       if (!endpoints.has(endpoint)) this.#highestOffsets.delete(endpoint);
     }
--- a/src/core/orders/order_watermarks_test.ts
+++ b/src/core/orders/order_watermarks_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import type { SideReport, StandingOrder } from "../../generated/messages.ts";
-import { TakenOrders } from "./mod.ts";
+import { OrderWatermarks } from "./mod.ts";
 
 function report(incarnation: string, orderTaken: number): SideReport {
   return {
@@ -24,24 +24,24 @@
   // read the log only up to order 5. Given that order, an engine that ignores
   // fencing returns to a state that the planner has left.
   it("answers with no order older than one of an earlier run", () => {
-    const watermarks = new TakenOrders();
-    watermarks.note(report("run-1", 9));
-    watermarks.note(report("run-2", -1));
-    expect(watermarks.answerWith("triage-1", order(5))).to.equal(undefined);
-    expect(watermarks.answerWith("triage-1", order(9))?.offset).to.equal(9);
-    expect(watermarks.answerWith("triage-1", order(12))?.offset).to.equal(12);
+    const watermarks = new OrderWatermarks();
+    watermarks.recordReport(report("run-1", 9));
+    watermarks.recordReport(report("run-2", -1));
+    expect(watermarks.selectOrder("triage-1", order(5))).to.equal(undefined);
+    expect(watermarks.selectOrder("triage-1", order(9))?.offset).to.equal(9);
+    expect(watermarks.selectOrder("triage-1", order(12))?.offset).to.equal(12);
   });
 
   it("answers a side without reports with the order it has", () => {
-    const watermarks = new TakenOrders();
-    expect(watermarks.answerWith("triage-1", order(5))?.offset).to.equal(5);
-    expect(watermarks.answerWith("triage-1", undefined)).to.equal(undefined);
+    const watermarks = new OrderWatermarks();
+    expect(watermarks.selectOrder("triage-1", order(5))?.offset).to.equal(5);
+    expect(watermarks.selectOrder("triage-1", undefined)).to.equal(undefined);
   });
 
   it("removes endpoints that are gone", () => {
-    const watermarks = new TakenOrders();
-    watermarks.note(report("run-1", 9));
-    watermarks.keepOnly(new Set());
-    expect(watermarks.answerWith("triage-1", order(5))?.offset).to.equal(5);
+    const watermarks = new OrderWatermarks();
+    watermarks.recordReport(report("run-1", 9));
+    watermarks.retainEndpoints(new Set());
+    expect(watermarks.selectOrder("triage-1", order(5))?.offset).to.equal(5);
   });
 });
--- a/src/core/placement/candidate.ts
+++ b/src/core/placement/candidate.ts
@@ -37,7 +37,7 @@
    * Cost in milliseconds that is added to a placement in another availability
    * zone.
    */
-  readonly otherZoneMilliseconds: number;
+  readonly crossZoneMilliseconds: number;
   /** Weight of the engine time against the predicted finish. */
   readonly engineCostWeight: number;
 }
@@ -84,7 +84,7 @@
       view.config.availabilityZone === options.availabilityZone;
     const finishMilliseconds =
       predictFinishMilliseconds(view, query, promptTokens) +
-      (isSameZone ? 0 : options.otherZoneMilliseconds);
+      (isSameZone ? 0 : options.crossZoneMilliseconds);
     const engineMilliseconds = view.engineMilliseconds(
       promptTokens,
       query.outputTokens,
--- a/src/core/placement/endpoint_health.ts
+++ b/src/core/placement/endpoint_health.ts
@@ -3,23 +3,23 @@
   /**
    * Share of failures among recent attempts above which an endpoint is ejected.
    */
-  readonly mostFailureShare: number;
+  readonly maxFailureShare: number;
   /** Attempts before an endpoint is evaluated at all. */
-  readonly fewestAttempts: number;
+  readonly minAttempts: number;
   /**
    * Slowness relative to the pool's median above which an endpoint is ejected.
    */
-  readonly mostSlowness: number;
-  readonly firstEjectionMilliseconds: number;
-  readonly longestEjectionMilliseconds: number;
+  readonly maxSlowness: number;
+  readonly initialEjectionMilliseconds: number;
+  readonly maxEjectionMilliseconds: number;
 }
 
 /** Duration of an attempt relative to two expectations. */
 export interface AttemptTimes {
   /** Relative to the prediction, which includes what the endpoint reports. */
-  readonly overExpected: number;
+  readonly ratioToPredicted: number;
   /** Relative to the rated figures of the inventory alone. */
-  readonly overRated: number;
+  readonly ratioToRated: number;
 }
 
 /** Weight of one attempt in the moving averages: about the last ten count. */
@@ -80,15 +80,15 @@
     this.#failureShare *= 1 - ATTEMPT_WEIGHT;
     this.#recordTimes(times);
     if (!this.#probeInFlight) return;
-    if (times.overRated > this.#limits.mostSlowness) this.eject(now);
+    if (times.ratioToRated > this.#limits.maxSlowness) this.eject(now);
     else this.#readmit();
   }
 
   #recordTimes(times: AttemptTimes): void {
     this.#attempts += 1;
     this.#slowness += ATTEMPT_WEIGHT *
-      (Math.min(MAX_SLOWNESS, times.overExpected) - this.#slowness);
-    this.#recordRatioToRated(times.overRated);
+      (Math.min(MAX_SLOWNESS, times.ratioToPredicted) - this.#slowness);
+    this.#recordRatioToRated(times.ratioToRated);
   }
 
   #recordRatioToRated(ratioToRated: number): void {
@@ -108,37 +108,37 @@
    * there looks untried.
    */
   cancelled(times: AttemptTimes, now: number): void {
-    if (this.#probeInFlight && times.overRated > this.#limits.mostSlowness) {
+    if (this.#probeInFlight && times.ratioToRated > this.#limits.maxSlowness) {
       this.eject(now);
     }
     this.#probeInFlight = false;
-    if (times.overRated <= this.#ratioToRated) return;
+    if (times.ratioToRated <= this.#ratioToRated) return;
     this.#attempts += 1;
-    this.#recordRatioToRated(times.overRated);
+    this.#recordRatioToRated(times.ratioToRated);
   }
 
   /**
    * Records an attempt without information on the endpoint (it was not run).
    */
-  untold(): void {
+  recordInconclusive(): void {
     this.#probeInFlight = false;
   }
 
   /**
    * Whether the endpoint should be ejected, if the ejection ceiling allows it.
    */
-  isBad(medianRatioToRated: number): boolean {
-    if (this.ejected || this.#attempts < this.#limits.fewestAttempts) {
+  shouldEject(medianRatioToRated: number): boolean {
+    if (this.ejected || this.#attempts < this.#limits.minAttempts) {
       return false;
     }
-    return this.#failureShare > this.#limits.mostFailureShare ||
-      this.#ratioToRated > this.#limits.mostSlowness * medianRatioToRated;
+    return this.#failureShare > this.#limits.maxFailureShare ||
+      this.#ratioToRated > this.#limits.maxSlowness * medianRatioToRated;
   }
 
   eject(now: number): void {
     const duration = Math.min(
-      this.#limits.longestEjectionMilliseconds,
-      this.#limits.firstEjectionMilliseconds * 2 ** this.#ejections,
+      this.#limits.maxEjectionMilliseconds,
+      this.#limits.initialEjectionMilliseconds * 2 ** this.#ejections,
     );
     this.#ejections += 1;
     this.#ejectedUntil = now + duration;
--- a/src/core/placement/placement_test.ts
+++ b/src/core/placement/placement_test.ts
@@ -4,11 +4,11 @@
 import { chooseSubset, EndpointHealth, PrefixIndex } from "./mod.ts";
 
 const HEALTH_LIMITS = {
-  mostFailureShare: 0.4,
-  fewestAttempts: 8,
-  mostSlowness: 3,
-  firstEjectionMilliseconds: 2_000,
-  longestEjectionMilliseconds: 60_000,
+  maxFailureShare: 0.4,
+  minAttempts: 8,
+  maxSlowness: 3,
+  initialEjectionMilliseconds: 2_000,
+  maxEjectionMilliseconds: 60_000,
 };
 
 describe("chooseSubset", () => {
@@ -19,7 +19,7 @@
   const options = {
     salt: "entry-1",
     availabilityZone: "zone-2",
-    mostEndpoints: 24,
+    maxEndpoints: 24,
     ownZoneShare: 0.67,
   };
 
@@ -76,19 +76,19 @@
 });
 
 describe("EndpointHealth", () => {
-  const fast = { overExpected: 1, overRated: 1 };
-  const slow = { overExpected: 1, overRated: 6 };
+  const fast = { ratioToPredicted: 1, ratioToRated: 1 };
+  const slow = { ratioToPredicted: 1, ratioToRated: 6 };
 
   it("reports a failing endpoint as bad", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 10; index++) health.failed(0);
-    expect(health.isBad(1)).to.equal(true);
+    expect(health.shouldEject(1)).to.equal(true);
   });
 
   it("reports a slow endpoint as bad even if its reports predict it", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
-    expect(health.isBad(1)).to.equal(true);
+    expect(health.shouldEject(1)).to.equal(true);
   });
 
   // The whole pool is slow because it is loaded. Ejecting endpoints then slows
@@ -96,14 +96,14 @@
   it("reports no endpoint as bad that is like the others", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
-    expect(health.isBad(5)).to.equal(false);
+    expect(health.shouldEject(5)).to.equal(false);
   });
 
   // Nothing ever completes at the endpoint: callers give up at their deadlines.
   it("learns from callers that gave up", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.cancelled(slow, 0);
-    expect(health.isBad(1)).to.equal(true);
+    expect(health.shouldEject(1)).to.equal(true);
   });
 
   it("probes with one attempt at a time and follows its outcome", () => {
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -20,10 +20,10 @@
   /** Endpoints sampled at random for one decision. */
   readonly choices: number;
   /** Occupancy relative to the mean up to which a cached prefix is followed. */
-  readonly mostAffinityLoad: number;
-  readonly mostPrefixes: number;
+  readonly maxAffinityOccupancy: number;
+  readonly maxPrefixes: number;
   /** Share of the endpoints that may be ejected at the same time. */
-  readonly mostEjectedShare: number;
+  readonly maxEjectedShare: number;
 }
 
 /**
@@ -70,7 +70,7 @@
   constructor(options: PlacerOptions) {
     this.#options = options;
     this.#scorer = new CandidateScorer(options);
-    this.#prefixes = new PrefixIndex(options.mostPrefixes);
+    this.#prefixes = new PrefixIndex(options.maxPrefixes);
   }
 
   get views(): readonly EndpointView[] {
@@ -201,13 +201,13 @@
   review(now: number): void {
     const judged = this.#views.filter((view) => view.usable);
     const maxEjected = Math.floor(
-      judged.length * this.#options.mostEjectedShare,
+      judged.length * this.#options.maxEjectedShare,
     );
     let ejected = judged.filter((one) => one.health.ejected).length;
     const median = medianOf(judged.map((one) => one.health.ratioToRated));
     for (const view of judged) {
       if (ejected >= maxEjected) return;
-      if (!view.health.isBad(median)) continue;
+      if (!view.health.shouldEject(median)) continue;
       view.health.eject(now);
       ejected += 1;
     }
@@ -306,7 +306,7 @@
     if (cached === undefined) return best;
     const holder = this.#byId.get(cached.endpoint);
     if (holder === undefined || !views.includes(holder)) return best;
-    const bound = this.#options.mostAffinityLoad *
+    const bound = this.#options.maxAffinityOccupancy *
       meanOccupancy(views, query.now);
     const maxOccupancy = Math.max(bound, MIN_AFFINITY_OCCUPANCY);
     if (holder.occupancy(query.now) > maxOccupancy) return best;
--- a/src/core/placement/subset.ts
+++ b/src/core/placement/subset.ts
@@ -8,7 +8,7 @@
   /** Distinguishes entries, so that their subsets differ. */
   readonly salt: string;
   readonly availabilityZone: string;
-  readonly mostEndpoints: number;
+  readonly maxEndpoints: number;
   /** Share of the subset in the entry's own availability zone. */
   readonly ownZoneShare: number;
 }
@@ -24,7 +24,7 @@
   candidates: readonly Candidate[],
   options: SubsetOptions,
 ): Candidate[] {
-  if (candidates.length <= options.mostEndpoints) return [...candidates];
+  if (candidates.length <= options.maxEndpoints) return [...candidates];
   const ranked = candidates
     .map((candidate) => ({
       candidate,
@@ -36,11 +36,11 @@
     candidate.availabilityZone === options.availabilityZone;
   const own = ranked.filter(isOwn);
   const others = ranked.filter((candidate) => !isOwn(candidate));
-  const maxOwn = Math.round(options.mostEndpoints * options.ownZoneShare);
+  const maxOwn = Math.round(options.maxEndpoints * options.ownZoneShare);
   const chosen = own.slice(0, maxOwn);
-  chosen.push(...others.slice(0, options.mostEndpoints - chosen.length));
+  chosen.push(...others.slice(0, options.maxEndpoints - chosen.length));
   chosen.push(
-    ...own.slice(maxOwn, maxOwn + options.mostEndpoints - chosen.length),
+    ...own.slice(maxOwn, maxOwn + options.maxEndpoints - chosen.length),
   );
   return chosen;
 }
--- a/src/core/queueing/request_queue.ts
+++ b/src/core/queueing/request_queue.ts
@@ -27,7 +27,7 @@
 export interface RequestQueueOptions {
   readonly classes: readonly WorkClass[];
   /** Returns whether a request of the class can be placed now. */
-  readonly hasRoom: (workClass: WorkClass) => boolean;
+  readonly hasCapacity: (workClass: WorkClass) => boolean;
   /**
    * Share of the dispatched service that is reserved for a class without a
    * `share`.
@@ -71,13 +71,13 @@
 
   constructor(options: RequestQueueOptions) {
     this.#options = options;
-    this.useClasses(options.classes);
+    this.setClasses(options.classes);
   }
 
   /**
    * Replaces the classes; queued requests stay in the class of the same name.
    */
-  useClasses(classes: readonly WorkClass[]): void {
+  setClasses(classes: readonly WorkClass[]): void {
     this.#states = [...classes]
       .sort((left, right) => left.priority - right.priority)
       .map((workClass) => ({
@@ -97,7 +97,7 @@
     let size = 0;
     for (const { workClass, queue } of this.#states) {
       if (queue.size === 0) continue;
-      if (this.#options.hasRoom(workClass)) size += queue.size;
+      if (this.#options.hasCapacity(workClass)) size += queue.size;
     }
     return size;
   }
@@ -153,7 +153,7 @@
   setPriority(): void {}
 
   /** Expected service time that is ahead of a new request of the class. */
-  costBefore(className: string): number {
+  costAhead(className: string): number {
     const own = this.#stateOf(className).workClass.priority;
     let cost = 0;
     for (const { workClass, queue } of this.#states) {
@@ -162,18 +162,18 @@
     return cost;
   }
 
-  waitingIn(className: string): number {
+  countForClass(className: string): number {
     return this.#stateOf(className).queue.size;
   }
 
-  waitingOf(workspace: string): number {
+  countForWorkspace(workspace: string): number {
     let waiting = 0;
     for (const { queue } of this.#states) waiting += queue.countFor(workspace);
     return waiting;
   }
 
   /** Id of a queued request of a less urgent class, if there is one. */
-  lessUrgentThan(priority: number): string | undefined {
+  findLessUrgent(priority: number): string | undefined {
     for (let index = this.#states.length - 1; index >= 0; index--) {
       const { workClass, queue } = this.#states[index];
       if (workClass.priority <= priority) return undefined;
@@ -204,7 +204,7 @@
   }
 
   #canServe(state: ClassState): boolean {
-    return state.queue.size > 0 && this.#options.hasRoom(state.workClass);
+    return state.queue.size > 0 && this.#options.hasCapacity(state.workClass);
   }
 
   /**
--- a/src/core/queueing/request_queue_test.ts
+++ b/src/core/queueing/request_queue_test.ts
@@ -19,7 +19,7 @@
   const served: string[] = [];
   const queue = new RequestQueue({
     classes: CLASSES,
-    hasRoom,
+    hasCapacity: hasRoom,
     defaultShare: 0,
   });
   for (const item of items) {
@@ -102,7 +102,7 @@
 
   it("keeps queued requests when the classes change", () => {
     const { queue, serve } = queueWith([{ id: "kept" }]);
-    queue.useClasses([{ name: "other", priority: 1, deadlineSeconds: 1 }]);
+    queue.setClasses([{ name: "other", priority: 1, deadlineSeconds: 1 }]);
     expect(queue.size).to.equal(1);
     expect(serve(1)).to.deep.equal(["kept"]);
   });
--- a/src/core/retry/retry_budget.ts
+++ b/src/core/retry/retry_budget.ts
@@ -33,7 +33,7 @@
     return Math.floor(this.#saved);
   }
 
-  succeeded(): void {
+  recordSuccess(): void {
     this.#saved = Math.min(
       this.#maxSaved,
       this.#saved + this.#retriesPerSuccess,
@@ -41,7 +41,7 @@
   }
 
   /** Consumes one retry; returns false if none is available. */
-  take(): boolean {
+  tryAcquire(): boolean {
     if (this.#saved < 1) return false;
     this.#saved -= 1;
     return true;
--- a/src/core/retry/retry_test.ts
+++ b/src/core/retry/retry_test.ts
@@ -12,14 +12,14 @@
   // repeatedly, which multiplies the load of the failing fleet.
   it("stops retries while nothing succeeds", () => {
     const budget = new RetryBudget({ maxSaved: 3 });
-    const taken = Array.from({ length: 10 }, () => budget.take());
+    const taken = Array.from({ length: 10 }, () => budget.tryAcquire());
     expect(taken.filter((isAllowed) => isAllowed).length).to.equal(3);
   });
 
   it("is refilled by successes, up to its maximum", () => {
     const budget = new RetryBudget({ maxSaved: 2, retriesPerSuccess: 0.5 });
-    while (budget.take());
-    for (let index = 0; index < 100; index++) budget.succeeded();
+    while (budget.tryAcquire());
+    for (let index = 0; index < 100; index++) budget.recordSuccess();
     expect(budget.available).to.equal(2);
   });
 });
--- a/src/core/roles/capacity.ts
+++ b/src/core/roles/capacity.ts
@@ -117,7 +117,7 @@
 /**
  * Value of the answers per second that a pool can serve; see `allocateWork`.
  */
-export function servedPerSecond(
+export function servedValuePerSecond(
   demand: readonly ClassDemand[],
   counts: RoleCounts,
   options: CapacityOptions,
--- a/src/core/roles/constraints.ts
+++ b/src/core/roles/constraints.ts
@@ -1,6 +1,6 @@
 import type { PlannerRules } from "../../generated/rules.ts";
 import type { RoleCounts } from "./capacity.ts";
-import type { PlannedEndpoint, PoolPicture } from "./planner_input.ts";
+import type { PlannedEndpoint, PoolState } from "./planner_input.ts";
 import type { Role } from "./role_profile.ts";
 
 /**
@@ -31,7 +31,7 @@
  * engine to make the move.
  */
 export function mayMove(
-  pool: PoolPicture,
+  pool: PoolState,
   rules: PlannerRules,
   move: { from: Role; to: Role },
 ): boolean {
@@ -43,7 +43,7 @@
  * out of service.
  */
 export function selectEndpoint(
-  pool: PoolPicture,
+  pool: PoolState,
   rules: PlannerRules,
   move: { from: Role; to: Role },
 ): PlannedEndpoint | undefined {
@@ -67,7 +67,7 @@
 }
 
 function endpointsInZoneOf(
-  pool: PoolPicture,
+  pool: PoolState,
   endpoint: PlannedEndpoint,
 ): readonly PlannedEndpoint[] {
   return pool.endpoints.filter((one) =>
--- a/src/core/roles/mod.ts
+++ b/src/core/roles/mod.ts
@@ -8,13 +8,13 @@
   type ClassDemand,
   countsAfterMove,
   type RoleCounts,
-  servedPerSecond,
+  servedValuePerSecond,
   type WorkAllocation,
 } from "./capacity.ts";
 export type {
   PlannedEndpoint,
-  PlannerPicture,
-  PoolPicture,
+  PlannerInput,
+  PoolState,
   RoleChange,
 } from "./planner_input.ts";
 export {
--- a/src/core/roles/planner_input.ts
+++ b/src/core/roles/planner_input.ts
@@ -17,7 +17,7 @@
 }
 
 /** State of one pool of engines as input to the planner. */
-export interface PoolPicture {
+export interface PoolState {
   readonly pool: string;
   readonly engine: EngineCharacteristics;
   readonly endpoints: readonly PlannedEndpoint[];
@@ -28,10 +28,10 @@
 }
 
 /** Input of one planning run. */
-export interface PlannerPicture {
+export interface PlannerInput {
   /** Timer time, milliseconds. */
   readonly now: number;
-  readonly pools: readonly PoolPicture[];
+  readonly pools: readonly PoolState[];
   readonly rules: PlannerRules;
   /** False while orders can't be appended; nothing is planned then. */
   readonly logAvailable: boolean;
--- a/src/core/roles/policies.ts
+++ b/src/core/roles/policies.ts
@@ -3,15 +3,15 @@
   type ClassDemand,
   countsAfterMove,
   type RoleCounts,
-  servedPerSecond,
+  servedValuePerSecond,
 } from "./capacity.ts";
-import type { PoolPicture } from "./planner_input.ts";
+import type { PoolState } from "./planner_input.ts";
 import { type Role, ROLE_PROFILES, roleRates, ROLES } from "./role_profile.ts";
 
 /** Input of a policy decision. */
 export interface RolePolicyInput {
   readonly now: number;
-  readonly pool: PoolPicture;
+  readonly pool: PoolState;
   /** Role counts, with changes in progress counted as complete. */
   readonly counts: RoleCounts;
   readonly rules: PlannerRules;
@@ -69,7 +69,7 @@
 }
 
 function utilisation(
-  pool: PoolPicture,
+  pool: PoolState,
   counts: RoleCounts,
 ): { prompts: number; outputs: number } {
   let promptRate = 0;
@@ -201,13 +201,13 @@
     profiles: ROLE_PROFILES,
     usableShare: options.usableShare,
   };
-  const served = servedPerSecond(demand, counts, capacity);
+  const served = servedValuePerSecond(demand, counts, capacity);
   let best: BestMove | undefined;
   for (const from of ROLES) {
     for (const to of ROLES) {
       if (from === to || counts[from] === 0 || !mayMove(from, to)) continue;
       const after = countsAfterMove(counts, { from, to });
-      const gain = servedPerSecond(demand, after, capacity) - served;
+      const gain = servedValuePerSecond(demand, after, capacity) - served;
       if (gain <= 1e-6 || gain <= (best?.gain ?? 0)) continue;
       best = { from, to, served, gain };
     }
--- a/src/core/roles/role_planner.ts
+++ b/src/core/roles/role_planner.ts
@@ -1,9 +1,5 @@
 import { mayMove, plannedRoleCounts, selectEndpoint } from "./constraints.ts";
-import type {
-  PlannerPicture,
-  PoolPicture,
-  RoleChange,
-} from "./planner_input.ts";
+import type { PlannerInput, PoolState, RoleChange } from "./planner_input.ts";
 import { costBasedPolicy, type RoleMove, type RolePolicy } from "./policies.ts";
 
 /**
@@ -34,12 +30,12 @@
    * Changes to order now. Empty while the log is unavailable or the planner is
    * disabled; a pool whose demand is too old gets none.
    */
-  plan(input: PlannerPicture): readonly RoleChange[] {
+  plan(input: PlannerInput): readonly RoleChange[] {
     if (!input.logAvailable || input.rules.enabled === false) return [];
     return input.pools.flatMap((pool) => this.#planPool(pool, input));
   }
 
-  #planPool(pool: PoolPicture, input: PlannerPicture): RoleChange[] {
+  #planPool(pool: PoolState, input: PlannerInput): RoleChange[] {
     const existing = this.#policies.get(pool.pool);
     const policy = existing ?? this.#makePolicy();
     this.#policies.set(pool.pool, policy);
@@ -55,8 +51,8 @@
   }
 
   #toRoleChanges(
-    pool: PoolPicture,
-    input: PlannerPicture,
+    pool: PoolState,
+    input: PlannerInput,
     move: RoleMove,
   ): RoleChange[] {
     const endpoint = selectEndpoint(pool, input.rules, move);
--- a/src/core/roles/role_planner_test.ts
+++ b/src/core/roles/role_planner_test.ts
@@ -6,7 +6,7 @@
   type ClassDemand,
   costBasedPolicy,
   type PlannedEndpoint,
-  type PlannerPicture,
+  type PlannerInput,
   type Role,
   ROLE_PROFILES,
   type RoleChange,
@@ -46,10 +46,10 @@
   changes: {
     endpoints?: readonly PlannedEndpoint[];
     demandAgeMilliseconds?: number;
-    rules?: PlannerPicture["rules"];
+    rules?: PlannerInput["rules"];
     logAvailable?: boolean;
   } = {},
-): PlannerPicture {
+): PlannerInput {
   return {
     now,
     rules: changes.rules ?? {},
--- a/src/core/scheduling/completion_predictor.ts
+++ b/src/core/scheduling/completion_predictor.ts
@@ -1,4 +1,4 @@
-import { ClassThinning, DrainMeter } from "../admission/mod.ts";
+import { ClassShareLimiter, DrainRateEstimator } from "../admission/mod.ts";
 import type { PlacementQuery, Placer } from "../placement/mod.ts";
 import type { RequestQueue } from "../queueing/mod.ts";
 import type { SchedulingPolicy } from "./policy.ts";
@@ -28,8 +28,8 @@
 /** Predicts when a request completes, and decides on its admission. */
 export class CompletionPredictor {
   readonly #options: CompletionPredictorOptions;
-  readonly #drain = new DrainMeter();
-  readonly #thinning = new ClassThinning();
+  readonly #drain = new DrainRateEstimator();
+  readonly #thinning = new ClassShareLimiter();
 
   constructor(options: CompletionPredictorOptions) {
     this.#options = options;
@@ -76,7 +76,7 @@
 
   recordDispatch(cost: number, now: number): void {
     const othersWait = this.#options.queue.waiting > 0;
-    this.#drain.dispatched({ cost, now, othersWait });
+    this.#drain.recordDispatch({ cost, now, othersWait });
   }
 
   /** Requests of this kind that the pool's slots complete per second. */
@@ -92,7 +92,7 @@
     const { placer, queue, policy, entriesSharing } = this.#options;
     const { rank, now } = query;
     const { className } = query.profile;
-    const costAhead = queue.costBefore(className);
+    const costAhead = queue.costAhead(className);
     if (costAhead === 0 && placer.hasRoom(className, { rank, now })) return 0;
     if (!policy.learnsDrain) {
       const share = rank === 0 ? 1 : policy.lessUrgentShare;
@@ -113,7 +113,7 @@
     const { profile, rank, now } = query;
     if (rank === 0 || !policy.thinsClasses) return false;
     const share = placer.servedShare(profile.className);
-    const isOver = this.#thinning.isOver(profile.className, share);
+    const isOver = this.#thinning.exceedsShare(profile.className, share);
     const timeLeft = profile.deadline - now;
     if (wait > timeLeft * policy.thinningWaitShare && isOver) return true;
     this.#thinning.admitted(profile.className);
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -1,5 +1,5 @@
 import { err, type Result } from "neverthrow";
-import { LoopGuard, refusal } from "../admission/mod.ts";
+import { LoadShedder, refusal } from "../admission/mod.ts";
 import type { EndpointId } from "../identity/mod.ts";
 import type { Observe } from "../observation/mod.ts";
 import type { Random } from "../random/mod.ts";
@@ -48,7 +48,7 @@
   readonly #pools = new Map<string, PoolScheduler>();
   readonly #poolOf = new Map<string, PoolScheduler>();
   readonly #budget = new RetryBudget();
-  readonly #loopGuard = new LoopGuard();
+  readonly #loopGuard = new LoadShedder();
 
   constructor(options: SchedulerOptions) {
     this.#options = options;
@@ -73,7 +73,7 @@
         availabilityZone: this.#options.availabilityZone,
         salt: this.#options.name ?? this.#options.availabilityZone,
         policy: this.#options.policy ?? DEFAULT_POLICY,
-        onAnswered: () => this.#budget.succeeded(),
+        onAnswered: () => this.#budget.recordSuccess(),
         entriesSharing: this.#options.entriesSharing ?? (() => 1),
       });
       this.#pools.set(pool.name, scheduler);
@@ -87,7 +87,7 @@
     if (pool === undefined) return err(refusal("not_configured"));
     pool.recordArrival(profile);
     const rank = pool.rank(profile.className);
-    if (this.#loopGuard.sheds(rank, pool.ranks)) {
+    if (this.#loopGuard.shouldShed(rank, pool.ranks)) {
       return err(pool.refuse(profile, "overloaded_entry"));
     }
     const { mostQueued, mostQueuedPerWorkspace } = this.#options.limits;
@@ -103,7 +103,9 @@
   resubmit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const pool = this.#pools.get(profile.pool);
     if (pool === undefined) return err(refusal("not_configured"));
-    if (!this.#budget.take()) return err(pool.refuse(profile, "saturated"));
+    if (!this.#budget.tryAcquire()) {
+      return err(pool.refuse(profile, "saturated"));
+    }
     return pool.submit(profile);
   }
 
@@ -128,7 +130,7 @@
   }
 
   loopDelay(milliseconds: number): void {
-    this.#loopGuard.measured(milliseconds);
+    this.#loopGuard.recordLoopDelay(milliseconds);
   }
 
   demand(): readonly PoolDemand[] {
--- a/src/core/scheduling/mod.ts
+++ b/src/core/scheduling/mod.ts
@@ -13,7 +13,7 @@
   type SchedulerOptions,
 } from "./entry_scheduler.ts";
 export {
+  BASELINE_POLICY,
   DEFAULT_POLICY,
-  FIRST_POLICY,
   type SchedulingPolicy,
 } from "./policy.ts";
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import { describe, it } from "mocha";
-import { LEAST_IN_FLIGHT, PRESENT } from "../../../bench/load_baselines.ts";
+import { CURRENT, LEAST_IN_FLIGHT } from "../../../bench/load_baselines.ts";
 import { type Arrival, makeArrivals } from "../../../bench/load_arrivals.ts";
 import { KOPERASI } from "../../../bench/load_deployments.ts";
-import type { RunFigures } from "../../../bench/load_figures.ts";
-import { runCell, scaleOf } from "../../../bench/load_job.ts";
+import type { RunStats } from "../../../bench/load_stats.ts";
+import { runCell, scaleFor } from "../../../bench/load_cells.ts";
 import {
   LoadRun,
   type RunOptions,
@@ -18,19 +18,19 @@
 function runLoad(
   load: number,
   options: Partial<RunOptions> = {},
-  variant: Variant = PRESENT,
-): Promise<RunFigures> {
+  variant: Variant = CURRENT,
+): Promise<RunStats> {
   return new LoadRun(KOPERASI, variant, {
-    ...scaleOf(KOPERASI),
+    ...scaleFor(KOPERASI),
     seed: 5,
     load,
     seconds: SECONDS,
     ...options,
-  }).go();
+  }).run();
 }
 
 function arrivalsAt(load: number): Arrival[] {
-  const { capacities } = scaleOf(KOPERASI);
+  const { capacities } = scaleFor(KOPERASI);
   return makeArrivals(KOPERASI, {
     seed: 5,
     load,
@@ -76,7 +76,7 @@
     });
     const arrivals = mergeByTime(arrivalsAt(0.8), burst);
     const figures = await runLoad(0.8, { arrivals });
-    expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
+    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
   });
 
   // One workspace sends as many reports as the fleet can serve. Without fair
@@ -92,7 +92,7 @@
     const all = { flood: 0, others: 0 };
     await runLoad(0.5, {
       arrivals: mergeByTime(arrivalsAt(0.5), flood),
-      onFinished: (arrival, result) => {
+      onRequestEnd: (arrival, result) => {
         if (arrival.shape.workClass.name !== "report") return;
         const who = arrival.workspace === "flood" ? "flood" : "others";
         all[who] += 1;
@@ -107,13 +107,13 @@
   // requests it gets would wait far beyond their deadline.
   it("avoids an endpoint that has become slow", async () => {
     const figures = await runLoad(0.6, {
-      prepare: ({ sides }) => {
+      injectFaults: ({ sides }) => {
         const { engine } = sides.get("triage-llm-1") ?? {};
         if (engine !== undefined) engine.speed = 0.2;
       },
     });
-    expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
-    expect(figures.all().goodput).to.be.greaterThan(0.95);
+    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
+    expect(figures.total().goodput).to.be.greaterThan(0.95);
   });
 
   // One engine fails every request within milliseconds, so it always looks
@@ -124,10 +124,14 @@
       const side = sides.get("triage-llm-1");
       if (side !== undefined) side.failureShare = 1;
     };
-    const figures = await runLoad(0.6, { prepare });
-    const baseline = await runLoad(0.6, { prepare }, LEAST_IN_FLIGHT);
-    expect(figures.all().goodput).to.be.greaterThan(0.95);
-    expect(figures.sentBack).to.be.lessThan(baseline.sentBack / 4);
+    const figures = await runLoad(0.6, { injectFaults: prepare });
+    const baseline = await runLoad(
+      0.6,
+      { injectFaults: prepare },
+      LEAST_IN_FLIGHT,
+    );
+    expect(figures.total().goodput).to.be.greaterThan(0.95);
+    expect(figures.failedAttempts).to.be.lessThan(baseline.failedAttempts / 4);
   });
 
   // Short alerts and long summaries share the engines at full load. An alert
@@ -135,7 +139,7 @@
   // too late.
   it("delivers urgent first tokens early while long prompts run", async () => {
     const figures = await runLoad(1);
-    const { firstToken, goodput } = figures.of("alert");
+    const { firstToken, goodput } = figures.forClass("alert");
     expect(goodput).to.be.greaterThan(0.99);
     expect(firstToken.percentile(0.95)).to.be.lessThan(2_000);
   });
@@ -145,9 +149,9 @@
   it("gives as many timely answers at twice the load", async () => {
     const full = await runLoad(1);
     const twice = await runLoad(2);
-    expect(twice.all().onTime).to.be.greaterThan(0.97 * full.all().onTime);
-    expect(twice.of("alert").goodput).to.be.greaterThan(0.98);
-    expect(twice.all().late / twice.all().offered).to.be.lessThan(0.05);
+    expect(twice.total().onTime).to.be.greaterThan(0.97 * full.total().onTime);
+    expect(twice.forClass("alert").goodput).to.be.greaterThan(0.98);
+    expect(twice.total().late / twice.total().offered).to.be.lessThan(0.05);
   });
 
   // Load reports arrive late. If placement trusted them, all entries would
@@ -155,8 +159,8 @@
   for (const lag of [0, 2_000, 10_000]) {
     it(`keeps its goodput with reports that are ${lag} ms old`, async () => {
       const figures = await runLoad(0.7, { reportLagMilliseconds: lag });
-      expect(figures.of("alert").goodput).to.be.greaterThan(0.98);
-      expect(figures.all().goodput).to.be.greaterThan(0.9);
+      expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
+      expect(figures.total().goodput).to.be.greaterThan(0.9);
     });
   }
 
@@ -168,7 +172,7 @@
       (_, index) => [0, 1, 2].map((block) => `summary-${index}/${block}`),
     ).flat();
     const figures = await runLoad(0.7, {
-      prepare: ({ timer, entries }) =>
+      injectFaults: ({ timer, entries }) =>
         timer.every(1_000, () => {
           for (const entry of entries) {
             entry.cacheEvent("triage-llm-1" as never, {
@@ -178,7 +182,7 @@
           }
         }),
     });
-    expect(figures.all().goodput).to.be.greaterThan(0.95);
+    expect(figures.total().goodput).to.be.greaterThan(0.95);
   });
 
   // An availability zone fails with a third of the engines. Requests that run
@@ -186,12 +190,12 @@
   // suspicion the zone keeps getting work.
   it("keeps serving urgent work when a zone fails", async () => {
     const figures = await runLoad(0.6, {
-      prepare: ({ timer, sides, entries }) => {
+      injectFaults: ({ timer, sides, entries }) => {
         const lost = KOPERASI.inventory.pools.flatMap((pool) =>
           pool.endpoints.filter((one) => one.availabilityZone === "petaling")
         );
         timer.after(FAULT_AT_MILLISECONDS, () => {
-          for (const { id } of lost) sides.get(id)?.lose();
+          for (const { id } of lost) sides.get(id)?.disconnect();
         });
         timer.after(FAULT_AT_MILLISECONDS + 2_000, () => {
           for (const { id } of lost) {
@@ -200,21 +204,21 @@
         });
       },
     });
-    expect(figures.of("alert").goodput).to.be.greaterThan(0.97);
-    expect(figures.all().goodput).to.be.greaterThan(0.9);
+    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.97);
+    expect(figures.total().goodput).to.be.greaterThan(0.9);
   });
 
   // The planner fails or the log is unavailable, so roles stay as they are.
   // Admission and placement have to work without it.
   it("works without a planner", async () => {
     const figures = await runLoad(0.8, {
-      prepare: (load) => {
-        load.plannerAlive = false;
+      injectFaults: (load) => {
+        load.plannerEnabled = false;
       },
     });
     expect(figures.roleChanges).to.equal(0);
-    expect(figures.of("alert").goodput).to.be.greaterThan(0.99);
-    expect(figures.all().goodput).to.be.greaterThan(0.9);
+    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.99);
+    expect(figures.total().goodput).to.be.greaterThan(0.9);
   });
 });
 
@@ -225,7 +229,7 @@
     const goodput = async (variant: string) => {
       const changes = { seconds: SECONDS };
       const cell = { deployment: "koperasi", load: 1, seeds: [1], changes };
-      return (await runCell({ ...cell, variant })).all().goodput;
+      return (await runCell({ ...cell, variant })).total().goodput;
     };
     expect(await goodput("first")).to.not.equal(await goodput("present"));
   });
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -18,16 +18,16 @@
    * millisecond or two apart; at the cost of a round trip between them, a zone
    * spills over as soon as its own endpoints are slower by more than that.
    */
-  readonly otherZoneMilliseconds: number;
+  readonly crossZoneMilliseconds: number;
   /**
    * Occupancy relative to the pool's mean up to which a cached prefix is
    * followed. Without the bound, one document that every caller asks about
    * overloads its engine while others idle. 1.25 allows a quarter above the
    * mean.
    */
-  readonly mostAffinityLoad: number;
+  readonly maxAffinityOccupancy: number;
   /** Prefixes remembered at one entry; bounds the index to a few megabytes. */
-  readonly mostPrefixes: number;
+  readonly maxPrefixes: number;
   /**
    * Share of an endpoint's limit that requests of all classes but the most
    * urgent may hold, so that an urgent request finds a free slot. 1 is enough
@@ -108,7 +108,7 @@
    * fault that all endpoints share, ejection would otherwise remove one after
    * the other until none is left. The value allows a third: one zone of three.
    */
-  readonly mostEjectedShare: number;
+  readonly maxEjectedShare: number;
   readonly health: HealthLimits;
   /**
    * Endpoints of a pool that one entry uses. With 12,000 replicas behind 410
@@ -116,7 +116,7 @@
    * each replica into the subsets of about 24 × 410 / 12,000, four fifths, of
    * an entry. Raise it where there are fewer entries.
    */
-  readonly mostEndpoints: number;
+  readonly maxEndpoints: number;
   /**
    * Share of them in the entry's own availability zone; the rest is for
    * spillover.
@@ -125,11 +125,11 @@
 }
 
 /** Baseline policy for the comparisons of the load bench. */
-export const FIRST_POLICY: SchedulingPolicy = {
+export const BASELINE_POLICY: SchedulingPolicy = {
   choices: 3,
-  otherZoneMilliseconds: 4,
-  mostAffinityLoad: 1.25,
-  mostPrefixes: 20_000,
+  crossZoneMilliseconds: 4,
+  maxAffinityOccupancy: 1.25,
+  maxPrefixes: 20_000,
   lessUrgentShare: 0.85,
   reportHalfLifeMilliseconds: 1_000,
   extraPlaces: 0,
@@ -142,21 +142,21 @@
   learnsDrain: false,
   urgentDeviations: 0,
   otherDeviations: 1,
-  mostEjectedShare: 0.34,
+  maxEjectedShare: 0.34,
   health: {
-    mostFailureShare: 0.4,
-    fewestAttempts: 8,
-    mostSlowness: 3,
-    firstEjectionMilliseconds: 2_000,
-    longestEjectionMilliseconds: 60_000,
+    maxFailureShare: 0.4,
+    minAttempts: 8,
+    maxSlowness: 3,
+    initialEjectionMilliseconds: 2_000,
+    maxEjectionMilliseconds: 60_000,
   },
-  mostEndpoints: 24,
+  maxEndpoints: 24,
   ownZoneShare: 0.67,
 };
 
 /** Default policy; docs/DECISIONS.md has the sweeps behind its values. */
 export const DEFAULT_POLICY: SchedulingPolicy = {
-  ...FIRST_POLICY,
+  ...BASELINE_POLICY,
   choices: 8,
   lessUrgentShare: 1,
   extraPlaces: 1,
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -91,7 +91,7 @@
     this.#queue = new RequestQueue({
       classes: rules.classes,
       defaultShare: policy.defaultShare,
-      hasRoom: (workClass) =>
+      hasCapacity: (workClass) =>
         this.#placer.hasRoom(workClass.name, {
           rank: this.#rankOf(workClass),
           now: this.#now(),
@@ -118,7 +118,7 @@
   configure(pool: Pool, rules: Rules): void {
     this.#engine = pool.engine;
     this.#classes = sortByPriority(rules.classes);
-    this.#queue.useClasses(this.#classes);
+    this.#queue.setClasses(this.#classes);
     this.#statistics.setInitialOutputs(this.#classes);
     this.#placer.setEndpoints(createEndpointViews(pool, {
       ...this.#options,
@@ -165,7 +165,7 @@
   }
 
   waitingOf(workspace: string): number {
-    return this.#queue.waitingOf(workspace);
+    return this.#queue.countForWorkspace(workspace);
   }
 
   /** Records the demand, whatever the outcome of the request. */
@@ -187,7 +187,7 @@
     if (reason === "impossible_deadline") return refusal(reason);
     return refusal(
       reason,
-      retryAfterMilliseconds(this.#queue.waitingIn(profile.className), {
+      retryAfterMilliseconds(this.#queue.countForClass(profile.className), {
         random: this.#options.random,
         drainPerSecond: this.#predictor.drainPerSecond(
           this.#query(profile),
@@ -220,7 +220,7 @@
    */
   evictLessUrgent(profile: RequestProfile): boolean {
     const priority = this.#classes[this.rank(profile.className)].priority;
-    const id = this.#queue.lessUrgentThan(priority);
+    const id = this.#queue.findLessUrgent(priority);
     const admitted = id === undefined ? undefined : this.#waitingById.get(id);
     if (admitted === undefined) return false;
     this.#refuseWaiting(admitted, "saturated");
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -1,4 +1,7 @@
-import { OutputLengths, PredictionError } from "../admission/mod.ts";
+import {
+  OutputLengthEstimator,
+  PredictionCorrection,
+} from "../admission/mod.ts";
 import type { Candidate } from "../placement/mod.ts";
 import type { RequestProfile } from "../requests/mod.ts";
 import type { WorkClass } from "../../generated/rules.ts";
@@ -24,8 +27,8 @@
 
 /** Statistics of a pool's classes and endpoints, learned from its answers. */
 export class PoolStatistics {
-  readonly #outputs = new OutputLengths();
-  readonly #errors = new PredictionError();
+  readonly #outputs = new OutputLengthEstimator();
+  readonly #errors = new PredictionCorrection();
   readonly #uncached = new Map<string, number>();
   /**
    * Plain services: the output length of a call is its duration, milliseconds.
@@ -38,12 +41,12 @@
 
   setInitialOutputs(classes: readonly WorkClass[]): void {
     for (const one of classes) {
-      this.#outputs.expectInitially(one.name, one.expectedOutputTokens);
+      this.#outputs.setInitial(one.name, one.expectedOutputTokens);
     }
   }
 
   expectedOutput(profile: RequestProfile): number {
-    return this.#outputs.expected(profile.className, {
+    return this.#outputs.expectedRemaining(profile.className, {
       most: this.#isService ? Infinity : profile.mostOutputTokens,
       delivered: profile.deliveredTokens,
     });
@@ -77,15 +80,15 @@
       case "cancelled":
         return view.health.cancelled(relativeTimes(attempt, now), now);
       case "not_run":
-        view.health.untold();
+        view.health.recordInconclusive();
         if (summary.load === undefined) view.markFull(now);
         return;
       case "answered":
-        this.#outputs.learn(
+        this.#outputs.record(
           profile.className,
           this.#isService ? summary.totalMilliseconds : summary.tokens,
         );
-        this.#errors.learn(
+        this.#errors.record(
           profile.className,
           (now - attempt.submittedAt) / attempt.predictedMilliseconds,
         );
@@ -103,8 +106,8 @@
     outputTokens: attempt.summary.tokens || attempt.outputTokens,
   });
   return {
-    overExpected: elapsed * view.health.slowness /
+    ratioToPredicted: elapsed * view.health.slowness /
       Math.max(1, finishMilliseconds),
-    overRated: elapsed / Math.max(1, ratedMilliseconds),
+    ratioToRated: elapsed / Math.max(1, ratedMilliseconds),
   };
 }
--- a/src/core/time/mod.ts
+++ b/src/core/time/mod.ts
@@ -3,5 +3,5 @@
  */
 export type { Subscription, TimerService } from "./timer_service.ts";
 export { ManualTimerService } from "./manual_timer_service.ts";
-export { beforeDeadline, pause } from "./deadline.ts";
-export type { DeadlineOptions } from "./deadline.ts";
+export { sleep, withTimeout } from "./timeout.ts";
+export type { TimeoutOptions } from "./timeout.ts";
--- a/src/core/time/deadline.ts
+++ b/src/core/time/timeout.ts
@@ -1,7 +1,7 @@
 import type { TimerService } from "./timer_service.ts";
 
 /** Resolves after `milliseconds` on the given timer service. */
-export function pause(
+export function sleep(
   timer: TimerService,
   milliseconds: number,
 ): Promise<void> {
@@ -10,7 +10,7 @@
   });
 }
 
-export interface DeadlineOptions {
+export interface TimeoutOptions {
   readonly timer: TimerService;
   readonly milliseconds: number;
 }
@@ -19,9 +19,9 @@
  * Resolves with the value of the promise, or with `undefined` if it does not
  * settle within `milliseconds`.
  */
-export function beforeDeadline<Value>(
+export function withTimeout<Value>(
   promise: Promise<Value>,
-  options: DeadlineOptions,
+  options: TimeoutOptions,
 ): Promise<Value | undefined> {
   return new Promise((resolve, reject) => {
     const timeout = options.timer.after(
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -60,7 +60,7 @@
     this.endpoint = options.placement.endpoint;
     this.#sentAt = options.context.timer.now();
     this.ended = new Promise((resolve) => this.#resolveEnded = resolve);
-    options.assembler.begin(options.request.attemptId);
+    options.assembler.beginAttempt(options.request.attemptId);
     this.#untrackAttempt = options.context.directory.trackAttempt(
       this.endpoint,
     );
@@ -145,7 +145,7 @@
     if (this.#isEnded) return;
     this.#options.context.directory.onMessageLost(this.endpoint);
     const notSent = result.isErr() && result.error.name === "link_not_sent";
-    if (notSent && !this.#options.assembler.started) {
+    if (notSent && !this.#options.assembler.attemptStarted) {
       this.#end({ kind: "not_run", reason: "not_sent" }, "not_run");
     } else {
       this.#end({ kind: "failed", reason: "link_lost" }, "failed");
--- a/src/entry/relay.ts
+++ b/src/entry/configuration_relay.ts
@@ -1,6 +1,6 @@
 import type { EndpointId } from "../core/identity/mod.ts";
 import { identifier } from "../core/identity/mod.ts";
-import { TakenOrders } from "../core/orders/mod.ts";
+import { OrderWatermarks } from "../core/orders/mod.ts";
 import type { TimerService } from "../core/time/mod.ts";
 import type {
   EndpointConfiguration,
@@ -12,7 +12,7 @@
 import type { Catalog } from "./catalog.ts";
 import type { PeerDirectory } from "./peer_directory.ts";
 import type { RegionLog } from "./region_log.ts";
-import { PendingWatches } from "./watch_desk.ts";
+import { PendingWatches } from "./pending_watches.ts";
 
 export interface ConfigurationRelayOptions {
   readonly timer: TimerService;
@@ -41,7 +41,7 @@
 export class ConfigurationRelay {
   readonly #options: ConfigurationRelayOptions;
   readonly #watches: PendingWatches;
-  readonly #acknowledgedOrders = new TakenOrders();
+  readonly #acknowledgedOrders = new OrderWatermarks();
 
   constructor(options: ConfigurationRelayOptions) {
     this.#options = options;
@@ -64,7 +64,7 @@
 
   /** Called when another inventory becomes active. */
   onConfigurationActive(catalog: Catalog): void {
-    this.#acknowledgedOrders.keepOnly(new Set(catalog.endpoints()));
+    this.#acknowledgedOrders.retainEndpoints(new Set(catalog.endpoints()));
     this.#watches.answerChanged();
   }
 
@@ -81,7 +81,7 @@
    */
   #recordReport(report: SideReport): void {
     const { configuration, orders } = this.#options.log.journals;
-    this.#acknowledgedOrders.note(report);
+    this.#acknowledgedOrders.recordReport(report);
     configuration.noteHead(report.configurationVersion);
     orders.noteHead(report.ordersRead + 1);
   }
@@ -115,7 +115,7 @@
       ?.state;
     if (state === "withdrawn") return undefined;
     const order = log.orders.standingOrder(endpoint);
-    return this.#acknowledgedOrders.answerWith(endpoint, order);
+    return this.#acknowledgedOrders.selectOrder(endpoint, order);
   }
 
   #configurationOf(id: EndpointId): EndpointConfiguration | undefined {
--- a/src/entry/relay_test.ts
+++ b/src/entry/configuration_relay_test.ts
@@ -4,7 +4,10 @@
 import { Catalog } from "./catalog.ts";
 import type { PeerDirectory } from "./peer_directory.ts";
 import type { RegionLog } from "./region_log.ts";
-import { ConfigurationRelay, type RelayedConfiguration } from "./relay.ts";
+import {
+  ConfigurationRelay,
+  type RelayedConfiguration,
+} from "./configuration_relay.ts";
 
 const REPORT: SideReport = {
   side: "side-portal",
--- a/src/entry/entry_core.ts
+++ b/src/entry/entry_core.ts
@@ -14,8 +14,17 @@
   StreamSnapshot,
   VmList,
 } from "../core/links/mod.ts";
-import type { Logger, Observe, Tell, Tracer } from "../core/observation/mod.ts";
-import { makeTell, NO_TRACER, SILENT_LOGGER } from "../core/observation/mod.ts";
+import type {
+  EmitEvent,
+  Logger,
+  Observe,
+  Tracer,
+} from "../core/observation/mod.ts";
+import {
+  createEmitEvent,
+  NOOP_LOGGER,
+  NOOP_TRACER,
+} from "../core/observation/mod.ts";
 import { OnceCoordinator } from "../core/once/mod.ts";
 import type { Random } from "../core/random/mod.ts";
 import type { AnswerSink, CallerRequest } from "../core/requests/mod.ts";
@@ -31,12 +40,12 @@
 import { Catalog } from "./catalog.ts";
 import { chooseEndpoints } from "./endpoint_subset.ts";
 import type { EndpointSubset } from "./endpoint_subset.ts";
-import type { EntryGuards } from "./guards.ts";
+import type { EntryGuardOverrides } from "./guards.ts";
 import { compileConfiguration, RequestIntake } from "./request_intake.ts";
 import type { ActiveConfiguration, RequestHandle } from "./request_intake.ts";
 import { PeerDirectory } from "./peer_directory.ts";
 import { Planner } from "./planner.ts";
-import { ConfigurationRelay } from "./relay.ts";
+import { ConfigurationRelay } from "./configuration_relay.ts";
 import { RegionLog } from "./region_log.ts";
 import type { RunContext } from "./run_context.ts";
 import { SideDirectory } from "./side_directory.ts";
@@ -87,7 +96,7 @@
   readonly observe?: Observe;
   readonly logger?: Logger;
   readonly tracer?: Tracer;
-  readonly guards?: EntryGuards;
+  readonly guards?: EntryGuardOverrides;
 }
 
 /**
@@ -98,7 +107,7 @@
 export class EntryCore {
   readonly #options: EntryOptions;
   readonly #logger: Logger;
-  readonly #emitEvent: Tell;
+  readonly #emitEvent: EmitEvent;
   readonly #peers: PeerDirectory;
   readonly #log: RegionLog;
   readonly #scheduler: Scheduler;
@@ -112,12 +121,12 @@
 
   constructor(options: EntryOptions) {
     this.#options = options;
-    this.#logger = options.logger ?? SILENT_LOGGER;
-    this.#emitEvent = makeTell({
+    this.#logger = options.logger ?? NOOP_LOGGER;
+    this.#emitEvent = createEmitEvent({
       observe: options.observe,
       timer: options.timer,
       process: options.name,
-      always: {
+      commonFields: {
         incarnation: options.incarnation,
       },
     });
@@ -137,7 +146,7 @@
       // selection in the scheduler would leave part of a large pool unused.
       policy: {
         ...DEFAULT_POLICY,
-        mostEndpoints: options.limits.mostEndpointsPerPool,
+        maxEndpoints: options.limits.mostEndpointsPerPool,
       },
       entriesSharing: () => this.#entriesPerEndpoint(),
     });
@@ -395,7 +404,7 @@
       hash,
       mostOpenRequests: limits.mostOpenRequests,
       context: this.#makeContext(),
-      tracer: this.#options.tracer ?? NO_TRACER,
+      tracer: this.#options.tracer ?? NOOP_TRACER,
       activeConfiguration: () => this.#active,
       emitEvent: this.#emitEvent,
     });
@@ -410,7 +419,7 @@
       directory: this.#directory,
       onceCoordinator: this.#makeOnce(),
       mostAttempts: limits.mostAttempts,
-      tracer: tracer ?? NO_TRACER,
+      tracer: tracer ?? NOOP_TRACER,
       emitEvent: this.#emitEvent,
     };
   }
--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -1,12 +1,16 @@
 import type { Result } from "neverthrow";
 import type {
-  AttemptOptions,
+  ForwardAttemptOptions,
   PromptWork,
   RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
 import type { ForwardContext } from "./forward_context.ts";
-import type { BodyEnd, EndpointAnswer, ExchangeFailure } from "./links.ts";
-import type { ForwardingParts } from "./parts.ts";
+import type {
+  BodyEnd,
+  EndpointResponse,
+  ExchangeFailure,
+} from "./network_interfaces.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
 
 /**
  * Status by which an endpoint rejects a request that was addressed to another
@@ -19,7 +23,7 @@
 
 export interface AttemptPlan {
   readonly endpoint: RegisteredEndpoint;
-  readonly options: Omit<AttemptOptions, "endpoint">;
+  readonly options: Omit<ForwardAttemptOptions, "endpoint">;
   readonly work: PromptWork;
 }
 
@@ -27,10 +31,10 @@
  * One send of a request to one endpoint. Records the open work at the endpoint
  * and the outcome of the send, each exactly once.
  */
-export class Attempt {
+export class ForwardAttempt {
   readonly endpoint: RegisteredEndpoint;
-  readonly answer: Promise<Result<EndpointAnswer, ExchangeFailure>>;
-  readonly #parts: ForwardingParts;
+  readonly answer: Promise<Result<EndpointResponse, ExchangeFailure>>;
+  readonly #parts: ForwardingDependencies;
   readonly #context: ForwardContext;
   readonly #plan: AttemptPlan;
   readonly #sentAt: number;
@@ -52,8 +56,8 @@
     const ticket = parts.load.started(endpoint.id, plan.work);
     this.#endWork = () => ticket.end();
     parts.outcomes.started(endpoint.id);
-    parts.link.sent(request.body.length + REQUEST_HEAD_BYTES);
-    const exchange = parts.door.send(request, {
+    parts.link.recordSent(request.body.length + REQUEST_HEAD_BYTES);
+    const exchange = parts.endpointClient.send(request, {
       ...plan.options,
       endpoint: endpoint.id,
       workspace: context.workspace?.id,
@@ -73,8 +77,9 @@
     if (end === "cut") this.#recordLoss();
     else if (status < 500) this.#recordCompletion();
     if (this.#isSameRun) {
-      if (end === "whole" && status < 500) outcomes.succeeded(this.endpoint.id);
-      else outcomes.failed(this.endpoint.id);
+      if (end === "whole" && status < 500) {
+        outcomes.recordSuccess(this.endpoint.id);
+      } else outcomes.failed(this.endpoint.id);
     }
     this.#close();
   }
@@ -85,7 +90,7 @@
    */
   abort(): void {
     if (this.#closed) return;
-    if (this.#isSameRun) this.#parts.outcomes.untold(this.endpoint.id);
+    if (this.#isSameRun) this.#parts.outcomes.recordAbandoned(this.endpoint.id);
     this.#close();
     this.#abort();
   }
@@ -99,20 +104,22 @@
     return this.#parts.registry.isSameRun(this.endpoint);
   }
 
-  #onHead(result: Result<EndpointAnswer, ExchangeFailure>): void {
+  #onHead(result: Result<EndpointResponse, ExchangeFailure>): void {
     if (this.#closed) return;
     this.#recordCrashSignals(result);
     if (result.isOk() && result.value.head.leaving) this.#reportLeaving();
     if (this.#isSameRun) this.#recordOutcome(result);
-    if (result.isErr() || result.value.head.notRun) this.#close();
+    if (result.isErr() || result.value.head.notExecuted) this.#close();
   }
 
-  #recordCrashSignals(result: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordCrashSignals(result: Result<EndpointResponse, ExchangeFailure>): void {
     const { crashes } = this.#parts;
     if (result.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
     const { name } = result.error;
     if (name === "exchange_lost") this.#recordLoss();
-    if (name === "exchange_not_sent") crashes.refusedConnection(this.endpoint);
+    if (name === "exchange_not_sent") {
+      crashes.recordRefusedConnection(this.endpoint);
+    }
   }
 
   /** Records that the endpoint broke the connection with the request open. */
@@ -122,7 +129,7 @@
     crashes.lost(this.endpoint, { digest, knownBefore: this.#knownCrashes });
     this.#context.report("endpoint_lost", {
       digest,
-      crashes: crashes.crashesUnder(digest),
+      crashes: crashes.crashCount(digest),
       endpoint: this.endpoint.id,
       startedAt: this.endpoint.startedAt,
       step: this.#plan.options.prefillOnly ? "prefill" : "run",
@@ -137,33 +144,34 @@
   #recordCompletion(): void {
     const { crashes } = this.#parts;
     if (crashes.size === 0 || this.#plan.options.prefillOnly) return;
-    crashes.completed(this.#context.digest);
+    crashes.recordCompletion(this.#context.digest);
   }
 
-  #recordOutcome(result: Result<EndpointAnswer, ExchangeFailure>): void {
+  #recordOutcome(result: Result<EndpointResponse, ExchangeFailure>): void {
     const { outcomes } = this.#parts;
     const { id } = this.endpoint;
     if (result.isErr()) {
       if (result.error.name !== "exchange_not_sent") return outcomes.failed(id);
-      return outcomes.refusedConnection(id);
+      return outcomes.recordRefusedConnection(id);
     }
-    outcomes.heard(id);
-    const { notRun, retryAfterMilliseconds, status } = result.value.head;
+    outcomes.recordResponse(id);
+    const { notExecuted: notRun, retryAfterMilliseconds, status } =
+      result.value.head;
     if (retryAfterMilliseconds !== undefined) {
       return this.#recordOverload(retryAfterMilliseconds);
     }
     if (!notRun) return;
-    if (status === MISDIRECTED_STATUS) outcomes.misdirected(id);
-    else outcomes.rejected(id);
+    if (status === MISDIRECTED_STATUS) outcomes.recordMisdirected(id);
+    else outcomes.recordRejection(id);
   }
 
   #reportLeaving(): void {
-    if (!this.#parts.saidLeaving(this.endpoint)) return;
+    if (!this.#parts.reportLeaving(this.endpoint)) return;
     this.#context.report("endpoint_leaving", { endpoint: this.endpoint.id });
   }
 
   #recordOverload(milliseconds: number): void {
-    this.#parts.outcomes.overloaded(this.endpoint.id, milliseconds);
+    this.#parts.outcomes.recordOverload(this.endpoint.id, milliseconds);
     this.#context.report("endpoint_overloaded", {
       endpoint: this.endpoint.id,
       retryAfterMilliseconds: milliseconds,
--- a/src/entry/forwarding/caller_keys_test.ts
+++ b/src/entry/forwarding/caller_keys_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { ForwardingBench } from "../../../test/support/forwarding_bench.ts";
+import { ForwardingHarness } from "../../../test/support/forwarding_harness.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -8,7 +8,7 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import type {
   Credentials,
   ForwardingConfiguration,
@@ -36,15 +36,15 @@
 }
 
 describe("callers' keys", () => {
-  function portal(configuration: ForwardingConfiguration): ForwardingBench {
-    const bench = new ForwardingBench(configuration);
-    bench.parts.registry.put(makeEndpoint("a"));
+  function portal(configuration: ForwardingConfiguration): ForwardingHarness {
+    const bench = new ForwardingHarness(configuration);
+    bench.parts.registry.upsert(makeEndpoint("a"));
     return bench;
   }
 
   it("identify the workspace to the endpoint and are not forwarded", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
-    await bench.take(
+    await bench.submit(
       makeRequest({ credentials: KEY, identityHeaders: IDENTITY }),
     );
     const [{ options, request }] = bench.sent;
@@ -54,7 +54,7 @@
 
   it("are refused without a send if no workspace has them", async () => {
     const bench = portal(configurationFor([makeWorkspace({ keys: [] })]));
-    const caller = await bench.take(makeRequest({ credentials: KEY }));
+    const caller = await bench.submit(makeRequest({ credentials: KEY }));
     expect(caller.refusal).to.deep.equal({
       status: 401,
       reason: "unknown_key",
@@ -72,13 +72,13 @@
 
   it("are not checked before the route, which may be 404", async () => {
     const bench = portal(configurationFor([], { pathPrefix: "/other/" }));
-    const caller = await bench.take(makeRequest());
+    const caller = await bench.submit(makeRequest());
     expect(caller.status).to.equal(404);
   });
 
   it("are optional on a public route, and not forwarded either", async () => {
     const bench = portal(configurationFor([], { isPublic: true }));
-    await bench.take(
+    await bench.submit(
       makeRequest({ credentials: KEY, identityHeaders: IDENTITY }),
     );
     const [{ options, request }] = bench.sent;
@@ -88,16 +88,16 @@
 
   it("are forwarded unchanged if no workspaces are configured", async () => {
     const bench = portal(configurationFor(undefined));
-    await bench.take(makeRequest({ identityHeaders: IDENTITY }));
+    await bench.submit(makeRequest({ identityHeaders: IDENTITY }));
     expect(bench.sent[0].request.identityHeaders).to.deep.equal(IDENTITY);
   });
 
   it("prevent further sends once they are removed", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
-    bench.parts.registry.put(makeEndpoint("b"));
-    const caller = await bench.take(makeRequest({ credentials: KEY }));
-    bench.takeConfiguration(configurationFor([makeWorkspace({ keys: [] })]));
-    await bench.sent[0].notRun();
+    bench.parts.registry.upsert(makeEndpoint("b"));
+    const caller = await bench.submit(makeRequest({ credentials: KEY }));
+    bench.applyConfiguration(configurationFor([makeWorkspace({ keys: [] })]));
+    await bench.sent[0].respondNotRun();
     expect(bench.sent).to.have.length(1);
     expect(caller.refusal).to.deep.equal({
       status: 401,
@@ -107,25 +107,25 @@
 
   it("do not interrupt a response that has begun when they are removed", async () => {
     const bench = portal(configurationFor([makeWorkspace()]));
-    const caller = await bench.take(makeRequest({ credentials: KEY }));
-    bench.takeConfiguration(configurationFor([]));
-    await bench.sent[0].answer("case 7");
+    const caller = await bench.submit(makeRequest({ credentials: KEY }));
+    bench.applyConfiguration(configurationFor([]));
+    await bench.sent[0].respond("case 7");
     expect(caller).to.deep.include({ status: 200, body: "case 7" });
   });
 
   describe("of a workspace with a rank", () => {
     it("send the workspace's rank to engines instead of the route's", async () => {
-      const bench = new ForwardingBench(configurationFor(
+      const bench = new ForwardingHarness(configurationFor(
         [makeWorkspace({ rank: 1 })],
         { rank: 4, repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
       ));
-      bench.parts.registry.put(makeEngine("reader", "prefill"));
-      bench.parts.registry.put(makeEngine("maker", "decode"));
-      await bench.take(
+      bench.parts.registry.upsert(makeEngine("reader", "prefill"));
+      bench.parts.registry.upsert(makeEngine("maker", "decode"));
+      await bench.submit(
         makeRequest({ credentials: KEY, prompt: makePrompt("a") }),
       );
       expect(bench.sent[0].options.priority).to.equal(1);
-      await bench.sent[0].answer("handle");
+      await bench.sent[0].respond("handle");
       expect(bench.sent[1].options).to.deep.include({
         priority: 1,
         workspace: "workspace",
@@ -134,15 +134,15 @@
   });
 
   describe("count a request that started to run", () => {
-    function keyed(values: Partial<Route> = {}): ForwardingBench {
+    function keyed(values: Partial<Route> = {}): ForwardingHarness {
       return portal(configurationFor([makeWorkspace()], values));
     }
 
     it("at a plain service when it was sent", async () => {
       const bench = keyed();
-      await bench.take(makeRequest({ credentials: KEY }));
+      await bench.submit(makeRequest({ credentials: KEY }));
       await bench.timer.advance(40);
-      await bench.sent[0].answer("case 7");
+      await bench.sent[0].respond("case 7");
       expect(bench.began).to.deep.equal([["workspace", 0]]);
     });
 
@@ -151,37 +151,37 @@
         repeat: "stream",
         shares: [{ pool: ENGINES, weight: 1 }],
       });
-      bench.parts.registry.put(makeEngine("maker", "decode"));
+      bench.parts.registry.upsert(makeEngine("maker", "decode"));
       const prompt = makePrompt("a", { shared: 20, own: 10 });
-      await bench.take(makeRequest({ credentials: KEY, prompt }));
+      await bench.submit(makeRequest({ credentials: KEY, prompt }));
       await bench.timer.advance(40);
-      await bench.sent[0].answer("token");
+      await bench.sent[0].respond("token");
       expect(bench.began).to.deep.equal([["workspace", 40]]);
     });
 
     it("once if it was sent twice", async () => {
       const bench = keyed({ repeat: "idempotent" });
-      bench.parts.registry.put(makeEndpoint("b"));
-      await bench.take(makeRequest({ credentials: KEY }));
-      await bench.sent[0].answer("", { status: 500 });
-      await bench.sent[1].answer("case 7");
+      bench.parts.registry.upsert(makeEndpoint("b"));
+      await bench.submit(makeRequest({ credentials: KEY }));
+      await bench.sent[0].respond("", { status: 500 });
+      await bench.sent[1].respond("case 7");
       expect(bench.began).to.deep.equal([["workspace", 0]]);
     });
 
     it("if its response was lost or its caller disconnected", async () => {
       const bench = keyed({ repeat: "once" });
-      await bench.take(makeRequest({ credentials: KEY }));
+      await bench.submit(makeRequest({ credentials: KEY }));
       await bench.sent[0].fail("exchange_lost");
-      const caller = await bench.take(makeRequest({ credentials: KEY }));
-      caller.leave();
+      const caller = await bench.submit(makeRequest({ credentials: KEY }));
+      caller.disconnect();
       expect(bench.began).to.have.length(2);
     });
 
     it("never if no endpoint ran it", async () => {
       const bench = keyed({ repeat: "once" });
-      await bench.take(makeRequest({ credentials: KEY }));
-      await bench.sent[0].notRun();
-      await bench.take(makeRequest({ credentials: KEY }));
+      await bench.submit(makeRequest({ credentials: KEY }));
+      await bench.sent[0].respondNotRun();
+      await bench.submit(makeRequest({ credentials: KEY }));
       await bench.sent.at(-1)?.fail("exchange_not_sent");
       expect(bench.began).to.deep.equal([]);
     });
--- a/src/entry/forwarding/crashing_requests_test.ts
+++ b/src/entry/forwarding/crashing_requests_test.ts
@@ -4,7 +4,7 @@
   type CrashingReplicasOptions,
 } from "../../../test/support/crashing_replicas.ts";
 import { EntryFleet } from "../../../test/support/entry_fleet.ts";
-import type { RecordingSink } from "../../../test/support/forwarding_bench.ts";
+import type { RecordingSink } from "../../../test/support/forwarding_harness.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -14,7 +14,7 @@
   makeRequest,
   makeRoute,
   PORTAL,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import type { ForwardedRequest, Route } from "../../core/forwarding/mod.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
@@ -51,7 +51,7 @@
     this.fleet = new EntryFleet({
       entries,
       zones: 1,
-      lostShare,
+      lossRate: lostShare,
       configuration: makeConfiguration({
         routes: [makeRoute({
           shares: [{ pool, weight: 1 }],
@@ -82,7 +82,7 @@
   askAt(entry: number, values: Partial<ForwardedRequest>): RecordingSink {
     this.#count += 1;
     const id = identifier<RequestId>(`request-${this.#count}`);
-    return this.fleet.ask(entry, makeRequest({ id, ...values }));
+    return this.fleet.submit(entry, makeRequest({ id, ...values }));
   }
 
   /** Sends `count` identical requests at once, to the entries in turn. */
@@ -102,7 +102,7 @@
   #ask(values: Partial<ForwardedRequest>, subject: string): RecordingSink {
     this.#count += 1;
     const entry = this.#count % this.fleet.entries.length;
-    return this.fleet.ask(
+    return this.fleet.submit(
       entry,
       makeRequest({
         id: identifier<RequestId>(`request-${this.#count}`),
@@ -126,7 +126,7 @@
 
 function expectFewRetries({ replicas }: CrashScenario): void {
   expect(replicas.crashTimes.length).to.be.greaterThan(2);
-  expect(replicas.retriesAfter(3, STABLE_MILLISECONDS))
+  expect(replicas.arrivalsAfter(3, STABLE_MILLISECONDS))
     .to.be.at.most(MAX_RETRIES);
 }
 
--- a/src/entry/forwarding/endpoint_signals_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import {
-  ForwardingBench,
+  ForwardingHarness,
   type SentAttempt,
-} from "../../../test/support/forwarding_bench.ts";
+} from "../../../test/support/forwarding_harness.ts";
 import { EntryFleet } from "../../../test/support/entry_fleet.ts";
 import {
   ENGINES,
@@ -12,17 +12,17 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import type {
-  AnswerHead,
   ForwardedRequest,
   RegisteredEndpoint,
+  ResponseHead,
   Route,
 } from "../../core/forwarding/mod.ts";
 import {
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
   type RequestId,
 } from "../../core/identity/mod.ts";
 
@@ -41,19 +41,19 @@
  * their response heads.
  */
 class SignalScenario {
-  readonly bench: ForwardingBench;
+  readonly bench: ForwardingHarness;
   /** Additions to the response head of each replica. */
-  readonly heads = new Map<string, Partial<AnswerHead>>();
+  readonly heads = new Map<string, Partial<ResponseHead>>();
   readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
   #count = 0;
 
   constructor(options: SignalScenarioOptions = {}) {
     const { endpoints = portals(), route, valuesOf = () => ({}) } = options;
     this.#valuesOf = valuesOf;
-    this.bench = new ForwardingBench(
+    this.bench = new ForwardingHarness(
       makeConfiguration({ routes: [makeRoute(route)] }),
     );
-    for (const each of endpoints) this.bench.parts.registry.put(each);
+    for (const each of endpoints) this.bench.parts.registry.upsert(each);
     this.bench.onSend = (attempt) => void this.#answer(attempt);
   }
 
@@ -74,14 +74,14 @@
   async ask() {
     this.#count += 1;
     const id = identifier<RequestId>(`request-${this.#count}`);
-    return await this.bench.take(
+    return await this.bench.submit(
       makeRequest({ id, ...this.#valuesOf(this.#count) }),
     );
   }
 
   async #answer(attempt: SentAttempt): Promise<void> {
     const head = this.heads.get(String(attempt.options.endpoint)) ?? {};
-    await attempt.answer("done", head);
+    await attempt.respond("done", head);
   }
 }
 
@@ -114,7 +114,7 @@
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
-      setup.bench.parts.registry.put(makeEndpoint("a"));
+      setup.bench.parts.registry.upsert(makeEndpoint("a"));
       setup.bench.parts.registry.replaceAll(
         portals(),
       );
@@ -123,15 +123,15 @@
 
     it("stays in effect if its registration expires before the response and returns", async () => {
       const setup = new SignalScenario();
-      const startedAt = numbered<ReplicaStart>(7);
+      const startedAt = numbered<ReplicaStartTime>(7);
       const endpoint = makeEndpoint("a", { startedAt });
       const { registry } = setup.bench.parts;
       setup.bench.onSend = undefined;
       registry.replaceAll([endpoint]);
       await setup.ask();
       registry.remove(endpoint.id);
-      await setup.bench.sent[0].answer("done", { leaving: true });
-      registry.put(endpoint);
+      await setup.bench.sent[0].respond("done", { leaving: true });
+      registry.upsert(endpoint);
       const caller = await setup.ask();
       expect(setup.bench.sent).to.have.length(1);
       expect(caller.status).to.equal(503);
@@ -139,7 +139,7 @@
 
     it("is read from a rejection too", async () => {
       const setup = new SignalScenario();
-      setup.heads.set("a", { leaving: true, status: 503, notRun: true });
+      setup.heads.set("a", { leaving: true, status: 503, notExecuted: true });
       expect(await setup.run(1_000)).to.include("a");
       expect(await setup.run(3_000)).not.to.include("a");
     });
@@ -156,8 +156,8 @@
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
       setup.heads.clear();
-      const startedAt = numbered<ReplicaStart>(7);
-      setup.bench.parts.registry.put(makeEndpoint("a", { startedAt }));
+      const startedAt = numbered<ReplicaStartTime>(7);
+      setup.bench.parts.registry.upsert(makeEndpoint("a", { startedAt }));
       expect(await setup.run(1_000)).to.include("a");
     });
 
@@ -174,11 +174,11 @@
         const endpoint = String(attempt.options.endpoint);
         sent.add(endpoint);
         const isLeaving = leaving && endpoint === "a";
-        void attempt.answer("done", { leaving: isLeaving });
+        void attempt.respond("done", { leaving: isLeaving });
       };
       const ask = async (entry: number) => {
         for (let index = 0; index < 20; index++) {
-          fleet.ask(entry, makeRequest());
+          fleet.submit(entry, makeRequest());
           await fleet.timer.advance(5);
         }
       };
@@ -275,13 +275,13 @@
 
     it("delays the release of a cached prompt at the engine", async () => {
       const { bench } = promptScenario();
-      const run = bench.take(makeRequest({ prompt: makePrompt("subject") }));
+      const run = bench.submit(makeRequest({ prompt: makePrompt("subject") }));
       bench.onSend = undefined;
       await run;
       const [reading] = bench.sent;
-      await reading.answer("handle");
-      bench.parts.outcomes.overloaded(reading.options.endpoint, 3_000);
-      (await run).leave();
+      await reading.respond("handle");
+      bench.parts.outcomes.recordOverload(reading.options.endpoint, 3_000);
+      (await run).disconnect();
       await bench.timer.advance(2_900);
       expect(bench.released).to.deep.equal([]);
       await bench.timer.advance(200);
@@ -291,6 +291,10 @@
 });
 
 /** Response head of an overloaded endpoint that rejects a request. */
-function overloadedFor(milliseconds: number): Partial<AnswerHead> {
-  return { status: 503, notRun: true, retryAfterMilliseconds: milliseconds };
+function overloadedFor(milliseconds: number): Partial<ResponseHead> {
+  return {
+    status: 503,
+    notExecuted: true,
+    retryAfterMilliseconds: milliseconds,
+  };
 }
--- a/src/entry/forwarding/forward.ts
+++ b/src/entry/forwarding/forward.ts
@@ -1,10 +1,10 @@
 import {
   authenticate,
   type AuthenticationFailure,
-  drawPool,
   type ForwardedRequest,
   type Route,
   type RouteTable,
+  selectPool,
   type Workspace,
 } from "../../core/forwarding/mod.ts";
 import { err, ok, type Result } from "neverthrow";
@@ -12,20 +12,20 @@
   RequestForwarder,
   RETRY_AFTER_MILLISECONDS,
 } from "./request_forwarder.ts";
-import type { CallerSink, Refusal } from "./links.ts";
-import type { ForwardingParts } from "./parts.ts";
+import type { CallerSink, ForwardingRefusal } from "./network_interfaces.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
 
 /**
  * Forwards a request: finds its route, authenticates the caller and runs the
  * request, or refuses it immediately.
  */
 export async function forward(
-  parts: ForwardingParts,
+  parts: ForwardingDependencies,
   options: { readonly request: ForwardedRequest; readonly sink: CallerSink },
 ): Promise<void> {
   const { request, sink } = options;
   const routes = parts.routes();
-  const refuse = (refusal: Refusal) => {
+  const refuse = (refusal: ForwardingRefusal) => {
     const { reason, status } = refusal;
     const version = routes?.configuration.version;
     const requestId = request.id;
@@ -43,7 +43,7 @@
   if (route === undefined) return refuse({ status: 404, reason: "no_route" });
   const caller = identify(routes, { request, route });
   if (caller.isErr()) return refuse({ status: 401, reason: caller.error });
-  const poolName = drawPool(route, parts.random);
+  const poolName = selectPool(route, parts.random);
   const pool = poolName === undefined
     ? undefined
     : routes.configuration.pools.get(poolName);
--- a/src/entry/forwarding/forward_context.ts
+++ b/src/entry/forwarding/forward_context.ts
@@ -1,6 +1,6 @@
 import {
   type ForwardedRequest,
-  type NextSends,
+  type NextAttempt,
   type Pool,
   type RegisteredEndpoint,
   RequestArrivals,
@@ -9,7 +9,7 @@
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId, RequestDigest } from "../../core/identity/mod.ts";
 import type { ForwardingDecision } from "./observer.ts";
-import type { ForwardingParts } from "./parts.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
 
 /**
  * Maximum number of sends of one request regardless of the retry budget, so
@@ -33,7 +33,7 @@
 
 /** State of one request, shared by the steps that forward it. */
 export class ForwardContext {
-  readonly parts: ForwardingParts;
+  readonly parts: ForwardingDependencies;
   readonly request: ForwardedRequest;
   readonly route: Route;
   readonly pool: Pool;
@@ -53,7 +53,7 @@
   #digest: RequestDigest | undefined;
   #hasStarted = false;
 
-  constructor(parts: ForwardingParts, task: ForwardTask) {
+  constructor(parts: ForwardingDependencies, task: ForwardTask) {
     const { request, route } = task;
     this.parts = parts;
     this.request = request;
@@ -61,12 +61,14 @@
     this.pool = task.pool;
     this.workspace = task.workspace;
     this.arrived = parts.timer.now();
-    this.arrivals = new RequestArrivals(parts.allowance, task.pool.name);
+    this.arrivals = new RequestArrivals(parts.retryBudget, task.pool.name);
     this.allowedMilliseconds = Math.min(
       request.deadlineMilliseconds ?? Infinity,
       route.timeoutMilliseconds,
     );
-    this.waitedMilliseconds = parts.returning.waited(this.#lastPartId);
+    this.waitedMilliseconds = parts.returningCallers.elapsedSinceFirstAttempt(
+      this.#lastPartId,
+    );
   }
 
   /** Priority of the request; 0 is the most urgent. */
@@ -102,7 +104,7 @@
   /** Number of consecutive crashes attributed to the request, as known here. */
   get knownCrashes(): number {
     const { crashes } = this.parts;
-    return crashes.size === 0 ? 0 : crashes.crashesUnder(this.digest);
+    return crashes.size === 0 ? 0 : crashes.crashCount(this.digest);
   }
 
   /**
@@ -118,7 +120,7 @@
     const partId = this.#lastPartId;
     if (partId === undefined) return;
     const waited = this.waitedMilliseconds + this.elapsedMilliseconds;
-    this.parts.returning.refused(partId, waited);
+    this.parts.returningCallers.record(partId, waited);
   }
 
   /** Time until the deadline, in milliseconds. */
@@ -146,7 +148,7 @@
   endpoints(): RegisteredEndpoint[] {
     const { outcomes } = this.parts;
     return this.#inService().filter(({ id }) =>
-      outcomes.overloadMilliseconds(id) === 0
+      outcomes.remainingOverloadMilliseconds(id) === 0
     );
   }
 
@@ -159,7 +161,7 @@
   ): number {
     const { outcomes } = this.parts;
     const waits = this.#inService().filter(matches)
-      .map(({ id }) => outcomes.overloadMilliseconds(id));
+      .map(({ id }) => outcomes.remainingOverloadMilliseconds(id));
     return Math.min(Infinity, ...waits);
   }
 
@@ -195,11 +197,11 @@
    * Checks the send limit, the remaining time and the shared retry budget
    * before another send to the pool.
    */
-  mayResend(reason: string, next: NextSends): boolean {
+  mayResend(reason: string, next: NextAttempt): boolean {
     const allowed = this.sends < MAX_SENDS &&
       this.remainingMilliseconds >= MIN_USEFUL_MILLISECONDS &&
-      this.arrivals.cover(next);
-    const { counted, allowed: limit } = this.parts.allowance.use(
+      this.arrivals.reserve(next);
+    const { counted, allowed: limit } = this.parts.retryBudget.usageOf(
       this.pool.name,
     );
     this.report(allowed ? "resent" : "not_resent", {
@@ -214,7 +216,7 @@
   noteStarted(at: number): void {
     if (this.#hasStarted || this.workspace === undefined) return;
     this.#hasStarted = true;
-    this.parts.began(this.workspace.id, at);
+    this.parts.noteStarted(this.workspace.id, at);
   }
 
   /** Reports a decision on this request. */
--- a/src/entry/forwarding/parts.ts
+++ b/src/entry/forwarding/forwarding_dependencies.ts
@@ -1,21 +1,21 @@
 /** Dependencies and state that all forwarded requests of an entry share. */
 import type {
-  CrashSuspects,
-  EndpointOutcomes,
+  CrashTracker,
+  EndpointAvailability,
   EndpointRegistry,
   EndpointRun,
   EngineEstimates,
   EnginePlacement,
   EngineSlowness,
+  FleetLoad,
   ForwardedRequest,
-  HeldPrompts,
-  LinkQueue,
-  LoadPicture,
+  HeldPromptQueue,
+  LinkBacklog,
   PrefillChoice,
   PrefixDirectory,
-  RetryAllowance,
   ReturningCallers,
   RouteTable,
+  SharedRetryBudget,
   WorkRate,
 } from "../../core/forwarding/mod.ts";
 import type {
@@ -26,28 +26,28 @@
 } from "../../core/identity/mod.ts";
 import type { Random } from "../../core/random/mod.ts";
 import type { TimerService } from "../../core/time/mod.ts";
-import type { EndpointDoor } from "./links.ts";
+import type { EndpointClient } from "./network_interfaces.ts";
 import type { ObserveForwarding } from "./observer.ts";
 
-export interface ForwardingParts {
+export interface ForwardingDependencies {
   readonly timer: TimerService;
   readonly random: Random;
   readonly availabilityZone: AvailabilityZoneId;
   readonly registry: EndpointRegistry;
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly prefixes: PrefixDirectory;
-  readonly outcomes: EndpointOutcomes;
+  readonly outcomes: EndpointAvailability;
   readonly placement: EnginePlacement;
   readonly estimates: EngineEstimates;
   readonly slowness: EngineSlowness;
-  readonly allowance: RetryAllowance;
+  readonly retryBudget: SharedRetryBudget;
   /** Requests under which endpoints have crashed. */
-  readonly crashes: CrashSuspects;
-  readonly returning: ReturningCallers;
+  readonly crashes: CrashTracker;
+  readonly returningCallers: ReturningCallers;
   /** Prefills that this entry has started for responses within their target. */
   readonly onTimeWork: WorkRate;
   /** Prompts that are queued at this entry until an engine is nearly idle. */
-  readonly held: HeldPrompts<PrefillChoice>;
+  readonly held: HeldPromptQueue<PrefillChoice>;
   /** Number of entries in the fleet, including this one. */
   readonly entries: () => number;
   /**
@@ -57,19 +57,19 @@
   /** Refreshes the load of these endpoints from their owners. */
   readonly refreshLoad: (endpoints: readonly EndpointId[]) => Promise<void>;
   /** Send queue of this entry's network link. */
-  readonly link: LinkQueue;
+  readonly link: LinkBacklog;
   /** Event loop delay of this process, in milliseconds. */
-  readonly loopDelay: () => number;
-  readonly door: EndpointDoor;
+  readonly loopDelayMilliseconds: () => number;
+  readonly endpointClient: EndpointClient;
   /** Digest by which a retried request is recognized. */
   readonly digestOf: (request: ForwardedRequest) => RequestDigest;
   readonly observe: ObserveForwarding;
   /**
    * Records that a response announced that this run is leaving; true if new.
    */
-  readonly saidLeaving: (run: EndpointRun) => boolean;
+  readonly reportLeaving: (run: EndpointRun) => boolean;
   /** Records that a request of the workspace started to run at this time. */
-  readonly began: (workspace: WorkspaceId, at: number) => void;
+  readonly noteStarted: (workspace: WorkspaceId, at: number) => void;
   /** True while an engine changes its role and accepts no new work. */
   readonly isChanging: (endpoint: EndpointId) => boolean;
   /** The routes in force; undefined until a configuration is known. */
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -1,27 +1,27 @@
 import {
   type BlockedRequest,
-  CrashSuspects,
-  type EndpointMemory,
-  EndpointOutcomes,
+  CrashTracker,
+  EndpointAvailability,
   EndpointRegistry,
+  type EndpointStateHolder,
   EngineEstimates,
   EnginePlacement,
   EngineSlowness,
+  FleetLoad,
   type ForwardedRequest,
   type ForwardingConfiguration,
-  HeldPrompts,
-  LinkQueue,
+  HeldPromptQueue,
+  LinkBacklog,
   LoadOwners,
-  LoadPicture,
   type OpenWork,
-  type PeerReading,
+  type PeerReadResult,
   PrefixDirectory,
-  type RepeatUse,
   type ReportedLoss,
-  RetryAllowance,
+  type RetryBudgetUsage,
   ReturningCallers,
   RouteTable,
-  type TopicSpan,
+  SharedRetryBudget,
+  type TopicRange,
   WorkRate,
 } from "../../core/forwarding/mod.ts";
 import {
@@ -35,9 +35,9 @@
 import type { Random } from "../../core/random/mod.ts";
 import type { TimerService } from "../../core/time/mod.ts";
 import { forward } from "./forward.ts";
-import type { CallerSink, EndpointDoor } from "./links.ts";
+import type { CallerSink, EndpointClient } from "./network_interfaces.ts";
 import type { ObserveForwarding } from "./observer.ts";
-import type { ForwardingParts } from "./parts.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
 import { PrefixCacheSurvey } from "./prefix_cache_survey.ts";
 import { RegistrationSync } from "./registration_sync.ts";
 import {
@@ -45,7 +45,7 @@
   type PeerStateFallbackOptions,
 } from "./peer_state_fallback.ts";
 import { RoleController, type RoleLink } from "./role_controller.ts";
-import { UsageKeeper, type UsageKeeperOptions } from "./usage_keeper.ts";
+import { UsageReporter, type UsageReporterOptions } from "./usage_reporter.ts";
 import { USAGE_METHOD, USAGE_REPORTS_METHOD } from "./usage_notification.ts";
 import {
   CRASHES_METHOD,
@@ -58,7 +58,7 @@
   LOAD_ANSWER_METHOD,
   LOAD_QUERY_METHOD,
   LoadQueries,
-  type LoadQuestionOutcome,
+  type LoadQueryOutcome,
 } from "./load_queries.ts";
 import { WORK_METHOD } from "./work_notification.ts";
 
@@ -68,7 +68,7 @@
   readonly availabilityZone: AvailabilityZoneId;
   readonly timer: TimerService;
   readonly random: Random;
-  readonly door: EndpointDoor;
+  readonly endpointClient: EndpointClient;
   /** Digest by which a retried request is recognized. */
   readonly digestOf: (request: ForwardedRequest) => RequestDigest;
   readonly sendToPeers: SendToPeers;
@@ -87,7 +87,7 @@
   /** Bandwidth of this machine's link; absent if unknown. */
   readonly linkMegabitsPerSecond: number | undefined;
   /** Event loop delay of this process, in milliseconds. */
-  readonly loopDelay: () => number;
+  readonly loopDelayMilliseconds: () => number;
   /** Absent: engines keep their current roles. */
   readonly roles?: {
     readonly link: RoleLink;
@@ -95,7 +95,7 @@
   };
   /** Absent: usage of workspaces is not reported. */
   readonly usage?: Pick<
-    UsageKeeperOptions,
+    UsageReporterOptions,
     | "dueMilliseconds"
     | "leaseMilliseconds"
     | "link"
@@ -103,17 +103,17 @@
     | "windowMilliseconds"
   >;
   /** How to query peers while the store is unreachable. */
-  readonly relay: Pick<PeerStateFallbackOptions, "ask" | "peers">;
+  readonly peerStateFallback: Pick<PeerStateFallbackOptions, "ask" | "peers">;
   /** The endpoint's connections are no longer needed. */
-  readonly onEndpointGone: (address: string) => void;
+  readonly onEndpointRemoved: (address: string) => void;
   /** Records that a peer has read this span of the registrations. */
-  readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
+  readonly recordPeerRead: (span: TopicRange) => PeerReadResult;
   /** Called with the outcome of each load query. */
-  readonly onLoadQuestion: (outcome: LoadQuestionOutcome) => void;
+  readonly onLoadQuery: (outcome: LoadQueryOutcome) => void;
   /** Persists a blocked request for entries that start while no other runs. */
-  readonly keepBlocked: (blocked: BlockedRequest) => void;
+  readonly persistBlocked: (blocked: BlockedRequest) => void;
   /** Removes a persisted request that has completed since it was blocked. */
-  readonly dropBlocked: (digest: RequestDigest) => void;
+  readonly removeBlocked: (digest: RequestDigest) => void;
   /** Called when an entry reports that is not in the list of the fleet yet. */
   readonly onUnlistedPeer: () => void;
 }
@@ -131,12 +131,12 @@
 export class ForwardingEntry {
   readonly registry: EndpointRegistry;
   readonly peers: PeerExchange;
-  readonly relay: PeerStateFallback;
-  readonly registrations: RegistrationSync;
+  readonly peerStateFallback: PeerStateFallback;
+  readonly registrationSync: RegistrationSync;
   readonly #options: ForwardingEntryOptions;
-  readonly #parts: ForwardingParts;
+  readonly #parts: ForwardingDependencies;
   readonly #roleController: RoleController | undefined;
-  readonly #usage: UsageKeeper | undefined;
+  readonly #usage: UsageReporter | undefined;
   readonly #survey: PrefixCacheSurvey;
   readonly #loadQueries: LoadQueries;
   readonly #startedAt: number;
@@ -147,12 +147,12 @@
     this.#options = options;
     const { timer, random } = options;
     this.#startedAt = timer.now();
-    const load = new LoadPicture(timer);
+    const load = new FleetLoad(timer);
     const prefixes = new PrefixDirectory();
     const estimates = new EngineEstimates();
     const slowness = new EngineSlowness(timer);
     const returning = new ReturningCallers(timer);
-    const crashes = new CrashSuspects({
+    const crashes = new CrashTracker({
       timer,
       onBlocked: (blocked, { isOwn }) => {
         const { digest, losses } = blocked;
@@ -161,20 +161,20 @@
           { digest, endpoints },
           "Blocked a request that crashes endpoints",
         );
-        if (isOwn) options.keepBlocked(blocked);
+        if (isOwn) options.persistBlocked(blocked);
       },
-      onCleared: (digest) => options.dropBlocked(digest),
+      onCleared: (digest) => options.removeBlocked(digest),
     });
-    const outcomes = new EndpointOutcomes(timer);
-    const connections: EndpointMemory = {
-      forget: ({ address }) => options.onEndpointGone(address),
+    const outcomes = new EndpointAvailability(timer);
+    const connections: EndpointStateHolder = {
+      forget: ({ address }) => options.onEndpointRemoved(address),
     };
-    const orders: EndpointMemory = {
+    const orders: EndpointStateHolder = {
       forget: (endpoint) => this.#roleController?.forget(endpoint),
     };
     this.registry = new EndpointRegistry({
       timer,
-      memories: [
+      stateHolders: [
         load,
         prefixes,
         outcomes,
@@ -193,7 +193,7 @@
       timer,
       random,
       logger: options.logger,
-      endpointClient: options.door,
+      endpointClient: options.endpointClient,
       prefixes,
       configuration: () => this.configuration,
       entries: () => this.entriesSharingLimits,
@@ -208,9 +208,9 @@
       load,
       owners,
       send: (peer, notification) => this.peers.sendTo(peer, notification),
-      onOutcome: options.onLoadQuestion,
+      onOutcome: options.onLoadQuery,
     });
-    this.#usage = options.usage && new UsageKeeper({
+    this.#usage = options.usage && new UsageReporter({
       ...options.usage,
       self,
       incarnation: options.incarnation,
@@ -218,14 +218,15 @@
       logger: options.logger,
       isFirstStart: options.isFirstStart,
       ranking: () => owners.liveRanking(USAGE_METHOD),
-      listed: () => this.peers.listedPeers,
+      listedPeers: () => this.peers.listedPeers,
       send: (peer, notification) => this.peers.sendTo(peer, notification),
       broadcast: (method, params) => this.peers.broadcast(method, params),
     });
     const clock = this.#usage?.clock;
     this.peers = new PeerExchange({
       ...options,
-      ...(clock && { onClock: (peer, time) => clock.peerSaid(peer, time) }),
+      ...(clock &&
+        { onClock: (peer, time) => clock.recordPeerClock(peer, time) }),
       registry: this.registry,
       load,
       owners,
@@ -234,23 +235,23 @@
       returning,
       crashes,
       version: () => this.configuration?.version,
-      onVersion: (version) => this.relay.onPeerVersion(version),
+      onVersion: (version) => this.peerStateFallback.onPeerVersion(version),
     });
-    this.relay = new PeerStateFallback({
-      ...options.relay,
+    this.peerStateFallback = new PeerStateFallback({
+      ...options.peerStateFallback,
       timer,
       random,
       logger: options.logger,
       registry: this.registry,
       configuration: () => this.configuration,
       applyConfiguration: (configuration) => {
-        this.takeConfiguration(configuration);
+        this.applyConfiguration(configuration);
       },
     });
-    this.registrations = new RegistrationSync({
+    this.registrationSync = new RegistrationSync({
       registry: this.registry,
-      peerReadRegistrations: options.peerReadRegistrations,
-      onStoreReached: () => this.relay.storeReached(),
+      recordPeerRead: options.recordPeerRead,
+      onStoreReached: () => this.peerStateFallback.onStoreRead(),
       broadcast: (update) => this.peers.broadcast(REGISTRATIONS_METHOD, update),
     });
     this.#roleController = options.roles === undefined
@@ -286,26 +287,26 @@
       }),
       estimates,
       slowness,
-      allowance: new RetryAllowance({
+      retryBudget: new SharedRetryBudget({
         timer,
         ...options.retry,
         entries: () => this.entriesSharingLimits,
       }),
-      returning,
+      returningCallers: returning,
       crashes,
       onTimeWork: new WorkRate(timer),
-      held: new HeldPrompts(timer),
-      entries: () => this.peers.knownEntries ?? 1,
-      link: new LinkQueue(timer, options.linkMegabitsPerSecond),
-      loopDelay: options.loopDelay,
+      held: new HeldPromptQueue(timer),
+      entries: () => this.peers.fleetSize ?? 1,
+      link: new LinkBacklog(timer, options.linkMegabitsPerSecond),
+      loopDelayMilliseconds: options.loopDelayMilliseconds,
       refreshLoad: (endpoints) => this.#loadQueries.refresh(endpoints),
       isLoadStale: () => this.peers.isLoadStale,
-      door: options.door,
+      endpointClient: options.endpointClient,
       digestOf: options.digestOf,
       observe: options.observe,
       routes: () => this.#routes,
-      saidLeaving: (run) => this.registrations.reportLeaving(run),
-      began: (workspace, at) => this.#usage?.began(workspace, at),
+      reportLeaving: (run) => this.registrationSync.reportLeaving(run),
+      noteStarted: (workspace, at) => this.#usage?.noteStarted(workspace, at),
       isChanging: (endpoint) =>
         this.#roleController?.isChanging(endpoint) ?? false,
     };
@@ -318,7 +319,7 @@
 
   /** Number of entries that share the fleet-wide limits. */
   get entriesSharingLimits(): number {
-    const known = this.peers.knownEntries ?? 1;
+    const known = this.peers.fleetSize ?? 1;
     const age = this.#options.timer.now() - this.#startedAt;
     return age < STARTUP_MILLISECONDS
       ? Math.max(known, ASSUMED_STARTUP_ENTRIES)
@@ -326,8 +327,8 @@
   }
 
   /** Use of this entry's share of the retry budget, by pool. */
-  repeatUses(): RepeatUse[] {
-    return this.#parts.allowance.uses();
+  retryBudgetUses(): RetryBudgetUsage[] {
+    return this.#parts.retryBudget.usageByPool();
   }
 
   /** Number of requests that are blocked for crashing endpoints. */
@@ -349,7 +350,7 @@
   }
 
   /** True while the load balancer should send callers here. */
-  get ready(): boolean {
+  get isReady(): boolean {
     return this.#routes !== undefined && this.registry.size > 0 &&
       !this.#stopping;
   }
@@ -358,7 +359,7 @@
     this.peers.start();
     this.#roleController?.start();
     this.#usage?.start();
-    this.relay.start();
+    this.peerStateFallback.start();
   }
 
   /**
@@ -373,14 +374,14 @@
   close(): void {
     this.#usage?.stop();
     this.peers.stop();
-    this.relay.stop();
+    this.peerStateFallback.stop();
   }
 
   /**
    * Puts a configuration in force. Versions that are not newer are ignored: a
    * late read would otherwise revert what callers have already seen.
    */
-  takeConfiguration(configuration: ForwardingConfiguration): boolean {
+  applyConfiguration(configuration: ForwardingConfiguration): boolean {
     const known = this.configuration?.version ?? -Infinity;
     if (configuration.version <= known) return false;
     this.#routes = new RouteTable(configuration);
@@ -401,11 +402,11 @@
   }
 
   /** Handles a notification from a peer. */
-  takeNotification(method: string, params: unknown): void {
+  onNotification(method: string, params: unknown): void {
     if (method === WORK_METHOD) this.peers.onWork(params);
     if (method === CRASHES_METHOD) this.peers.onCrashes(params);
     if (method === USAGE_METHOD || method === USAGE_REPORTS_METHOD) {
-      this.#usage?.take(method, params);
+      this.#usage?.onNotification(method, params);
     }
     if (method === LOAD_QUERY_METHOD) this.#loadQueries.onQuery(params);
     if (method === LOAD_ANSWER_METHOD) this.#loadQueries.onAnswer(params);
@@ -419,7 +420,7 @@
       this.#roleController?.onPeerOrders(orders);
     }
     if (method === REGISTRATIONS_METHOD && Array.isArray(changes)) {
-      this.registrations.onPeerChanges(changes, span);
+      this.registrationSync.onPeerChanges(changes, span);
     }
   }
 
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -5,12 +5,12 @@
   makeEndpoint,
   makeEngine,
   PORTAL,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
-  CrashSuspects,
-  EndpointOutcomes,
+  CrashTracker,
+  EndpointAvailability,
   EngineSlowness,
-  LoadPicture,
+  FleetLoad,
   PrefixDirectory,
   type RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
@@ -18,9 +18,9 @@
   type AvailabilityZoneId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
-import { SILENT_LOGGER } from "../../core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../core/observation/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import { ForwardingEntry, type RoleLink } from "./mod.ts";
 import { RoleController } from "./role_controller.ts";
@@ -51,13 +51,13 @@
         process: `entry-${index}`,
         incarnation: "1",
         linkMegabitsPerSecond: undefined,
-        loopDelay: () => 0,
+        loopDelayMilliseconds: () => 0,
         availabilityZone: identifier<AvailabilityZoneId>("zone-1"),
         timer,
         random: () => 0.5,
-        door: {
+        endpointClient: {
           send: () => ({ answer: new Promise(() => {}), abort() {} }),
-          keptHandle: () => undefined,
+          parseCacheHandle: () => undefined,
           listKept: () => Promise.resolve(undefined),
           release() {},
         },
@@ -65,30 +65,30 @@
         sendToPeers: (_, { method, params }) => {
           for (const entry of entries) {
             if (entry === entries[index]) continue;
-            entry.takeNotification(method, JSON.parse(JSON.stringify(params)));
+            entry.onNotification(method, JSON.parse(JSON.stringify(params)));
           }
         },
         observe() {},
-        logger: SILENT_LOGGER,
+        logger: NOOP_LOGGER,
         isFirstStart: true,
         retry: { ratio: 0.2, windowMilliseconds: 10_000, minimum: 50 },
-        relay: {
+        peerStateFallback: {
           peers: () => [],
           ask: () =>
             Promise.resolve(
               err({ name: "link_lost", title: "", message: "", hint: "" }),
             ),
         },
-        onEndpointGone,
+        onEndpointRemoved: onEndpointGone,
         roles: { link: SILENT_ROLE_LINK, leaseMilliseconds: 3_000 },
-        peerReadRegistrations: ({ from, to }) => {
+        recordPeerRead: ({ from, to }) => {
           if (position > to) return "older";
           return from === position ? "ahead" : "apart";
         },
         onUnlistedPeer() {},
-        keepBlocked() {},
-        dropBlocked() {},
-        onLoadQuestion() {},
+        persistBlocked() {},
+        removeBlocked() {},
+        onLoadQuery() {},
       }),
   );
   for (const entry of entries) {
@@ -99,11 +99,11 @@
 
 /** Every component with state per endpoint; add new ones here. */
 const ENDPOINT_MEMORIES = {
-  "open work": LoadPicture,
+  "open work": FleetLoad,
   "kept prompts": PrefixDirectory,
-  outcomes: EndpointOutcomes,
+  outcomes: EndpointAvailability,
   slowness: EngineSlowness,
-  crashes: CrashSuspects,
+  crashes: CrashTracker,
   orders: RoleController,
 } as const;
 const ENDPOINT_MEMORY_NAMES = [
@@ -137,9 +137,9 @@
   it("notifies peers of a leaving endpoint", () => {
     const [first, second] = makeEntries(2);
     for (const entry of [first, second]) {
-      entry.registrations.read([{ id, endpoint }]);
+      entry.registrationSync.applyRead([{ id, endpoint }]);
     }
-    first.registrations.read([{
+    first.registrationSync.applyRead([{
       id,
       endpoint: { ...endpoint, leaving: true },
     }]);
@@ -151,9 +151,9 @@
   // send there indefinitely: they have already read past the removal.
   it("does not restore an endpoint from a peer that is behind", () => {
     const [late, ahead] = makeEntries(2);
-    ahead.registrations.read([{ id, endpoint }]);
-    ahead.registrations.read([{ id }]);
-    late.registrations.read([{ id, endpoint }]);
+    ahead.registrationSync.applyRead([{ id, endpoint }]);
+    ahead.registrationSync.applyRead([{ id }]);
+    late.registrationSync.applyRead([{ id, endpoint }]);
     expect(ahead.registry.size).to.equal(0);
     expect(late.registry.size).to.equal(1);
   });
@@ -165,13 +165,13 @@
     // Until then callers wait at full endpoints although one is free.
     it("applies a new endpoint from a peer whose span continues its own", () => {
       const [first, second] = makeEntries(2, { position: 10 });
-      first.registrations.read([{ id, endpoint }], span);
+      first.registrationSync.applyRead([{ id, endpoint }], span);
       expect(second.registry.get(id)).to.deep.equal(endpoint);
     });
 
     it("applies no new endpoint if there are records in between", () => {
       const [first, second] = makeEntries(2, { position: 9 });
-      first.registrations.read([{ id, endpoint }], span);
+      first.registrationSync.applyRead([{ id, endpoint }], span);
       expect(second.registry.get(id)).to.equal(undefined);
     });
 
@@ -180,8 +180,8 @@
     // entry has already read past, so the entry never sends to it again.
     it("applies nothing from a span that it has read past", () => {
       const [first, second] = makeEntries(2, { position: 20 });
-      for (const entry of [first, second]) entry.registry.put(endpoint);
-      first.registrations.read([{ id }], span);
+      for (const entry of [first, second]) entry.registry.upsert(endpoint);
+      first.registrationSync.applyRead([{ id }], span);
       expect(second.registry.get(id)).to.deep.equal(endpoint);
     });
 
@@ -189,10 +189,10 @@
     // both nothing has changed, as the second record reverts the first.
     it("sends a change that was reverted within the span", () => {
       const [first, second] = makeEntries(2, { position: 10 });
-      first.registrations.read([{ id, endpoint }], span);
+      first.registrationSync.applyRead([{ id, endpoint }], span);
       const other = { ...endpoint, slots: 99 };
-      second.registry.put(other);
-      first.registrations.read(
+      second.registry.upsert(other);
+      first.registrationSync.applyRead(
         [{ id, endpoint: other }, { id, endpoint }],
         { from: 10, to: 16 },
       );
@@ -215,7 +215,7 @@
   // restarts under the same id. State kept from the previous run sends callers
   // to caches that are gone or excludes a healthy engine.
   describe("an engine that restarts under the same id", () => {
-    const startedAt = (time: number) => numbered<ReplicaStart>(time);
+    const startedAt = (time: number) => numbered<ReplicaStartTime>(time);
     const first = makeEngine("e", "prefill", { startedAt: startedAt(1_000) });
     const second = { ...first, startedAt: startedAt(2_000) };
     const workAt = (run: RegisteredEndpoint) => ({
@@ -236,8 +236,8 @@
           const [entry] = makeEntries(1, {
             onEndpointGone: () => forgotten.push("connections"),
           });
-          entry.registry.put(first);
-          entry.registry.put(second);
+          entry.registry.upsert(first);
+          entry.registry.upsert(second);
         } finally {
           restore();
         }
@@ -247,10 +247,10 @@
 
     it("ignores work of a peer that only knows the previous run", () => {
       const [entry] = makeEntries(1);
-      entry.registry.put(second);
-      entry.takeNotification("entry.work", workAt(first));
+      entry.registry.upsert(second);
+      entry.onNotification("entry.work", workAt(first));
       expect(entry.openWorkAt(second.id).requests).to.equal(0);
-      entry.takeNotification("entry.work", workAt(second));
+      entry.onNotification("entry.work", workAt(second));
       expect(entry.openWorkAt(second.id).requests).to.equal(3);
     });
   });
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -1,10 +1,10 @@
 import type {
-  KeptPrompt,
   PrefillChoice,
+  PrefilledPrompt,
   Prompt,
   RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
-import type { Attempt } from "./attempt.ts";
+import type { ForwardAttempt } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
 import {
   type AdmissionFacts,
@@ -36,7 +36,7 @@
 const MAX_RELEASE_DELAY_MILLISECONDS = 5_000;
 /** Outcome of a handover. */
 export type HandoverOutcome =
-  | { readonly kind: "kept"; readonly kept: KeptPrompt }
+  | { readonly kind: "kept"; readonly kept: PrefilledPrompt }
   | {
     readonly kind: "refused";
     readonly reason:
@@ -75,8 +75,8 @@
  */
 export class Handover {
   readonly #context: ForwardContext;
-  readonly #onAttempt: (attempt: Attempt) => void;
-  #kept: KeptPrompt | undefined;
+  readonly #onAttempt: (attempt: ForwardAttempt) => void;
+  #kept: PrefilledPrompt | undefined;
   /** Prefills that failed at an engine. */
   #failedPrefills = 0;
   /** Prefills that could not connect to an engine. */
@@ -86,7 +86,7 @@
   /** `onAttempt` receives each prefill attempt, so that it can be aborted. */
   constructor(
     context: ForwardContext,
-    onAttempt: (attempt: Attempt) => void,
+    onAttempt: (attempt: ForwardAttempt) => void,
   ) {
     this.#context = context;
     this.#onAttempt = onAttempt;
@@ -103,13 +103,13 @@
     }
     this.#kept = undefined;
     for (;;) {
-      if (!this.#context.arrivals.cover({ reading: true })) return NO_RETRIES;
+      if (!this.#context.arrivals.reserve({ prefill: true })) return NO_RETRIES;
       const admitted = await admitPrompt(this.#context, prompt);
       if (this.#context.settled) return ENGINES_FULL;
       if (admitted.kind === "refused") return admitted;
       const late = admitted.kind === "held";
       const choice = late
-        ? await this.#context.parts.held.hold(admitted.prompt)
+        ? await this.#context.parts.held.enqueue(admitted.prompt)
         : admitted.choice;
       if (choice === undefined || this.#context.settled) return ENGINES_FULL;
       if (this.#context.blockedMilliseconds > 0) return CRASHES_ENDPOINTS;
@@ -121,7 +121,7 @@
       const mayRetry = !this.#context.settled &&
         this.#failedPrefills < MAX_PREFILL_ATTEMPTS &&
         this.#unreachableEngines <= MAX_UNREACHABLE_ENGINES &&
-        this.#context.mayResend(`prefill ${outcome.reason}`, { reading: true });
+        this.#context.mayResend(`prefill ${outcome.reason}`, { prefill: true });
       if (!mayRetry) {
         const facts = {
           readings: this.#failedPrefills,
@@ -136,11 +136,11 @@
   get needsAnotherPrefill(): boolean {
     const kept = this.#kept;
     const isMissing = kept === undefined || this.#isStale(kept);
-    return isMissing && this.#context.arrivals.hasRead;
+    return isMissing && this.#context.arrivals.hasPrefilled;
   }
 
   /** True if the engine has restarted since and lost the cache. */
-  #isStale({ engine, engineStartedAt }: KeptPrompt): boolean {
+  #isStale({ engine, engineStartedAt }: PrefilledPrompt): boolean {
     const current = this.#context.parts.registry.get(engine);
     return current !== undefined && current.startedAt !== engineStartedAt;
   }
@@ -163,9 +163,9 @@
     this.#kept = undefined;
     const { parts, pool, request } = this.#context;
     if (request.prompt !== undefined) {
-      parts.placement.handedOver(request.prompt, pool, milliseconds);
+      parts.placement.recordHandover(request.prompt, pool, milliseconds);
     }
-    parts.prefixes.read({
+    parts.prefixes.recordCached({
       engine: id,
       engineStartedAt: startedAt,
       parts: request.prompt?.parts ?? [],
@@ -178,9 +178,9 @@
     const kept = this.#kept;
     this.#kept = undefined;
     if (kept === undefined) return;
-    const { door, outcomes, timer } = this.#context.parts;
+    const { endpointClient: door, outcomes, timer } = this.#context.parts;
     const free = () => door.release(kept.address, kept.handle);
-    const wait = outcomes.overloadMilliseconds(kept.engine);
+    const wait = outcomes.remainingOverloadMilliseconds(kept.engine);
     if (wait === 0) return free();
     if (wait <= MAX_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
   }
@@ -196,12 +196,12 @@
       readonly took: number;
     },
   ): void {
-    const { endpoint, predictedMilliseconds, slowness } = choice;
+    const { endpoint, predictedMilliseconds, slowdown: slowness } = choice;
     const predicted = predictedMilliseconds / slowness;
     if (outcome.kind === "failed" && took < predicted) return;
     const { parts } = this.#context;
     if (!parts.registry.isSameRun(endpoint)) return;
-    parts.slowness.took(endpoint.id, { milliseconds: took, predicted });
+    parts.slowness.record(endpoint.id, { milliseconds: took, predicted });
   }
 
   /**
@@ -216,7 +216,7 @@
     const { fetchFrom, keptTokens, openRequests } = choice;
     if (openRequests > 0 || fetchFrom !== undefined) return;
     const { parts, pool } = this.#context;
-    parts.estimates.of(pool.name).reading.took({
+    parts.estimates.forPool(pool.name).prefill.record({
       promptTokens: prompt.inputTokens,
       keptTokens,
       milliseconds: took,
@@ -243,7 +243,7 @@
       fetchFrom: choice.fetchFrom?.id,
     });
     const sent = parts.timer.now();
-    arrivals.readingSent();
+    arrivals.prefillSent();
     const outcome = await prefillPrompt(this.#context, {
       prompt,
       choice,
@@ -254,8 +254,8 @@
     const took = parts.timer.now() - sent;
     this.#recordSlowness(choice, { outcome, took });
     const accepted = outcome.kind === "kept";
-    if (accepted || outcome.arrived) arrivals.readingEnded({ accepted });
-    else arrivals.readingNotSent();
+    if (accepted || outcome.arrived) arrivals.prefillEnded({ accepted });
+    else arrivals.prefillNotSent();
     if (outcome.kind === "failed") return outcome;
     this.#recordPrefillSpeed(prompt, choice, took);
     this.#kept = outcome.kept;
--- a/src/entry/forwarding/large_fleet_test.ts
+++ b/src/entry/forwarding/large_fleet_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { EntryFleet } from "../../../test/support/entry_fleet.ts";
-import type { RecordingSink } from "../../../test/support/forwarding_bench.ts";
-import { PlayedEngines } from "../../../test/support/forwarding_engines.ts";
+import type { RecordingSink } from "../../../test/support/forwarding_harness.ts";
+import { SimulatedEngines } from "../../../test/support/simulated_engines.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -9,7 +9,7 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
   type AvailabilityZoneId,
   identifier,
@@ -69,7 +69,7 @@
 /** Long summaries and short urgent prompts at the entries of a large fleet. */
 class LargeFleet {
   readonly fleet: EntryFleet;
-  readonly engines: PlayedEngines;
+  readonly engines: SimulatedEngines;
   summaries = new ResponseTimes();
   urgent = new ResponseTimes();
   readonly #random = seededRandom(7);
@@ -79,7 +79,7 @@
     this.fleet = new EntryFleet({
       entries: ENTRIES,
       zones: ZONES,
-      lostShare,
+      lossRate: lostShare,
       configuration: makeConfiguration({
         routes: [
           route({ name: "summary", pathPrefix: "/summary/" }),
@@ -102,7 +102,7 @@
           ),
       ),
     });
-    this.engines = new PlayedEngines(this.fleet, { slots: SLOTS });
+    this.engines = new SimulatedEngines(this.fleet, { slots: SLOTS });
   }
 
   /** Resets the response times. */
@@ -136,7 +136,7 @@
       (_, index) => makeLargeEngine(ENGINE_COUNT + index, "prefill"),
     );
     for (const { registry } of this.fleet.entries) {
-      for (const engine of joined) registry.put(engine);
+      for (const engine of joined) registry.upsert(engine);
     }
     return joined.map(({ id }) => id);
   }
@@ -151,7 +151,7 @@
     waits.asked += 1;
     this.#lastId += 1;
     const isSummary = kind === "summary";
-    const sink = this.fleet.ask(
+    const sink = this.fleet.submit(
       Math.floor(ENTRIES * this.#random()),
       makeRequest({
         id: identifier<RequestId>(`request-${this.#lastId}`),
@@ -196,7 +196,7 @@
   it("degrades little when several entries are partitioned at once", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
-    for (let index = 0; index < 7; index++) large.fleet.cutOff.add(index);
+    for (let index = 0; index < 7; index++) large.fleet.partitioned.add(index);
     await large.run({ summaries: 700, milliseconds: 2_000 });
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.8);
   }).timeout(60_000);
@@ -230,7 +230,7 @@
     large.resetCounts();
     await large.run({ summaries: 900, milliseconds: 2_000 });
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.9);
-    const most = joined.map((id) => large.engines.mostReadings.get(id) ?? 0);
+    const most = joined.map((id) => large.engines.maxPrefillQueue.get(id) ?? 0);
     expect(Math.max(...most)).to.be.at.most(SLOTS);
     expect(most.filter((each) => each > 0).length)
       .to.be.at.least(joined.length / 2);
--- a/src/entry/forwarding/load_queries.ts
+++ b/src/entry/forwarding/load_queries.ts
@@ -1,9 +1,9 @@
 import {
   addWork,
+  encodeWork,
   type EndpointRegistry,
+  type FleetLoad,
   type LoadOwners,
-  type LoadPicture,
-  workRow,
 } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
@@ -39,16 +39,16 @@
  * Outcome of a query to one owner, or of a received message: `unreadable`
  * messages are ignored.
  */
-export type LoadQuestionOutcome = "answered" | "unanswered" | "unreadable";
+export type LoadQueryOutcome = "answered" | "unanswered" | "unreadable";
 
 export interface LoadQueriesOptions {
   readonly self: ProcessId;
   readonly timer: TimerService;
   readonly registry: EndpointRegistry;
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly owners: LoadOwners;
   readonly send: SendToPeer;
-  readonly onOutcome: (outcome: LoadQuestionOutcome) => void;
+  readonly onOutcome: (outcome: LoadQueryOutcome) => void;
 }
 
 interface PendingQuery {
@@ -75,8 +75,8 @@
    */
   async refresh(endpoints: readonly EndpointId[]): Promise<void> {
     const { owners, self, send, timer } = this.#options;
-    const byOwner = [...owners.byOtherOwner(endpoints)]
-      .filter(([owner]) => owners.mayAsk(owner));
+    const byOwner = [...owners.groupByOtherOwner(endpoints)]
+      .filter(([owner]) => owners.mayQuery(owner));
     if (byOwner.length === 0) return;
     this.#lastId += 1;
     const id = this.#lastId;
@@ -95,7 +95,7 @@
     timeout?.cancel();
     this.#pending.delete(id);
     for (const owner of waiting) {
-      owners.asked(owner, { answered: false });
+      owners.recordQuery(owner, { answered: false });
       this.#options.onOutcome("unanswered");
     }
   }
@@ -105,11 +105,11 @@
     if (!isLoadQuery(params)) return this.#options.onOutcome("unreadable");
     const { load, owners, registry, self, send } = this.#options;
     const asker = identifier<ProcessId>(params.entry);
-    owners.heard(asker);
+    owners.recordMessage(asker);
     const work = params.endpoints.map((name) => {
       const endpoint = identifier<EndpointId>(name);
       const others = addWork(load.own(endpoint), load.others(endpoint, asker));
-      return workRow(endpoint, others);
+      return encodeWork(endpoint, others);
     });
     send(asker, {
       method: LOAD_ANSWER_METHOD,
@@ -128,8 +128,8 @@
     const query = this.#pending.get(params.id);
     if (query?.waiting.delete(owner) !== true) return;
     const { load, owners, registry } = this.#options;
-    owners.heard(owner);
-    owners.asked(owner, { answered: true });
+    owners.recordMessage(owner);
+    owners.recordQuery(owner, { answered: true });
     this.#options.onOutcome("answered");
     for (
       const [endpoint, requests, prefillMilliseconds, tokens] of workOfSameRuns(
@@ -137,7 +137,7 @@
         params.work,
       )
     ) {
-      load.ownerTold(identifier(endpoint), {
+      load.recordOwnerReport(identifier(endpoint), {
         requests,
         prefillMilliseconds,
         tokens,
--- a/src/entry/forwarding/load_queries_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -1,46 +1,46 @@
 import { expect } from "chai";
-import { makeEngine } from "../../../test/support/forwarding_values.ts";
+import { makeEngine } from "../../../test/support/forwarding_fixtures.ts";
 import {
   EndpointRegistry,
+  FleetLoad,
   LoadOwners,
-  LoadPicture,
 } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
   identifier,
   numbered,
   type ProcessId,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import {
   LOAD_ANSWER_METHOD,
   LOAD_QUERY_METHOD,
   LoadQueries,
-  type LoadQuestionOutcome,
+  type LoadQueryOutcome,
 } from "./load_queries.ts";
 
 const ENGINE = makeEngine("engine", "prefill", {
-  startedAt: numbered<ReplicaStart>(5),
+  startedAt: numbered<ReplicaStartTime>(5),
 });
 const ONE_WAY_MILLISECONDS = 1;
 
 /** One entry with its load state, connected to other entries. */
 class Member {
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly owners: LoadOwners;
   readonly questions: LoadQueries;
-  readonly outcomes: LoadQuestionOutcome[] = [];
+  readonly outcomes: LoadQueryOutcome[] = [];
 
   constructor(
     readonly name: ProcessId,
     timer: ManualTimerService,
     send: (peer: ProcessId, method: string, params: unknown) => void,
   ) {
-    this.load = new LoadPicture(timer);
+    this.load = new FleetLoad(timer);
     this.owners = new LoadOwners({ self: name, timer });
     const registry = new EndpointRegistry({ timer });
-    registry.put(ENGINE);
+    registry.upsert(ENGINE);
     this.questions = new LoadQueries({
       self: name,
       timer,
@@ -83,7 +83,7 @@
     for (const { name, owners } of members.values()) {
       const others = names.filter((each) => each !== name);
       owners.setMembers(others);
-      for (const other of others) owners.heard(other);
+      for (const other of others) owners.recordMessage(other);
     }
     const ownerName = (members.get(names[0]) as Member).owners
       .ownerOf(ENGINE.id);
@@ -109,7 +109,7 @@
   it("returns the work of the others, to which its own is added", async () => {
     startWork(owner, 30);
     startWork(asker, 10);
-    owner.load.peerReported(asker.name, {
+    owner.load.applyPeerReport(asker.name, {
       incarnation: "1",
       sequence: 1,
       whole: true,
--- a/src/entry/forwarding/links.ts
+++ b/src/entry/forwarding/network_interfaces.ts
@@ -2,11 +2,11 @@
 import type { Result } from "neverthrow";
 import type { Failure } from "../../core/errors/mod.ts";
 import type {
-  AnswerHead,
-  AttemptOptions,
+  ForwardAttemptOptions,
   ForwardedRequest,
   PromptPart,
   RegisteredEndpoint,
+  ResponseHead,
 } from "../../core/forwarding/mod.ts";
 
 /**
@@ -22,8 +22,8 @@
 export type BodyEnd = "whole" | "cut";
 
 /** An endpoint's response whose body is still being received. */
-export interface EndpointAnswer {
-  readonly head: AnswerHead;
+export interface EndpointResponse {
+  readonly head: ResponseHead;
   /** Streams the body in chunks; call once. */
   read(
     onPiece: (piece: Buffer) => void,
@@ -35,19 +35,19 @@
 
 /** A request in progress at an endpoint. */
 export interface Exchange {
-  readonly answer: Promise<Result<EndpointAnswer, ExchangeFailure>>;
+  readonly answer: Promise<Result<EndpointResponse, ExchangeFailure>>;
   /** Closes the connection; the endpoint cancels its work. */
   abort(): void;
 }
 
 /** Sends requests to endpoints. */
-export interface EndpointDoor {
+export interface EndpointClient {
   send(
     request: ForwardedRequest,
-    options: AttemptOptions & { readonly address: string },
+    options: ForwardAttemptOptions & { readonly address: string },
   ): Exchange;
   /** Parses the handle of a cached prompt from the response to a prefill. */
-  keptHandle(body: Buffer): string | undefined;
+  parseCacheHandle(body: Buffer): string | undefined;
   /**
    * Prompt parts in the engine's cache; undefined if the engine did not report.
    */
@@ -63,21 +63,21 @@
   /**
    * True once the caller has disconnected; writes have no effect from then on.
    */
-  readonly gone: boolean;
+  readonly isDisconnected: boolean;
   head(status: number, headers: readonly string[]): void;
   /** False while the caller reads slowly; `onDrain` signals when to resume. */
   write(piece: Buffer): boolean;
   finish(): void;
   /** Aborts the response, so that it does not look complete. */
-  cut(): void;
+  abort(): void;
   onDrain(listener: () => void): void;
-  onGone(listener: () => void): void;
+  onDisconnect(listener: () => void): void;
   /** Sends a response of the system itself. */
-  refuse(refusal: Refusal): void;
+  refuse(refusal: ForwardingRefusal): void;
 }
 
 /** Reason why the system itself responds instead of an endpoint. */
-export interface Refusal {
+export interface ForwardingRefusal {
   readonly status: 401 | 404 | 413 | 431 | 502 | 503 | 504;
   readonly reason: string;
   /** When a retry is useful, in milliseconds; only with 503. */
--- a/src/entry/forwarding/observer.ts
+++ b/src/entry/forwarding/observer.ts
@@ -1,5 +1,5 @@
 /** Decisions of the forwarding path, for logs and metrics. */
-import type { LogFacts } from "../../core/observation/mod.ts";
+import type { LogFields } from "../../core/observation/mod.ts";
 
 /** Kinds of decision; each is logged in one line. */
 export type ForwardingDecision =
@@ -19,5 +19,5 @@
 /** Called once for each decision on a request. */
 export type ObserveForwarding = (
   decision: ForwardingDecision,
-  facts: LogFacts & { readonly requestId: string; readonly route: string },
+  facts: LogFields & { readonly requestId: string; readonly route: string },
 ) => void;
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -1,9 +1,9 @@
 import { expect } from "chai";
 import {
-  ForwardingBench,
+  ForwardingHarness,
   type RecordingSink,
-} from "../../../test/support/forwarding_bench.ts";
-import { PlayedEngines } from "../../../test/support/forwarding_engines.ts";
+} from "../../../test/support/forwarding_harness.ts";
+import { SimulatedEngines } from "../../../test/support/simulated_engines.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -11,7 +11,7 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
   EngineEstimates,
   type ForwardedRequest,
@@ -46,8 +46,8 @@
  * engines and three decode engines.
  */
 class OverloadScenario {
-  readonly bench: ForwardingBench;
-  readonly engines: PlayedEngines;
+  readonly bench: ForwardingHarness;
+  readonly engines: SimulatedEngines;
   readonly summaries = noOutcomes();
   readonly urgent = noOutcomes();
   readonly #random = seededRandom(5);
@@ -57,7 +57,7 @@
     const { estimates, targetMilliseconds = TARGET_MILLISECONDS } = options;
     this.#targetMilliseconds = targetMilliseconds;
     const shares = [{ pool: ENGINES, weight: 1 }];
-    this.bench = new ForwardingBench(
+    this.bench = new ForwardingHarness(
       makeConfiguration({
         routes: [
           makeRoute({
@@ -81,11 +81,11 @@
       }),
       { estimates },
     );
-    this.engines = new PlayedEngines(this.bench, options);
+    this.engines = new SimulatedEngines(this.bench, options);
     const { registry } = this.bench.parts;
     for (let index = 0; index < 10; index++) {
       const role = index < 7 ? "prefill" : "decode";
-      registry.put(makeEngine(`engine-${index}`, role));
+      registry.upsert(makeEngine(`engine-${index}`, role));
     }
   }
 
@@ -111,7 +111,7 @@
   async #ask(kind: "summary" | "urgent"): Promise<void> {
     const outcomes = kind === "summary" ? this.summaries : this.urgent;
     const at = this.bench.timer.now();
-    const sink = await this.bench.take(this.#request(kind));
+    const sink = await this.bench.submit(this.#request(kind));
     const seen = { refused: false, headed: false };
     const check = () => {
       this.#note(sink, {
@@ -184,7 +184,7 @@
     expect(summaries.refused).to.be.greaterThan(0);
     expect(summaries.refusedLate).to.be.lessThan(0.02 * asked);
     // Refusals must not leave the engines idle.
-    expect(engines.readMilliseconds).to.be.greaterThan(0.85 * 7 * 3_000);
+    expect(engines.prefillMilliseconds).to.be.greaterThan(0.85 * 7 * 3_000);
   });
 
   // Engines prefill five times slower than the default estimate, and more
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -1,10 +1,10 @@
 import type {
   CrashReport,
-  CrashSuspects,
+  CrashTracker,
   EndpointRegistry,
   EngineEstimates,
+  FleetLoad,
   LoadOwners,
-  LoadPicture,
   PrefixDirectory,
   ReturningCallers,
 } from "../../core/forwarding/mod.ts";
@@ -63,12 +63,12 @@
   readonly incarnation: string;
   readonly timer: TimerService;
   readonly registry: EndpointRegistry;
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly owners: LoadOwners;
   readonly prefixes: PrefixDirectory;
   readonly estimates: EngineEstimates;
   readonly returning: ReturningCallers;
-  readonly crashes: CrashSuspects;
+  readonly crashes: CrashTracker;
   readonly sendToPeers: SendToPeers;
   /** Version of the configuration in force here. */
   readonly version: () => number | undefined;
@@ -91,7 +91,7 @@
   #crashReport: Subscription | undefined;
   /** Incarnation of each peer that has reported. */
   readonly #incarnations = new Map<string, string>();
-  #knownEntries: number | undefined;
+  #fleetSize: number | undefined;
   #nextReport: Subscription | undefined;
   #sequence = 0;
   #lastFullReportAt = -Infinity;
@@ -99,14 +99,14 @@
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
     options.load.onOwnChange((endpoint) => this.#onOwnChange(endpoint));
-    options.crashes.reports.onNews(() => this.#scheduleCrashReport());
+    options.crashes.reports.onPending(() => this.#scheduleCrashReport());
   }
 
   /**
    * Number of entries in the fleet, including this one; undefined if unknown.
    */
-  get knownEntries(): number | undefined {
-    return this.#knownEntries;
+  get fleetSize(): number | undefined {
+    return this.#fleetSize;
   }
 
   /** Interval of the reports to peers, in milliseconds. */
@@ -141,7 +141,7 @@
     for (const name of this.#incarnations.keys()) {
       if (!peers.has(name)) this.#incarnations.delete(name);
     }
-    this.#knownEntries = peers.size + 1;
+    this.#fleetSize = peers.size + 1;
     const names = [...peers.keys()].map((name) => identifier<ProcessId>(name));
     this.#options.owners.setMembers(names);
   }
@@ -172,14 +172,14 @@
     if (!isWorkNotification(params)) return;
     if (params.entry === this.#options.process) return;
     if (!this.#peers.has(params.entry)) this.#options.onUnlistedPeer();
-    this.#options.owners.heard(identifier(params.entry));
+    this.#options.owners.recordMessage(identifier(params.entry));
     if (params.clock !== undefined) {
       this.#options.onClock?.(identifier(params.entry), params.clock);
     }
     if (params.version !== undefined) this.#options.onVersion(params.version);
     const { estimates, load, prefixes, registry } = this.#options;
-    for (const speed of params.speeds ?? []) estimates.peerTold(speed);
-    load.peerReported(params.entry, {
+    for (const speed of params.speeds ?? []) estimates.recordPeerReport(speed);
+    load.applyPeerReport(params.entry, {
       ...params,
       work: workOfSameRuns(registry, params.work),
     });
@@ -189,13 +189,13 @@
         id: prompt.engine,
         startedAt: prompt.engineStartedAt,
       });
-      if (isSameRun) prefixes.peerRead(prompt);
+      if (isSameRun) prefixes.recordPeerCached(prompt);
     }
     for (const refusal of params.refusals) {
-      this.#options.returning.peerRefused(refusal);
+      this.#options.returning.recordPeer(refusal);
     }
     for (const loss of params.losses ?? []) {
-      this.#options.crashes.peerLost(loss);
+      this.#options.crashes.recordPeerLoss(loss);
     }
     this.#syncBlockedRequests(params);
   }
@@ -204,15 +204,15 @@
   onCrashes(params: unknown): void {
     if (!isCrashReport(params)) return;
     const { crashes } = this.#options;
-    for (const loss of params.losses) crashes.peerLost(loss);
-    for (const digest of params.cleared) crashes.peerCompleted(digest);
+    for (const loss of params.losses) crashes.recordPeerLoss(loss);
+    for (const digest of params.cleared) crashes.recordPeerCompletion(digest);
   }
 
   /** Sends the blocked requests to a peer that has started or restarted. */
   #syncBlockedRequests({ entry, incarnation }: WorkNotification): void {
     if (this.#incarnations.get(entry) === incarnation) return;
     this.#incarnations.set(entry, incarnation);
-    const losses = this.#options.crashes.lossesOfBlocked();
+    const losses = this.#options.crashes.blockedLosses();
     if (losses.length === 0) return;
     const peer = identifier<ProcessId>(entry);
     const report: CrashReport = { losses, cleared: [] };
@@ -232,18 +232,18 @@
     const now = timer.now();
     const isFull =
       now - this.#lastFullReportAt >= FULL_REPORT_INTERVAL_MILLISECONDS;
-    if (!isFull && !load.hasChanged && !returning.hasUntold) return;
+    if (!isFull && !load.hasUnreported && !returning.hasUnreported) return;
     if (isFull) this.#lastFullReportAt = now;
     const losses = isFull ? crashes.reports.recentLosses() : [];
     this.broadcast(WORK_METHOD, {
       ...this.#baseNotification(isFull),
       version: this.#options.version(),
       work: withRuns(registry, load.report({ whole: isFull })),
-      prompts: prefixes.takeUntold().map(encodePrompt),
-      refusals: returning.takeUntold(),
+      prompts: prefixes.takeUnreported().map(encodePrompt),
+      refusals: returning.takeUnreported(),
       ...(losses.length > 0 && { losses }),
       ...(isFull && {
-        speeds: estimates.tell(),
+        speeds: estimates.report(),
         ...(this.#options.onClock && { clock: timer.wallClock() }),
       }),
     });
@@ -297,7 +297,9 @@
   #updateOwners(): void {
     const { load, owners, registry } = this.#options;
     for (
-      const [owner, endpoints] of owners.byOtherOwner(this.#changedEndpoints)
+      const [owner, endpoints] of owners.groupByOtherOwner(
+        this.#changedEndpoints,
+      )
     ) {
       const work = withRuns(registry, load.reportOf(endpoints));
       const params = { ...this.#baseNotification(false), work };
--- a/src/entry/forwarding/peer_state_fallback.ts
+++ b/src/entry/forwarding/peer_state_fallback.ts
@@ -15,7 +15,7 @@
 import type { Subscription, TimerService } from "../../core/time/mod.ts";
 
 /** Stream name under which peers request the forwarding state of an entry. */
-export const FORWARDING_STATE = "forwarding";
+export const FORWARDING_STATE_STREAM = "forwarding";
 /**
  * How long the store may be silent before peers are queried: a pause between
  * two reads plus a read that times out.
@@ -91,7 +91,7 @@
   }
 
   /** Records that the store has returned the current registrations. */
-  storeReached(): void {
+  onStoreRead(): void {
     this.#storeReachedAt = this.#options.timer.now();
     if (!this.#isUsingPeer) return;
     this.#isUsingPeer = false;
@@ -145,7 +145,7 @@
       this.#isBehind;
     if (!needsPeers || addresses.length === 0) return;
     const peer = addresses[Math.floor(random() * addresses.length)];
-    const answer = await ask(peer, FORWARDING_STATE);
+    const answer = await ask(peer, FORWARDING_STATE_STREAM);
     if (answer.isErr()) return;
     // The store may have responded during the query; its data is newer.
     const isCurrent = silentMilliseconds < STORE_SILENCE_MILLISECONDS ||
--- a/src/entry/forwarding/peer_state_fallback_test.ts
+++ b/src/entry/forwarding/peer_state_fallback_test.ts
@@ -1,18 +1,18 @@
 import { expect } from "chai";
 import { err, ok } from "neverthrow";
-import { settled } from "../../../test/support/forwarding_bench.ts";
+import { flushPromises } from "../../../test/support/forwarding_harness.ts";
 import {
   makeConfiguration,
   makeEndpoint,
   PORTAL,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
   EndpointRegistry,
   type ForwardingConfiguration,
 } from "../../core/forwarding/mod.ts";
 import { identifier } from "../../core/identity/mod.ts";
 import type { PeerAddress, StreamSnapshot } from "../../core/links/mod.ts";
-import { SILENT_LOGGER } from "../../core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../core/observation/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import { PeerStateFallback } from "./peer_state_fallback.ts";
 
@@ -40,7 +40,7 @@
       relay: new PeerStateFallback({
         timer,
         random: () => 0,
-        logger: SILENT_LOGGER,
+        logger: NOOP_LOGGER,
         registry,
         configuration: () => node.configuration,
         applyConfiguration: (next) => node.configuration = next,
@@ -67,7 +67,7 @@
   beforeEach(() => {
     timer = new ManualTimerService();
     connected = makeNode(() => undefined, makeConfiguration({ version: 9 }));
-    connected.registry.put(makeEndpoint("a"));
+    connected.registry.upsert(makeEndpoint("a"));
     disconnected = makeNode(() => connected.relay.snapshot());
     disconnected.relay.start();
   });
@@ -76,9 +76,9 @@
 
   async function advanceConnected(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 100) {
-      connected.relay.storeReached();
+      connected.relay.onStoreRead();
       await timer.advance(100);
-      await settled();
+      await flushPromises();
     }
   }
 
@@ -96,7 +96,7 @@
   // fallback the entry sends to it until it has ended, and responses are cut.
   it("passes on that an endpoint is leaving", async () => {
     await advanceConnected(1_000);
-    connected.registry.put(makeEndpoint("a", { leaving: true }));
+    connected.registry.upsert(makeEndpoint("a", { leaving: true }));
     await advanceConnected(1_000);
     expect(disconnected.registry.inPool(PORTAL)).to.deep.equal([]);
   });
@@ -106,7 +106,7 @@
   it("takes no endpoints from a peer that is behind too", async () => {
     disconnected.configuration = makeConfiguration({ version: 9 });
     disconnected.relay.stop();
-    connected.relay.storeReached();
+    connected.relay.onStoreRead();
     await timer.advance(2_000);
     disconnected.relay.start();
     await timer.advance(2_000);
@@ -116,7 +116,7 @@
 
   it("sends no query while the store responds", async () => {
     for (let count = 0; count < 20; count++) {
-      disconnected.relay.storeReached();
+      disconnected.relay.onStoreRead();
       await timer.advance(300);
     }
     expect(disconnected.asked).to.equal(0);
@@ -128,10 +128,10 @@
     disconnected.configuration = makeConfiguration({ version: 8 });
     disconnected.relay.onPeerVersion(9);
     for (let passed = 0; passed < 1_000; passed += 100) {
-      disconnected.relay.storeReached();
-      connected.relay.storeReached();
+      disconnected.relay.onStoreRead();
+      connected.relay.onStoreRead();
       await timer.advance(100);
-      await settled();
+      await flushPromises();
     }
     expect(disconnected.configuration?.version).to.equal(9);
     expect(disconnected.asked).to.equal(1);
