--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -1,15 +1,15 @@
 import type {
-  KeptPrompt,
   PrefillChoice,
+  PrefilledPrompt,
   Prompt,
   RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId } from "../../core/identity/mod.ts";
-import { beforeDeadline } from "../../core/time/mod.ts";
-import { Attempt } from "./attempt.ts";
+import { withTimeout } from "../../core/time/mod.ts";
+import { ForwardAttempt } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
-import type { ForwardingParts } from "./parts.ts";
-import { readWhole } from "./read_body.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
+import { readEntireBody } from "./read_body.ts";
 
 /**
  * Ratio of the prefill timeout to the predicted time, after which another
@@ -28,7 +28,7 @@
 
 /** `failed`: nothing has run, and another engine may be tried. */
 export type PrefillOutcome =
-  | { readonly kind: "kept"; readonly kept: KeptPrompt }
+  | { readonly kind: "kept"; readonly kept: PrefilledPrompt }
   | {
     readonly kind: "failed";
     readonly reason: string;
@@ -43,7 +43,7 @@
   readonly priority: number;
   readonly deadlineMilliseconds: number;
   /** Receives the attempt, so that it can be aborted from outside. */
-  readonly onAttempt: (attempt: Attempt) => void;
+  readonly onAttempt: (attempt: ForwardAttempt) => void;
 }
 
 /** Prefills a prompt on an engine, which keeps the cache for the handover. */
@@ -56,7 +56,7 @@
   const { endpoint } = choice;
   const deadlineMilliseconds = options.deadlineMilliseconds -
     DECODE_RESERVE_MILLISECONDS;
-  const attempt = new Attempt(context, {
+  const attempt = new ForwardAttempt(context, {
     endpoint,
     work: {
       milliseconds: choice.workMilliseconds,
@@ -78,7 +78,7 @@
       TIMEOUT_TO_PREDICTION_RATIO * predicted,
     ),
   );
-  const read = await beforeDeadline(readHandle(parts, attempt), {
+  const read = await withTimeout(readHandle(parts, attempt), {
     timer: parts.timer,
     milliseconds: timeoutMilliseconds,
   });
@@ -94,7 +94,7 @@
   // prompt, and does not find parts that are still being prefilled for another
   // one.
   if (parts.registry.isSameRun(endpoint)) {
-    parts.prefixes.read({
+    parts.prefixes.recordCached({
       engine,
       engineStartedAt: startedAt,
       parts: prompt.parts,
@@ -123,8 +123,8 @@
 }
 
 async function readHandle(
-  parts: ForwardingParts,
-  attempt: Attempt,
+  parts: ForwardingDependencies,
+  attempt: ForwardAttempt,
 ): Promise<HandleRead> {
   const response = await attempt.answer;
   if (response.isErr()) {
@@ -132,9 +132,11 @@
     return { reason: name, arrived: name !== "exchange_not_sent" };
   }
   const { head } = response.value;
-  const body = await readWhole(response.value, MAX_RESPONSE_BYTES);
+  const body = await readEntireBody(response.value, MAX_RESPONSE_BYTES);
   attempt.onEnd(body === undefined ? "cut" : "whole", head.status);
   if (body === undefined) return { reason: "cut" };
-  const handle = head.status === 200 ? parts.door.keptHandle(body) : undefined;
+  const handle = head.status === 200
+    ? parts.endpointClient.parseCacheHandle(body)
+    : undefined;
   return { handle, reason: `status ${head.status}` };
 }
--- a/src/entry/forwarding/prefix_cache_survey.ts
+++ b/src/entry/forwarding/prefix_cache_survey.ts
@@ -7,7 +7,7 @@
 import type { Logger } from "../../core/observation/mod.ts";
 import type { Random } from "../../core/random/mod.ts";
 import type { TimerService } from "../../core/time/mod.ts";
-import type { EndpointDoor } from "./links.ts";
+import type { EndpointClient } from "./network_interfaces.ts";
 
 /**
  * How long after its start an entry surveys engines. An engine that appears
@@ -30,7 +30,7 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly logger: Logger;
-  readonly endpointClient: Pick<EndpointDoor, "listKept">;
+  readonly endpointClient: Pick<EndpointClient, "listKept">;
   readonly prefixes: PrefixDirectory;
   readonly configuration: () => ForwardingConfiguration | undefined;
   /** Number of entries in the fleet, including this one. */
@@ -80,7 +80,7 @@
     const parts = await endpointClient.listKept(engine);
     const memoryTokens = this.#memoryTokensOf(engine);
     if (parts === undefined || memoryTokens === undefined) return;
-    prefixes.peerRead({ engine: engine.id, parts, memoryTokens });
+    prefixes.recordPeerCached({ engine: engine.id, parts, memoryTokens });
     logger.info(
       { endpoint: engine.id, parts: parts.length },
       "Received the cached prompt parts of an engine",
--- a/src/entry/forwarding/prefix_cache_survey_test.ts
+++ b/src/entry/forwarding/prefix_cache_survey_test.ts
@@ -3,9 +3,9 @@
   makeConfiguration,
   makeEndpoint,
   makeEngine,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import { PrefixDirectory, type PromptPart } from "../../core/forwarding/mod.ts";
-import { SILENT_LOGGER } from "../../core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../core/observation/mod.ts";
 import { seededRandom } from "../../core/random/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import { PrefixCacheSurvey } from "./prefix_cache_survey.ts";
@@ -24,7 +24,7 @@
     return new PrefixCacheSurvey({
       timer,
       random: seededRandom(77),
-      logger: SILENT_LOGGER,
+      logger: NOOP_LOGGER,
       endpointClient: {
         listKept: ({ id }) => {
           queried.push(id);
@@ -85,7 +85,7 @@
       const survey = new PrefixCacheSurvey({
         timer,
         random,
-        logger: SILENT_LOGGER,
+        logger: NOOP_LOGGER,
         endpointClient: {
           listKept: ({ id }) => {
             queried.push(id);
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -1,11 +1,11 @@
 import {
+  decideAdmission,
   type HeldPrompt,
-  judgeAdmission,
-  LEFT_SHARE,
   type PrefillCandidates,
   type PrefillChoice,
   type Prompt,
   type RegisteredEndpoint,
+  REMAINING_TIME_SHARE,
 } from "../../core/forwarding/mod.ts";
 import { REQUEST_HEAD_BYTES } from "./attempt.ts";
 import type { ForwardContext } from "./forward_context.ts";
@@ -70,9 +70,9 @@
     targetMilliseconds: route.targetMilliseconds,
     leftMilliseconds: context.remainingToFirstByteMilliseconds,
   };
-  const admission = judgeAdmission(estimate);
+  const admission = decideAdmission(estimate);
   if (admission === "on_time" && soonest !== undefined) {
-    parts.onTimeWork.begun(soonest.workMilliseconds);
+    parts.onTimeWork.recordStarted(soonest.workMilliseconds);
     return { kind: "admitted", choice: soonest };
   }
   if (admission === "late") return { kind: "held", prompt: held };
@@ -95,13 +95,13 @@
   const { parts, pool } = context;
   const engines = context.preferUntried(context.endpoints());
   if (!parts.isLoadStale()) return { engines, pool };
-  const refreshed = parts.placement.readersToAsk(prompt, engines)
+  const refreshed = parts.placement.prefillEnginesToRefresh(prompt, engines)
     .map(({ id }) => id);
   await parts.refreshLoad(refreshed);
   // An engine may have started to leave during the query.
   const remaining = context.preferUntried(context.endpoints());
   const readers = remaining.filter(({ id }) => refreshed.includes(id));
-  return { engines: remaining, pool, readers };
+  return { engines: remaining, pool, prefillEngines: readers };
 }
 
 /** Queue entry for a prompt that waits here for a nearly idle engine. */
@@ -115,14 +115,14 @@
   return {
     rank: context.rank,
     expiresAt: parts.timer.now() +
-      LEFT_SHARE * context.remainingToFirstByteMilliseconds -
+      REMAINING_TIME_SHARE * context.remainingToFirstByteMilliseconds -
       workMilliseconds,
     workMilliseconds,
     choose: async () => {
       const candidates = await candidatesFor(context, prompt);
-      return parts.placement.chooseIdlePrefill(prompt, candidates);
+      return parts.placement.chooseNearlyIdlePrefill(prompt, candidates);
     },
-    isOver: () => context.settled,
+    isCancelled: () => context.settled,
   };
 }
 
@@ -158,9 +158,9 @@
 function entryMilliseconds({ parts, request }: ForwardContext): number {
   const bytes = SENDS_PER_PROMPT * (request.body.length + REQUEST_HEAD_BYTES);
   const transferMilliseconds = (1 + parts.held.count) *
-    parts.link.carryMilliseconds(bytes);
+    parts.link.transmissionMilliseconds(bytes);
   return parts.link.waitMilliseconds + transferMilliseconds +
-    LOOP_TURNS_PER_PROMPT * parts.loopDelay();
+    LOOP_TURNS_PER_PROMPT * parts.loopDelayMilliseconds();
 }
 
 /** Rounds to whole numbers and omits infinite values. */
--- a/src/entry/forwarding/prompt_encoding.ts
+++ b/src/entry/forwarding/prompt_encoding.ts
@@ -1,9 +1,9 @@
-import type { PromptPart, ReadPrompt } from "../../core/forwarding/mod.ts";
+import type { CachedPrompt, PromptPart } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
 
 /**
@@ -18,7 +18,7 @@
 const UNKNOWN_START = 0;
 const VALUES_PER_PART = 2;
 
-export function encodePrompt(prompt: ReadPrompt): EncodedPrompt {
+export function encodePrompt(prompt: CachedPrompt): EncodedPrompt {
   return [
     prompt.engine,
     prompt.memoryTokens,
@@ -28,7 +28,7 @@
 }
 
 /** Undefined if the value is not an encoded prompt. */
-export function decodePrompt(value: unknown): ReadPrompt | undefined {
+export function decodePrompt(value: unknown): CachedPrompt | undefined {
   if (!Array.isArray(value)) return undefined;
   const [engine, memoryTokens, startedAt, ...rest] = value;
   const hasHeader = typeof engine === "string" &&
@@ -44,7 +44,7 @@
   return {
     engine: identifier<EndpointId>(engine),
     ...(startedAt !== UNKNOWN_START && {
-      engineStartedAt: numbered<ReplicaStart>(startedAt),
+      engineStartedAt: numbered<ReplicaStartTime>(startedAt),
     }),
     memoryTokens,
     parts,
--- a/src/entry/forwarding/read_body.ts
+++ b/src/entry/forwarding/read_body.ts
@@ -1,10 +1,10 @@
-import type { EndpointAnswer } from "./links.ts";
+import type { EndpointResponse } from "./network_interfaces.ts";
 
 /**
  * Reads the whole body; undefined if it was truncated or exceeds `maxBytes`.
  */
-export function readWhole(
-  response: EndpointAnswer,
+export function readEntireBody(
+  response: EndpointResponse,
   maxBytes: number,
 ): Promise<Buffer | undefined> {
   const chunks: Buffer[] = [];
--- a/src/entry/forwarding/registration_sync.ts
+++ b/src/entry/forwarding/registration_sync.ts
@@ -1,9 +1,9 @@
 import type {
   EndpointRegistry,
   EndpointRun,
-  PeerReading,
+  PeerReadResult,
   RegisteredEndpoint,
-  TopicSpan,
+  TopicRange,
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId } from "../../core/identity/mod.ts";
 
@@ -18,12 +18,12 @@
 export interface RegistrationSyncOptions {
   readonly registry: EndpointRegistry;
   /** Records that a peer has read this span of the registrations. */
-  readonly peerReadRegistrations: (span: TopicSpan) => PeerReading;
+  readonly recordPeerRead: (span: TopicRange) => PeerReadResult;
   /** Called when the store was reached, by this entry or by a peer for it. */
   readonly onStoreReached: () => void;
   readonly broadcast: (update: {
     readonly changes: readonly RegistrationChange[];
-    readonly span: TopicSpan | undefined;
+    readonly span: TopicRange | undefined;
   }) => void;
 }
 
@@ -39,7 +39,7 @@
    * Applies the registrations of a span that this entry has read, oldest first,
    * and broadcasts what has changed: one entry reads on behalf of all.
    */
-  read(changes: readonly RegistrationChange[], span?: TopicSpan): void {
+  applyRead(changes: readonly RegistrationChange[], span?: TopicRange): void {
     const changed = new Map<EndpointId, RegistrationChange>();
     for (const change of changes) {
       const hasChanged = this.#apply(change);
@@ -56,7 +56,7 @@
    * leaving, as the store may be unavailable. True if it was not known yet.
    */
   reportLeaving(run: EndpointRun): boolean {
-    const endpoint = this.#options.registry.saidLeaving(run);
+    const endpoint = this.#options.registry.markLeaving(run);
     if (endpoint === undefined) return false;
     const changes = [{ id: endpoint.id, endpoint }];
     this.#options.broadcast({ changes, span: undefined });
@@ -66,7 +66,7 @@
   /** Applies changes that a peer has read, with their span if it is known. */
   onPeerChanges(changes: readonly RegistrationChange[], span: unknown): void {
     const relation = isSpan(span)
-      ? this.#options.peerReadRegistrations(span)
+      ? this.#options.recordPeerRead(span)
       : "apart";
     // A delayed datagram may list an endpoint as removed that has registered
     // again since. This entry has already read past that record and would not
@@ -96,7 +96,7 @@
   /** True if the registry changed. */
   #apply({ endpoint, id, unreadable = false }: RegistrationChange): boolean {
     const { registry } = this.#options;
-    if (endpoint !== undefined) return registry.put(endpoint);
+    if (endpoint !== undefined) return registry.upsert(endpoint);
     const isKnown = registry.get(id) !== undefined;
     if (unreadable) registry.withdraw(id);
     else registry.remove(id);
@@ -104,8 +104,8 @@
   }
 }
 
-function isSpan(value: unknown): value is TopicSpan {
+function isSpan(value: unknown): value is TopicRange {
   if (typeof value !== "object" || value === null) return false;
-  const { from, to } = value as Partial<TopicSpan>;
+  const { from, to } = value as Partial<TopicRange>;
   return typeof from === "number" && typeof to === "number";
 }
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -1,8 +1,8 @@
 import {
-  chooseService,
+  chooseServiceReplica,
   type DecodeChoice,
   type EngineRole,
-  NO_PROMPT,
+  NO_PROMPT_WORK,
   type Prompt,
   type RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
@@ -12,11 +12,15 @@
 } from "../../core/identity/mod.ts";
 import type { Subscription } from "../../core/time/mod.ts";
 import { ResponseRelay } from "./response_relay.ts";
-import { Attempt, type AttemptPlan } from "./attempt.ts";
+import { type AttemptPlan, ForwardAttempt } from "./attempt.ts";
 import { ForwardContext, type ForwardTask } from "./forward_context.ts";
 import { Handover } from "./handover.ts";
-import type { CallerSink, EndpointAnswer, Refusal } from "./links.ts";
-import type { ForwardingParts } from "./parts.ts";
+import type {
+  CallerSink,
+  EndpointResponse,
+  ForwardingRefusal,
+} from "./network_interfaces.ts";
+import type { ForwardingDependencies } from "./forwarding_dependencies.ts";
 import type { AdmissionFacts } from "./prompt_admission.ts";
 import {
   mayStillWait,
@@ -61,7 +65,7 @@
   readonly #handover: Handover;
   readonly #relay: ResponseRelay;
   readonly #deadline: Subscription;
-  #attempt: Attempt | undefined;
+  #attempt: ForwardAttempt | undefined;
   /** Number of sends that may have started to run. */
   #runs = 0;
   /** True while a send is outstanding that may be running. */
@@ -71,7 +75,7 @@
   #firstByteAt: number | undefined;
 
   constructor(
-    parts: ForwardingParts,
+    parts: ForwardingDependencies,
     options: { readonly task: ForwardTask; readonly sink: CallerSink },
   ) {
     const { task, sink } = options;
@@ -85,18 +89,18 @@
     this.#relay = new ResponseRelay({
       sink,
       wholeEventsOnly: repeat === "stream" && resumable,
-      onBytes: (count) => parts.link.sent(count),
+      onBytes: (count) => parts.link.recordSent(count),
     });
     this.#deadline = parts.timer.after(
       this.#context.allowedMilliseconds,
       () => this.#onDeadline(),
     );
-    sink.onGone(() => this.#onCallerGone());
+    sink.onDisconnect(() => this.#onCallerGone());
   }
 
   async run(): Promise<void> {
     const { parts, pool } = this.#context;
-    parts.allowance.requestArrived(pool.name);
+    parts.retryBudget.recordRequest(pool.name);
     for (;;) {
       if (this.#context.blockedMilliseconds > 0) return this.#refuse(BLOCKED);
       const plan = await this.#plan();
@@ -129,7 +133,7 @@
     if (endpoint === undefined) return undefined;
     return {
       endpoint,
-      work: NO_PROMPT,
+      work: NO_PROMPT_WORK,
       options: {
         deadlineMilliseconds: this.#context.remainingMilliseconds,
         lastEventId: this.#resumeEventId(),
@@ -139,8 +143,8 @@
 
   #chooseService(): RegisteredEndpoint | undefined {
     const { parts } = this.#context;
-    const healthy = parts.outcomes.wellAmong(this.#context.endpoints());
-    return chooseService(this.#context.preferUntried(healthy), parts);
+    const healthy = parts.outcomes.filterHealthy(this.#context.endpoints());
+    return chooseServiceReplica(this.#context.preferUntried(healthy), parts);
   }
 
   /** Waits if every replica is overloaded and one becomes available in time. */
@@ -176,7 +180,7 @@
     if (this.#isOverloaded(canDecode) && !this.#isWorthWaiting(canDecode)) {
       return undefined;
     }
-    const needsHandover = parts.placement.wantsHandover(prompt, {
+    const needsHandover = parts.placement.needsHandover(prompt, {
       pool,
       targetMilliseconds: route.targetMilliseconds,
     }) &&
@@ -200,7 +204,7 @@
       options: {
         deadlineMilliseconds: this.#context.remainingMilliseconds,
         priority: Math.min(LOWEST_PRIORITY, this.#context.rank),
-        keptPrompt: handover?.kept,
+        prefilledPrompt: handover?.kept,
         lastEventId: this.#resumeEventId(),
       },
     };
@@ -226,8 +230,8 @@
         {
           prompt,
           pool,
-          keptIn: cacheZone,
-          withRoom,
+          cacheZone: cacheZone,
+          requiresCapacity: withRoom,
         },
       );
     };
@@ -243,8 +247,8 @@
     if (!parts.isLoadStale()) return new Set();
     const decodeEngines = this.#context.endpoints().filter(canDecode);
     const refreshed = parts.placement
-      .decodersToAsk(this.#context.withoutRejecting(decodeEngines), {
-        keptIn: cacheZone,
+      .decodeEnginesToRefresh(this.#context.withoutRejecting(decodeEngines), {
+        cacheZone: cacheZone,
       })
       .map(({ id }) => id);
     await parts.refreshLoad(refreshed);
@@ -263,7 +267,7 @@
     const others = this.#context.withoutRejecting(decodeEngines);
     if (others.length > 0) return others;
     return withRoom
-      ? this.#context.parts.outcomes.openAmong(decodeEngines)
+      ? this.#context.parts.outcomes.filterAccepting(decodeEngines)
       : [];
   }
 
@@ -273,17 +277,17 @@
     // Endpoints may have crashed under the request while it was waiting.
     if (this.#context.blockedMilliseconds > 0) return "blocked";
     if (this.#context.isKeyRemoved) return KEY_REMOVED;
-    if (!this.#context.arrivals.cover({ reading: false })) return "refuse";
-    this.#context.arrivals.sent();
+    if (!this.#context.arrivals.reserve({ prefill: false })) return "refuse";
+    this.#context.arrivals.recordSend();
     this.#context.sends += 1;
     this.#mayBeRunning = true;
     this.#context.report("placed", {
       step: "run",
       endpoint: endpoint.id,
       openRequests: parts.load.total(endpoint.id).requests,
-      handover: plan.options.keptPrompt !== undefined,
+      handover: plan.options.prefilledPrompt !== undefined,
     });
-    const attempt = new Attempt(this.#context, plan);
+    const attempt = new ForwardAttempt(this.#context, plan);
     this.#attempt = attempt;
     this.#sentAt = parts.timer.now();
     const response = await attempt.answer;
@@ -292,11 +296,11 @@
       this.#context.noteRejection(endpoint.id);
       return this.#afterFailure(response.error.name);
     }
-    if (response.value.head.notRun) {
+    if (response.value.head.notExecuted) {
       discard(response.value, attempt);
       return this.#afterNotRun(endpoint.id);
     }
-    if (plan.options.keptPrompt !== undefined) {
+    if (plan.options.prefilledPrompt !== undefined) {
       this.#handover.noteTransfer(endpoint, parts.timer.now() - this.#sentAt);
     }
     return await this.#deliver(response.value, attempt);
@@ -308,7 +312,7 @@
       // to an unreachable endpoint are limited by its recorded outcomes.
       this.#context.sends -= 1;
       this.#mayBeRunning = this.#runs > 0;
-      this.#context.arrivals.notArrived();
+      this.#context.arrivals.revertSend();
       return this.#mayResend(name) ? "again" : "refuse";
     }
     this.#runs += 1;
@@ -327,7 +331,7 @@
   /** Called before a response that could be passed on is discarded. */
   #mayResend(reason: string): boolean {
     const reading = this.#handover.needsAnotherPrefill;
-    return this.#context.mayResend(reason, { reading });
+    return this.#context.mayResend(reason, { prefill: reading });
   }
 
   /** True if another run is harmless and the route allows one. */
@@ -339,8 +343,8 @@
   }
 
   async #deliver(
-    response: EndpointAnswer,
-    attempt: Attempt,
+    response: EndpointResponse,
+    attempt: ForwardAttempt,
   ): Promise<NextStep> {
     const { head } = response;
     this.#runs += 1;
@@ -385,7 +389,7 @@
       return "again";
     }
     this.#settle();
-    this.#sink.cut();
+    this.#sink.abort();
     this.#context.report("cut", { reason: "endpoint_broke_off" });
     return "delivered";
   }
@@ -410,7 +414,7 @@
     if (this.#mayBeRunning) this.#noteServiceStarted();
     this.#attempt?.abort();
     if (this.#relay.headSent) {
-      this.#sink.cut();
+      this.#sink.abort();
       this.#context.report("cut", { reason: "deadline" });
       return;
     }
@@ -431,7 +435,7 @@
     // request did not run could be false.
     if (this.#runs > 0) return this.#refuseAsUnknown();
     this.#settle();
-    if (this.#relay.headSent) return this.#sink.cut();
+    if (this.#relay.headSent) return this.#sink.abort();
     if (reason === KEY_REMOVED) return this.#respond({ status: 401, reason });
     // A blocked caller is blocked at every entry, so the refusal is not
     // recorded.
@@ -457,14 +461,14 @@
   #refuseAsUnknown(): void {
     this.#settle();
     if (this.#relay.headSent) {
-      this.#sink.cut();
+      this.#sink.abort();
       this.#context.report("cut", { reason: "unknown" });
       return;
     }
     this.#respond({ status: 502, reason: "unknown" });
   }
 
-  #respond(refusal: Refusal, facts: AdmissionFacts = {}): void {
+  #respond(refusal: ForwardingRefusal, facts: AdmissionFacts = {}): void {
     this.#sink.refuse(refusal);
     this.#context.report("refused", {
       status: refusal.status,
@@ -492,7 +496,7 @@
  * Reads a response to its end without using it, so that the connection can be
  * reused.
  */
-function discard(response: EndpointAnswer, attempt: Attempt): void {
+function discard(response: EndpointResponse, attempt: ForwardAttempt): void {
   response.read(() => {}, (end) => attempt.onEnd(end, response.head.status));
 }
 
--- a/src/entry/forwarding/request_forwarder_test.ts
+++ b/src/entry/forwarding/request_forwarder_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import {
-  ForwardingBench,
-  settled,
-} from "../../../test/support/forwarding_bench.ts";
+  flushPromises,
+  ForwardingHarness,
+} from "../../../test/support/forwarding_harness.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -11,20 +11,20 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import type { Route } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
 
 function benchWith(
   route: Partial<Route>,
-  options?: ConstructorParameters<typeof ForwardingBench>[1],
-): ForwardingBench {
-  return new ForwardingBench(
+  options?: ConstructorParameters<typeof ForwardingHarness>[1],
+): ForwardingHarness {
+  return new ForwardingHarness(
     makeConfiguration({ routes: [makeRoute(route)] }),
     options,
   );
@@ -35,18 +35,18 @@
     function portal(
       route: Partial<Route>,
       options: { readonly repeats?: number } = {},
-    ): ForwardingBench {
+    ): ForwardingHarness {
       const bench = benchWith(route, options);
       for (const id of ["a", "b", "c"]) {
-        bench.parts.registry.put(makeEndpoint(id));
+        bench.parts.registry.upsert(makeEndpoint(id));
       }
       return bench;
     }
 
     it("gets the endpoint's status, headers and body", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
-      await bench.sent[0].answer("case 7", {
+      const caller = await bench.submit(makeRequest());
+      await bench.sent[0].respond("case 7", {
         status: 201,
         headers: ["A", "b"],
       });
@@ -60,7 +60,7 @@
 
     it("is refused with 404 if no route matches", async () => {
       const bench = portal({ pathPrefix: "/other/" });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       expect(caller.refusal?.status).to.equal(404);
     });
 
@@ -70,10 +70,10 @@
     // would be made twice.
     it("has an unknown outcome if its replica restarts", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       const [first] = bench.sent;
-      const startedAt = numbered<ReplicaStart>(1_000);
-      bench.parts.registry.put(
+      const startedAt = numbered<ReplicaStartTime>(1_000);
+      bench.parts.registry.upsert(
         makeEndpoint(first.options.endpoint, { startedAt }),
       );
       await first.fail("exchange_lost");
@@ -89,24 +89,24 @@
     // excluded.
     it("does not count failures of a previous run against the new one", async () => {
       const bench = portal({ repeat: "idempotent", mostAttempts: 1 });
-      const startedAt = numbered<ReplicaStart>(1_000);
+      const startedAt = numbered<ReplicaStartTime>(1_000);
       for (let count = 0; count < 36; count++) {
-        await bench.take(makeRequest());
+        await bench.submit(makeRequest());
       }
-      bench.parts.registry.put(makeEndpoint("a", { startedAt }));
+      bench.parts.registry.upsert(makeEndpoint("a", { startedAt }));
       for (const attempt of bench.sent) {
         const isFormerRun = attempt.options.endpoint === makeEndpoint("a").id;
         if (isFormerRun) await attempt.fail("exchange_lost");
-        else await attempt.answer("done");
+        else await attempt.respond("done");
       }
       const { outcomes, registry } = bench.parts;
-      expect(outcomes.wellAmong([...registry.all])).to.have.length(3);
+      expect(outcomes.filterHealthy([...registry.all])).to.have.length(3);
     });
 
     it("logs the endpoint that it was lost with, and its digest", async () => {
       const bench = portal({ repeat: "once" });
       const request = makeRequest();
-      await bench.take(request);
+      await bench.submit(request);
       await bench.sent[0].fail("exchange_lost");
       const lost = bench.decisions.find((each) =>
         each.decision === "endpoint_lost"
@@ -122,7 +122,7 @@
 
     it("is not sent again if it may run only once", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       await bench.sent[0].fail("exchange_lost");
       expect(bench.sent).to.have.length(1);
       expect(caller.refusal?.status).to.equal(502);
@@ -130,11 +130,11 @@
 
     it("is sent again if the endpoint confirms that it did not run", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
-      await bench.sent[0].notRun();
+      const caller = await bench.submit(makeRequest());
+      await bench.sent[0].respondNotRun();
       expect(bench.sent[1].options.endpoint)
         .to.not.equal(bench.sent[0].options.endpoint);
-      await bench.sent[1].answer("done");
+      await bench.sent[1].respond("done");
       expect(caller.body).to.equal("done");
     });
 
@@ -142,17 +142,19 @@
     // it. "Not run" would be false, as the first may still be working on it.
     it("is not reported as not run after an earlier send that may have run", async () => {
       const bench = portal({ repeat: "idempotent", mostAttempts: 3 });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       await bench.sent[0].fail("exchange_lost");
-      for (const attempt of [1, 2, 3]) await bench.sent[attempt]?.notRun();
+      for (const attempt of [1, 2, 3]) {
+        await bench.sent[attempt]?.respondNotRun();
+      }
       expect(caller.refusal?.status).to.equal(502);
     });
 
     it("is retried after a failure if it is idempotent", async () => {
       const bench = portal({ repeat: "idempotent" });
-      const caller = await bench.take(makeRequest());
-      await bench.sent[0].answer("sorry", { status: 500 });
-      await bench.sent[1].answer("fine");
+      const caller = await bench.submit(makeRequest());
+      await bench.sent[0].respond("sorry", { status: 500 });
+      await bench.sent[1].respond("fine");
       expect(caller.body).to.equal("fine");
     });
 
@@ -160,8 +162,8 @@
     // would be retried until its deadline and multiply the load.
     it("is refused with a retry time once the retry budget is used up", async () => {
       const bench = portal({ repeat: "once" }, { repeats: 0 });
-      const caller = await bench.take(makeRequest());
-      await bench.sent[0].notRun();
+      const caller = await bench.submit(makeRequest());
+      await bench.sent[0].respondNotRun();
       expect(bench.sent).to.have.length(1);
       expect(caller.refusal?.status).to.equal(503);
       expect(caller.refusal?.retryAfterMilliseconds).to.be.greaterThan(0);
@@ -170,8 +172,8 @@
     // Without the abort the portal would continue work whose result is unused.
     it("is aborted when its caller disconnects", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
-      caller.leave();
+      const caller = await bench.submit(makeRequest());
+      caller.disconnect();
       expect(bench.sent[0].aborted).to.equal(true);
       expect(bench.parts.load.total(bench.sent[0].options.endpoint).requests)
         .to.equal(0);
@@ -179,7 +181,7 @@
 
     it("is refused with 504 at the route's timeout", async () => {
       const bench = portal({ repeat: "once", timeoutMilliseconds: 500 });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       await bench.timer.advance(500);
       expect(caller.refusal?.status).to.equal(504);
       expect(bench.sent[0].aborted).to.equal(true);
@@ -187,7 +189,7 @@
 
     it("forwards the remaining time, not the caller's whole deadline", async () => {
       const bench = portal({ repeat: "idempotent" });
-      await bench.take(makeRequest({ deadlineMilliseconds: 900 }));
+      await bench.submit(makeRequest({ deadlineMilliseconds: 900 }));
       await bench.timer.advance(300);
       await bench.sent[0].fail("exchange_lost");
       expect(bench.sent[0].options.deadlineMilliseconds).to.equal(900);
@@ -196,19 +198,19 @@
 
     it("is visibly truncated if the endpoint breaks off", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
+      const caller = await bench.submit(makeRequest());
       await bench.sent[0].head();
-      await bench.sent[0].piece("hal");
+      await bench.sent[0].chunk("hal");
       await bench.sent[0].end("cut");
       expect(caller.ended).to.equal("cut");
     });
 
     it("pauses the endpoint while the caller reads slowly", async () => {
       const bench = portal({ repeat: "once" });
-      const caller = await bench.take(makeRequest());
-      caller.readsFast = false;
+      const caller = await bench.submit(makeRequest());
+      caller.acceptsWrites = false;
       await bench.sent[0].head();
-      await bench.sent[0].piece("x");
+      await bench.sent[0].chunk("x");
       expect(bench.sent[0].paused).to.equal(true);
       caller.drain();
       expect(bench.sent[0].paused).to.equal(false);
@@ -224,10 +226,10 @@
     };
     const prompt = makePrompt("river", { shared: 100, own: 100 });
 
-    function engines(): ForwardingBench {
+    function engines(): ForwardingHarness {
       const bench = benchWith(route);
-      bench.parts.registry.put(makeEngine("a", "decode"));
-      bench.parts.registry.put(makeEngine("b", "decode"));
+      bench.parts.registry.upsert(makeEngine("a", "decode"));
+      bench.parts.registry.upsert(makeEngine("b", "decode"));
       return bench;
     }
 
@@ -235,16 +237,16 @@
     // another engine without a gap and without a partial event.
     it("resumes at another engine after the last whole event", async () => {
       const bench = engines();
-      const caller = await bench.take(makeRequest({ prompt }));
+      const caller = await bench.submit(makeRequest({ prompt }));
       const [first] = bench.sent;
       await first.head();
-      await first.piece("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
+      await first.chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
       await first.end("cut");
       const second = bench.sent[1];
       expect(second.options.lastEventId).to.equal("2");
       expect(second.options.endpoint).to.not.equal(first.options.endpoint);
       await second.head({ headers: ["Seal", "another"] });
-      await second.piece("id: 3\ndata: c\n\n");
+      await second.chunk("id: 3\ndata: c\n\n");
       await second.end();
       expect(caller.body).to.equal(
         "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n",
@@ -258,7 +260,7 @@
 
     it("is cut if no further run is allowed", async () => {
       const bench = engines();
-      const caller = await bench.take(makeRequest({ prompt }));
+      const caller = await bench.submit(makeRequest({ prompt }));
       for (const attempt of [0, 1]) {
         await bench.sent[attempt].head();
         await bench.sent[attempt].end("cut");
@@ -275,12 +277,14 @@
       shares: [{ pool: ENGINES, weight: 1 }],
     };
 
-    function fleet(options?: ConstructorParameters<typeof ForwardingBench>[1]) {
+    function fleet(
+      options?: ConstructorParameters<typeof ForwardingHarness>[1],
+    ) {
       const bench = benchWith(route, options);
-      bench.parts.registry.put(makeEngine("reader-1", "prefill"));
-      bench.parts.registry.put(makeEngine("reader-2", "prefill"));
-      bench.parts.registry.put(makeEngine("maker-1", "decode"));
-      bench.parts.registry.put(makeEngine("maker-2", "decode"));
+      bench.parts.registry.upsert(makeEngine("reader-1", "prefill"));
+      bench.parts.registry.upsert(makeEngine("reader-2", "prefill"));
+      bench.parts.registry.upsert(makeEngine("maker-1", "decode"));
+      bench.parts.registry.upsert(makeEngine("maker-2", "decode"));
       return bench;
     }
 
@@ -289,11 +293,11 @@
     const LONGEST_PROMPT = { shared: 1_000, own: 55_000 };
 
     function ask(
-      bench: ForwardingBench,
+      bench: ForwardingHarness,
       subject = "river",
       tokens: Parameters<typeof makePrompt>[1] = {},
     ) {
-      return bench.take(makeRequest({
+      return bench.submit(makeRequest({
         prompt: makePrompt(subject, tokens),
         body: Buffer.alloc(BODY_BYTES),
         deadlineMilliseconds: 2_000,
@@ -304,12 +308,12 @@
       const bench = fleet();
       const caller = await ask(bench);
       expect(bench.sent[0].options.prefillOnly).to.equal(true);
-      await bench.sent[0].answer("handle-1");
-      expect(bench.sent[1].options.keptPrompt).to.deep.include({
+      await bench.sent[0].respond("handle-1");
+      expect(bench.sent[1].options.prefilledPrompt).to.deep.include({
         handle: "handle-1",
         engine: bench.sent[0].options.endpoint,
       });
-      await bench.sent[1].answer("verdict");
+      await bench.sent[1].respond("verdict");
       expect(caller.body).to.equal("verdict");
       expect(bench.released).to.deep.equal([]);
     });
@@ -332,8 +336,8 @@
     it("is refused rather than prefilled by a decode engine", async () => {
       const bench = fleet();
       const caller = await ask(bench);
-      await bench.sent[0].notRun();
-      await bench.sent[1].notRun();
+      await bench.sent[0].respondNotRun();
+      await bench.sent[1].respondNotRun();
       expect(bench.sent).to.have.length(2);
       expect(caller.refusal?.status).to.equal(503);
     });
@@ -347,8 +351,10 @@
       const caller = await ask(bench);
       const asked = bench.sent[0].options.endpoint;
       const other = asked === "reader-1" ? "reader-2" : "reader-1";
-      bench.parts.registry.put(makeEngine(other, "prefill", { leaving: true }));
-      await bench.sent[0].notRun();
+      bench.parts.registry.upsert(
+        makeEngine(other, "prefill", { leaving: true }),
+      );
+      await bench.sent[0].respondNotRun();
       expect(bench.sent.map(({ options }) => options.endpoint))
         .to.not.include(other);
       expect(caller.refusal?.status).to.equal(503);
@@ -361,11 +367,11 @@
       const bench = fleet();
       const { registry } = bench.parts;
       await ask(bench);
-      await bench.sent[0].answer("handle-1");
+      await bench.sent[0].respond("handle-1");
       const reader = bench.sent[0].options.endpoint;
-      const startedAt = numbered<ReplicaStart>(1_000);
-      registry.put(makeEngine(reader, "prefill", { startedAt }));
-      await bench.sent[1].notRun(503);
+      const startedAt = numbered<ReplicaStartTime>(1_000);
+      registry.upsert(makeEngine(reader, "prefill", { startedAt }));
+      await bench.sent[1].respondNotRun(503);
       expect(bench.sent[2].options.prefillOnly).to.equal(true);
     });
 
@@ -374,9 +380,11 @@
     it("keeps its cache when a decode engine rejects it", async () => {
       const bench = fleet();
       await ask(bench);
-      await bench.sent[0].answer("handle-1");
-      await bench.sent[1].notRun(421);
-      expect(bench.sent[2].options.keptPrompt?.handle).to.equal("handle-1");
+      await bench.sent[0].respond("handle-1");
+      await bench.sent[1].respondNotRun(421);
+      expect(bench.sent[2].options.prefilledPrompt?.handle).to.equal(
+        "handle-1",
+      );
       expect(bench.sent[2].options.endpoint)
         .to.not.equal(bench.sent[1].options.endpoint);
     });
@@ -387,13 +395,13 @@
     it("avoids an engine that has rejected one as misdirected", async () => {
       const bench = fleet();
       await ask(bench);
-      await bench.sent[0].answer("handle-1");
+      await bench.sent[0].respond("handle-1");
       const turnedAway = bench.sent[1].options.endpoint;
-      await bench.sent[1].notRun(421);
+      await bench.sent[1].respondNotRun(421);
       for (let index = 0; index < 5; index++) {
         const count = bench.sent.length;
         await ask(bench, `subject-${index}`);
-        await bench.sent[count].answer(`handle-${index}`);
+        await bench.sent[count].respond(`handle-${index}`);
         expect(bench.sent[count + 1].options.endpoint)
           .to.not.equal(turnedAway);
       }
@@ -407,8 +415,8 @@
       let isDown = true;
       let refusedConnections = 0;
       bench.onSend = (attempt) => {
-        if (attempt.options.prefillOnly) return void attempt.answer("handle");
-        if (!isDown) return void attempt.answer("verdict");
+        if (attempt.options.prefillOnly) return void attempt.respond("handle");
+        if (!isDown) return void attempt.respond("verdict");
         refusedConnections += 1;
         void attempt.fail("exchange_not_sent");
       };
@@ -419,7 +427,7 @@
       }
       isDown = false;
       await bench.timer.advance(300);
-      await settled();
+      await flushPromises();
       const served = callers.filter(({ body }) => body === "verdict");
       expect(served).to.have.length(40);
       // Two engines, one connection attempt every 200 ms each.
@@ -431,12 +439,12 @@
     it("is refused in time if no decode engine recovers", async () => {
       const bench = fleet();
       bench.onSend = (attempt) => {
-        if (attempt.options.prefillOnly) return void attempt.answer("handle");
+        if (attempt.options.prefillOnly) return void attempt.respond("handle");
         void attempt.fail("exchange_not_sent");
       };
       const caller = await ask(bench);
       // The fake engine responds in chunks, one per turn of the event loop.
-      await settled();
+      await flushPromises();
       await bench.timer.advance(1_600);
       expect(caller.refusal).to.equal(undefined);
       await bench.timer.advance(150);
@@ -447,8 +455,8 @@
     it("releases its cache when the caller disconnects", async () => {
       const bench = fleet();
       const caller = await ask(bench);
-      await bench.sent[0].answer("handle-1");
-      caller.leave();
+      await bench.sent[0].respond("handle-1");
+      caller.disconnect();
       expect(bench.released).to.deep.equal(["handle-1"]);
     });
 
@@ -458,7 +466,7 @@
     it("is prefilled immediately for a caller with a shorter deadline than others", async () => {
       const bench = fleet();
       await ask(bench, "first");
-      await bench.take(makeRequest({
+      await bench.submit(makeRequest({
         prompt: makePrompt("second"),
         deadlineMilliseconds: 1_700,
       }));
@@ -469,7 +477,7 @@
     // in any case; prefilled first, it would make another one late as well.
     it("is prefilled after others for a caller that was refused before", async () => {
       const bench = fleet();
-      bench.parts.returning.refused("river-own", 0);
+      bench.parts.returningCallers.record("river-own", 0);
       await bench.timer.advance(400);
       await ask(bench);
       expect(bench.decisions[0]).to.include({
@@ -492,12 +500,14 @@
               bench.timer.after(3, resolve);
             }),
         });
-        if (kind === "late") bench.parts.returning.refused("river-own", 400);
+        if (kind === "late") {
+          bench.parts.returningCallers.record("river-own", 400);
+        }
         const caller = await ask(bench);
         await bench.timer.advance(kind === "late" ? 4 : 1);
-        caller.leave();
+        caller.disconnect();
         await bench.timer.advance(100);
-        await settled();
+        await flushPromises();
         expect(bench.sent).to.deep.equal([]);
       });
     }
--- a/src/entry/forwarding/response_relay.ts
+++ b/src/entry/forwarding/response_relay.ts
@@ -1,6 +1,10 @@
 import { EventSplitter } from "../../core/forwarding/mod.ts";
-import type { Attempt } from "./attempt.ts";
-import type { BodyEnd, CallerSink, EndpointAnswer } from "./links.ts";
+import type { ForwardAttempt } from "./attempt.ts";
+import type {
+  BodyEnd,
+  CallerSink,
+  EndpointResponse,
+} from "./network_interfaces.ts";
 
 export interface ResponseRelayOptions {
   readonly sink: CallerSink;
@@ -22,7 +26,7 @@
   #splitter = new EventSplitter();
   #headSent = false;
   #lastEventId: string | undefined;
-  #current: EndpointAnswer | undefined;
+  #current: EndpointResponse | undefined;
 
   constructor(options: ResponseRelayOptions) {
     this.#sink = options.sink;
@@ -41,7 +45,7 @@
   }
 
   /** Settles when the response body has ended. */
-  pipe(response: EndpointAnswer, attempt: Attempt): Promise<BodyEnd> {
+  pipe(response: EndpointResponse, attempt: ForwardAttempt): Promise<BodyEnd> {
     const { head } = response;
     // A resumed run continues under the response head of the first run.
     if (!this.#headSent) this.#sink.head(head.status, head.headers);
--- a/src/entry/forwarding/retry_budget_test.ts
+++ b/src/entry/forwarding/retry_budget_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import {
-  ForwardingBench,
+  ForwardingHarness,
   type SentAttempt,
-} from "../../../test/support/forwarding_bench.ts";
+} from "../../../test/support/forwarding_harness.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -10,7 +10,7 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
 /** Configured retry budget, as passed to the test bench. */
@@ -86,7 +86,8 @@
   readonly arrivals = new ArrivalCounter();
   bench = this.#makeBench();
   /** How the decode engine handles a request. */
-  decode: (attempt: SentAttempt) => void = (attempt) => void attempt.notRun();
+  decode: (attempt: SentAttempt) => void = (attempt) =>
+    void attempt.respondNotRun();
   /** Duration of a prefill. */
   readMilliseconds = 40;
   #asked = 0;
@@ -118,8 +119,8 @@
     this.bench = this.#makeBench();
   }
 
-  #makeBench(): ForwardingBench {
-    const bench = new ForwardingBench(
+  #makeBench(): ForwardingHarness {
+    const bench = new ForwardingHarness(
       makeConfiguration({
         routes: [makeRoute({
           repeat: "stream",
@@ -132,9 +133,9 @@
     );
     const { registry } = bench.parts;
     for (let index = 0; index < 6; index++) {
-      registry.put(makeEngine(`reader-${index}`, "prefill"));
+      registry.upsert(makeEngine(`reader-${index}`, "prefill"));
     }
-    registry.put(makeEngine("maker", "decode"));
+    registry.upsert(makeEngine("maker", "decode"));
     bench.onSend = (attempt) => this.#take(attempt);
     return bench;
   }
@@ -142,7 +143,7 @@
   async #ask(): Promise<void> {
     this.#asked += 1;
     this.arrivals.requestTimes.push(this.#elapsed);
-    await this.bench.take(makeRequest({
+    await this.bench.submit(makeRequest({
       id: identifier<RequestId>(`request-${this.#asked}`),
       prompt: makePrompt(`subject-${this.#asked % 20}`),
       deadlineMilliseconds: DEADLINE_MILLISECONDS,
@@ -155,7 +156,7 @@
     this.bench.timer.after(this.readMilliseconds, () => {
       if (attempt.aborted) return;
       this.arrivals.accepted(arrival);
-      void attempt.answer("handle");
+      void attempt.respond("handle");
     });
   }
 }
--- a/src/entry/forwarding/role_controller.ts
+++ b/src/entry/forwarding/role_controller.ts
@@ -1,16 +1,16 @@
 import type { Result } from "neverthrow";
 import {
+  type CurrentClaim,
   type EndpointRegistry,
+  type EngineRoleChange,
   ExclusiveClaim,
-  type LoadPicture,
+  type FleetLoad,
   planRoles,
   type Pool,
-  prefillShareFor,
-  prefillShareOf,
+  prefillShareBySlots,
+  prefillShareForDemand,
   type RegisteredEndpoint,
-  type RoleChange,
   RoleDemand,
-  type StandingClaim,
   type StoreFailure,
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId, ServiceName } from "../../core/identity/mod.ts";
@@ -58,7 +58,7 @@
 export interface RoleLink {
   /** The latest claim and the end offset of the log. */
   readClaim(): Promise<
-    Result<{ claim: StandingClaim | undefined; end: number }, StoreFailure>
+    Result<{ claim: CurrentClaim | undefined; end: number }, StoreFailure>
   >;
   /** Appends a claim if the log ends at `at`; returns its offset. */
   appendClaim(
@@ -66,7 +66,7 @@
     at: number,
   ): Promise<Result<number | undefined, StoreFailure>>;
   order(
-    change: RoleChange,
+    change: EngineRoleChange,
     options: { readonly holder: string; readonly fencing: number },
   ): Promise<OrderOutcome>;
 }
@@ -76,7 +76,7 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly registry: EndpointRegistry;
-  readonly load: LoadPicture;
+  readonly load: FleetLoad;
   readonly link: RoleLink;
   readonly logger: Logger;
   readonly leaseMilliseconds: number;
@@ -169,7 +169,7 @@
     if (!this.#stopped) this.#scheduleCheck();
   }
 
-  #plannedChanges(): RoleChange[] {
+  #plannedChanges(): EngineRoleChange[] {
     return [...this.#options.pools()].flatMap((pool) =>
       this.#plannedChangesIn(pool)
     );
@@ -179,17 +179,18 @@
    * Decode engines for pools whose demand exceeds their initial share. The loss
    * of an engine alone does not trigger a change this early.
    */
-  #plannedDecodeChanges(): RoleChange[] {
+  #plannedDecodeChanges(): EngineRoleChange[] {
     return [...this.#options.pools()]
       .filter(({ name }) => {
         const engines = this.#options.registry.inPool(name);
-        return this.#prefillShareIn(name, engines) < prefillShareOf(engines);
+        return this.#prefillShareIn(name, engines) <
+          prefillShareBySlots(engines);
       })
       .flatMap((pool) => this.#plannedChangesIn(pool))
       .filter(({ role }) => role === "decode");
   }
 
-  #plannedChangesIn({ engine, name }: Pool): RoleChange[] {
+  #plannedChangesIn({ engine, name }: Pool): EngineRoleChange[] {
     if (engine === undefined) return [];
     const { load, registry } = this.#options;
     const engines = registry.inPool(name);
@@ -205,7 +206,7 @@
     pool: ServiceName,
     engines: readonly RegisteredEndpoint[],
   ): number {
-    return prefillShareFor(engines, this.#demands.get(pool)?.usual);
+    return prefillShareForDemand(engines, this.#demands.get(pool)?.typical);
   }
 
   #sampleDemand(): void {
@@ -221,11 +222,11 @@
         if (role !== "prefill") answers += requests;
         else if (requests > 0) busyPrefillEngines += 1;
       }
-      demand.note({ answers, busyReaders: busyPrefillEngines });
+      demand.record({ answers, busyReaders: busyPrefillEngines });
     }
   }
 
-  async #issueOrders(changes: readonly RoleChange[]): Promise<void> {
+  async #issueOrders(changes: readonly EngineRoleChange[]): Promise<void> {
     if (!await this.#acquireClaim()) return;
     const { link, logger, self } = this.#options;
     for (const change of changes) {
@@ -239,7 +240,7 @@
         previous,
         fencing,
         outcome,
-        ...this.#demands.get(change.endpoint.pool)?.usual,
+        ...this.#demands.get(change.endpoint.pool)?.typical,
       }, "Sent an order to an engine to change its role");
       if (outcome === "refused") return this.#claim.refused();
       if (outcome === "busy") continue;
@@ -262,14 +263,14 @@
     const read = await link.readClaim();
     if (read.isErr()) return false;
     const { claim, end } = read.value;
-    if (claim !== undefined) this.#claim.saw(claim);
-    if (!this.#claim.mayClaim()) return false;
+    if (claim !== undefined) this.#claim.observe(claim);
+    if (!this.#claim.canClaim()) return false;
     const sentAt = timer.now();
     const appended = await link.appendClaim(self, end);
     // The claim may be in force although its response was lost; the next check
     // reads it.
     if (appended.isErr() || appended.value === undefined) return false;
-    this.#claim.gained(appended.value, sentAt);
+    this.#claim.recordAcquired(appended.value, sentAt);
     logger.info(
       { fencing: appended.value },
       "This entry now holds the claim on role orders",
--- a/src/entry/forwarding/role_controller_test.ts
+++ b/src/entry/forwarding/role_controller_test.ts
@@ -1,23 +1,23 @@
 import { expect } from "chai";
 import { err, ok } from "neverthrow";
-import { settled } from "../../../test/support/forwarding_bench.ts";
+import { flushPromises } from "../../../test/support/forwarding_harness.ts";
 import {
   ENGINE_POOL,
   makeEngine,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
+  type CurrentClaim,
   EndpointRegistry,
-  LoadPicture,
-  type StandingClaim,
+  FleetLoad,
   type StoreFailure,
 } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
-import { SILENT_LOGGER } from "../../core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../core/observation/mod.ts";
 import { seededRandom } from "../../core/random/mod.ts";
 import { ManualTimerService } from "../../core/time/mod.ts";
 import { type OrderOutcome, RoleController } from "./role_controller.ts";
@@ -31,7 +31,7 @@
 
 /** The log of claims and the engines, shared by all controllers. */
 class Platform {
-  claims: StandingClaim[] = [];
+  claims: CurrentClaim[] = [];
   orders: { holder: string; fencing: number; endpoint: string; at: number }[] =
     [];
   answer: OrderOutcome = "accepted";
@@ -77,16 +77,16 @@
       registries.push(registry);
       for (let engine = 0; engine < 10; engine++) {
         const role = engine < 5 ? "prefill" : "decode";
-        registry.put(makeEngine(`engine-${engine}`, role));
+        registry.upsert(makeEngine(`engine-${engine}`, role));
       }
       return new RoleController({
         self: `entry-${index}`,
         timer,
         random: seededRandom(index + 1),
         registry,
-        load: new LoadPicture(timer),
+        load: new FleetLoad(timer),
         link: platform.link,
-        logger: SILENT_LOGGER,
+        logger: NOOP_LOGGER,
         leaseMilliseconds: 3_000,
         pools: () => [ENGINE_POOL],
         broadcastOrders: (orders) => {
@@ -101,7 +101,7 @@
   async function advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 50) {
       await timer.advance(50);
-      await settled();
+      await flushPromises();
     }
   }
 
@@ -167,7 +167,7 @@
     const before = platform.orders.length;
     for (const lost of ["engine-8", "engine-9"]) {
       const engine = makeEngine(lost, "decode", { leaving: true });
-      registries[0].put(engine);
+      registries[0].upsert(engine);
       controllers[0].onEngineChange(engine);
     }
     await advance(5_000);
@@ -180,9 +180,9 @@
     /** Registers the engine as a new run with this role. */
     function restart(role: "prefill" | "decode", startedAt: number): void {
       const engine = makeEngine(id, role, {
-        startedAt: numbered<ReplicaStart>(startedAt),
+        startedAt: numbered<ReplicaStartTime>(startedAt),
       });
-      registries[0].put(engine);
+      registries[0].upsert(engine);
       controllers[0].forget(engine);
       controllers[0].onEngineChange(engine);
     }
--- a/src/entry/forwarding/role_share_test.ts
+++ b/src/entry/forwarding/role_share_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
-import { ForwardingBench } from "../../../test/support/forwarding_bench.ts";
-import { PlayedEngines } from "../../../test/support/forwarding_engines.ts";
+import { ForwardingHarness } from "../../../test/support/forwarding_harness.ts";
+import { SimulatedEngines } from "../../../test/support/simulated_engines.ts";
 import {
   ENGINES,
   makeConfiguration,
@@ -8,9 +8,9 @@
   makePrompt,
   makeRequest,
   makeRoute,
-} from "../../../test/support/forwarding_values.ts";
+} from "../../../test/support/forwarding_fixtures.ts";
 import {
-  prefillShareFor,
+  prefillShareForDemand,
   type RegisteredEndpoint,
 } from "../../core/forwarding/mod.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
@@ -31,7 +31,7 @@
 
 /** Share of a burst of urgent responses that start within their target. */
 async function onTimeShare(prefillShare: number): Promise<number> {
-  const bench = new ForwardingBench(
+  const bench = new ForwardingHarness(
     makeConfiguration({
       routes: [makeRoute({
         repeat: "stream",
@@ -42,16 +42,16 @@
     }),
     { repeats: 1_000 },
   );
-  new PlayedEngines(bench);
+  new SimulatedEngines(bench);
   for (const engine of makeEngines(prefillShare)) {
-    bench.parts.registry.put(engine);
+    bench.parts.registry.upsert(engine);
   }
   let asked = 0;
   let onTime = 0;
   for (let time = 0; time < SECONDS * 1_000; time += 10) {
     const due = Math.floor((time + 10) * URGENT_PER_SECOND / 1_000);
     for (; asked < due; asked++) {
-      const sink = await bench.take(makeRequest({
+      const sink = await bench.submit(makeRequest({
         id: identifier<RequestId>(`request-${asked}`),
         prompt: makePrompt(`subject-${asked}`, { shared: 80, own: 140 }),
         deadlineMilliseconds: 15_000,
@@ -67,7 +67,7 @@
 }
 
 describe("roles in a burst of urgent answers", () => {
-  const share = prefillShareFor(makeEngines(0.7), undefined);
+  const share = prefillShareForDemand(makeEngines(0.7), undefined);
 
   it("provide a slot for nearly every one from the start", async () => {
     expect(await onTimeShare(share)).to.be.at.least(0.95);
--- a/src/entry/forwarding/usage_notification.ts
+++ b/src/entry/forwarding/usage_notification.ts
@@ -1,5 +1,5 @@
 /** Encoding of the usage notifications between entries. */
-import type { StandingClaim, WindowCounts } from "../../core/forwarding/mod.ts";
+import type { CurrentClaim, WindowCounts } from "../../core/forwarding/mod.ts";
 
 /** Notification that carries an entry's counts. */
 export const USAGE_METHOD = "entry.usage";
@@ -18,7 +18,7 @@
 
 export interface ReportsNotification {
   /** The claim that the reports were sent under. */
-  readonly claim: StandingClaim;
+  readonly claim: CurrentClaim;
   /** The latest window whose report was confirmed. */
   readonly acceptedThrough?: number;
   /** Reports fixed by the claim; sent with a new claim. */
--- a/src/entry/forwarding/usage_keeper.ts
+++ b/src/entry/forwarding/usage_reporter.ts
@@ -1,9 +1,9 @@
 import type { Result } from "neverthrow";
 import {
+  type CurrentClaim,
   ExclusiveClaim,
   FleetClock,
   nextReports,
-  type StandingClaim,
   type StoreFailure,
   type UsageClaim,
   UsageLedger,
@@ -74,7 +74,7 @@
   ): Promise<ReportOutcome>;
 }
 
-export interface UsageKeeperOptions {
+export interface UsageReporterOptions {
   readonly self: ProcessId;
   readonly incarnation: string;
   readonly timer: TimerService;
@@ -90,7 +90,7 @@
   /** Live entries including this one, ranked as collectors. */
   readonly ranking: () => readonly ProcessId[];
   /** Entries in the list of the fleet, without this one. */
-  readonly listed: () => Iterable<ProcessId>;
+  readonly listedPeers: () => Iterable<ProcessId>;
   readonly send: (
     peer: ProcessId,
     notification: { readonly method: string; readonly params: unknown },
@@ -104,9 +104,9 @@
  * once per window. Each entry counts its own requests and copies the counts to
  * a few collectors; the first live collector reports.
  */
-export class UsageKeeper {
+export class UsageReporter {
   readonly clock: FleetClock;
-  readonly #options: UsageKeeperOptions;
+  readonly #options: UsageReporterOptions;
   readonly #ledger: UsageLedger;
   readonly #claim: ExclusiveClaim;
   readonly #since: number;
@@ -125,7 +125,7 @@
   #retryAt = -Infinity;
   #isReporting = false;
 
-  constructor(options: UsageKeeperOptions) {
+  constructor(options: UsageReporterOptions) {
     const { isFirstStart, timer, windowMilliseconds } = options;
     this.#options = options;
     this.clock = new FleetClock(timer);
@@ -165,12 +165,12 @@
   }
 
   /** Counts a request that started to run at this monotonic time. */
-  began(workspace: WorkspaceId, at: number): void {
-    this.#ledger.began(workspace, this.clock.timeAt(at));
+  noteStarted(workspace: WorkspaceId, at: number): void {
+    this.#ledger.recordStart(workspace, this.clock.timeAt(at));
   }
 
   /** Applies a peer's notification; drops malformed ones. */
-  take(method: string, params: unknown): void {
+  onNotification(method: string, params: unknown): void {
     if (method === USAGE_METHOD && isUsageNotification(params)) {
       this.#onCounts(params);
     }
@@ -196,13 +196,13 @@
 
   #onCounts(counts: UsageNotification): void {
     this.#runIds.set(identifier(counts.entry), runIdOf(counts));
-    this.#ledger.peerCounted(runIdOf(counts), counts);
+    this.#ledger.mergePeerCounts(runIdOf(counts), counts);
   }
 
   #onReports(
     { acceptedThrough, claim, fixed }: ReportsNotification,
   ): void {
-    this.#claim.saw(claim);
+    this.#claim.observe(claim);
     for (const [window, counts] of fixed ?? []) {
       this.#fixed.set(numbered(window), decodeCounts(counts));
     }
@@ -229,7 +229,7 @@
     if (!isFull && !this.#ledger.hasUnsent) return;
     if (isFull) {
       this.#lastFullCopyAt = now;
-      this.#ledger.forgetBefore(
+      this.#ledger.discardBefore(
         numbered(Math.max(this.#oldestOpenWindow, this.#closedThrough + 1)),
       );
     }
@@ -238,7 +238,7 @@
       incarnation,
       since: this.#since,
       until: isFull ? this.clock.now() : 0,
-      usage: this.#ledger.takeOwn({ all: isFull }),
+      usage: this.#ledger.takeOwnCounts({ all: isFull }),
     };
     for (const collector of ranking().slice(0, COLLECTOR_COUNT)) {
       if (collector !== self) send(collector, { method: USAGE_METHOD, params });
@@ -301,7 +301,7 @@
 
   /** True if every entry that ran in the window has sent all its counts. */
   #isComplete(window: UsageWindow): boolean {
-    const { listed, windowMilliseconds } = this.#options;
+    const { listedPeers: listed, windowMilliseconds } = this.#options;
     const end = this.#endOf(window);
     for (const entry of listed()) {
       const run = this.#runIds.get(entry);
@@ -339,8 +339,8 @@
       return undefined;
     }
     const { claim, end } = read.value;
-    if (claim !== undefined) this.#claim.saw(claim);
-    if (!this.#claim.mayClaim()) return undefined;
+    if (claim !== undefined) this.#claim.observe(claim);
+    if (!this.#claim.canClaim()) return undefined;
     const reports = nextReports({
       ledger: this.#ledger,
       fixed: this.#mergeFixedReports(claim?.reports ?? []),
@@ -365,7 +365,7 @@
       logger.info({ reason }, "The claim on usage reports was not acquired");
       return undefined;
     }
-    this.#claim.gained(offset, sentAt);
+    this.#claim.recordAcquired(offset, sentAt);
     for (const { counts, window } of reports) this.#fixed.set(window, counts);
     this.#announceReports({ holder: this.#runId, offset }, reports);
     const windows = reports.map(({ window }) => window);
@@ -408,7 +408,7 @@
   }
 
   #announceReports(
-    claim: StandingClaim,
+    claim: CurrentClaim,
     fixed: readonly UsageReport[] = [],
   ): void {
     const params: ReportsNotification = {
--- a/src/entry/forwarding/usage_keeper_test.ts
+++ b/src/entry/forwarding/usage_reporter_test.ts
@@ -29,7 +29,7 @@
 
   for (const entries of [22, 68]) {
     it(`loses no counts at ${entries} entries with a tenth of the datagrams lost`, async () => {
-      const fleet = new UsageFleet({ entries, lostShare: 0.1 });
+      const fleet = new UsageFleet({ entries, lossRate: 0.1 });
       await fleet.serve(30_000);
       expectConsistent(fleet);
     });
@@ -54,9 +54,9 @@
   it("continues at another entry while the holder is partitioned", async () => {
     const fleet = new UsageFleet({ entries: 4 });
     await fleet.serve(11_000);
-    fleet.members[0].isCut = true;
+    fleet.members[0].isPartitioned = true;
     await fleet.serve(20_000);
-    fleet.members[0].isCut = false;
+    fleet.members[0].isPartitioned = false;
     await fleet.serve(20_000);
     expectConsistent(fleet);
   });
@@ -76,10 +76,10 @@
   }
 
   it("repeats a report with identical counts if its response is lost", async () => {
-    const fleet = new UsageFleet({ entries: 4, lostShare: 0.1 });
-    fleet.platform.losesAnswers = true;
+    const fleet = new UsageFleet({ entries: 4, lossRate: 0.1 });
+    fleet.platform.losesResponses = true;
     await fleet.serve(13_000);
-    fleet.platform.losesAnswers = false;
+    fleet.platform.losesResponses = false;
     await fleet.serve(15_000);
     expectConsistent(fleet);
     expect(fleet.platform.taken.length).to.be.greaterThan(
--- a/src/entry/forwarding/usage_schedules_test.ts
+++ b/src/entry/forwarding/usage_schedules_test.ts
@@ -5,7 +5,7 @@
   LEASE_MILLISECONDS,
   UsageFleet,
 } from "../../../test/support/usage_fleet.ts";
-import type { ReportOutcome } from "./usage_keeper.ts";
+import type { ReportOutcome } from "./usage_reporter.ts";
 
 const ENTRIES = 4;
 const STEP_MILLISECONDS = { min: 100, max: 3_000 };
@@ -83,25 +83,25 @@
       return;
     case "cut":
     case "heal":
-      members[fault.entry].isCut = fault.kind === "cut";
+      members[fault.entry].isPartitioned = fault.kind === "cut";
       return;
     case "freeze":
     case "thaw":
-      members[fault.entry].isFrozen = fault.kind === "freeze";
+      members[fault.entry].isSuspended = fault.kind === "freeze";
       return;
     case "store":
-      platform.storeMilliseconds = fault.milliseconds;
+      platform.storeLatencyMilliseconds = fault.milliseconds;
       return;
     case "late":
       // Calls may be applied late only where fencing tokens are checked.
-      if (!platform.checksNoFencing) {
+      if (!platform.ignoresFencing) {
         platform.lateMilliseconds = fault.milliseconds;
       }
       return;
     case "restored":
       return platform.restore({ lost: fault.lost });
     case "loses":
-      platform.losesAnswers = fault.answers;
+      platform.losesResponses = fault.answers;
       return;
     case "fails":
       platform.failsWith = fault.outcome;
@@ -127,8 +127,8 @@
     it(`violate no rule at a receiver that ${kind}`, async () => {
       await fc.assert(
         fc.asyncProperty(schedule, async (steps) => {
-          const fleet = new UsageFleet({ entries: ENTRIES, lostShare: 0.1 });
-          fleet.platform.checksNoFencing = checksNoFencing;
+          const fleet = new UsageFleet({ entries: ENTRIES, lossRate: 0.1 });
+          fleet.platform.ignoresFencing = checksNoFencing;
           await runSchedule(fleet, steps);
           expect(fleet.platform.violations(LEASE_MILLISECONDS))
             .to.deep.equal([]);
--- a/src/entry/forwarding/work_notification.ts
+++ b/src/entry/forwarding/work_notification.ts
@@ -4,15 +4,15 @@
   type EndpointRegistry,
   isReportedLoss,
   type PeerWork,
+  type PrefillSpeedReport,
+  type RefusalReport,
   type ReportedLoss,
-  type ToldRefusal,
-  type ToldSpeed,
   type WorkReport,
 } from "../../core/forwarding/mod.ts";
 import {
   type EndpointId,
   identifier,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
 import type { EncodedPrompt } from "./prompt_encoding.ts";
 
@@ -31,11 +31,11 @@
    */
   readonly prompts: readonly EncodedPrompt[];
   /** Speed estimates of engines; sent with full reports. */
-  readonly speeds?: readonly ToldSpeed[];
+  readonly speeds?: readonly PrefillSpeedReport[];
   /**
    * Prompts refused since the last report; their callers may retry elsewhere.
    */
-  readonly refusals: readonly ToldRefusal[];
+  readonly refusals: readonly RefusalReport[];
   /** The sender's wall clock in Unix milliseconds; sent with full reports. */
   readonly clock?: number;
   /** Requests recently lost with endpoints; sent with full reports. */
@@ -49,7 +49,7 @@
  */
 export type WorkRowWithRun = readonly [
   ...WorkReport[number],
-  startedAt?: ReplicaStart,
+  startedAt?: ReplicaStartTime,
 ];
 const MIN_WORK_VALUES = 4;
 
@@ -117,7 +117,7 @@
     );
 }
 
-function isRefusalRow(value: unknown): value is ToldRefusal {
+function isRefusalRow(value: unknown): value is RefusalReport {
   return Array.isArray(value) && typeof value[0] === "string" &&
     typeof value[1] === "number";
 }
--- a/src/entry/guards.ts
+++ b/src/entry/guards.ts
@@ -6,7 +6,7 @@
  * passes them, to show that its checker detects the resulting violations; no
  * setting reaches them.
  */
-export interface EntryGuards {
+export interface EntryGuardOverrides {
   readonly orders?: Partial<OrdersGuards>;
   readonly configuration?: Partial<ConfigurationGuards>;
 }
--- a/src/entry/mod.ts
+++ b/src/entry/mod.ts
@@ -5,4 +5,4 @@
 export { EntryCore } from "./entry_core.ts";
 export type { EntryLimits, EntryOptions, EntryTimes } from "./entry_core.ts";
 export type { RequestHandle } from "./request_intake.ts";
-export type { EntryGuards } from "./guards.ts";
+export type { EntryGuardOverrides } from "./guards.ts";
--- a/src/entry/non_idempotent_run.ts
+++ b/src/entry/non_idempotent_run.ts
@@ -1,7 +1,7 @@
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
 import { identifier } from "../core/identity/mod.ts";
-import type { AcquireResult, OnceChoice } from "../core/once/mod.ts";
+import type { AcquireResult, ExecutionTarget } from "../core/once/mod.ts";
 import type { Refusal } from "../core/requests/mod.ts";
 import type { Placement } from "../core/scheduling/mod.ts";
 import type { OncePermit } from "../generated/messages.ts";
@@ -99,7 +99,7 @@
 /** Acquires a slot at an endpoint whose side's current incarnation is known. */
 async function chooseEndpoint(
   run: RequestRun,
-): Promise<Result<{ placement: Placement; choice: OnceChoice }, Refusal>> {
+): Promise<Result<{ placement: Placement; choice: ExecutionTarget }, Refusal>> {
   const placed = await submitAndPlace(run);
   if (placed.isErr()) return err(placed.error);
   const { endpoint } = placed.value;
--- a/src/entry/order_plan.ts
+++ b/src/entry/order_plan.ts
@@ -1,5 +1,5 @@
 import type { EndpointOrder } from "../core/authority/mod.ts";
-import { isSameTarget, pickLoads } from "../core/orders/mod.ts";
+import { isSameTarget, selectWithinLoadBudget } from "../core/orders/mod.ts";
 import type { RoleChange } from "../core/roles/mod.ts";
 import type {
   Inventory,
@@ -45,9 +45,9 @@
     )
   );
   const allowed = new Set(
-    pickLoads(candidates, {
+    selectWithinLoadBudget(candidates, {
       loading: loadingEndpoints(options),
-      mostAtOnce: options.maxConcurrentLoads,
+      maxConcurrentLoads: options.maxConcurrentLoads,
     }).map((candidate) => candidate.endpoint),
   );
   return candidates.filter((each) => allowed.has(each.endpoint))
--- a/src/entry/peer_directory.ts
+++ b/src/entry/peer_directory.ts
@@ -1,4 +1,4 @@
-import { attachments, Membership } from "../core/membership/mod.ts";
+import { Membership, selectAttachedEntries } from "../core/membership/mod.ts";
 import type { Member } from "../core/membership/mod.ts";
 import { err } from "neverthrow";
 import { failure } from "../core/errors/mod.ts";
@@ -78,7 +78,7 @@
       availabilityZone: member.vm?.availabilityZone ?? "",
       address: member.vm?.address ?? "",
     }));
-    return attachments(listed, {
+    return selectAttachedEntries(listed, {
       side: endpoint,
       availabilityZone,
       count: ADVERTISED_ENTRY_COUNT,
@@ -100,7 +100,7 @@
 
   /** False for a report of an incarnation that a newer one has replaced. */
   accepts(report: SideReport): boolean {
-    return this.#membership.sideReported(report);
+    return this.#membership.recordSideReport(report);
   }
 
   #listedEntries(includeSelf = false): Member[] {
--- a/src/entry/planner.ts
+++ b/src/entry/planner.ts
@@ -7,8 +7,8 @@
 import type {
   ClassDemand,
   PlannedEndpoint,
-  PlannerPicture,
-  PoolPicture,
+  PlannerInput,
+  PoolState,
   RoleChange,
 } from "../core/roles/mod.ts";
 import type { Subscription, TimerService } from "../core/time/mod.ts";
@@ -207,7 +207,7 @@
   #plannerInput(
     active: { inventory: Inventory; rules: Rules },
     reports: ReadonlyMap<string, SideReport>,
-  ): PlannerPicture {
+  ): PlannerInput {
     const { timer, journal } = this.#options;
     const engines = active.inventory.pools.filter((pool) =>
       pool.kind === "engine" && pool.engine !== undefined
@@ -223,7 +223,7 @@
   #poolInput(
     pool: Pool,
     reports: ReadonlyMap<string, SideReport>,
-  ): PoolPicture {
+  ): PoolState {
     const now = this.#options.timer.now();
     const ages = [...this.#peers.values()].map(({ receivedAt }) =>
       now - receivedAt
--- a/src/entry/region_log.ts
+++ b/src/entry/region_log.ts
@@ -13,13 +13,13 @@
   PeerAddress,
   StreamSnapshot,
 } from "../core/links/mod.ts";
-import type { Logger, Tell } from "../core/observation/mod.ts";
+import type { EmitEvent, Logger } from "../core/observation/mod.ts";
 import { OnceFold } from "../core/once/mod.ts";
-import { targetText } from "../core/orders/mod.ts";
+import { serializeTarget } from "../core/orders/mod.ts";
 import type { Random } from "../core/random/mod.ts";
 import type { Subscription, TimerService } from "../core/time/mod.ts";
 
-import type { EntryGuards } from "./guards.ts";
+import type { EntryGuardOverrides } from "./guards.ts";
 
 type StreamKind = "configuration" | "orders" | "once";
 
@@ -59,8 +59,8 @@
     readonly keyWindowMilliseconds: number;
   };
   readonly logger: Logger;
-  readonly guards?: EntryGuards;
-  readonly emitEvent: Tell;
+  readonly guards?: EntryGuardOverrides;
+  readonly emitEvent: EmitEvent;
   /**
    * False while this process must not take a claim, such as while it drains.
    */
@@ -251,14 +251,14 @@
           endpoint,
           order: order.offset,
           claim: order.claim,
-          target: targetText(order.target),
+          target: serializeTarget(order.target),
         }),
       onVoid: (offset, record) =>
         emitEvent("order_void", {
           endpoint: record.endpoint,
           order: offset,
           claim: record.claim,
-          target: targetText(record.target),
+          target: serializeTarget(record.target),
         }),
     });
   }
--- a/src/entry/request_intake.ts
+++ b/src/entry/request_intake.ts
@@ -1,5 +1,5 @@
 import type { AvailabilityZoneId, EndpointId } from "../core/identity/mod.ts";
-import type { Tell, Tracer } from "../core/observation/mod.ts";
+import type { EmitEvent, Tracer } from "../core/observation/mod.ts";
 import type {
   AnswerSink,
   CallerRequest,
@@ -11,7 +11,7 @@
 import type { Catalog } from "./catalog.ts";
 import { profileRequest } from "./request_profile.ts";
 import type { ProfiledRequest } from "./request_profile.ts";
-import { serveIdempotent } from "./repeatable_run.ts";
+import { serveIdempotent } from "./idempotent_run.ts";
 import { RequestRun } from "./request_run.ts";
 import type { RunContext } from "./run_context.ts";
 import { serveKeyed, serveUnkeyed } from "./non_idempotent_run.ts";
@@ -48,7 +48,7 @@
   readonly context: RunContext;
   readonly tracer: Tracer;
   readonly activeConfiguration: () => ActiveConfiguration | undefined;
-  readonly emitEvent: Tell;
+  readonly emitEvent: EmitEvent;
 }
 
 const NO_OP_HANDLE: RequestHandle = { cancel() {}, drained() {} };
--- a/src/entry/request_profile.ts
+++ b/src/entry/request_profile.ts
@@ -1,6 +1,6 @@
 import { err, ok } from "neverthrow";
 import type { Result } from "neverthrow";
-import { fewestTokensToHandOver } from "../core/handover/mod.ts";
+import { minTransferTokens } from "../core/handover/mod.ts";
 import type { AvailabilityZoneId } from "../core/identity/mod.ts";
 import { identifier } from "../core/identity/mod.ts";
 import type {
@@ -67,7 +67,7 @@
   const deadline = deadlineOf(request, options);
   return ok({
     resumesStreams: pool.value.engine?.resumesStreams ?? false,
-    fewestTokensToHandOver: fewestTokensToHandOver(pool.value.engine),
+    fewestTokensToHandOver: minTransferTokens(pool.value.engine),
     profile: {
       requestId: request.requestId,
       workspace: request.workspace,
--- a/src/entry/request_run.ts
+++ b/src/entry/request_run.ts
@@ -15,7 +15,11 @@
   Placement,
   WaitingRequest,
 } from "../core/scheduling/mod.ts";
-import type { Span, SpanFacts, SpanName } from "../core/observation/mod.ts";
+import type {
+  Span,
+  SpanAttributes,
+  SpanName,
+} from "../core/observation/mod.ts";
 import type { Subscription } from "../core/time/mod.ts";
 import type {
   AttemptRequest,
@@ -344,7 +348,7 @@
     return attempt;
   }
 
-  #startSpan(name: SpanName, facts: SpanFacts = {}): Span {
+  #startSpan(name: SpanName, facts: SpanAttributes = {}): Span {
     const { context, request } = this.options;
     return context.tracer.start(name, {
       traceparent: request.traceparent,
--- a/src/entry/run_context.ts
+++ b/src/entry/run_context.ts
@@ -1,5 +1,5 @@
 import type { SideLink } from "../core/links/mod.ts";
-import type { Tell, Tracer } from "../core/observation/mod.ts";
+import type { EmitEvent, Tracer } from "../core/observation/mod.ts";
 import type { OnceCoordinator } from "../core/once/mod.ts";
 import type { Scheduler } from "../core/scheduling/mod.ts";
 import type { TimerService } from "../core/time/mod.ts";
@@ -15,5 +15,5 @@
   /** Maximum attempts per request, including the first. */
   readonly mostAttempts: number;
   readonly tracer: Tracer;
-  readonly emitEvent: Tell;
+  readonly emitEvent: EmitEvent;
 }
--- a/src/side/attempt_executor.ts
+++ b/src/side/attempt_executor.ts
@@ -1,7 +1,7 @@
-import { SideLimiter } from "../core/limits/mod.ts";
+import { EndpointLimiter } from "../core/limits/mod.ts";
 import type { Slot } from "../core/limits/mod.ts";
 import type { EndpointLink, ServiceResponse } from "../core/links/mod.ts";
-import type { Span, Tell, Tracer } from "../core/observation/mod.ts";
+import type { EmitEvent, Span, Tracer } from "../core/observation/mod.ts";
 import { SideOnceTable } from "../core/once/mod.ts";
 import type { TimerService } from "../core/time/mod.ts";
 import type {
@@ -13,8 +13,8 @@
   OnceQuestion,
 } from "../generated/messages.ts";
 import { GenerationRun } from "./generation_run.ts";
-import type { AttemptOutcome } from "./generation_run.ts";
-import type { SideGuards } from "./guards.ts";
+import type { GenerationOutcome } from "./generation_run.ts";
+import type { SideGuardOverrides } from "./guards.ts";
 import { RecentAttempts } from "./recent_attempts.ts";
 import { ServiceRun } from "./service_run.ts";
 
@@ -31,10 +31,10 @@
   readonly mostKeptAnswerBytes: number;
   readonly firstTokenSilenceMilliseconds: number;
   readonly tokenSilenceMilliseconds: number;
-  readonly guards?: SideGuards;
+  readonly guards?: SideGuardOverrides;
   /** Reason why the endpoint accepts no new work; undefined if it does. */
   readonly closedReason: () => NotRunFrame["reason"] | undefined;
-  readonly emitEvent: Tell;
+  readonly emitEvent: EmitEvent;
 }
 
 /**
@@ -76,7 +76,7 @@
  */
 export class AttemptExecutor {
   readonly #options: AttemptExecutorOptions;
-  readonly #limiter: SideLimiter;
+  readonly #limiter: EndpointLimiter;
   readonly #once: SideOnceTable;
   readonly #recent: RecentAttempts;
   readonly #running = new Map<string, RunningAttempt>();
@@ -86,9 +86,9 @@
   constructor(options: AttemptExecutorOptions) {
     this.#options = options;
     this.#slotLimit = options.mostRunning;
-    this.#limiter = new SideLimiter({
+    this.#limiter = new EndpointLimiter({
       ...options,
-      mostBeforeFirstToken: options.kind === "engine"
+      maxBeforeFirstToken: options.kind === "engine"
         ? EXTRA_PREFILL_ATTEMPTS
         : 0,
     });
@@ -114,7 +114,7 @@
     // endpoint's speed, so it is only set when it changes.
     if (slotLimit === this.#slotLimit) return;
     this.#slotLimit = slotLimit;
-    this.#limiter.useCeiling(slotLimit);
+    this.#limiter.setCeiling(slotLimit);
   }
 
   load(): EndpointLoad {
@@ -149,7 +149,7 @@
 
   #isDuplicate({ attemptId }: AttemptRequest): boolean {
     const isDuplicate = !this.#recent.add(attemptId);
-    return this.#options.guards?.isRepeat?.(attemptId) ?? isDuplicate;
+    return this.#options.guards?.isDuplicate?.(attemptId) ?? isDuplicate;
   }
 
   /** Ends all running attempts so that their entries resume them elsewhere. */
@@ -188,7 +188,7 @@
     if (this.#isForOtherRun(attempt)) return this.#failAlreadyRun(context);
     const closedReason = this.#closedReason(attempt);
     if (closedReason !== undefined) return this.#refuse(context, closedReason);
-    const pendingSlot = this.#limiter.enter({
+    const pendingSlot = this.#limiter.acquire({
       priority: attempt.priority,
       className: attempt.className,
       deadlineMilliseconds: attempt.deadlineMilliseconds,
@@ -253,7 +253,7 @@
       attempt: withTraceparent(attempt, span),
     };
     let ended = false;
-    const done = (end: AttemptOutcome, answer?: ServiceResponse) => {
+    const done = (end: GenerationOutcome, answer?: ServiceResponse) => {
       ended = true;
       if (end !== "answered") span.fail(end);
       span.end();
@@ -270,7 +270,7 @@
 
   #runGeneration(
     context: AttemptContext,
-    options: { slot: Slot; done: (end: AttemptOutcome) => void },
+    options: { slot: Slot; done: (end: GenerationOutcome) => void },
   ): RunningAttempt {
     const run = new GenerationRun(context.attempt, {
       ...this.#options,
@@ -291,7 +291,7 @@
 
   #runService(
     context: AttemptContext,
-    done: (end: AttemptOutcome, answer?: ServiceResponse) => void,
+    done: (end: GenerationOutcome, answer?: ServiceResponse) => void,
   ): RunningAttempt {
     const run = new ServiceRun(context.attempt, {
       ...this.#options,
@@ -311,7 +311,7 @@
 
   #onFinished(
     context: AttemptContext,
-    result: { end: AttemptOutcome; answer?: ServiceResponse },
+    result: { end: GenerationOutcome; answer?: ServiceResponse },
   ): void {
     const { attempt, span } = context;
     const { end, answer } = result;
@@ -328,7 +328,7 @@
     for (const listener of listeners) listener();
   }
 
-  #emitEndEvent(attempt: AttemptRequest, end: AttemptOutcome): void {
+  #emitEndEvent(attempt: AttemptRequest, end: GenerationOutcome): void {
     const facts = attemptFacts(attempt);
     const cause = CANCEL_CAUSES[end];
     if (cause !== undefined) {
@@ -345,7 +345,7 @@
    * that its caller already has.
    */
   #preemptForUrgent(): void {
-    const slot = this.#limiter.toPause();
+    const slot = this.#limiter.nextToPause();
     if (slot?.attemptId === undefined) return;
     this.#running.get(slot.attemptId)?.interrupt();
   }
@@ -388,7 +388,7 @@
 }
 
 /** Causes of the outcomes that the side itself brings about. */
-const CANCEL_CAUSES: Partial<Record<AttemptOutcome, string>> = {
+const CANCEL_CAUSES: Partial<Record<GenerationOutcome, string>> = {
   cancelled: "caller",
   deadline: "deadline",
   moved: "planned",
--- a/src/side/attempt_executor_test.ts
+++ b/src/side/attempt_executor_test.ts
@@ -7,7 +7,7 @@
   EndpointLink,
   ServiceResponse,
 } from "../core/links/mod.ts";
-import { NO_TRACER } from "../core/observation/mod.ts";
+import { NOOP_TRACER } from "../core/observation/mod.ts";
 import { ManualTimerService } from "../core/time/mod.ts";
 import type {
   AttemptFrame,
@@ -124,7 +124,7 @@
       kind: "service",
       timer,
       endpoint,
-      tracer: NO_TRACER,
+      tracer: NOOP_TRACER,
       mostRunning: 1,
       mostWaiting: 4,
       mostKeptAnswers: 10,
--- a/src/side/generation_run.ts
+++ b/src/side/generation_run.ts
@@ -4,7 +4,7 @@
   EndpointLink,
   GenerationCall,
 } from "../core/links/mod.ts";
-import { beforeDeadline } from "../core/time/mod.ts";
+import { withTimeout } from "../core/time/mod.ts";
 import type { Subscription, TimerService } from "../core/time/mod.ts";
 import type {
   AttemptFrame,
@@ -18,7 +18,10 @@
  * How an attempt ended at its endpoint. `turned_down`: the endpoint did not
  * start it.
  */
-export type AttemptOutcome = "answered" | "turned_down" | FailedFrame["reason"];
+export type GenerationOutcome =
+  | "answered"
+  | "turned_down"
+  | FailedFrame["reason"];
 
 export interface GenerationRunOptions {
   readonly timer: TimerService;
@@ -55,7 +58,7 @@
 export class GenerationRun {
   readonly attempt: AttemptRequest;
   readonly #options: GenerationRunOptions;
-  readonly #done: (end: AttemptOutcome) => void;
+  readonly #done: (end: GenerationOutcome) => void;
   readonly #deadlineTimer: Subscription;
   readonly #call: GenerationCall;
   #silenceTimer: Subscription;
@@ -71,7 +74,7 @@
 
   constructor(
     attempt: AttemptRequest,
-    options: GenerationRunOptions & { done: (end: AttemptOutcome) => void },
+    options: GenerationRunOptions & { done: (end: GenerationOutcome) => void },
   ) {
     this.attempt = attempt;
     this.#options = options;
@@ -124,7 +127,7 @@
       ...this.attempt.deliveredTokens ?? [],
       ...this.#generatedTokens,
     ];
-    const exported = await beforeDeadline(
+    const exported = await withTimeout(
       endpoint.exportCache?.(this.attempt, generated) ?? NO_CACHE_EXPORT,
       { timer, milliseconds: CACHE_EXPORT_TIMEOUT_MILLISECONDS },
     );
@@ -200,7 +203,7 @@
     });
   }
 
-  #end(end: AttemptOutcome, frame: AttemptFrame): void {
+  #end(end: GenerationOutcome, frame: AttemptFrame): void {
     this.#ended = true;
     this.#silenceTimer.cancel();
     this.#deadlineTimer.cancel();
@@ -215,7 +218,7 @@
 export function endpointFailureOutcome(
   attempt: AttemptRequest,
   failure: { name: EndpointFailure["name"]; load: EndpointLoad },
-): { end: AttemptOutcome; frame: AttemptFrame } {
+): { end: GenerationOutcome; frame: AttemptFrame } {
   const { attemptId } = attempt;
   if (failure.name === "endpoint_refused") {
     const { load } = failure;
--- a/src/side/guards.ts
+++ b/src/side/guards.ts
@@ -5,15 +5,15 @@
  * show that its checker detects the resulting violations; no setting reaches
  * them.
  */
-export interface SideGuards {
+export interface SideGuardOverrides {
   /** Whether an offered configuration version is newer than the active one. */
   readonly isNewer?: (offered: number, inForce: number) => boolean;
   /** Whether an attempt has arrived before. */
-  readonly isRepeat?: (attemptId: string) => boolean;
+  readonly isDuplicate?: (attemptId: string) => boolean;
   /**
    * Whether running work is drained before an order is sent to the endpoint.
    */
-  readonly drains?: () => boolean;
+  readonly drainsBeforeOrder?: () => boolean;
   /**
    * Whether a starting side waits for answers from all its entries before it
    * acts on one.
--- a/src/side/first_answers_test.ts
+++ b/src/side/initial_answers_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { ManualTimerService } from "../core/time/mod.ts";
 import type { WatchAnswer } from "../generated/messages.ts";
-import { InitialAnswers } from "./first_answers.ts";
+import { InitialAnswers } from "./initial_answers.ts";
 
 function answer(configurationVersion: number): WatchAnswer {
   return { configurationVersion, ordersRead: -1 };
--- a/src/side/mod.ts
+++ b/src/side/mod.ts
@@ -2,4 +2,4 @@
 export type { AttemptHandle } from "./attempt_executor.ts";
 export { SideCore } from "./side_core.ts";
 export type { SideLimits, SideOptions, SideTimes } from "./side_core.ts";
-export type { SideGuards } from "./guards.ts";
+export type { SideGuardOverrides } from "./guards.ts";
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -10,13 +10,22 @@
   EntryLink,
   PeerAddress,
 } from "../core/links/mod.ts";
-import { attachments, hashToUnit } from "../core/membership/mod.ts";
-import type { Logger, Observe, Tell, Tracer } from "../core/observation/mod.ts";
-import { makeTell, NO_TRACER, SILENT_LOGGER } from "../core/observation/mod.ts";
-import { loadSpread, OrderExecutor } from "../core/orders/mod.ts";
+import { hashToUnit, selectAttachedEntries } from "../core/membership/mod.ts";
+import type {
+  EmitEvent,
+  Logger,
+  Observe,
+  Tracer,
+} from "../core/observation/mod.ts";
+import {
+  createEmitEvent,
+  NOOP_LOGGER,
+  NOOP_TRACER,
+} from "../core/observation/mod.ts";
+import { loadStartDelay, OrderExecutor } from "../core/orders/mod.ts";
 import type { Random } from "../core/random/mod.ts";
 import { roleSlots } from "../core/roles/mod.ts";
-import { pause } from "../core/time/mod.ts";
+import { sleep } from "../core/time/mod.ts";
 import type { Subscription, TimerService } from "../core/time/mod.ts";
 import type {
   AttemptFrame,
@@ -31,8 +40,8 @@
 } from "../generated/messages.ts";
 import { AttemptExecutor } from "./attempt_executor.ts";
 import type { AttemptHandle } from "./attempt_executor.ts";
-import { InitialAnswers } from "./first_answers.ts";
-import type { SideGuards } from "./guards.ts";
+import { InitialAnswers } from "./initial_answers.ts";
+import type { SideGuardOverrides } from "./guards.ts";
 import { WatchLoop } from "./watch_loop.ts";
 
 /** Limits of one side; each of them bounds memory or waiting time. */
@@ -77,7 +86,7 @@
   readonly observe?: Observe;
   readonly logger?: Logger;
   readonly tracer?: Tracer;
-  readonly guards?: SideGuards;
+  readonly guards?: SideGuardOverrides;
 }
 
 /**
@@ -100,7 +109,7 @@
 export class SideCore {
   readonly #options: SideOptions;
   readonly #logger: Logger;
-  readonly #emitEvent: Tell;
+  readonly #emitEvent: EmitEvent;
   readonly #executor: AttemptExecutor;
   readonly #watchLoops: readonly WatchLoop[];
   readonly #initialAnswers: InitialAnswers;
@@ -124,12 +133,12 @@
 
   constructor(options: SideOptions) {
     this.#options = options;
-    this.#logger = options.logger ?? SILENT_LOGGER;
-    this.#emitEvent = makeTell({
+    this.#logger = options.logger ?? NOOP_LOGGER;
+    this.#emitEvent = createEmitEvent({
       observe: options.observe,
       timer: options.timer,
       process: options.name,
-      always: {
+      commonFields: {
         endpoint: options.endpointId,
         incarnation: options.incarnation,
       },
@@ -138,7 +147,7 @@
       ...options,
       ...options.limits,
       ...options.times,
-      tracer: options.tracer ?? NO_TRACER,
+      tracer: options.tracer ?? NOOP_TRACER,
       closedReason: () => this.#closedReason(),
       emitEvent: this.#emitEvent,
     });
@@ -264,7 +273,7 @@
   #candidates(): PeerAddress[] {
     const { endpointId, entryAddresses, availabilityZone } = this.#options;
     const entries = entryAddresses.map((id) => ({ id, availabilityZone }));
-    const ranked = attachments(entries, {
+    const ranked = selectAttachedEntries(entries, {
       side: endpointId,
       availabilityZone,
       count: entries.length,
@@ -363,19 +372,19 @@
   async #delayWeightLoad(order: StandingOrder): Promise<() => void> {
     const { timer, endpointId } = this.#options;
     if (order.offset <= this.#initialOrderOffset) {
-      const milliseconds = loadSpread({
+      const milliseconds = loadStartDelay({
         engines: this.#configuration?.poolEngines ?? 1,
-        mostAtOnce: MAX_CONCURRENT_LOADS,
+        maxConcurrentLoads: MAX_CONCURRENT_LOADS,
         loadMilliseconds: EXPECTED_LOAD_MILLISECONDS,
-        place: hashToUnit(endpointId),
+        unitHash: hashToUnit(endpointId),
       });
-      await pause(timer, milliseconds);
+      await sleep(timer, milliseconds);
     }
     return () => {};
   }
 
   async #drainForOrder(): Promise<void> {
-    if (this.#options.guards?.drains?.() === false) return;
+    if (this.#options.guards?.drainsBeforeOrder?.() === false) return;
     this.#applyingOrder = true;
     this.#emitEvent("side_draining", { cause: "order" });
     await this.#executor.whenIdleWithin(this.#options.times.drainMilliseconds);
--- a/test/matrix/fake_region.ts
+++ b/test/matrix/fake_region.ts
@@ -126,7 +126,7 @@
     this.log = new FakeLog({
       timer: this.timer,
       latencyMilliseconds: 2,
-      keepRecords: this.#variant.keepRecords,
+      retainedRecords: this.#variant.keepRecords,
     });
     this.network = new FakeNetwork({
       timer: this.timer,
@@ -252,11 +252,11 @@
     const { faults } = this.log;
     this.recordEvent("log_outage_began", "network", {});
     if (fault === "down") faults.down = true;
-    else if (fault === "slow") faults.slowMilliseconds = 2_500;
+    else if (fault === "slow") faults.addedLatencyMilliseconds = 2_500;
     else faults.lagRecords = REPLICA_LAG_RECORDS;
     this.timer.after(OUTAGE_DURATION_MILLISECONDS, () => {
       faults.down = false;
-      faults.slowMilliseconds = 0;
+      faults.addedLatencyMilliseconds = 0;
       faults.lagRecords = 0;
       this.recordEvent("log_outage_ended", "network", {});
     });
--- a/test/matrix/fault_injector.ts
+++ b/test/matrix/fault_injector.ts
@@ -1,5 +1,5 @@
 import { ENGINES, type FakeRegion } from "./fake_region.ts";
-import type { Cell } from "./table.ts";
+import type { MatrixCell } from "./fault_table.ts";
 import type { MessageFault, NetworkMessage } from "./fake_network.ts";
 
 /** Exceeds the region's message timeouts; less than a request's deadline. */
@@ -11,7 +11,7 @@
 
 /** Injects a cell's fault at the selected message of its step. */
 export class FaultInjector {
-  readonly #cell: Cell;
+  readonly #cell: MatrixCell;
   readonly #occurrence: number;
   #messageCount = 0;
   /** The message whose answer will be dropped. */
@@ -19,7 +19,7 @@
   /** Whether the fault was injected; otherwise the run does not test it. */
   isInjected = false;
 
-  constructor(cell: Cell, options: { readonly random: () => number }) {
+  constructor(cell: MatrixCell, options: { readonly random: () => number }) {
     this.#cell = cell;
     const { occurrences } = cell.step;
     const index = Math.floor(options.random() * occurrences.length);
--- a/test/matrix/table.ts
+++ b/test/matrix/fault_table.ts
@@ -82,24 +82,24 @@
 export type Fault = (typeof FAULTS)[number];
 
 /** A fault at a step. */
-export interface Cell {
+export interface MatrixCell {
   readonly step: MatrixStep;
   readonly fault: Fault;
 }
 
-export function cellName(cell: Cell): string {
+export function cellName(cell: MatrixCell): string {
   return `${cell.step.name}/${cell.fault}`;
 }
 
 /** Returns a cell for each step and each fault that applies to it. */
-export function allCells(): Cell[] {
+export function allCells(): MatrixCell[] {
   return STEPS.flatMap((each) =>
     FAULTS.filter((fault) => isApplicable(each, fault))
       .map((fault) => ({ step: each, fault }))
   );
 }
 
-export function cellOf(name: string): Cell | undefined {
+export function findCell(name: string): MatrixCell | undefined {
   return allCells().find((cell) => cellName(cell) === name);
 }
 
--- a/test/matrix/guards.ts
+++ b/test/matrix/guard_cases.ts
@@ -11,11 +11,11 @@
 import { checkHistory, type Violation } from "../history/mod.ts";
 import type { LinkOverrides } from "./fake_links.ts";
 import type { FakeRegionOptions } from "./fake_region.ts";
-import { runCells } from "./run.ts";
-import { type Cell, cellOf } from "./table.ts";
+import { runCells } from "./run_cells.ts";
+import { findCell, type MatrixCell } from "./fault_table.ts";
 
 /** A guard and a run that enables or disables it. */
-export interface Guard {
+export interface GuardCase {
   readonly name: string;
   /** A seed whose run is known to fail without the guard. */
   readonly seed: number;
@@ -32,15 +32,15 @@
   readonly seed?: number;
   readonly violation?: Violation;
   /** Number of violations of the same run with the guard. */
-  readonly withGuard: number;
+  readonly violationsWithGuard: number;
 }
 
 /** Maximum number of seeds to run without a guard. */
 const MAX_SEEDS = 60;
 
 /** Runs without a guard until a violation, then once with the guard. */
-export async function tryGuard(
-  guard: Guard,
+export async function runWithoutGuard(
+  guard: GuardCase,
   options: { readonly seed?: number } = {},
 ): Promise<GuardResult> {
   const { name } = guard;
@@ -49,9 +49,9 @@
     const [violation] = await guard.run({ seed, without: true });
     if (violation === undefined) continue;
     const violations = await guard.run({ seed, without: false });
-    return { name, seed, violation, withGuard: violations.length };
+    return { name, seed, violation, violationsWithGuard: violations.length };
   }
-  return { name, withGuard: 0 };
+  return { name, violationsWithGuard: 0 };
 }
 
 /** Makes a side answer `barred` without recording the bar. */
@@ -79,7 +79,7 @@
   attempt: ({ sideIncarnation: _, ...attempt }) => attempt,
 };
 
-export const GUARDS: readonly Guard[] = [
+export const GUARD_CASES: readonly GuardCase[] = [
   guardForCells("claim check at the record's offset", [
     "append order/cut_one_way",
   ], {
@@ -113,7 +113,7 @@
     seed: 45,
   }),
   guardForCells("drain before change", ["order/duplicate"], {
-    side: { guards: { drains: () => false } },
+    side: { guards: { drainsBeforeOrder: () => false } },
     seed: 1,
   }),
   guardForCells("monotonic version", ["append renewal/cut_both"], {
@@ -130,7 +130,7 @@
     { linkOverrides: WITHOUT_NAMED_INCARNATION, seed: 12 },
   ),
   guardForCells("duplicate detection", ["attempt unkeyed/duplicate"], {
-    side: { guards: { isRepeat: () => false } },
+    side: { guards: { isDuplicate: () => false } },
   }),
 ];
 
@@ -138,13 +138,13 @@
   name: string,
   cells: readonly string[],
   without: Partial<FakeRegionOptions>,
-): Guard {
+): GuardCase {
   return {
     name,
     seed: without.seed ?? 1,
     run: async (options) => {
       const region = options.without ? without : {};
-      const found = cells.map((cell) => cellOf(cell) as Cell);
+      const found = cells.map((cell) => findCell(cell) as MatrixCell);
       const run = await runCells(found, { seed: options.seed, region });
       return run.violations;
     },
@@ -178,11 +178,11 @@
     (_, index) => tokenText(index < failoverIndex ? "a" : "b", index),
   ).join("");
   recordEvent("answer_expected", { requestId: "r", text });
-  assembler.begin("a");
+  assembler.beginAttempt("a");
   for (let index = 0; index < failoverIndex; index += 1) {
     assembler.receive(token("a", index));
   }
-  assembler.begin("b");
+  assembler.beginAttempt("b");
   for (const frame of interleaveFrames(failoverIndex, random)) {
     if (assembler.receive(frame) !== "complete") continue;
     const tokens = assembler.deliveredTokens.length;
--- a/test/matrix/matrix_test.ts
+++ b/test/matrix/matrix_test.ts
@@ -1,8 +1,13 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { GUARDS, tryGuard } from "./guards.ts";
-import { runCell, runCells } from "./run.ts";
-import { allCells, type Cell, cellName, cellOf } from "./table.ts";
+import { GUARD_CASES, runWithoutGuard } from "./guard_cases.ts";
+import { runCell, runCells } from "./run_cells.ts";
+import {
+  allCells,
+  cellName,
+  findCell,
+  type MatrixCell,
+} from "./fault_table.ts";
 
 /**
  * Cells that run on every change: each step and each fault at least once. The
@@ -50,15 +55,15 @@
         // Injects the fault at the step named before the slash while callers
         // send work and operators change the fleet. None of the nine
         // conditions may be violated, and the fault must be injected.
-        const run = await runCell(cellOf(name) as Cell, { seed: SEED });
+        const run = await runCell(findCell(name) as MatrixCell, { seed: SEED });
         expect(run.violations).to.deep.equal([]);
-        expect(run.reached).to.equal(true);
+        expect(run.faultsInjected).to.equal(true);
       });
     }
   });
 
   it("produces the same trace for the same seed", async () => {
-    const cell = cellOf("attempt keyed/late") as Cell;
+    const cell = findCell("attempt keyed/late") as MatrixCell;
     const first = await runCell(cell, { seed: 5 });
     const second = await runCell(cell, { seed: 5 });
     const other = await runCell(cell, { seed: 6 });
@@ -84,13 +89,13 @@
   });
 
   describe("without a guard", () => {
-    for (const guard of GUARDS) {
+    for (const guard of GUARD_CASES) {
       it(`finds a violation without ${guard.name}`, async () => {
         // A matrix that misses the violation that a guard prevents would also
         // pass without the guard.
-        const result = await tryGuard(guard);
+        const result = await runWithoutGuard(guard);
         expect(result.violation).not.to.equal(undefined);
-        expect(result.withGuard).to.equal(0);
+        expect(result.violationsWithGuard).to.equal(0);
       });
     }
   });
--- a/test/matrix/restart_test.ts
+++ b/test/matrix/restart_test.ts
@@ -16,7 +16,7 @@
   await region.timer.advance(6_000);
   for (const name of ENTRIES) region.kill(name);
   if (garbage.length > 0) {
-    region.log.put(identifier(`configuration.${REGION}`), garbage);
+    region.log.appendDirectly(identifier(`configuration.${REGION}`), garbage);
   }
   const from = region.history.length;
   region.startReplacement(ENTRIES[0]);
--- a/test/matrix/run.ts
+++ b/test/matrix/run_cells.ts
@@ -4,14 +4,14 @@
 import { FaultInjector } from "./fault_injector.ts";
 import type { FakeRegionOptions } from "./fake_region.ts";
 import { runScenario } from "./scenario.ts";
-import { type Cell, cellName } from "./table.ts";
+import { cellName, type MatrixCell } from "./fault_table.ts";
 
 /** Result of one run. */
 export interface CellRun {
-  readonly cell: Cell;
+  readonly cell: MatrixCell;
   readonly seed: number;
   /** Whether every fault of the run was injected. */
-  readonly reached: boolean;
+  readonly faultsInjected: boolean;
   readonly violations: readonly Violation[];
   /** The run's events as JSON lines; equal runs have equal traces. */
   readonly trace: string;
@@ -19,7 +19,7 @@
 
 /** Runs one cell once; the run is deterministic for a seed. */
 export function runCell(
-  cell: Cell,
+  cell: MatrixCell,
   options: {
     readonly seed: number;
     readonly region?: Partial<FakeRegionOptions>;
@@ -30,7 +30,7 @@
 
 /** Runs once with the faults of several cells, which may overlap. */
 export async function runCells(
-  cells: readonly Cell[],
+  cells: readonly MatrixCell[],
   options: {
     readonly seed: number;
     readonly region?: Partial<FakeRegionOptions>;
@@ -52,7 +52,7 @@
   return {
     cell: cells[0],
     seed,
-    reached: injectors.every((injector) => injector.isInjected),
+    faultsInjected: injectors.every((injector) => injector.isInjected),
     violations: result.violations,
     trace: result.history.map((event) => JSON.stringify(event)).join("\n"),
   };
--- a/test/model/claims_model.ts
+++ b/test/model/claims_model.ts
@@ -5,7 +5,7 @@
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { OrdersFold, type OrdersGuards } from "../../src/core/authority/mod.ts";
 import { createLogModel, type LogRecords } from "./log_model.ts";
-import type { Model } from "./search.ts";
+import type { Model } from "./state_search.ts";
 
 const ENDPOINT_ID = "triage-1";
 const ROLES: Readonly<Record<string, "prefill" | "decode">> = {
--- a/test/model/configuration_model.ts
+++ b/test/model/configuration_model.ts
@@ -9,7 +9,7 @@
   type ConfigurationGuards,
 } from "../../src/core/configuration/mod.ts";
 import { createLogModel, type LogRecords } from "./log_model.ts";
-import type { Model } from "./search.ts";
+import type { Model } from "./state_search.ts";
 
 const OPERATORS: readonly string[] = ["x", "y"];
 const JUDGES: readonly string[] = ["a", "b"];
--- a/test/model/coordination_model_test.ts
+++ b/test/model/coordination_model_test.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationGuards } from "../../src/core/configuration/mod.ts";
 import { createConfigurationModel } from "./configuration_model.ts";
 import { createClaimsModel } from "./claims_model.ts";
-import { search } from "./search.ts";
+import { searchStates } from "./state_search.ts";
 
 const MAX_STATES = 400_000;
 const MAX_ORDERS_RECORDS = 6;
@@ -16,10 +16,10 @@
   // every later step, once or twice. No engine may get an order of a planner
   // whose claim had been replaced at the order's offset.
   it("finds no violation", () => {
-    const found = search(
+    const found = searchStates(
       createClaimsModel({ maxRecords: MAX_ORDERS_RECORDS }),
       {
-        mostStates: MAX_STATES,
+        maxStates: MAX_STATES,
       },
     );
     expect(found.violation).to.equal(undefined);
@@ -37,7 +37,7 @@
         maxRecords: MAX_ORDERS_RECORDS,
         guards: { [guard]: false },
       });
-      const found = search(model, { mostStates: MAX_STATES });
+      const found = searchStates(model, { maxStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
@@ -51,9 +51,9 @@
   // every later step. No version may revert another or come from a judge
   // without the claim.
   it("finds no violation", () => {
-    const found = search(
+    const found = searchStates(
       createConfigurationModel({ maxRecords: MAX_CONFIGURATION_RECORDS }),
-      { mostStates: MAX_STATES },
+      { maxStates: MAX_STATES },
     );
     expect(found.violation).to.equal(undefined);
     expect(found.exhausted).to.equal(true);
@@ -71,7 +71,7 @@
         maxRecords: MAX_CONFIGURATION_RECORDS,
         guards: { [guard]: false },
       });
-      const found = search(model, { mostStates: MAX_STATES });
+      const found = searchStates(model, { maxStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
--- a/test/model/log_model.ts
+++ b/test/model/log_model.ts
@@ -8,7 +8,7 @@
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { numbered } from "../../src/core/identity/mod.ts";
 import type { StreamFold } from "../../src/core/journal/mod.ts";
-import type { Model } from "./search.ts";
+import type { Model } from "./state_search.ts";
 
 export type LogRecords = readonly RecordBody[];
 
--- a/test/model/once_model.ts
+++ b/test/model/once_model.ts
@@ -17,18 +17,18 @@
   type Acquisition,
   beginAcquisition,
   decide,
-  giveUp,
-  noteAppend,
+  handleSideAnswer,
   OnceFold,
   type OnceFoldOptions,
+  recordAppendOutcome,
+  recordAppendStart,
+  resultAfterFailedAppend,
+  resultAtDeadline,
   scopedKey,
   SideOnceTable,
   type SideOnceTableGuards,
-  takeAnswer,
-  takeAppended,
-  whenLogDown,
 } from "../../src/core/once/mod.ts";
-import type { Model, Step } from "./search.ts";
+import type { Model, Step } from "./state_search.ts";
 
 /** Maximum number of faults of each kind in one run. */
 export interface OnceFaultBudget {
@@ -145,7 +145,7 @@
 /** A time after the grace period, when a record that was not seen is barred. */
 const AFTER_GRACE_MILLISECONDS = 1_000;
 
-export function onceModel(
+export function createOnceModel(
   budget: OnceFaultBudget,
   guards: OnceModelGuards = {},
 ): Model<OnceState> {
@@ -250,7 +250,7 @@
         applyResult(
           next,
           number,
-          giveUp(acquisition, this.#foldUpTo(next, recordsRead)),
+          resultAtDeadline(acquisition, this.#foldUpTo(next, recordsRead)),
         );
       });
     }
@@ -280,9 +280,11 @@
         const request = next.requests[number];
         request.timeouts += 1;
         request.phase = "acquiring";
-        takeAppended(request.acquisition, { failure: "append_not_made" });
+        recordAppendOutcome(request.acquisition, {
+          failure: "append_not_made",
+        });
         const fold = this.#foldUpTo(next, request.recordsRead);
-        const result = whenLogDown(request.acquisition, fold);
+        const result = resultAfterFailedAppend(request.acquisition, fold);
         if (result !== undefined) applyResult(next, number, result);
       },
     );
@@ -291,7 +293,7 @@
   #timeOut(next: OnceState, number: number): void {
     const request = next.requests[number];
     if (request.phase === "appending") {
-      takeAppended(request.acquisition, { failure: "append_unknown" });
+      recordAppendOutcome(request.acquisition, { failure: "append_unknown" });
     }
     if (request.phase === "dispatched") {
       this.#handleLostDispatch(next, number);
@@ -319,7 +321,9 @@
     const { acquisition } = request;
     const decision = decide(acquisition, {
       fold: this.#foldUpTo(next, request.recordsRead),
-      now: acquisition.notSeen === undefined ? 0 : AFTER_GRACE_MILLISECONDS,
+      now: acquisition.unseenRecord === undefined
+        ? 0
+        : AFTER_GRACE_MILLISECONDS,
     });
     switch (decision.kind) {
       case "result":
@@ -333,7 +337,7 @@
         break;
       case "append":
         if (this.#hasReachedRecordLimit(next)) break;
-        noteAppend(acquisition, decision.body);
+        recordAppendStart(acquisition, decision.body);
         request.phase = "appending";
         next.network.push({
           kind: "append",
@@ -445,7 +449,9 @@
   ): void {
     const request = next.requests[message.request];
     request.phase = "acquiring";
-    takeAppended(request.acquisition, { offset: numbered(message.offset) });
+    recordAppendOutcome(request.acquisition, {
+      offset: numbered(message.offset),
+    });
     if (this.#guards.trustsAppendAnswer !== true) return;
     const record = next.log[message.offset];
     sendDispatch(next, message.request, {
@@ -606,7 +612,7 @@
 ): void {
   const request = next.requests[message.request];
   request.phase = "acquiring";
-  const result = takeAnswer(request.acquisition, {
+  const result = handleSideAnswer(request.acquisition, {
     record: numbered(message.record),
     answer: message.answer,
     now: 0,
--- a/test/model/once_model_test.ts
+++ b/test/model/once_model_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { onceModel } from "./once_model.ts";
-import { search } from "./search.ts";
-import { ONCE_GUARDS, ONCE_SEARCHES } from "./searches.ts";
+import { createOnceModel } from "./once_model.ts";
+import { searchStates } from "./state_search.ts";
+import { ONCE_GUARDS, ONCE_SEARCHES } from "./search_cases.ts";
 
 const MAX_STATES = 100_000;
 
@@ -11,7 +11,9 @@
     it(`finds no violation with ${name}`, () => {
       // Two requests with the same key at two entries, over every order of
       // reads, appends, questions, dispatches and frames.
-      const found = search(onceModel(budget), { mostStates: MAX_STATES });
+      const found = searchStates(createOnceModel(budget), {
+        maxStates: MAX_STATES,
+      });
       expect(found.violation).to.equal(undefined);
       expect(found.exhausted).to.equal(true);
     });
@@ -21,8 +23,8 @@
     it(`finds a violation without ${name}`, () => {
       // A search that misses the violation that a guard prevents would also
       // pass without the guard.
-      const model = onceModel(budget, guards);
-      const found = search(model, { mostStates: MAX_STATES });
+      const model = createOnceModel(budget, guards);
+      const found = searchStates(model, { maxStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
--- a/test/model/orders_model.ts
+++ b/test/model/orders_model.ts
@@ -9,7 +9,7 @@
 import type { RecordBody } from "../../src/generated/log_records.ts";
 import { OrdersFold } from "../../src/core/authority/mod.ts";
 import { numbered } from "../../src/core/identity/mod.ts";
-import type { Model, Step } from "./search.ts";
+import type { Model, Step } from "./state_search.ts";
 
 export interface OrdersBudget {
   readonly maxRecords: number;
@@ -56,7 +56,7 @@
 const ROLES_BY_ENTRY = ["prefill", "decode"] as const;
 const ENDPOINT_ID = "engine-0";
 
-export function ordersModel(
+export function createOrdersModel(
   budget: OrdersBudget,
   guards: OrdersModelGuards = {},
 ): Model<OrdersState> {
--- a/test/model/orders_model_test.ts
+++ b/test/model/orders_model_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
-import { ordersModel } from "./orders_model.ts";
-import { search } from "./search.ts";
-import { ORDERS_GUARDS, ORDERS_SEARCHES } from "./searches.ts";
+import { createOrdersModel } from "./orders_model.ts";
+import { searchStates } from "./state_search.ts";
+import { ORDERS_GUARDS, ORDERS_SEARCHES } from "./search_cases.ts";
 
 const MAX_STATES = 100_000;
 
@@ -13,7 +13,9 @@
     it(`finds no violation with ${name}`, () => {
       // Two entries claim and issue orders, over every order in which records
       // are appended and read, the side is updated and orders reach the engine.
-      const found = search(ordersModel(budget), { mostStates: MAX_STATES });
+      const found = searchStates(createOrdersModel(budget), {
+        maxStates: MAX_STATES,
+      });
       expect(found.violation).to.equal(undefined);
       expect(found.exhausted).to.equal(true);
     });
@@ -23,8 +25,8 @@
     it(`finds a violation without ${name}`, () => {
       // A search that misses the violation that a guard prevents would also
       // pass without the guard.
-      const model = ordersModel(budget, guards);
-      const found = search(model, { mostStates: MAX_STATES });
+      const model = createOrdersModel(budget, guards);
+      const found = searchStates(model, { maxStates: MAX_STATES });
       expect(found.violation?.trace).to.be.an("array").that.is.not.empty;
     });
   }
--- a/test/model/search.ts
+++ b/test/model/state_search.ts
@@ -38,9 +38,9 @@
  * therefore has a shortest trace, at the limit of visited states, or when every
  * state has been visited.
  */
-export function search<State>(
+export function searchStates<State>(
   model: Model<State>,
-  options: { readonly mostStates: number },
+  options: { readonly maxStates: number },
 ): SearchResult {
   const seen = new Set<string>([model.key(model.initial)]);
   const visited: Visited[] = [{ parent: -1, step: "" }];
@@ -62,7 +62,7 @@
           const trace = traceTo(visited, visited.length - 1);
           return { ...counts, exhausted: false, violation: { detail, trace } };
         }
-        if (seen.size >= options.mostStates) {
+        if (seen.size >= options.maxStates) {
           return { ...counts, exhausted: false };
         }
         nextFrontier.push([visited.length - 1, step.state]);
--- a/test/operations/operations_test.ts
+++ b/test/operations/operations_test.ts
@@ -1,17 +1,17 @@
 import { expect } from "chai";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import {
-  countLoadQuestions,
-  countUnreadable,
-  countUsageReports,
+  createForwardingObserver,
+  createLoadQueryCounter,
+  createUnreadableRegistrationCounter,
+  createUsageReportCounter,
   Metrics,
-  recordForwarding,
-  showBlockedRequests,
-  showRepeats,
-  showUsageFencing,
+  registerBlockedRequestsGauge,
+  registerRetryGauges,
+  registerUsageFencingGauge,
 } from "../../src/adapters/telemetry/mod.ts";
 import { SystemTimerService } from "../../src/adapters/time/mod.ts";
-import { SILENT_LOGGER } from "../../src/core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../src/core/observation/mod.ts";
 import { runCommand } from "../support/operator_commands.ts";
 
 const PAGE = readFileSync("docs/OPERATIONS.md", "utf8");
@@ -40,17 +40,17 @@
  */
 async function exportedMetrics(): Promise<string> {
   const metrics = new Metrics();
-  recordForwarding({
+  createForwardingObserver({
     registry: metrics.registry,
-    logger: SILENT_LOGGER,
+    logger: NOOP_LOGGER,
     timer: new SystemTimerService(),
   });
-  countUnreadable(metrics.registry);
-  countLoadQuestions(metrics.registry);
-  countUsageReports(metrics.registry);
-  showUsageFencing(metrics.registry, () => undefined);
-  showBlockedRequests(metrics.registry, () => 0);
-  showRepeats(metrics.registry, () => []);
+  createUnreadableRegistrationCounter(metrics.registry);
+  createLoadQueryCounter(metrics.registry);
+  createUsageReportCounter(metrics.registry);
+  registerUsageFencingGauge(metrics.registry, () => undefined);
+  registerBlockedRequestsGauge(metrics.registry, () => 0);
+  registerRetryGauges(metrics.registry, () => []);
   return (await metrics.render()).body;
 }
 
--- a/test/region/planner_test.ts
+++ b/test/region/planner_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import type { HistoryEvent } from "../../src/core/observation/mod.ts";
-import { InProcessRegion } from "../support/in_process.ts";
+import { InProcessRegion } from "../support/in_process_region.ts";
 
 type Role = "mixed" | "prefill" | "decode";
 
--- a/test/region/spread_test.ts
+++ b/test/region/spread_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { InProcessRegion } from "../support/in_process.ts";
+import { InProcessRegion } from "../support/in_process_region.ts";
 
 describe("A pool that is larger than an entry's share", () => {
   // A single entry serves a pool of 32 equal engines. Engines that it never
--- a/test/stand_ins/stand_in_server.ts
+++ b/test/stand_ins/stand_in_server.ts
@@ -10,7 +10,7 @@
 import { pathToFileURL } from "node:url";
 
 /** Handles one request; `url.pathname` is the path without the query. */
-export type Handler = (
+export type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
   url: URL,
@@ -21,7 +21,7 @@
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
 
-  constructor(handler: Handler) {
+  constructor(handler: RequestHandler) {
     this.#server = createServer({ noDelay: true }, (request, response) => {
       response.on("error", () => {});
       const url = new URL(request.url ?? "/", "http://stand-in");
--- a/test/support/list_fold.ts
+++ b/test/support/claim_holders_fold.ts
@@ -3,7 +3,7 @@
 import type { StreamFold } from "../../src/core/journal/mod.ts";
 
 /** Fold that lists the holders of all claims on the stream, in order. */
-export class ListFold implements StreamFold {
+export class ClaimHoldersFold implements StreamFold {
   taken: string[] = [];
 
   apply(_offset: LogOffset, body: RecordBody): void {
--- a/test/support/coordination.ts
+++ b/test/support/coordination.ts
@@ -142,7 +142,7 @@
 }
 
 /** A small valid configuration. */
-export function sampleContent(weights = "v1"): ConfigurationContent {
+export function sampleConfiguration(weights = "v1"): ConfigurationContent {
   return {
     inventory: {
       region: "klang-valley",
--- a/test/support/crashing_replicas.ts
+++ b/test/support/crashing_replicas.ts
@@ -2,14 +2,14 @@
   type EndpointId,
   identifier,
   numbered,
-  type ReplicaStart,
+  type ReplicaStartTime,
 } from "../../src/core/identity/mod.ts";
 import type {
   ForwardedRequest,
   RegisteredEndpoint,
 } from "../../src/core/forwarding/mod.ts";
 import type { EntryFleet } from "./entry_fleet.ts";
-import type { SentAttempt } from "./forwarding_bench.ts";
+import type { SentAttempt } from "./forwarding_harness.ts";
 
 const DECODE_MILLISECONDS = 40;
 const PREFILL_MILLISECONDS = 10;
@@ -53,7 +53,7 @@
    * Number of distinct crashing requests that reached a replica later than the
    * given time after the n-th crash, counted from 1.
    */
-  retriesAfter(crash: number, milliseconds: number): number {
+  arrivalsAfter(crash: number, milliseconds: number): number {
     const after = this.crashTimes[crash - 1] + milliseconds;
     const lateArrivals = this.arrivals.filter(({ at }) => at > after);
     return new Set(lateArrivals.map(({ request }) => request)).size;
@@ -76,7 +76,7 @@
 
   #restart(id: EndpointId): void {
     this.#restarts += 1;
-    const startedAt = numbered<ReplicaStart>(this.#restarts);
+    const startedAt = numbered<ReplicaStartTime>(this.#restarts);
     const newId = this.#options.keepsId
       ? id
       : identifier<EndpointId>(`${id}-${this.#restarts}`);
@@ -84,7 +84,7 @@
     for (const { registry } of this.#fleet.entries) {
       const endpoint = registry.get(id) as RegisteredEndpoint;
       if (newId !== id) registry.remove(id);
-      registry.put({ ...endpoint, id: newId, startedAt });
+      registry.upsert({ ...endpoint, id: newId, startedAt });
     }
   }
 
@@ -98,14 +98,14 @@
       this.arrivals.push({ request, at: timer.now() });
     }
     if (attempt.options.prefillOnly) {
-      timer.after(PREFILL_MILLISECONDS, () => void attempt.answer("handle"));
+      timer.after(PREFILL_MILLISECONDS, () => void attempt.respond("handle"));
       return;
     }
     this.#openAttempts.set(
       id,
       (this.#openAttempts.get(id) ?? new Set()).add(attempt),
     );
-    void attempt.head().then(() => attempt.piece("id: 1\ndata: x\n\n"));
+    void attempt.head().then(() => attempt.chunk("id: 1\ndata: x\n\n"));
     if (crashes) this.#scheduleCrash(id);
     else timer.after(DECODE_MILLISECONDS, () => this.#finish(id, attempt));
   }
--- a/test/support/entry_fleet.ts
+++ b/test/support/entry_fleet.ts
@@ -8,14 +8,14 @@
   type AvailabilityZoneId,
   identifier,
 } from "../../src/core/identity/mod.ts";
-import { SILENT_LOGGER } from "../../src/core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../src/core/observation/mod.ts";
 import { type Random, seededRandom } from "../../src/core/random/mod.ts";
 import { ManualTimerService } from "../../src/core/time/mod.ts";
 import {
   type Exchange,
   ForwardingEntry,
 } from "../../src/entry/forwarding/mod.ts";
-import { RecordingSink, SentAttempt } from "./forwarding_bench.ts";
+import { RecordingSink, SentAttempt } from "./forwarding_harness.ts";
 
 /** Latency of a datagram between two entries, one way. */
 const MIN_LATENCY_MILLISECONDS = 0.5;
@@ -28,7 +28,7 @@
   readonly configuration: ForwardingConfiguration;
   readonly endpoints: readonly RegisteredEndpoint[];
   /** Share of datagrams that are lost, 0 to 1. */
-  readonly lostShare?: number;
+  readonly lossRate?: number;
 }
 
 /**
@@ -39,7 +39,7 @@
   readonly timer = new ManualTimerService();
   readonly entries: ForwardingEntry[];
   /** Indexes of entries that are partitioned from all others. */
-  readonly cutOff = new Set<number>();
+  readonly partitioned = new Set<number>();
   onSend: ((attempt: SentAttempt) => void) | undefined;
   /** Number of datagrams sent. */
   datagrams = 0;
@@ -50,13 +50,13 @@
 
   constructor(options: EntryFleetOptions) {
     this.#options = options;
-    this.#lossRate = options.lostShare ?? 0;
+    this.#lossRate = options.lossRate ?? 0;
     const indexes = Array.from({ length: options.entries }, (_, each) => each);
     this.entries = indexes.map((index) => this.#makeEntry(index, options));
     for (const index of indexes) this.#setPeers(index);
     for (const entry of this.entries) {
-      entry.takeConfiguration(options.configuration);
-      for (const endpoint of options.endpoints) entry.registry.put(endpoint);
+      entry.applyConfiguration(options.configuration);
+      for (const endpoint of options.endpoints) entry.registry.upsert(endpoint);
       entry.start();
     }
   }
@@ -72,8 +72,8 @@
     const entry = this.#makeEntry(index, this.#options);
     this.entries[index] = entry;
     this.#setPeers(index);
-    entry.takeConfiguration(this.#options.configuration);
-    for (const endpoint of endpoints) entry.registry.put(endpoint);
+    entry.applyConfiguration(this.#options.configuration);
+    for (const endpoint of endpoints) entry.registry.upsert(endpoint);
     entry.start();
   }
 
@@ -92,15 +92,16 @@
       process: `entry-${index}`,
       incarnation: `${1 + this.#restarts}`,
       linkMegabitsPerSecond: undefined,
-      loopDelay: () => 0,
+      loopDelayMilliseconds: () => 0,
       availabilityZone: identifier<AvailabilityZoneId>(
         `zone-${index % zones}`,
       ),
       timer: this.timer,
       random: seededRandom(index),
-      door: {
+      endpointClient: {
         send: (request, attempt) => this.#send(request, attempt),
-        keptHandle: (body) => body.length > 0 ? body.toString() : undefined,
+        parseCacheHandle: (body) =>
+          body.length > 0 ? body.toString() : undefined,
         listKept: () => Promise.resolve(undefined),
         release() {},
       },
@@ -111,32 +112,32 @@
         }
       },
       observe() {},
-      logger: SILENT_LOGGER,
+      logger: NOOP_LOGGER,
       isFirstStart: true,
       retry: { ratio: 0.2, windowMilliseconds: 10_000, minimum: 200 },
-      relay: {
+      peerStateFallback: {
         peers: () => [],
         ask: () => Promise.resolve(err(LINK_LOST)) as never,
       },
-      onEndpointGone() {},
-      peerReadRegistrations: () => "apart",
+      onEndpointRemoved() {},
+      recordPeerRead: () => "apart",
       onUnlistedPeer() {},
-      keepBlocked() {},
-      dropBlocked() {},
-      onLoadQuestion() {},
+      persistBlocked() {},
+      removeBlocked() {},
+      onLoadQuery() {},
     });
   }
 
   #deliver(from: number, to: number, method: string, params: unknown): void {
     this.datagrams += 1;
-    const isLost = this.cutOff.has(from) || this.cutOff.has(to) ||
+    const isLost = this.partitioned.has(from) || this.partitioned.has(to) ||
       this.#random() < this.#lossRate;
     if (isLost) return;
     const text = JSON.stringify(params);
     const latency = MIN_LATENCY_MILLISECONDS +
       LATENCY_SPREAD_MILLISECONDS * this.#random();
     this.timer.after(latency, () => {
-      this.entries[to].takeNotification(method, JSON.parse(text));
+      this.entries[to].onNotification(method, JSON.parse(text));
     });
   }
 
@@ -154,7 +155,7 @@
   }
 
   /** Submits a request to an entry and returns the sink of its caller. */
-  ask(entry: number, request: SentAttempt["request"]): RecordingSink {
+  submit(entry: number, request: SentAttempt["request"]): RecordingSink {
     const sink = new RecordingSink();
     this.entries[entry].handle(request, sink);
     return sink;
--- a/test/support/fake_engine.ts
+++ b/test/support/fake_engine.ts
@@ -8,7 +8,7 @@
   EngineObservation,
 } from "../../src/core/links/mod.ts";
 import type { EngineTarget } from "../../src/generated/log_records.ts";
-import { pause, type TimerService } from "../../src/core/time/mod.ts";
+import { sleep, type TimerService } from "../../src/core/time/mod.ts";
 
 const FENCED = defineError<Record<never, never>>()({
   name: "order_fenced",
@@ -136,7 +136,7 @@
   }
 
   async #observe(): Promise<Result<EngineObservation, EndpointFailure>> {
-    await pause(this.#options.timer, LATENCY_MILLISECONDS);
+    await sleep(this.#options.timer, LATENCY_MILLISECONDS);
     if (this.faults.down) return err(failure(UNREACHABLE, {}));
     const { ageMilliseconds } = this.faults;
     const at = this.#options.timer.now() - ageMilliseconds;
@@ -150,7 +150,7 @@
     fencing: number,
   ): Promise<Result<void, EndpointFailure | Failure<"order_fenced">>> {
     const { timer } = this.#options;
-    await pause(timer, LATENCY_MILLISECONDS);
+    await sleep(timer, LATENCY_MILLISECONDS);
     if (this.faults.down) return err(failure(UNREACHABLE, {}));
     if (consume(this.faults, "lostOrders")) return await new Promise(() => {});
     if (consume(this.faults, "lateOrders")) {
--- a/test/support/fake_log.ts
+++ b/test/support/fake_log.ts
@@ -34,7 +34,7 @@
   /** Calls never settle; appends have no effect. */
   silent: boolean;
   /** Added to the request latency of every call, milliseconds. */
-  slowMilliseconds: number;
+  addedLatencyMilliseconds: number;
   /** Number of next appends that take effect but whose response is lost. */
   lostAnswers: number;
   /** Number of next appends that are lost on the way to the service. */
@@ -54,7 +54,7 @@
   /** Append throughput per second; further appends queue. */
   readonly appendsPerSecond?: number;
   /** Number of records retained in each stream; older ones expire. */
-  readonly keepRecords?: number;
+  readonly retainedRecords?: number;
 }
 
 interface StreamState {
@@ -134,7 +134,7 @@
   }
 
   /** Appends records immediately and without faults, as another tool might. */
-  put(stream: StreamName, records: readonly unknown[]): LogOffset {
+  appendDirectly(stream: StreamName, records: readonly unknown[]): LogOffset {
     const state = this.#stream(stream);
     const first = state.oldest + state.items.length;
     records.forEach((value, index) => {
@@ -143,7 +143,7 @@
         value: jsonCopy(value),
       });
     });
-    const retained = this.#options.keepRecords ?? Infinity;
+    const retained = this.#options.retainedRecords ?? Infinity;
     if (state.items.length > retained) {
       this.expire(stream, state.oldest + state.items.length - retained);
     }
@@ -159,16 +159,16 @@
     if (faults.down) return err(failure(UNAVAILABLE, {}));
     if (faults.silent) return await never();
     const records = call.records.map(jsonCopy);
-    await this.#sleep(this.#latency / 2 + faults.slowMilliseconds);
+    await this.#sleep(this.#latency / 2 + faults.addedLatencyMilliseconds);
     if (consume(faults, "lostRequests")) return err(failure(UNKNOWN, {}));
     if (consume(faults, "lateAppends")) {
       this.#options.timer.after(faults.lateMilliseconds, () => {
-        this.put(call.stream, records);
+        this.appendDirectly(call.stream, records);
       });
       return err(failure(UNKNOWN, {}));
     }
     await this.#waitForThroughput();
-    const first = this.put(call.stream, records);
+    const first = this.appendDirectly(call.stream, records);
     await this.#sleep(this.#latency / 2);
     if (consume(faults, "lostAnswers")) return err(failure(UNKNOWN, {}));
     return ok(first);
@@ -181,7 +181,7 @@
     if (faults.down) return err(failure(UNAVAILABLE, {}));
     if (faults.silent) return await never();
     this.readCalls += 1;
-    await this.#sleep(this.#latency / 2 + faults.slowMilliseconds);
+    await this.#sleep(this.#latency / 2 + faults.addedLatencyMilliseconds);
     const state = this.#stream(call.stream);
     const deadline = this.#options.timer.now() + call.options.waitMilliseconds;
     for (;;) {
@@ -264,7 +264,7 @@
   return {
     down: false,
     silent: false,
-    slowMilliseconds: 0,
+    addedLatencyMilliseconds: 0,
     lostAnswers: 0,
     lostRequests: 0,
     lateAppends: 0,
--- a/test/support/forwarding_values.ts
+++ b/test/support/forwarding_fixtures.ts
@@ -52,7 +52,7 @@
 /** Learned estimates of engines that prefill 310 tokens per millisecond. */
 export function knownEstimates(): EngineEstimates {
   const estimates = new EngineEstimates();
-  estimates.peerTold([ENGINES, 96, 0, 1 / 310, 0.0921]);
+  estimates.recordPeerReport([ENGINES, 96, 0, 1 / 310, 0.0921]);
   return estimates;
 }
 
--- a/test/support/forwarding_bench.ts
+++ b/test/support/forwarding_harness.ts
@@ -1,23 +1,23 @@
 import { err, ok, type Result } from "neverthrow";
 import { defineError, failure } from "../../src/core/errors/mod.ts";
 import {
-  type AnswerHead,
-  type AttemptOptions,
-  CrashSuspects,
-  EndpointOutcomes,
+  CrashTracker,
+  EndpointAvailability,
   EndpointRegistry,
   type EngineEstimates,
   EnginePlacement,
   EngineSlowness,
+  FleetLoad,
+  type ForwardAttemptOptions,
   type ForwardedRequest,
   type ForwardingConfiguration,
-  HeldPrompts,
-  LinkQueue,
-  LoadPicture,
+  HeldPromptQueue,
+  LinkBacklog,
   PrefixDirectory,
-  RetryAllowance,
+  type ResponseHead,
   ReturningCallers,
   RouteTable,
+  SharedRetryBudget,
   WorkRate,
 } from "../../src/core/forwarding/mod.ts";
 import {
@@ -26,18 +26,18 @@
 } from "../../src/core/identity/mod.ts";
 import { seededRandom } from "../../src/core/random/mod.ts";
 import { digestOf } from "../../src/adapters/forwarding/mod.ts";
-import { knownEstimates } from "./forwarding_values.ts";
+import { knownEstimates } from "./forwarding_fixtures.ts";
 import { ManualTimerService } from "../../src/core/time/mod.ts";
 import {
   type BodyEnd,
   type CallerSink,
-  type EndpointAnswer,
-  type EndpointDoor,
+  type EndpointClient,
+  type EndpointResponse,
   type Exchange,
   type ExchangeFailure,
   forward,
-  type ForwardingParts,
-  type Refusal,
+  type ForwardingDependencies,
+  type ForwardingRefusal,
 } from "../../src/entry/forwarding/mod.ts";
 
 const EXCHANGE_FAILURE = defineError<{ name: ExchangeFailure["name"] }>()({
@@ -50,17 +50,17 @@
 /** One attempt that was sent to an endpoint; the test supplies the response. */
 export class SentAttempt {
   readonly request: ForwardedRequest;
-  readonly options: AttemptOptions & { readonly address: string };
+  readonly options: ForwardAttemptOptions & { readonly address: string };
   aborted = false;
-  #onChunk: (piece: Buffer) => void = () => {};
+  #onChunk: (chunk: Buffer) => void = () => {};
   #onEnd: (end: BodyEnd) => void = () => {};
-  #settle: (answer: Result<EndpointAnswer, ExchangeFailure>) => void;
+  #settle: (respond: Result<EndpointResponse, ExchangeFailure>) => void;
   paused = false;
 
   constructor(
     request: ForwardedRequest,
-    options: AttemptOptions & { readonly address: string },
-    settle: (answer: Result<EndpointAnswer, ExchangeFailure>) => void,
+    options: ForwardAttemptOptions & { readonly address: string },
+    settle: (answer: Result<EndpointResponse, ExchangeFailure>) => void,
   ) {
     this.request = request;
     this.options = options;
@@ -68,12 +68,12 @@
   }
 
   /** Delivers the response head. */
-  async head(values: Partial<AnswerHead> = {}): Promise<void> {
-    const head: AnswerHead = {
+  async head(values: Partial<ResponseHead> = {}): Promise<void> {
+    const head: ResponseHead = {
       status: 200,
       headers: ["Seal", String(this.options.endpoint)],
       requestId: this.request.id,
-      notRun: false,
+      notExecuted: false,
       ...values,
     };
     this.#settle(ok({
@@ -85,46 +85,49 @@
       pause: () => this.paused = true,
       resume: () => this.paused = false,
     }));
-    await settled();
+    await flushPromises();
   }
 
-  async piece(text: string): Promise<void> {
+  async chunk(text: string): Promise<void> {
     this.#onChunk(Buffer.from(text));
-    await settled();
+    await flushPromises();
   }
 
   async end(ending: BodyEnd = "whole"): Promise<void> {
     this.#onEnd(ending);
-    await settled();
+    await flushPromises();
   }
 
   /** Delivers a complete response: head, body and end. */
-  async answer(body: string, values: Partial<AnswerHead> = {}): Promise<void> {
+  async respond(
+    body: string,
+    values: Partial<ResponseHead> = {},
+  ): Promise<void> {
     await this.head(values);
-    await this.piece(body);
+    await this.chunk(body);
     await this.end();
   }
 
-  async notRun(status = 503): Promise<void> {
-    await this.answer("", { status, notRun: true });
+  async respondNotRun(status = 503): Promise<void> {
+    await this.respond("", { status, notExecuted: true });
   }
 
   async fail(name: ExchangeFailure["name"]): Promise<void> {
     this.#settle(err({ ...failure(EXCHANGE_FAILURE, { name }), name }));
-    await settled();
+    await flushPromises();
   }
 }
 
 /** Records the response that a caller receives. */
 export class RecordingSink implements CallerSink {
-  gone = false;
+  isDisconnected = false;
   status: number | undefined;
   headers: readonly string[] = [];
   body = "";
   ended: "whole" | "cut" | undefined;
-  refusal: Refusal | undefined;
+  refusal: ForwardingRefusal | undefined;
   /** Result of `write`; false simulates a caller that reads slowly. */
-  readsFast = true;
+  acceptsWrites = true;
   #onGone: (() => void)[] = [];
   #onDrain: (() => void)[] = [];
 
@@ -134,42 +137,42 @@
   }
   write(piece: Buffer): boolean {
     this.body += piece.toString();
-    return this.readsFast;
+    return this.acceptsWrites;
   }
   finish(): void {
     this.ended = "whole";
   }
-  cut(): void {
+  abort(): void {
     this.ended = "cut";
   }
   onDrain(listener: () => void): void {
     this.#onDrain.push(listener);
   }
-  onGone(listener: () => void): void {
+  onDisconnect(listener: () => void): void {
     this.#onGone.push(listener);
   }
-  refuse(refusal: Refusal): void {
+  refuse(refusal: ForwardingRefusal): void {
     this.refusal = refusal;
     this.status = refusal.status;
   }
   drain(): void {
     for (const listener of this.#onDrain) listener();
   }
-  leave(): void {
-    this.gone = true;
+  disconnect(): void {
+    this.isDisconnected = true;
     for (const listener of this.#onGone) listener();
   }
 }
 
 /** The forwarding path on virtual time; the test plays the endpoints. */
-export class ForwardingBench {
+export class ForwardingHarness {
   readonly timer = new ManualTimerService();
   readonly sent: SentAttempt[] = [];
   readonly released: string[] = [];
   /** Workspace and start time of each request that began to run. */
   readonly began: (readonly [workspace: string, at: number])[] = [];
   readonly decisions: Record<string, unknown>[] = [];
-  readonly parts: ForwardingParts;
+  readonly parts: ForwardingDependencies;
   /** Event loop delay of the entry, milliseconds. */
   loopDelay = 0;
   /**
@@ -188,15 +191,15 @@
   ) {
     const { timer } = this;
     const random = seededRandom(11);
-    const load = new LoadPicture(timer);
+    const load = new FleetLoad(timer);
     const prefixes = new PrefixDirectory();
-    const outcomes = new EndpointOutcomes(timer);
+    const outcomes = new EndpointAvailability(timer);
     const { estimates = knownEstimates() } = options;
     const slowness = new EngineSlowness(timer);
     this.#routes = new RouteTable(configuration);
-    const endpointClient: EndpointDoor = {
+    const endpointClient: EndpointClient = {
       send: (request, attempt) => this.#send(request, attempt),
-      keptHandle: (body) => body.length > 0 ? body.toString() : undefined,
+      parseCacheHandle: (body) => body.length > 0 ? body.toString() : undefined,
       listKept: () => Promise.resolve(undefined),
       release: (_, handle) => void this.released.push(handle),
     };
@@ -221,53 +224,53 @@
       }),
       estimates,
       slowness,
-      allowance: new RetryAllowance({
+      retryBudget: new SharedRetryBudget({
         timer,
         ratio: 0.2,
         windowMilliseconds: 10_000,
         minimum: options.repeats ?? 100,
         entries: () => 1,
       }),
-      returning: new ReturningCallers(timer),
-      crashes: new CrashSuspects({ timer }),
+      returningCallers: new ReturningCallers(timer),
+      crashes: new CrashTracker({ timer }),
       onTimeWork: new WorkRate(timer),
-      held: new HeldPrompts(timer),
+      held: new HeldPromptQueue(timer),
       entries: () => 1,
-      link: new LinkQueue(timer, options.linkMegabitsPerSecond),
-      loopDelay: () => this.loopDelay,
+      link: new LinkBacklog(timer, options.linkMegabitsPerSecond),
+      loopDelayMilliseconds: () => this.loopDelay,
       isLoadStale: () => false,
       refreshLoad: () => Promise.resolve(),
-      door: endpointClient,
+      endpointClient: endpointClient,
       digestOf,
       observe: (decision, facts) => {
         this.decisions.push({ decision, ...facts });
       },
       routes: () => this.#routes,
-      saidLeaving: (run) => registry.saidLeaving(run) !== undefined,
-      began: (workspace, at) => void this.began.push([workspace, at]),
+      reportLeaving: (run) => registry.markLeaving(run) !== undefined,
+      noteStarted: (workspace, at) => void this.began.push([workspace, at]),
       isChanging: () => false,
     };
   }
 
   /** Replaces the configuration that is in force. */
-  takeConfiguration(configuration: ForwardingConfiguration): void {
+  applyConfiguration(configuration: ForwardingConfiguration): void {
     this.#routes = new RouteTable(configuration);
   }
 
   /** Forwards a request and returns the sink of its caller. */
-  async take(request: ForwardedRequest): Promise<RecordingSink> {
+  async submit(request: ForwardedRequest): Promise<RecordingSink> {
     const sink = new RecordingSink();
     void forward(this.parts, { request, sink });
-    await settled();
+    await flushPromises();
     return sink;
   }
 
   #send(
     request: ForwardedRequest,
-    options: AttemptOptions & { readonly address: string },
+    options: ForwardAttemptOptions & { readonly address: string },
   ): Exchange {
     let attempt: SentAttempt | undefined;
-    const answer = new Promise<Result<EndpointAnswer, ExchangeFailure>>(
+    const answer = new Promise<Result<EndpointResponse, ExchangeFailure>>(
       (resolve) => {
         attempt = new SentAttempt(request, options, resolve);
       },
@@ -280,6 +283,6 @@
 }
 
 /** Resolves after all pending promise callbacks have run. */
-export function settled(): Promise<void> {
+export function flushPromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/support/free_port.ts
+++ b/test/support/free_port.ts
@@ -18,7 +18,7 @@
 const allocatedPorts = new Set<number>();
 
 /** Returns a loopback port that is not in use and not yet allocated. */
-export async function freePort(): Promise<number> {
+export async function findFreePort(): Promise<number> {
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const range = HIGHEST_PORT - LOWEST_PORT;
     const port = LOWEST_PORT + Math.floor(Math.random() * range);
--- a/test/support/in_process.ts
+++ b/test/support/in_process_region.ts
@@ -59,7 +59,7 @@
     this.fleet = new Fleet({
       timer: this.timer,
       seed: options.seed ?? 1,
-      logOf: (process) => this.#connect(process),
+      connectLog: (process) => this.#connect(process),
       region: REGION,
       availabilityZones: this.#zones,
       entries: options.entries,
--- a/test/support/process_fleet.ts
+++ b/test/support/process_fleet.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import process from "node:process";
 import { stringify } from "smol-toml";
-import { freePort } from "./free_port.ts";
+import { findFreePort } from "./free_port.ts";
 
 /** A process of the system, or a stand-in, that a test has started. */
 export interface StartedProcess {
@@ -43,7 +43,7 @@
     name: string,
     options: Record<string, unknown> = {},
   ): Promise<{ url: string; started: StartedProcess }> {
-    const port = await freePort();
+    const port = await findFreePort();
     const extra = Object.entries(options).flatMap(([key, value]) => [
       `--${key}`,
       typeof value === "string" ? value : JSON.stringify(value),
--- a/test/support/scripted_replica.ts
+++ b/test/support/scripted_replica.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo } from "node:net";
 
 /** Called with each complete request; writes the response to the socket. */
-export type Script = (socket: Socket, request: string) => void;
+export type ReplicaScript = (socket: Socket, request: string) => void;
 
 /** A replica that responds with the raw bytes that a test supplies. */
 export class ScriptedReplica {
@@ -10,14 +10,14 @@
   readonly sockets = new Set<Socket>();
   connections = 0;
   readonly #server: Server;
-  #script: Script;
+  #script: ReplicaScript;
 
-  constructor(script: Script) {
+  constructor(script: ReplicaScript) {
     this.#script = script;
     this.#server = createServer((socket) => this.#serve(socket));
   }
 
-  set script(script: Script) {
+  set script(script: ReplicaScript) {
     this.#script = script;
   }
 
--- a/test/support/forwarding_engines.ts
+++ b/test/support/simulated_engines.ts
@@ -1,5 +1,5 @@
 import type { ManualTimerService } from "../../src/core/time/mod.ts";
-import type { SentAttempt } from "./forwarding_bench.ts";
+import type { SentAttempt } from "./forwarding_harness.ts";
 
 const DEFAULT_TOKENS_PER_MILLISECOND = 310;
 const DECODE_MILLISECONDS = 50;
@@ -12,7 +12,7 @@
   onSend: ((attempt: SentAttempt) => void) | undefined;
 }
 
-export interface PlayedEnginesOptions {
+export interface SimulatedEnginesOptions {
   readonly tokensPerMillisecond?: number;
   /** Number of answers that an engine decodes concurrently. */
   readonly slots?: number;
@@ -28,7 +28,7 @@
  * order of priority, and prompt parts in its cache cost no time. A decode
  * engine has a fixed number of slots and rejects attempts when all are in use.
  */
-export class PlayedEngines {
+export class SimulatedEngines {
   readonly #timer: ManualTimerService;
   readonly #tokensPerMillisecond: number;
   readonly #slots: number;
@@ -42,11 +42,11 @@
   /** Number of times that each request began to run, by request id. */
   readonly runs = new Map<string, number>();
   /** Longest prefill queue so far, by engine. */
-  readonly mostReadings = new Map<string, number>();
+  readonly maxPrefillQueue = new Map<string, number>();
   /** Total prefill time of all engines, milliseconds. */
-  readMilliseconds = 0;
+  prefillMilliseconds = 0;
 
-  constructor(source: AttemptSource, options: PlayedEnginesOptions = {}) {
+  constructor(source: AttemptSource, options: SimulatedEnginesOptions = {}) {
     this.#timer = source.timer;
     this.#tokensPerMillisecond = options.tokensPerMillisecond ??
       DEFAULT_TOKENS_PER_MILLISECOND;
@@ -89,8 +89,8 @@
       priority: attempt.options.priority ?? 5,
     });
     this.#markOpen(engine, attempt);
-    const longest = this.mostReadings.get(engine) ?? 0;
-    this.mostReadings.set(engine, Math.max(longest, queue.length));
+    const longest = this.maxPrefillQueue.get(engine) ?? 0;
+    this.maxPrefillQueue.set(engine, Math.max(longest, queue.length));
     this.#startNextPrefill(engine);
   }
 
@@ -110,11 +110,11 @@
       cached.add(part.id);
     }
     const milliseconds = tokens / this.#tokensPerMillisecond;
-    this.readMilliseconds += milliseconds;
+    this.prefillMilliseconds += milliseconds;
     this.#timer.after(milliseconds, () => {
       this.#prefilling.delete(engine);
       if (!this.#markClosed(engine, attempt)) return;
-      void attempt.answer("handle");
+      void attempt.respond("handle");
       this.#startNextPrefill(engine);
     });
   }
@@ -132,12 +132,12 @@
   #decode(attempt: SentAttempt, isUrgent: boolean): void {
     const engine = String(attempt.options.endpoint);
     const running = this.#decoding.get(engine) ?? 0;
-    if (running >= this.#slots) return void attempt.notRun();
+    if (running >= this.#slots) return void attempt.respondNotRun();
     this.#decoding.set(engine, running + 1);
     this.#markOpen(engine, attempt);
     const { id } = attempt.request;
     this.runs.set(id, (this.runs.get(id) ?? 0) + 1);
-    void attempt.head().then(() => attempt.piece("id: 1\ndata: x\n\n"));
+    void attempt.head().then(() => attempt.chunk("id: 1\ndata: x\n\n"));
     const milliseconds = isUrgent
       ? URGENT_DECODE_MILLISECONDS
       : DECODE_MILLISECONDS;
--- a/test/support/small_deployment.ts
+++ b/test/support/small_deployment.ts
@@ -1,6 +1,6 @@
 import { join } from "node:path";
 import { uuidv7 } from "./uuid.ts";
-import { freePort } from "./free_port.ts";
+import { findFreePort } from "./free_port.ts";
 import { ProcessFleet, type StartedProcess, waitFor } from "./process_fleet.ts";
 
 export interface SmallDeploymentOptions {
@@ -168,7 +168,7 @@
 
   async #startEntries(options: SmallDeploymentOptions): Promise<void> {
     const count = options.entries ?? 2;
-    const ports = await Promise.all(range(2 * count).map(() => freePort()));
+    const ports = await Promise.all(range(2 * count).map(() => findFreePort()));
     const peers = range(count).map((index) =>
       `127.0.0.1:${ports[2 * index + 1]}`
     );
@@ -213,7 +213,7 @@
       engine ? "model_engine" : "plain_service",
       engine ? options.engine : { prefix: `${id}-case` },
     );
-    const port = await freePort();
+    const port = await findFreePort();
     const sideAddress = `127.0.0.1:${port}`;
     const file = this.fleet.writeToml(`${id}.toml`, {
       name: `side-${id}`,
--- a/test/support/usage_fleet.ts
+++ b/test/support/usage_fleet.ts
@@ -1,14 +1,14 @@
-import { settled } from "./forwarding_bench.ts";
+import { flushPromises } from "./forwarding_harness.ts";
 import { UsagePlatform } from "./usage_platform.ts";
 import {
   identifier,
   type ProcessId,
   type WorkspaceId,
 } from "../../src/core/identity/mod.ts";
-import { SILENT_LOGGER } from "../../src/core/observation/mod.ts";
+import { NOOP_LOGGER } from "../../src/core/observation/mod.ts";
 import { seededRandom } from "../../src/core/random/mod.ts";
 import { ManualTimerService } from "../../src/core/time/mod.ts";
-import { UsageKeeper } from "../../src/entry/forwarding/usage_keeper.ts";
+import { UsageReporter } from "../../src/entry/forwarding/usage_reporter.ts";
 
 export const LEASE_MILLISECONDS = 3_000;
 export const WINDOW_MILLISECONDS = 5_000;
@@ -18,14 +18,14 @@
 interface Member {
   readonly name: ProcessId;
   incarnation: number;
-  keeper: UsageKeeper;
+  keeper: UsageReporter;
   isAlive: boolean;
   /**
    * Whether the member is partitioned from the store and the report receiver.
    */
-  isCut: boolean;
+  isPartitioned: boolean;
   /** Whether the member is suspended: its calls settle only once it resumes. */
-  isFrozen: boolean;
+  isSuspended: boolean;
 }
 
 /** Usage keepers on virtual time that exchange datagrams. */
@@ -39,20 +39,20 @@
   readonly #lossRate: number;
 
   constructor(
-    { entries, lostShare = 0 }: {
+    { entries, lossRate: lossRate = 0 }: {
       readonly entries: number;
-      readonly lostShare?: number;
+      readonly lossRate?: number;
     },
   ) {
-    this.#lossRate = lostShare;
+    this.#lossRate = lossRate;
     this.members = Array.from({ length: entries }, (_, index) => {
       const name = identifier<ProcessId>(`entry-${index}`);
       const member = {
         name,
         incarnation: 1,
         isAlive: true,
-        isCut: false,
-        isFrozen: false,
+        isPartitioned: false,
+        isSuspended: false,
       };
       return Object.assign(member, {
         keeper: this.#makeKeeper(member, { isFirstStart: true }),
@@ -64,18 +64,18 @@
   #makeKeeper(
     member: Omit<Member, "keeper">,
     { isFirstStart }: { readonly isFirstStart: boolean },
-  ): UsageKeeper {
+  ): UsageReporter {
     const { incarnation } = member;
     const isCurrentRun = () =>
       member.isAlive && member.incarnation === incarnation;
-    return new UsageKeeper({
+    return new UsageReporter({
       self: member.name,
       incarnation: String(incarnation),
       timer: this.timer,
-      logger: SILENT_LOGGER,
+      logger: NOOP_LOGGER,
       link: this.platform.linkFor({
-        isPartitioned: () => member.isCut || !isCurrentRun(),
-        isSuspended: () => member.isFrozen,
+        isPartitioned: () => member.isPartitioned || !isCurrentRun(),
+        isSuspended: () => member.isSuspended,
       }),
       leaseMilliseconds: LEASE_MILLISECONDS,
       windowMilliseconds: WINDOW_MILLISECONDS,
@@ -83,7 +83,7 @@
       isFirstStart,
       ranking: () =>
         this.members.filter(({ isAlive }) => isAlive).map(({ name }) => name),
-      listed: () =>
+      listedPeers: () =>
         this.members.map(({ name }) => name)
           .filter((name) => name !== member.name),
       send: (peer, { method, params }) =>
@@ -102,7 +102,7 @@
     const copy = JSON.parse(JSON.stringify(params));
     this.timer.after(1 + this.#random(), () => {
       const member = this.members.find(({ name }) => name === to);
-      if (member?.isAlive) member.keeper.take(method, copy);
+      if (member?.isAlive) member.keeper.onNotification(method, copy);
     });
   }
 
@@ -112,7 +112,7 @@
       const alive = this.members.filter(({ isAlive }) => isAlive);
       if (alive.length > 0) this.#startRequest(alive);
       await this.timer.advance(STEP_MILLISECONDS);
-      await settled();
+      await flushPromises();
     }
   }
 
@@ -123,7 +123,7 @@
     const counts = this.expectedCounts.get(window) ?? new Map<string, number>();
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
     this.expectedCounts.set(window, counts);
-    member.keeper.began(
+    member.keeper.noteStarted(
       identifier<WorkspaceId>(workspace),
       this.timer.now(),
     );
--- a/test/support/usage_platform.ts
+++ b/test/support/usage_platform.ts
@@ -1,11 +1,11 @@
 import { err, ok } from "neverthrow";
 import {
-  positionOf,
+  encodePosition,
   type StoreFailure,
   type UsageClaim,
   type UsageReport,
 } from "../../src/core/forwarding/mod.ts";
-import { type ManualTimerService, pause } from "../../src/core/time/mod.ts";
+import { type ManualTimerService, sleep } from "../../src/core/time/mod.ts";
 import type {
   ReportOutcome,
   UsageLink,
@@ -40,16 +40,16 @@
   /** Outcome that the receiver returns for every report, if set. */
   failsWith: ReportOutcome | undefined;
   /** Whether responses to reports are lost after the reports take effect. */
-  losesAnswers = false;
+  losesResponses = false;
   /** Latency of the store's responses, milliseconds. */
-  storeMilliseconds = 0;
+  storeLatencyMilliseconds = 0;
   /**
    * If above 0, reports get no response and take effect after this delay,
    * milliseconds.
    */
   lateMilliseconds = 0;
   /** Whether the receiver accepts reports whose fencing token is outdated. */
-  checksNoFencing = false;
+  ignoresFencing = false;
   readonly #timer: ManualTimerService;
   #maxFencing = -1;
   #epoch = 0;
@@ -65,7 +65,7 @@
   }
 
   #positionOf(offset: number): number {
-    return positionOf({ epoch: this.#epoch, offset });
+    return encodePosition({ epoch: this.#epoch, offset });
   }
 
   /**
@@ -89,7 +89,7 @@
         const offset = this.#positionOf(this.claims.length - 1);
         const claim = newest && { ...newest, offset };
         const end = this.#positionOf(this.claims.length);
-        await this.#sleep(this.storeMilliseconds);
+        await this.#sleep(this.storeLatencyMilliseconds);
         await waitUntilResumed();
         return ok({ claim, end });
       },
@@ -97,7 +97,7 @@
         if (isPartitioned()) return err(UNAVAILABLE);
         if (at !== this.#positionOf(this.claims.length)) return ok(undefined);
         this.claims.push({ ...claim, offset: at });
-        await this.#sleep(this.storeMilliseconds);
+        await this.#sleep(this.storeLatencyMilliseconds);
         await waitUntilResumed();
         return ok(at);
       },
@@ -113,14 +113,14 @@
   }
 
   async #sleep(milliseconds: number): Promise<void> {
-    if (milliseconds > 0) await pause(this.#timer, milliseconds);
+    if (milliseconds > 0) await sleep(this.#timer, milliseconds);
   }
 
   #receive(
     { counts, window }: UsageReport,
     { fencing, holder }: { readonly fencing: number; readonly holder: string },
   ): ReportOutcome {
-    if (!this.checksNoFencing && fencing < this.#maxFencing) return "refused";
+    if (!this.ignoresFencing && fencing < this.#maxFencing) return "refused";
     this.#maxFencing = Math.max(this.#maxFencing, fencing);
     this.taken.push({
       window,
@@ -129,7 +129,7 @@
       fencing,
       at: this.#timer.now(),
     });
-    return this.losesAnswers ? "unknown" : "accepted";
+    return this.losesResponses ? "unknown" : "accepted";
   }
 
   /** Counts of the reported windows, by window. */
