--- a/src/core/forwarding/admission/engine_admission.ts
+++ b/src/core/forwarding/admission/engine_admission.ts
@@ -23,7 +23,7 @@
  * - `on_time`: the first byte is expected within the target.
  * - `late`: the first byte is expected before the caller's deadline if the
  *   prompt runs after everything that can be on time.
- * - `engines_full`: neither; rejecting the request at once is more useful than
+ * - `engines_full`: neither; refusing the request at once is more useful than
  *   letting the caller wait.
  * - `entry_full`: this entry is the bottleneck; another entry may still answer
  *   on time.
--- a/src/core/forwarding/admission/engine_admission_test.ts
+++ b/src/core/forwarding/admission/engine_admission_test.ts
@@ -15,7 +15,7 @@
   return decideAdmission({ ...IDLE_INPUT, ...values });
 }
 
-describe("judgeAdmission", () => {
+describe("decideAdmission", () => {
   it("admits a request that is expected within its target", () => {
     expect(decide({})).to.equal("on_time");
   });
@@ -26,14 +26,14 @@
       .to.equal("late");
   });
 
-  it("rejects a prompt that engines can't prefill before the deadline", () => {
+  it("refuses a prompt that engines can't prefill before the deadline", () => {
     expect(decide({ onTimeMilliseconds: 900, lateMilliseconds: 1_900 }))
       .to.equal("engines_full");
   });
 
   // Engines have capacity, but the prompt would queue for the entry's link.
   // Admitted late, it would delay the next request, which could be on time.
-  it("rejects with entry_full where the entry is the bottleneck", () => {
+  it("refuses with entry_full where the entry is the bottleneck", () => {
     expect(decide({ entryMilliseconds: 200 })).to.equal("entry_full");
   });
 });
--- a/src/core/forwarding/admission/held_prompt_queue_test.ts
+++ b/src/core/forwarding/admission/held_prompt_queue_test.ts
@@ -2,7 +2,7 @@
 import { ManualTimerService } from "../../time/mod.ts";
 import { HeldPromptQueue } from "./held_prompt_queue.ts";
 
-describe("HeldPrompts", () => {
+describe("HeldPromptQueue", () => {
   let timer: ManualTimerService;
   let queue: HeldPromptQueue<string>;
   /** Engines that are nearly idle, in the order in which they are chosen. */
@@ -23,16 +23,16 @@
     values: {
       readonly rank?: number;
       readonly expiresAt?: number;
-      readonly isOver?: () => boolean;
+      readonly isCancelled?: () => boolean;
     } = {},
   ): void {
-    const { rank = 1, expiresAt = 1_000, isOver = () => false } = values;
+    const { rank = 1, expiresAt = 1_000, isCancelled = () => false } = values;
     void queue.enqueue({
       rank,
       expiresAt,
       workMilliseconds: 50,
       choose: () => Promise.resolve(idleEngines.shift()),
-      isCancelled: isOver,
+      isCancelled,
     }).then((engine) => {
       if (engine === undefined) dropped.push(name);
       else started.push(`${name} at ${engine}`);
@@ -73,10 +73,10 @@
   // The caller disconnects while its prompt is held. Starting the prompt would
   // spend an engine on an answer that nobody reads while others wait.
   it("skips a prompt whose caller has disconnected", async () => {
-    let isOver = false;
-    enqueue("gone", { isOver: () => isOver });
+    let isCancelled = false;
+    enqueue("gone", { isCancelled: () => isCancelled });
     enqueue("waiting");
-    isOver = true;
+    isCancelled = true;
     idleEngines = ["one"];
     await timer.advance(30);
     expect(started).to.deep.equal(["waiting at one"]);
--- a/src/core/forwarding/admission/link_backlog_test.ts
+++ b/src/core/forwarding/admission/link_backlog_test.ts
@@ -2,7 +2,7 @@
 import { ManualTimerService } from "../../time/mod.ts";
 import { LinkBacklog } from "../mod.ts";
 
-describe("LinkQueue", () => {
+describe("LinkBacklog", () => {
   let timer: ManualTimerService;
 
   beforeEach(() => {
--- a/src/core/forwarding/admission/request_arrivals.ts
+++ b/src/core/forwarding/admission/request_arrivals.ts
@@ -43,8 +43,8 @@
   /**
    * Reserves permits for the next sends; false where the budget is exhausted.
    */
-  reserve({ prefill: reading }: NextAttempt): boolean {
-    const nextArrivals = reading && this.#hasPrefilled ? 2 : 1;
+  reserve({ prefill }: NextAttempt): boolean {
+    const nextArrivals = prefill && this.#hasPrefilled ? 2 : 1;
     const freeArrivals = this.#arrivals === 0 ? 1 : 0;
     while (this.#permits.length < nextArrivals - freeArrivals) {
       const permit = this.#budget.grant(this.#pool);
--- a/src/core/forwarding/admission/returning_callers.ts
+++ b/src/core/forwarding/admission/returning_callers.ts
@@ -1,21 +1,21 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * How long a rejection is remembered. Callers retry within a third of their
+ * How long a refusal is remembered. Callers retry within a third of their
  * deadline, which is two seconds for long prompts.
  */
 const REFUSAL_RETENTION_MILLISECONDS = 3_000;
 /**
- * Limit on remembered rejections, which bounds the memory that a flood of
- * rejected requests takes on a small VM. An overload that rejects most of
+ * Limit on remembered refusals, which bounds the memory that a flood of
+ * refused requests takes on a small VM. An overload that refuses most of
  * several hundred prompts per second produces on the order of a thousand in
  * three seconds.
  */
 const MAX_REFUSALS = 5_000;
-/** Limit on rejections queued for the next report to peers. */
+/** Limit on refusals queued for the next report to peers. */
 const MAX_UNREPORTED_REFUSALS = 500;
 
-/** A rejection reported to peers: the prompt and the caller's wait so far. */
+/** A refusal reported to peers: the prompt and the caller's wait so far. */
 export type RefusalReport = readonly [
   prompt: string,
   waitedMilliseconds: number,
@@ -23,7 +23,7 @@
 
 /**
  * Tracks how long callers have waited since their first attempt. The target
- * latency counts from the first attempt, so a caller that was rejected before
+ * latency counts from the first attempt, so a caller that was refused before
  * can often be answered only late, whichever entry receives its retry.
  *
  * A caller is recognized by its own part of the prompt, which the retry
@@ -33,7 +33,7 @@
 export class ReturningCallers {
   readonly #timer: TimerService;
   /**
-   * First arrival of each rejected prompt's caller, ordered by last rejection.
+   * First arrival of each refused prompt's caller, ordered by last refusal.
    */
   readonly #firstArrivals = new Map<string, number>();
   #unreported: RefusalReport[] = [];
@@ -56,14 +56,14 @@
     return now - firstArrival;
   }
 
-  /** Records a rejection by this entry and the caller's wait so far. */
+  /** Records a refusal by this entry and the caller's wait so far. */
   record(prompt: string, waitedMilliseconds: number): void {
     this.recordPeer([prompt, waitedMilliseconds]);
     if (this.#unreported.length >= MAX_UNREPORTED_REFUSALS) return;
     this.#unreported.push([prompt, Math.round(waitedMilliseconds)]);
   }
 
-  /** Records a rejection that a peer reported. */
+  /** Records a refusal that a peer reported. */
   recordPeer([prompt, waitedMilliseconds]: RefusalReport): void {
     this.#firstArrivals.delete(prompt);
     this.#firstArrivals.set(prompt, this.#timer.now() - waitedMilliseconds);
@@ -74,14 +74,14 @@
     }
   }
 
-  /** Returns and clears this entry's rejections since the last call. */
+  /** Returns and clears this entry's refusals since the last call. */
   takeUnreported(): readonly RefusalReport[] {
     const unreported = this.#unreported;
     this.#unreported = [];
     return unreported;
   }
 
-  /** True while rejections wait to be reported to peers. */
+  /** True while refusals wait to be reported to peers. */
   get hasUnreported(): boolean {
     return this.#unreported.length > 0;
   }
--- a/src/core/forwarding/admission/returning_callers_test.ts
+++ b/src/core/forwarding/admission/returning_callers_test.ts
@@ -27,14 +27,14 @@
 
   // Deadlines differ between callers. A new caller with a short deadline that
   // is taken for a returning one would be queued behind all others.
-  it("reports no wait for callers that were not rejected", () => {
+  it("reports no wait for callers that were not refused", () => {
     callers.record("a", 0);
     expect(callers.elapsedSinceFirstAttempt("b")).to.equal(0);
     expect(callers.elapsedSinceFirstAttempt(undefined)).to.equal(0);
   });
 
   // The load balancer sends most retries to another entry.
-  it("recognizes callers that a peer has rejected", async () => {
+  it("recognizes callers that a peer has refused", async () => {
     const peer = new ReturningCallers(timer);
     callers.record("a", 20);
     for (const report of callers.takeUnreported()) peer.recordPeer(report);
@@ -44,13 +44,13 @@
     expect(callers.takeUnreported()).to.deep.equal([]);
   });
 
-  it("forgets a rejection after its retention time", async () => {
+  it("forgets a refusal after its retention time", async () => {
     callers.record("a", 0);
     await timer.advance(3_001);
     expect(callers.elapsedSinceFirstAttempt("a")).to.equal(0);
   });
 
-  it("keeps a bounded number of the newest rejections", () => {
+  it("keeps a bounded number of the newest refusals", () => {
     for (let index = 0; index < 5_001; index++) callers.record(`${index}`, 10);
     expect(callers.elapsedSinceFirstAttempt("0")).to.equal(0);
     expect(callers.elapsedSinceFirstAttempt("5000")).to.equal(10);
--- a/src/core/forwarding/admission/shared_retry_budget_test.ts
+++ b/src/core/forwarding/admission/shared_retry_budget_test.ts
@@ -4,7 +4,7 @@
 
 const WINDOW_MILLISECONDS = 10_000;
 
-describe("RetryAllowance", () => {
+describe("SharedRetryBudget", () => {
   let timer: ManualTimerService;
   let entries: number;
   let budget: SharedRetryBudget;
--- a/src/core/forwarding/claims/exclusive_claim.ts
+++ b/src/core/forwarding/claims/exclusive_claim.ts
@@ -41,7 +41,7 @@
     this.#options = options;
   }
 
-  /** Records the newest claim as seen by the store or a peer. */
+  /** Records a claim that was read from the store or reported by a peer. */
   observe(claim: CurrentClaim): void {
     if (claim.offset <= (this.#current?.offset ?? -1)) return;
     this.#current = claim;
--- a/src/core/forwarding/crashes/crash_tracker.ts
+++ b/src/core/forwarding/crashes/crash_tracker.ts
@@ -104,8 +104,7 @@
 
   /**
    * Records that the connection to a run broke with the request on it.
-   * `knownBefore` is the value of `crashesUnder` when the request was sent
-   * there.
+   * `knownBefore` is the value of `crashCount` when the request was sent there.
    */
   lost(
     run: EndpointRun,
@@ -123,7 +122,7 @@
     if (this.#record(loss, { isOwn: true })) this.reports.addOwn(loss);
   }
 
-  /** Number of successive crashes under the request; 0 if none is known. */
+  /** Number of successive crashes attributed to the request. */
   crashCount(digest: RequestDigest): number {
     const suspect = this.#suspects.get(digest);
     return suspect === undefined ? 0 : crashCountOf(suspect);
@@ -191,7 +190,7 @@
     if (suspect.wasBlocked) this.#options.onCleared?.(digest);
   }
 
-  /** Records the same for a peer's endpoint. */
+  /** Records that a peer's endpoint has completed the request. */
   recordPeerCompletion(digest: RequestDigest): void {
     this.#suspects.delete(digest);
     this.reports.discard(digest);
@@ -278,8 +277,8 @@
   }
 
   /**
-   * Returns whether another crashing request was on all these runs, and on
-   * more.
+   * Returns whether another crashing request was in flight on all these runs,
+   * and on more.
    */
   #isExplained({ losses }: Suspect): boolean {
     for (const other of this.#suspects.values()) {
--- a/src/core/forwarding/crashes/crash_tracker_test.ts
+++ b/src/core/forwarding/crashes/crash_tracker_test.ts
@@ -14,9 +14,9 @@
 const CRASHING = identifier<RequestDigest>("crashing");
 const BYSTANDER = identifier<RequestDigest>("bystander");
 
-describe("CrashSuspects", () => {
+describe("CrashTracker", () => {
   let timer: ManualTimerService;
-  let suspects: CrashTracker;
+  let tracker: CrashTracker;
   let blocked: string[];
   let ownBlocked: string[];
 
@@ -24,7 +24,7 @@
     timer = new ManualTimerService();
     blocked = [];
     ownBlocked = [];
-    suspects = new CrashTracker({
+    tracker = new CrashTracker({
       timer,
       onBlocked: ({ digest }, { isOwn }) => {
         blocked.push(digest);
@@ -41,19 +41,19 @@
     digest: RequestDigest,
     values: Partial<RegisteredEndpoint> = {},
   ): number {
-    const knownBefore = suspects.crashCount(digest);
-    suspects.lost(makeEndpoint(endpoint, values), { digest, knownBefore });
-    return suspects.crashCount(digest);
+    const knownBefore = tracker.crashCount(digest);
+    tracker.lost(makeEndpoint(endpoint, values), { digest, knownBefore });
+    return tracker.crashCount(digest);
   }
 
   /** Crashes the endpoint with these requests on it. */
   function crash(endpoint: string, ...digests: RequestDigest[]): void {
     for (const digest of digests) lose(endpoint, digest);
-    suspects.forget(makeEndpoint(endpoint));
+    tracker.forget(makeEndpoint(endpoint));
   }
 
   function isBlocked(digest: RequestDigest): boolean {
-    return suspects.blockedMilliseconds(digest) > 0;
+    return tracker.blockedMilliseconds(digest) > 0;
   }
 
   describe("lost", () => {
@@ -64,22 +64,22 @@
       crash("c", CRASHING);
       expect(isBlocked(CRASHING)).to.equal(true);
       expect(blocked).to.deep.equal([CRASHING]);
-      expect(suspects.blocked).to.equal(1);
+      expect(tracker.blocked).to.equal(1);
     });
 
     it("counts one crash once, however many copies of the request ran there", () => {
       for (let copy = 0; copy < 5; copy++) crash("a", CRASHING);
-      expect(suspects.crashCount(CRASHING)).to.equal(1);
+      expect(tracker.crashCount(CRASHING)).to.equal(1);
     });
 
     it("counts endpoints that crash at the same time once", () => {
       for (const endpoint of ["a", "b", "c", "d"]) {
-        suspects.lost(makeEndpoint(endpoint), {
+        tracker.lost(makeEndpoint(endpoint), {
           digest: BYSTANDER,
           knownBefore: 0,
         });
       }
-      expect(suspects.crashCount(BYSTANDER)).to.equal(1);
+      expect(tracker.crashCount(BYSTANDER)).to.equal(1);
       expect(isBlocked(BYSTANDER)).to.equal(false);
     });
 
@@ -95,7 +95,7 @@
         const digest = identifier<RequestDigest>(`request-${index}`);
         lose(`endpoint-${index}`, digest);
       }
-      expect(suspects.size).to.equal(4_096);
+      expect(tracker.size).to.equal(4_096);
     });
 
     it("does not evict a blocked request for new suspects", () => {
@@ -123,7 +123,7 @@
       // Long answers that began before the first crash and end with the last
       // one.
       for (const endpoint of ["a", "b", "c", "d"]) {
-        suspects.lost(makeEndpoint(endpoint), {
+        tracker.lost(makeEndpoint(endpoint), {
           digest: BYSTANDER,
           knownBefore: 0,
         });
@@ -136,7 +136,7 @@
     it("is cleared when an endpoint has completed it", () => {
       crash("a", CRASHING, BYSTANDER);
       crash("b", CRASHING, BYSTANDER);
-      suspects.recordCompletion(BYSTANDER);
+      tracker.recordCompletion(BYSTANDER);
       crash("c", CRASHING, BYSTANDER);
       expect(isBlocked(CRASHING)).to.equal(true);
       expect(isBlocked(BYSTANDER)).to.equal(false);
@@ -147,7 +147,7 @@
     it("retracts a loss at an endpoint that answers right after it", async () => {
       for (const endpoint of ["a", "b", "c"]) lose(endpoint, CRASHING);
       await timer.advance(200);
-      suspects.answered(makeEndpoint("a"), timer.now() - 20);
+      tracker.answered(makeEndpoint("a"), timer.now() - 20);
       expect(isBlocked(CRASHING)).to.equal(false);
       expect(lose("d", CRASHING)).to.equal(3);
     });
@@ -156,23 +156,23 @@
       const sentAt = timer.now();
       await timer.advance(10);
       lose("a", CRASHING);
-      suspects.answered(makeEndpoint("a"), sentAt);
+      tracker.answered(makeEndpoint("a"), sentAt);
       expect(lose("b", CRASHING)).to.equal(2);
     });
 
     it("retracts nothing once the endpoint had time to restart", async () => {
       lose("a", CRASHING);
       await timer.advance(1_500);
-      suspects.answered(makeEndpoint("a"), timer.now());
+      tracker.answered(makeEndpoint("a"), timer.now());
       expect(lose("b", CRASHING)).to.equal(2);
     });
 
     it("retracts nothing once the endpoint has refused connections", async () => {
       lose("a", CRASHING);
       await timer.advance(50);
-      suspects.recordRefusedConnection(makeEndpoint("a"));
+      tracker.recordRefusedConnection(makeEndpoint("a"));
       await timer.advance(500);
-      suspects.answered(makeEndpoint("a"), timer.now());
+      tracker.answered(makeEndpoint("a"), timer.now());
       expect(lose("b", CRASHING)).to.equal(2);
     });
   });
@@ -197,7 +197,7 @@
 
     it("ends permanently once the request has been completed", async () => {
       await timer.advance(11 * MINUTE_MILLISECONDS);
-      suspects.recordCompletion(CRASHING);
+      tracker.recordCompletion(CRASHING);
       crash("d", CRASHING);
       expect(isBlocked(CRASHING)).to.equal(false);
     });
@@ -209,102 +209,102 @@
         [CRASHING, endpoint, null, index + 1] as const
       );
       const age = 9 * MINUTE_MILLISECONDS;
-      expect(suspects.restore(losses, { ageMilliseconds: age })).to.equal(true);
+      expect(tracker.restore(losses, { ageMilliseconds: age })).to.equal(true);
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
     it("ignores requests whose block is over", () => {
       const losses = [[CRASHING, "a", null, 1]] as const;
       const age = 10 * MINUTE_MILLISECONDS;
-      expect(suspects.restore(losses, { ageMilliseconds: age }))
+      expect(tracker.restore(losses, { ageMilliseconds: age }))
         .to.equal(false);
-      expect(suspects.size).to.equal(0);
+      expect(tracker.size).to.equal(0);
     });
   });
 
   describe("reports to peers", () => {
     it("contain each loss once", () => {
       let calls = 0;
-      suspects.reports.onPending(() => calls += 1);
+      tracker.reports.onPending(() => calls += 1);
       crash("a", CRASHING);
       expect(calls).to.equal(1);
-      expect(suspects.reports.take()).to.deep.equal({
+      expect(tracker.reports.take()).to.deep.equal({
         losses: [[CRASHING, "a", null, 1]],
         cleared: [],
       });
-      expect(suspects.reports.take()).to.equal(undefined);
+      expect(tracker.reports.take()).to.equal(undefined);
     });
 
     it("repeat own losses for some seconds", async () => {
       crash("a", CRASHING);
-      suspects.recordPeerLoss([CRASHING, "b", null, 2]);
-      expect(suspects.reports.recentLosses()).to.have.length(1);
+      tracker.recordPeerLoss([CRASHING, "b", null, 2]);
+      expect(tracker.reports.recentLosses()).to.have.length(1);
       await timer.advance(4_000);
-      expect(suspects.reports.recentLosses()).to.deep.equal([]);
+      expect(tracker.reports.recentLosses()).to.deep.equal([]);
     });
 
     it("contain a completed request, and no more of its losses", () => {
       crash("a", BYSTANDER);
-      suspects.reports.take();
-      suspects.recordCompletion(BYSTANDER);
-      expect(suspects.reports.take()).to.deep.equal({
+      tracker.reports.take();
+      tracker.recordCompletion(BYSTANDER);
+      expect(tracker.reports.take()).to.deep.equal({
         losses: [],
         cleared: [BYSTANDER],
       });
-      expect(suspects.reports.recentLosses()).to.deep.equal([]);
-      suspects.recordCompletion(BYSTANDER);
-      expect(suspects.reports.take()).to.equal(undefined);
+      expect(tracker.reports.recentLosses()).to.deep.equal([]);
+      tracker.recordCompletion(BYSTANDER);
+      expect(tracker.reports.take()).to.equal(undefined);
     });
 
     it("end a block when a peer has completed the request", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, BYSTANDER);
-      suspects.recordPeerCompletion(BYSTANDER);
+      tracker.recordPeerCompletion(BYSTANDER);
       expect(isBlocked(BYSTANDER)).to.equal(false);
-      expect(suspects.reports.recentLosses()).to.deep.equal([]);
+      expect(tracker.reports.recentLosses()).to.deep.equal([]);
     });
 
     it("add to the losses observed by this entry", () => {
       crash("a", CRASHING);
-      suspects.recordPeerLoss([CRASHING, "b", 5, 2]);
-      suspects.recordPeerLoss([CRASHING, "b", 5, 2]);
+      tracker.recordPeerLoss([CRASHING, "b", 5, 2]);
+      tracker.recordPeerLoss([CRASHING, "b", 5, 2]);
       expect(isBlocked(CRASHING)).to.equal(false);
-      suspects.recordPeerLoss([CRASHING, "c", null, 3]);
+      tracker.recordPeerLoss([CRASHING, "c", null, 3]);
       expect(isBlocked(CRASHING)).to.equal(true);
     });
 
     it("mark a block as own only where a loss was observed", () => {
-      const peerLost = (digest: RequestDigest) => {
-        suspects.recordPeerLoss([digest, "b", null, 2]);
-        suspects.recordPeerLoss([digest, "c", null, 3]);
+      const recordPeerLosses = (digest: RequestDigest) => {
+        tracker.recordPeerLoss([digest, "b", null, 2]);
+        tracker.recordPeerLoss([digest, "c", null, 3]);
       };
       lose("a", CRASHING);
-      peerLost(CRASHING);
-      suspects.recordPeerLoss([BYSTANDER, "d", null, 1]);
-      peerLost(BYSTANDER);
+      recordPeerLosses(CRASHING);
+      tracker.recordPeerLoss([BYSTANDER, "d", null, 1]);
+      recordPeerLosses(BYSTANDER);
       expect(blocked).to.deep.equal([CRASHING, BYSTANDER]);
       expect(ownBlocked).to.deep.equal([CRASHING]);
     });
 
     it("contain all losses of a blocked request that a peer still sends", () => {
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
-      suspects.reports.take();
-      suspects.recordPeerLoss([CRASHING, "d", null, 1]);
-      expect(suspects.reports.take()?.losses).to.have.length(4);
+      tracker.reports.take();
+      tracker.recordPeerLoss([CRASHING, "d", null, 1]);
+      expect(tracker.reports.take()?.losses).to.have.length(4);
     });
 
     it("contain the blocked requests for a peer that has just started", () => {
       crash("a", BYSTANDER);
-      expect(suspects.blockedLosses()).to.deep.equal([]);
+      expect(tracker.blockedLosses()).to.deep.equal([]);
       for (const endpoint of ["a", "b", "c"]) crash(endpoint, CRASHING);
-      expect(suspects.blockedLosses()).to.have.length(3);
+      expect(tracker.blockedLosses()).to.have.length(3);
     });
 
     it("fit a datagram after many losses", () => {
       for (let index = 0; index < 200; index++) {
         crash("a", identifier<RequestDigest>(`request-${index}`));
       }
-      expect(suspects.reports.take()?.losses).to.have.length(64);
-      expect(suspects.reports.take()?.losses).to.have.length(64);
+      expect(tracker.reports.take()?.losses).to.have.length(64);
+      expect(tracker.reports.take()?.losses).to.have.length(64);
     });
   });
 });
--- a/src/core/forwarding/endpoints/endpoint_availability.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability.ts
@@ -139,7 +139,7 @@
   /**
    * Records that another replica uses the address, or that the endpoint has
    * changed its role. Its registration shows this within seconds; until then
-   * every request sent there would be rejected and count as a repeat.
+   * every request sent there would be rejected and count as a retry.
    */
   recordMisdirected(id: EndpointId): void {
     this.#stateOf(id).skippedUntil = this.#timer.now() + MAX_SKIP_MILLISECONDS;
--- a/src/core/forwarding/endpoints/endpoint_availability_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability_test.ts
@@ -3,7 +3,7 @@
 import { ManualTimerService } from "../../time/mod.ts";
 import { EndpointAvailability } from "../mod.ts";
 
-describe("EndpointOutcomes", () => {
+describe("EndpointAvailability", () => {
   const endpoints = ["a", "b", "c"].map((id) => makeEndpoint(id));
   const [a, b, c] = endpoints;
   let timer: ManualTimerService;
@@ -19,8 +19,8 @@
   }
 
   // Two of three engines change their role and reject all requests for seconds.
-  // If each request tried both first, the fleet's repeats would be used up
-  // although no request has failed.
+  // If each request tried both first, the fleet's retry budget would be used
+  // up although no request has failed.
   it("skips endpoints that reject requests, even most of the pool", () => {
     for (const endpoint of [a, b]) {
       outcomes.recordRejection(endpoint.id);
@@ -43,7 +43,7 @@
     expect(healthyIds()).to.contain("a");
   });
 
-  describe("overloaded", () => {
+  describe("overload", () => {
     it("lasts for the longest time that the endpoint has announced", async () => {
       outcomes.recordOverload(a.id, 3_000);
       outcomes.recordOverload(a.id, 500);
--- a/src/core/forwarding/endpoints/endpoint_registry.ts
+++ b/src/core/forwarding/endpoints/endpoint_registry.ts
@@ -57,7 +57,7 @@
   /** Lapsed registrations and the time until which they stay usable. */
   readonly #lapsed = new Map<EndpointId, number>();
   readonly #runs = new EndpointRuns();
-  #lastOutage = -Infinity;
+  #lastOutageAt = -Infinity;
 
   constructor(options: EndpointRegistryOptions) {
     this.#options = options;
@@ -108,7 +108,7 @@
    * may only have lapsed.
    */
   storeFailed(): void {
-    this.#lastOutage = this.#options.timer.now();
+    this.#lastOutageAt = this.#options.timer.now();
   }
 
   /** Adds or updates an endpoint; returns whether anything changed. */
@@ -157,7 +157,7 @@
     const endpoint = this.#endpoints.get(id);
     if (endpoint === undefined || this.#lapsed.has(id)) return;
     const now = this.#options.timer.now();
-    const afterOutage = now - this.#lastOutage < OUTAGE_WINDOW_MILLISECONDS;
+    const afterOutage = now - this.#lastOutageAt < OUTAGE_WINDOW_MILLISECONDS;
     if (afterOutage && !endpoint.leaving) {
       this.#lapsed.set(id, now + LAPSE_GRACE_MILLISECONDS);
       this.#notify("lapsed", endpoint);
@@ -177,9 +177,9 @@
 
   /** Applies a complete listing; endpoints that it lacks have vanished. */
   replaceAll(endpoints: readonly RegisteredEndpoint[]): void {
-    const named = new Set(endpoints.map((endpoint) => endpoint.id));
+    const listed = new Set(endpoints.map((endpoint) => endpoint.id));
     for (const id of [...this.#endpoints.keys()]) {
-      if (!named.has(id)) this.remove(id);
+      if (!listed.has(id)) this.remove(id);
     }
     for (const endpoint of endpoints) this.upsert(endpoint);
   }
@@ -208,8 +208,8 @@
   }
 
   #forget(endpoint: RegisteredEndpoint): void {
-    for (const memory of this.#options.stateHolders ?? []) {
-      memory.forget(endpoint);
+    for (const holder of this.#options.stateHolders ?? []) {
+      holder.forget(endpoint);
     }
   }
 
--- a/src/core/forwarding/endpoints/fleet_load.ts
+++ b/src/core/forwarding/endpoints/fleet_load.ts
@@ -124,11 +124,11 @@
       prefillMilliseconds: milliseconds,
       tokens,
     });
-    let open = true;
+    let isOpen = true;
     return {
       end: () => {
-        if (!open) return;
-        open = false;
+        if (!isOpen) return;
+        isOpen = false;
         this.#add(endpoint, ownWork, {
           requests: -1,
           prefillMilliseconds: -milliseconds,
@@ -160,9 +160,9 @@
     let sum = NO_WORK;
     for (const report of this.#reportsAt.get(endpoint) ?? []) {
       const work = report.work.get(endpoint);
-      const counts = work !== undefined && report.peer !== except &&
+      const isCounted = work !== undefined && report.peer !== except &&
         report.at >= oldest;
-      if (counts) sum = addWork(sum, work);
+      if (isCounted) sum = addWork(sum, work);
     }
     return sum;
   }
@@ -219,14 +219,16 @@
     };
     report.sequence = reported.sequence;
     report.at = this.#timer.now();
-    for (const [endpoint, requests, prefill, tokens] of reported.work) {
+    for (
+      const [endpoint, requests, prefillMilliseconds, tokens] of reported.work
+    ) {
       if (requests <= 0) this.#remove(report, endpoint);
       else {
         const reports = this.#reportsAt.get(endpoint) ?? new Set();
         this.#reportsAt.set(endpoint, reports.add(report));
         report.work.set(endpoint, {
           requests,
-          prefillMilliseconds: prefill,
+          prefillMilliseconds,
           tokens,
         });
       }
@@ -274,7 +276,6 @@
   ];
 }
 
-/** Sum of both. */
 export function addWork(left: OpenWork, right: OpenWork): OpenWork {
   return {
     requests: left.requests + right.requests,
--- a/src/core/forwarding/endpoints/fleet_load_test.ts
+++ b/src/core/forwarding/endpoints/fleet_load_test.ts
@@ -3,7 +3,7 @@
 import { ManualTimerService } from "../../time/mod.ts";
 import { FleetLoad } from "../mod.ts";
 
-describe("LoadPicture", () => {
+describe("FleetLoad", () => {
   const engine = identifier<EndpointId>("engine");
   let timer: ManualTimerService;
   let load: FleetLoad;
--- a/src/core/forwarding/endpoints/load_owners_test.ts
+++ b/src/core/forwarding/endpoints/load_owners_test.ts
@@ -98,13 +98,13 @@
   it("are always members, whichever entries come and go", () => {
     const step = fc.record({
       listed: fc.subarray(range(12).slice(1)),
-      heard: fc.array(fc.integer({ min: 1, max: 14 })),
+      received: fc.array(fc.integer({ min: 1, max: 14 })),
     });
     fc.assert(fc.property(fc.array(step, { maxLength: 8 }), (steps) => {
       const owners = new LoadOwners({ self: entry(0), timer });
-      for (const { listed, heard } of steps) {
+      for (const { listed, received } of steps) {
         owners.setMembers(listed.map(entry));
-        for (const index of heard) owners.recordMessage(entry(index));
+        for (const index of received) owners.recordMessage(entry(index));
         const allowed = [0, ...listed].map(entry);
         for (const each of ENGINES) {
           expect(allowed).to.include(owners.ownerOf(each));
--- a/src/core/forwarding/estimates/engine_slowness.ts
+++ b/src/core/forwarding/estimates/engine_slowness.ts
@@ -71,9 +71,8 @@
   /**
    * Median over the engines. Predictions may be wrong for all of them alike,
    * for example after parts assumed to be cached were evicted; that makes none
-   * of them slow. Without the median, callers were rejected while engines had
-   * capacity: the benchmark value of a day without faults was 0.288, and 0.460
-   * with it.
+   * of them slow. Without the median, callers were refused while engines had
+   * capacity.
    */
   #medianLogarithm(): number {
     const all = [...this.#means.keys()].map((each) =>
--- a/src/core/forwarding/estimates/engine_slowness_test.ts
+++ b/src/core/forwarding/estimates/engine_slowness_test.ts
@@ -33,7 +33,7 @@
 
   // Engines evict parts that are assumed to be cached, and every prefill takes
   // three times as long as predicted. Counted as slow, all engines would look
-  // full, and callers would be rejected while engines have capacity.
+  // full, and callers would be refused while engines have capacity.
   it("detects no slow engine where all take equally longer", () => {
     for (let count = 0; count < 10; count++) {
       recordPrefills(3, 1);
--- a/src/core/forwarding/estimates/pool_estimates.ts
+++ b/src/core/forwarding/estimates/pool_estimates.ts
@@ -34,13 +34,13 @@
 
   /** This entry's own costs, for its peers. */
   report(): PrefillSpeedReport[] {
-    return [...this.#pools].flatMap(([pool, { prefill: reading }]) => {
-      const costs = reading.ownCosts;
+    return [...this.#pools].flatMap(([pool, { prefill }]) => {
+      const costs = prefill.ownCosts;
       if (costs === undefined) return [];
       return [
         [
           pool,
-          reading.sampleCount,
+          prefill.sampleCount,
           costs.callMilliseconds,
           costs.millisecondsPerToken,
           costs.millisecondsPerMillionAttentionPairs,
@@ -51,19 +51,25 @@
 
   /** Records a peer's costs; a malformed report is ignored. */
   recordPeerReport(report: unknown): void {
-    if (!isSpeedReport(report)) return;
-    const [pool, samples, call, token, pairs] = report;
+    if (!isPrefillSpeedReport(report)) return;
+    const [
+      pool,
+      samples,
+      callMilliseconds,
+      millisecondsPerToken,
+      millisecondsPerMillionAttentionPairs,
+    ] = report;
     this.forPool(pool as ServiceName).prefill.recordPeerCosts({
-      callMilliseconds: call,
-      millisecondsPerToken: token,
-      millisecondsPerMillionAttentionPairs: pairs,
+      callMilliseconds,
+      millisecondsPerToken,
+      millisecondsPerMillionAttentionPairs,
     }, samples);
   }
 }
 
-function isSpeedReport(value: unknown): value is PrefillSpeedReport {
+function isPrefillSpeedReport(value: unknown): value is PrefillSpeedReport {
   if (!Array.isArray(value) || value.length !== REPORT_LENGTH) return false;
-  const [pool, ...figures] = value;
+  const [pool, ...numbers] = value;
   return typeof pool === "string" &&
-    figures.every((figure) => Number.isFinite(figure) && figure >= 0);
+    numbers.every((each) => Number.isFinite(each) && each >= 0);
 }
--- a/src/core/forwarding/estimates/prefill_speed.ts
+++ b/src/core/forwarding/estimates/prefill_speed.ts
@@ -193,15 +193,19 @@
 const MIN_SHARE_OF_PRIOR = 0.02;
 
 function vectorToCosts(values: readonly number[], current: readonly number[]) {
-  const [call, token, pairs] = values.map((value, index) =>
+  const [
+    callMilliseconds,
+    millisecondsPerToken,
+    millisecondsPerMillionAttentionPairs,
+  ] = values.map((value, index) =>
     Number.isFinite(value)
       ? Math.max(MIN_SHARE_OF_PRIOR * costsToVector(PRIOR_COSTS)[index], value)
       : current[index]
   );
   return {
-    callMilliseconds: call,
-    millisecondsPerToken: token,
-    millisecondsPerMillionAttentionPairs: pairs,
+    callMilliseconds,
+    millisecondsPerToken,
+    millisecondsPerMillionAttentionPairs,
   };
 }
 
--- a/src/core/forwarding/estimates/prefill_speed_test.ts
+++ b/src/core/forwarding/estimates/prefill_speed_test.ts
@@ -24,14 +24,16 @@
 }
 
 /** Random prompts of three kinds, most with their shared parts cached. */
-function randomPrompt(random: Random): { promptTokens: number; kept: number } {
+function randomPrompt(
+  random: Random,
+): { promptTokens: number; keptTokens: number } {
   const [shared, own] = [[13_300, 3_700], [6_300, 2_900], [350, 1_100]][
     Math.floor(random() * 3)
   ];
   const ownTokens = Math.max(50, Math.round(own * -Math.log(random())));
   return {
     promptTokens: shared + ownTokens,
-    kept: random() < 0.7 ? shared : 0,
+    keptTokens: random() < 0.7 ? shared : 0,
   };
 }
 
@@ -41,9 +43,11 @@
   random: Random,
 ): number {
   const errors = Array.from({ length: 201 }, () => {
-    const { promptTokens, kept } = randomPrompt(random);
-    const actual = actualMilliseconds(engine, promptTokens, kept);
-    return Math.abs(speed.predictMilliseconds(promptTokens, kept) / actual - 1);
+    const { promptTokens, keptTokens } = randomPrompt(random);
+    const actual = actualMilliseconds(engine, promptTokens, keptTokens);
+    return Math.abs(
+      speed.predictMilliseconds(promptTokens, keptTokens) / actual - 1,
+    );
   });
   return errors.sort((one, other) => one - other)[100];
 }
@@ -55,11 +59,13 @@
 ): PrefillSpeed {
   const speed = new PrefillSpeed();
   for (let count = 0; count < PROMPTS; count++) {
-    const { promptTokens, kept } = randomPrompt(random);
+    const { promptTokens, keptTokens } = randomPrompt(random);
     speed.record({
       promptTokens,
-      keptTokens: kept,
-      milliseconds: distort(actualMilliseconds(engine, promptTokens, kept)),
+      keptTokens,
+      milliseconds: distort(
+        actualMilliseconds(engine, promptTokens, keptTokens),
+      ),
     });
   }
   return speed;
@@ -67,7 +73,7 @@
 
 describe("PrefillSpeed", () => {
   // Engines of an unknown kind. Predicted at the speed of another kind, answers
-  // would be late, or callers rejected while engines are idle.
+  // would be late, or callers refused while engines are idle.
   for (const tokensPerMillisecond of [20, 61, 140, 310, 1_000]) {
     const engine = { tokensPerMillisecond, callMilliseconds: 4 };
 
@@ -96,9 +102,9 @@
     const engine = { tokensPerMillisecond: 20, callMilliseconds: 4 };
     const speed = new PrefillSpeed();
     for (let count = 0; count < 12; count++) {
-      const { promptTokens, kept } = randomPrompt(random);
-      const milliseconds = actualMilliseconds(engine, promptTokens, kept);
-      speed.record({ promptTokens, keptTokens: kept, milliseconds });
+      const { promptTokens, keptTokens } = randomPrompt(random);
+      const milliseconds = actualMilliseconds(engine, promptTokens, keptTokens);
+      speed.record({ promptTokens, keptTokens, milliseconds });
     }
     expect(medianError(speed, engine, random)).to.be.below(MAX_MEDIAN_ERROR);
   });
@@ -125,8 +131,8 @@
     expect(speed.costs).to.equal(costs);
     const random = seededRandom(404);
     for (let count = 0; count < 41; count++) {
-      const { promptTokens, kept } = randomPrompt(random);
-      speed.record({ promptTokens, keptTokens: kept, milliseconds: 100 });
+      const { promptTokens, keptTokens } = randomPrompt(random);
+      speed.record({ promptTokens, keptTokens, milliseconds: 100 });
     }
     expect(speed.costs).to.not.equal(costs);
   });
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -118,9 +118,9 @@
       readonly targetMilliseconds: number;
     },
   ): boolean {
-    const { prefill: reading } = this.#options.estimates.forPool(pool.name);
+    const { prefill } = this.#options.estimates.forPool(pool.name);
     const inlineMilliseconds = DECODE_ENGINE_PREFILL_SLOWDOWN *
-      reading.predictWorkMilliseconds(prompt.inputTokens, 0);
+      prefill.predictWorkMilliseconds(prompt.inputTokens, 0);
     return inlineMilliseconds >
       MAX_INLINE_PREFILL_TARGET_SHARE * targetMilliseconds;
   }
@@ -153,12 +153,12 @@
   }
 
   /**
-   * Decode engines whose load is refreshed before an answer is placed. `keptIn`
-   * is the zone of the prompt's cache.
+   * Decode engines whose load is refreshed before an answer is placed.
+   * `cacheZone` is the zone of the prompt's cache.
    */
   decodeEnginesToRefresh(
     engines: readonly RegisteredEndpoint[],
-    { cacheZone: cacheZone }: { readonly cacheZone?: AvailabilityZoneId },
+    { cacheZone }: { readonly cacheZone?: AvailabilityZoneId },
   ): readonly RegisteredEndpoint[] {
     const { availabilityZone, outcomes, random } = this.#options;
     return sampleDecodeEngines(outcomes.filterHealthy(engines), {
@@ -229,13 +229,13 @@
     const { estimates, load, prefixes, slowness } = this.#options;
     const { pool, prompt, sources } = options;
     const slowdown = slowness.factor(endpoint.id);
-    const { prefill: reading } = estimates.forPool(pool.name);
+    const { prefill } = estimates.forPool(pool.name);
     const keptTokens = prefixes.keptTokens(endpoint.id, prompt.parts);
     const openWork = load.total(endpoint.id);
     const plan = fastestPrefillPlan(prompt, {
       endpoint,
       pool,
-      speed: reading,
+      speed: prefill,
       keptTokens,
       sources,
     });
@@ -247,8 +247,8 @@
       workMilliseconds,
       backlogMilliseconds,
       predictedMilliseconds: backlogMilliseconds + workMilliseconds +
-        reading.costs.callMilliseconds,
-      slowdown: slowdown,
+        prefill.costs.callMilliseconds,
+      slowdown,
       openRequests: openWork.requests,
     };
   }
@@ -267,19 +267,21 @@
   ): DecodeChoice | undefined {
     const { estimates, load, outcomes, prefixes, random } = this.#options;
     const {
-      cacheZone: keptIn,
+      cacheZone,
       pool,
       prompt,
-      requiresCapacity: withRoom = false,
+      requiresCapacity = false,
     } = options;
     const decodeEngines = engines.filter((engine) => engine.role !== "prefill");
     const tokens = prompt.inputTokens + prompt.mostOutputTokens;
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
     for (const endpoint of outcomes.filterHealthy(decodeEngines)) {
-      if (withRoom && !hasCapacity(endpoint, { load, pool, tokens })) continue;
-      const isOtherZone = keptIn !== undefined &&
-        endpoint.availabilityZone !== keptIn;
+      if (requiresCapacity && !hasCapacity(endpoint, { load, pool, tokens })) {
+        continue;
+      }
+      const isOtherZone = cacheZone !== undefined &&
+        endpoint.availabilityZone !== cacheZone;
       const cost = load.total(endpoint.id).requests +
         (isOtherZone ? CROSS_ZONE_HANDOVER_SLOTS : 0) +
         TIE_BREAK_JITTER_SLOTS * random();
@@ -292,7 +294,7 @@
     return {
       endpoint: best,
       work: {
-        milliseconds: keptIn !== undefined
+        milliseconds: cacheZone !== undefined
           ? 0
           : DECODE_ENGINE_PREFILL_SLOWDOWN *
             estimates.forPool(pool.name).prefill.predictWorkMilliseconds(
@@ -313,7 +315,7 @@
  * Predicted transfer time of the prompt's cache. Decode engines are few, so
  * most transfers cross zones. With an unknown link speed the transfer counts as
  * zero and becomes part of the learned handover time; taken as infinite, it
- * would cause every long prompt to be rejected.
+ * would cause every long prompt to be refused.
  */
 function handoverTransferMilliseconds(
   prompt: Prompt,
--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -54,7 +54,7 @@
     placement.choosePrefill(PROMPT, { engines, pool: ENGINE_POOL });
 
   // The link speed of the engines is not configured. If the transfer counted as
-  // infinite, every long prompt would be rejected while all engines are idle.
+  // infinite, every long prompt would be refused while all engines are idle.
   it("predicts a finite handover where the link speed is unknown", () => {
     const { engine } = ENGINE_POOL;
     const pool = makePool({
@@ -73,11 +73,11 @@
       }
     }
 
-    const chooseDecode = (pool = ENGINE_POOL, withRoom = true) =>
+    const chooseDecode = (pool = ENGINE_POOL, requiresCapacity = true) =>
       placement.chooseDecode([decodeEngine], {
         prompt: PROMPT,
         pool,
-        requiresCapacity: withRoom,
+        requiresCapacity,
       });
 
     // An engine queues a few requests itself and starts them as others end.
--- a/src/core/forwarding/requests.ts
+++ b/src/core/forwarding/requests.ts
@@ -1,4 +1,4 @@
-/** Requests and answer heads on the forwarding path. */
+/** Requests and response heads on the forwarding path. */
 import type {
   EndpointId,
   ModelName,
@@ -39,7 +39,7 @@
   readonly prompt: Prompt | undefined;
 }
 
-/** Key-value cache of a prompt that an engine keeps for a hand-over. */
+/** Key-value cache of a prompt that an engine keeps for a handover. */
 export interface PrefilledPrompt {
   readonly engine: EndpointId;
   /** Run of the engine that keeps the cache; a later run does not have it. */
@@ -57,7 +57,7 @@
   readonly deadlineMilliseconds: number;
   /** 0 is admitted first, 9 last. */
   readonly priority?: number;
-  /** Process only the prompt and keep its cache for a hand-over. */
+  /** Only prefill the prompt and keep its cache for a handover. */
   readonly prefillOnly?: boolean;
   readonly prefilledPrompt?: PrefilledPrompt;
   /** `host:port` of an engine from which cached parts are fetched first. */
@@ -65,7 +65,7 @@
   readonly lastEventId?: string;
 }
 
-/** The decoded head of an endpoint's answer. */
+/** The decoded head of an endpoint's response. */
 export interface ResponseHead {
   readonly status: number;
   /** Alternating names and values, without hop-by-hop headers. */
--- a/src/core/forwarding/roles/role_demand.ts
+++ b/src/core/forwarding/roles/role_demand.ts
@@ -44,14 +44,14 @@
     if (samples.length < MIN_SAMPLES) return undefined;
     const answers = samples.map((sample) => sample.answers)
       .sort((one, other) => one - other);
-    const busyReadersSum = samples.reduce(
+    const busyEngineSum = samples.reduce(
       (sum, { busyReaders }) => sum + busyReaders,
       0,
     );
     return {
       answers:
         answers[Math.floor(OPEN_ANSWERS_QUANTILE * (answers.length - 1))],
-      busyReaders: busyReadersSum / samples.length,
+      busyReaders: busyEngineSum / samples.length,
     };
   }
 }
--- a/src/core/forwarding/roles/role_demand_test.ts
+++ b/src/core/forwarding/roles/role_demand_test.ts
@@ -68,7 +68,7 @@
   });
 });
 
-describe("prefillShareFor", () => {
+describe("prefillShareForDemand", () => {
   it("depends on the slots alone while the demand is unknown", () => {
     expect(prefillShareForDemand(engines(29), undefined))
       .to.equal(prefillShareBySlots(engines(29)));
@@ -83,14 +83,17 @@
   });
 
   it("takes no engine from a busy prefill role", () => {
-    const usual = { answers: 160, busyReaders: 5 };
-    expect(prefillShareForDemand(engines(8, 64), usual)).to.equal(0.7);
+    const typical = { answers: 160, busyReaders: 5 };
+    expect(prefillShareForDemand(engines(8, 64), typical)).to.equal(0.7);
   });
 
   it("gives prompts at least half and at most the share by slots", () => {
     for (const answers of [0, 100, 1_000, 100_000]) {
-      const usual = { answers, busyReaders: 0 };
-      expect(prefillShareForDemand(engines(10), usual)).to.be.within(0.5, 0.7);
+      const typical = { answers, busyReaders: 0 };
+      expect(prefillShareForDemand(engines(10), typical)).to.be.within(
+        0.5,
+        0.7,
+      );
     }
   });
 });
--- a/src/core/forwarding/roles/role_plan_test.ts
+++ b/src/core/forwarding/roles/role_plan_test.ts
@@ -35,7 +35,7 @@
   });
 
   // All prefill engines are in one zone. When that zone fails, every long
-  // prompt would be rejected until roles have changed.
+  // prompt would be refused until roles have changed.
   it("picks engines of the zone that has none of the role", () => {
     const changes = planHalfPrefill([
       engineInZone("a", "prefill", "one"),
@@ -111,7 +111,7 @@
   });
 
   // Every prefill engine is lost. Without a change each long prompt would be
-  // rejected until they are back.
+  // refused until they are back.
   it("replaces a role that has no engine left", () => {
     const engines = ["d", "e"].map((id) => makeEngine(id, "decode"));
     const changes = planRoles({
@@ -135,7 +135,7 @@
   });
 });
 
-describe("prefillShareOf", () => {
+describe("prefillShareBySlots", () => {
   function engines(count: number, slots: number) {
     return Array.from(
       { length: count },
--- a/src/core/forwarding/route_table_test.ts
+++ b/src/core/forwarding/route_table_test.ts
@@ -31,7 +31,7 @@
   });
 });
 
-describe("drawPool", () => {
+describe("selectPool", () => {
   const route = makeRoute({
     shares: [
       { pool: identifier<ServiceName>("most"), weight: 90 },
--- a/src/core/forwarding/store/topic_reader.ts
+++ b/src/core/forwarding/store/topic_reader.ts
@@ -163,12 +163,12 @@
 
   #applyRead(read: KeyedRecords, from: number | undefined): void {
     const {
-      onReadSucceeded: onReached,
+      onReadSucceeded,
       onRecords,
       onSnapshot,
       pauseMilliseconds,
     } = this.#options;
-    onReached({ lost: this.#failures > 0 });
+    onReadSucceeded({ lost: this.#failures > 0 });
     this.#failures = 0;
     this.#position = read.next;
     if (from === undefined) onSnapshot(read.records);
--- a/src/core/forwarding/usage/usage_ledger.ts
+++ b/src/core/forwarding/usage/usage_ledger.ts
@@ -9,7 +9,7 @@
 export type WorkspaceCounts = ReadonlyMap<WorkspaceId, number>;
 
 /** Identifies one run of an entry; a restarted entry counts from 0 again. */
-export type EntryRunName = string;
+export type EntryRunId = string;
 
 /** The counts of a run in one window, as sent to peers. */
 export type WindowCounts = readonly [
@@ -31,7 +31,7 @@
 }
 
 export interface UsageLedgerOptions {
-  readonly self: EntryRunName;
+  readonly self: EntryRunId;
   readonly windowMilliseconds: number;
   /** Time from which this run counts, Unix milliseconds of the fleet clock. */
   readonly since: number;
@@ -44,7 +44,7 @@
  */
 export class UsageLedger {
   readonly #options: UsageLedgerOptions;
-  readonly #runs = new Map<EntryRunName, RunCounts>();
+  readonly #runs = new Map<EntryRunId, RunCounts>();
   /**
    * Windows of this run whose counts have changed since they were last sent.
    */
@@ -84,7 +84,7 @@
 
   /** Merges the counts of a peer's run, which are complete up to `until`. */
   mergePeerCounts(
-    run: EntryRunName,
+    run: EntryRunId,
     counted: {
       readonly since: number;
       readonly until: number;
@@ -117,7 +117,7 @@
   /**
    * Returns whether the run's counts are known up to `time`, Unix milliseconds.
    */
-  isKnownUntil(run: EntryRunName, time: number): boolean {
+  isKnownUntil(run: EntryRunId, time: number): boolean {
     return (this.#runs.get(run)?.until ?? -Infinity) >= time;
   }
 
@@ -155,11 +155,11 @@
     }
   }
 
-  #run(name: EntryRunName, since: number): RunCounts {
-    let run = this.#runs.get(name);
+  #run(id: EntryRunId, since: number): RunCounts {
+    let run = this.#runs.get(id);
     if (run === undefined) {
       run = { since, until: -Infinity, windows: new Map() };
-      this.#runs.set(name, run);
+      this.#runs.set(id, run);
     }
     run.since = Math.min(run.since, since);
     return run;
--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -53,8 +53,8 @@
     this.#sentAt = parts.timer.now();
     this.#knownCrashes = context.knownCrashes;
     this.endpoint = endpoint;
-    const ticket = parts.load.started(endpoint.id, plan.work);
-    this.#endWork = () => ticket.end();
+    const workHandle = parts.load.started(endpoint.id, plan.work);
+    this.#endWork = () => workHandle.end();
     parts.outcomes.started(endpoint.id);
     parts.link.recordSent(request.body.length + REQUEST_HEAD_BYTES);
     const exchange = parts.endpointClient.send(request, {
@@ -155,12 +155,11 @@
       return outcomes.recordRefusedConnection(id);
     }
     outcomes.recordResponse(id);
-    const { notExecuted: notRun, retryAfterMilliseconds, status } =
-      result.value.head;
+    const { notExecuted, retryAfterMilliseconds, status } = result.value.head;
     if (retryAfterMilliseconds !== undefined) {
       return this.#recordOverload(retryAfterMilliseconds);
     }
-    if (!notRun) return;
+    if (!notExecuted) return;
     if (status === MISDIRECTED_STATUS) outcomes.recordMisdirected(id);
     else outcomes.recordRejection(id);
   }
--- a/src/entry/forwarding/crashing_requests_test.ts
+++ b/src/entry/forwarding/crashing_requests_test.ts
@@ -29,7 +29,7 @@
 interface CrashScenarioOptions
   extends Pick<CrashingReplicasOptions, "keepsId"> {
   readonly entries?: number;
-  readonly lostShare?: number;
+  readonly lossRate?: number;
   readonly route?: Partial<Route>;
   /** True: long prompts, which one engine prefills and another decodes. */
   readonly isPrompt?: boolean;
@@ -45,13 +45,13 @@
   #count = 0;
 
   constructor(options: CrashScenarioOptions = {}) {
-    const { entries = 5, isPrompt = false, keepsId, lostShare } = options;
+    const { entries = 5, isPrompt = false, keepsId, lossRate } = options;
     this.#isPrompt = isPrompt;
     const pool = isPrompt ? ENGINES : PORTAL;
     this.fleet = new EntryFleet({
       entries,
       zones: 1,
-      lossRate: lostShare,
+      lossRate,
       configuration: makeConfiguration({
         routes: [makeRoute({
           shares: [{ pool, weight: 1 }],
@@ -212,13 +212,13 @@
 
   describe("in a large fleet", () => {
     it("is known to all entries even if datagrams are lost", async () => {
-      const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
+      const scenario = new CrashScenario({ entries: 68, lossRate: 0.1 });
       await scenario.retry(30);
       expectFewRetries(scenario);
     });
 
     it("is known to all entries even if retries arrive quickly", async () => {
-      const scenario = new CrashScenario({ entries: 68, lostShare: 0.1 });
+      const scenario = new CrashScenario({ entries: 68, lossRate: 0.1 });
       await scenario.retry(60, 100);
       expectFewRetries(scenario);
     });
--- a/src/entry/forwarding/endpoint_signals_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -41,7 +41,7 @@
  * their response heads.
  */
 class SignalScenario {
-  readonly bench: ForwardingHarness;
+  readonly harness: ForwardingHarness;
   /** Additions to the response head of each replica. */
   readonly heads = new Map<string, Partial<ResponseHead>>();
   readonly #valuesOf: (count: number) => Partial<ForwardedRequest>;
@@ -50,11 +50,11 @@
   constructor(options: SignalScenarioOptions = {}) {
     const { endpoints = portals(), route, valuesOf = () => ({}) } = options;
     this.#valuesOf = valuesOf;
-    this.bench = new ForwardingHarness(
+    this.harness = new ForwardingHarness(
       makeConfiguration({ routes: [makeRoute(route)] }),
     );
-    for (const each of endpoints) this.bench.parts.registry.upsert(each);
-    this.bench.onSend = (attempt) => void this.#answer(attempt);
+    for (const each of endpoints) this.harness.parts.registry.upsert(each);
+    this.harness.onSend = (attempt) => void this.#answer(attempt);
   }
 
   /**
@@ -62,19 +62,19 @@
    * sent to.
    */
   async run(milliseconds: number): Promise<string[]> {
-    const before = this.bench.sent.length;
+    const before = this.harness.sent.length;
     for (let at = 0; at < milliseconds; at += STEP_MILLISECONDS) {
       await this.ask();
-      await this.bench.timer.advance(STEP_MILLISECONDS);
+      await this.harness.timer.advance(STEP_MILLISECONDS);
     }
-    return this.bench.sent.slice(before)
+    return this.harness.sent.slice(before)
       .map(({ options }) => String(options.endpoint));
   }
 
   async ask() {
     this.#count += 1;
     const id = identifier<RequestId>(`request-${this.#count}`);
-    return await this.bench.submit(
+    return await this.harness.submit(
       makeRequest({ id, ...this.#valuesOf(this.#count) }),
     );
   }
@@ -114,8 +114,8 @@
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
-      setup.bench.parts.registry.upsert(makeEndpoint("a"));
-      setup.bench.parts.registry.replaceAll(
+      setup.harness.parts.registry.upsert(makeEndpoint("a"));
+      setup.harness.parts.registry.replaceAll(
         portals(),
       );
       expect(await setup.run(1_000)).not.to.include("a");
@@ -125,15 +125,15 @@
       const setup = new SignalScenario();
       const startedAt = numbered<ReplicaStartTime>(7);
       const endpoint = makeEndpoint("a", { startedAt });
-      const { registry } = setup.bench.parts;
-      setup.bench.onSend = undefined;
+      const { registry } = setup.harness.parts;
+      setup.harness.onSend = undefined;
       registry.replaceAll([endpoint]);
       await setup.ask();
       registry.remove(endpoint.id);
-      await setup.bench.sent[0].respond("done", { leaving: true });
+      await setup.harness.sent[0].respond("done", { leaving: true });
       registry.upsert(endpoint);
       const caller = await setup.ask();
-      expect(setup.bench.sent).to.have.length(1);
+      expect(setup.harness.sent).to.have.length(1);
       expect(caller.status).to.equal(503);
     });
 
@@ -157,7 +157,7 @@
       await setup.run(1_000);
       setup.heads.clear();
       const startedAt = numbered<ReplicaStartTime>(7);
-      setup.bench.parts.registry.upsert(makeEndpoint("a", { startedAt }));
+      setup.harness.parts.registry.upsert(makeEndpoint("a", { startedAt }));
       expect(await setup.run(1_000)).to.include("a");
     });
 
@@ -198,7 +198,7 @@
       await setup.run(200);
       setup.heads.clear();
       expect(await setup.run(2_500)).to.deep.equal([]);
-      await setup.bench.timer.advance(500);
+      await setup.harness.timer.advance(500);
       expect(new Set(await setup.run(1_000))).to.have.keys(REPLICAS);
     });
 
@@ -223,16 +223,17 @@
       const setup = new SignalScenario();
       for (const id of REPLICAS) setup.heads.set(id, overloadedFor(3_000));
       await setup.run(200);
-      const sentBefore = setup.bench.sent.length;
+      const sentBefore = setup.harness.sent.length;
       const { refusal } = await setup.ask();
       expect(refusal?.status).to.equal(503);
       expect(refusal?.retryAfterMilliseconds).to.be.within(2_700, 3_300);
-      expect(setup.bench.sent).to.have.length(sentBefore);
+      expect(setup.harness.sent).to.have.length(sentBefore);
     });
 
     it("is not assumed for replicas that refuse connections", async () => {
       const setup = new SignalScenario();
-      setup.bench.onSend = (attempt) => void attempt.fail("exchange_not_sent");
+      setup.harness.onSend = (attempt) =>
+        void attempt.fail("exchange_not_sent");
       await setup.run(200);
       const { refusal } = await setup.ask();
       expect(refusal?.reason).to.equal("no_endpoint_reachable");
@@ -245,7 +246,7 @@
       setup.heads.clear();
       const caller = await setup.ask();
       expect(caller.status).to.equal(undefined);
-      await setup.bench.timer.advance(500);
+      await setup.harness.timer.advance(500);
       expect(caller.status).to.equal(200);
     });
 
@@ -267,25 +268,27 @@
       const setup = promptScenario();
       for (const id of ["d1", "d2"]) setup.heads.set(id, overloadedFor(9_000));
       await setup.run(500);
-      const sentBefore = setup.bench.sent.length;
+      const sentBefore = setup.harness.sent.length;
       const { refusal } = await setup.ask();
       expect(refusal?.status).to.equal(503);
-      expect(setup.bench.sent).to.have.length(sentBefore);
+      expect(setup.harness.sent).to.have.length(sentBefore);
     });
 
     it("delays the release of a cached prompt at the engine", async () => {
-      const { bench } = promptScenario();
-      const run = bench.submit(makeRequest({ prompt: makePrompt("subject") }));
-      bench.onSend = undefined;
+      const { harness } = promptScenario();
+      const run = harness.submit(
+        makeRequest({ prompt: makePrompt("subject") }),
+      );
+      harness.onSend = undefined;
       await run;
-      const [reading] = bench.sent;
-      await reading.respond("handle");
-      bench.parts.outcomes.recordOverload(reading.options.endpoint, 3_000);
+      const [prefill] = harness.sent;
+      await prefill.respond("handle");
+      harness.parts.outcomes.recordOverload(prefill.options.endpoint, 3_000);
       (await run).disconnect();
-      await bench.timer.advance(2_900);
-      expect(bench.released).to.deep.equal([]);
-      await bench.timer.advance(200);
-      expect(bench.released).to.deep.equal(["handle"]);
+      await harness.timer.advance(2_900);
+      expect(harness.released).to.deep.equal([]);
+      await harness.timer.advance(200);
+      expect(harness.released).to.deep.equal(["handle"]);
     });
   });
 });
--- a/src/entry/forwarding/forwarding_dependencies.ts
+++ b/src/entry/forwarding/forwarding_dependencies.ts
@@ -41,7 +41,7 @@
   readonly estimates: EngineEstimates;
   readonly slowness: EngineSlowness;
   readonly retryBudget: SharedRetryBudget;
-  /** Requests under which endpoints have crashed. */
+  /** Requests that endpoints have crashed on. */
   readonly crashes: CrashTracker;
   readonly returningCallers: ReturningCallers;
   /** Prefills that this entry has started for responses within their target. */
@@ -56,7 +56,7 @@
   readonly isLoadStale: () => boolean;
   /** Refreshes the load of these endpoints from their owners. */
   readonly refreshLoad: (endpoints: readonly EndpointId[]) => Promise<void>;
-  /** Send queue of this entry's network link. */
+  /** Estimated backlog of this entry's network link. */
   readonly link: LinkBacklog;
   /** Event loop delay of this process, in milliseconds. */
   readonly loopDelayMilliseconds: () => number;
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -104,7 +104,7 @@
   >;
   /** How to query peers while the store is unreachable. */
   readonly peerStateFallback: Pick<PeerStateFallbackOptions, "ask" | "peers">;
-  /** The endpoint's connections are no longer needed. */
+  /** Called when the connections to an address are no longer needed. */
   readonly onEndpointRemoved: (address: string) => void;
   /** Records that a peer has read this span of the registrations. */
   readonly recordPeerRead: (span: TopicRange) => PeerReadResult;
@@ -136,7 +136,7 @@
   readonly #options: ForwardingEntryOptions;
   readonly #parts: ForwardingDependencies;
   readonly #roleController: RoleController | undefined;
-  readonly #usage: UsageReporter | undefined;
+  readonly #usageReporter: UsageReporter | undefined;
   readonly #survey: PrefixCacheSurvey;
   readonly #loadQueries: LoadQueries;
   readonly #startedAt: number;
@@ -151,7 +151,7 @@
     const prefixes = new PrefixDirectory();
     const estimates = new EngineEstimates();
     const slowness = new EngineSlowness(timer);
-    const returning = new ReturningCallers(timer);
+    const returningCallers = new ReturningCallers(timer);
     const crashes = new CrashTracker({
       timer,
       onBlocked: (blocked, { isOwn }) => {
@@ -210,7 +210,7 @@
       send: (peer, notification) => this.peers.sendTo(peer, notification),
       onOutcome: options.onLoadQuery,
     });
-    this.#usage = options.usage && new UsageReporter({
+    this.#usageReporter = options.usage && new UsageReporter({
       ...options.usage,
       self,
       incarnation: options.incarnation,
@@ -222,7 +222,7 @@
       send: (peer, notification) => this.peers.sendTo(peer, notification),
       broadcast: (method, params) => this.peers.broadcast(method, params),
     });
-    const clock = this.#usage?.clock;
+    const clock = this.#usageReporter?.clock;
     this.peers = new PeerExchange({
       ...options,
       ...(clock &&
@@ -232,7 +232,7 @@
       owners,
       prefixes,
       estimates,
-      returning,
+      returningCallers,
       crashes,
       version: () => this.configuration?.version,
       onVersion: (version) => this.peerStateFallback.onPeerVersion(version),
@@ -292,7 +292,7 @@
         ...options.retry,
         entries: () => this.entriesSharingLimits,
       }),
-      returningCallers: returning,
+      returningCallers,
       crashes,
       onTimeWork: new WorkRate(timer),
       held: new HeldPromptQueue(timer),
@@ -306,7 +306,8 @@
       observe: options.observe,
       routes: () => this.#routes,
       reportLeaving: (run) => this.registrationSync.reportLeaving(run),
-      noteStarted: (workspace, at) => this.#usage?.noteStarted(workspace, at),
+      noteStarted: (workspace, at) =>
+        this.#usageReporter?.noteStarted(workspace, at),
       isChanging: (endpoint) =>
         this.#roleController?.isChanging(endpoint) ?? false,
     };
@@ -341,7 +342,7 @@
    * reports.
    */
   get usageFencing(): number | undefined {
-    return this.#usage?.fencing;
+    return this.#usageReporter?.fencing;
   }
 
   /** Open work of all entries at the endpoint. */
@@ -358,7 +359,7 @@
   start(): void {
     this.peers.start();
     this.#roleController?.start();
-    this.#usage?.start();
+    this.#usageReporter?.start();
     this.peerStateFallback.start();
   }
 
@@ -372,7 +373,7 @@
   }
 
   close(): void {
-    this.#usage?.stop();
+    this.#usageReporter?.stop();
     this.peers.stop();
     this.peerStateFallback.stop();
   }
@@ -406,7 +407,7 @@
     if (method === WORK_METHOD) this.peers.onWork(params);
     if (method === CRASHES_METHOD) this.peers.onCrashes(params);
     if (method === USAGE_METHOD || method === USAGE_REPORTS_METHOD) {
-      this.#usage?.onNotification(method, params);
+      this.#usageReporter?.onNotification(method, params);
     }
     if (method === LOAD_QUERY_METHOD) this.#loadQueries.onQuery(params);
     if (method === LOAD_ANSWER_METHOD) this.#loadQueries.onAnswer(params);
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -41,7 +41,7 @@
   {
     position = 0,
     timer = new ManualTimerService(),
-    onEndpointGone = () => {},
+    onEndpointRemoved = () => {},
   } = {},
 ): ForwardingEntry[] {
   const entries: ForwardingEntry[] = Array.from(
@@ -79,7 +79,7 @@
               err({ name: "link_lost", title: "", message: "", hint: "" }),
             ),
         },
-        onEndpointRemoved: onEndpointGone,
+        onEndpointRemoved,
         roles: { link: SILENT_ROLE_LINK, leaseMilliseconds: 3_000 },
         recordPeerRead: ({ from, to }) => {
           if (position > to) return "older";
@@ -98,16 +98,16 @@
 }
 
 /** Every component with state per endpoint; add new ones here. */
-const ENDPOINT_MEMORIES = {
+const STATE_HOLDERS = {
   "open work": FleetLoad,
-  "kept prompts": PrefixDirectory,
+  "cached prefixes": PrefixDirectory,
   outcomes: EndpointAvailability,
   slowness: EngineSlowness,
   crashes: CrashTracker,
   orders: RoleController,
 } as const;
-const ENDPOINT_MEMORY_NAMES = [
-  ...Object.keys(ENDPOINT_MEMORIES),
+const STATE_HOLDER_NAMES = [
+  ...Object.keys(STATE_HOLDERS),
   "connections",
 ];
 
@@ -115,10 +115,9 @@
  * Calls back when the component forgets an endpoint; returns a function that
  * removes the spy.
  */
-function spyOnForget(part: string, onForget: () => void): () => void {
-  if (!(part in ENDPOINT_MEMORIES)) return () => {};
-  const { prototype } =
-    ENDPOINT_MEMORIES[part as keyof typeof ENDPOINT_MEMORIES];
+function spyOnForget(holder: string, onForget: () => void): () => void {
+  if (!(holder in STATE_HOLDERS)) return () => {};
+  const { prototype } = STATE_HOLDERS[holder as keyof typeof STATE_HOLDERS];
   const { forget } = prototype;
   prototype.forget = function (...given: Parameters<typeof forget>) {
     onForget();
@@ -228,20 +227,20 @@
       refusals: [],
     });
 
-    for (const memory of ENDPOINT_MEMORY_NAMES) {
-      it(`is forgotten by ${memory}`, () => {
+    for (const holder of STATE_HOLDER_NAMES) {
+      it(`is forgotten by ${holder}`, () => {
         const forgotten: string[] = [];
-        const restore = spyOnForget(memory, () => forgotten.push(memory));
+        const restore = spyOnForget(holder, () => forgotten.push(holder));
         try {
           const [entry] = makeEntries(1, {
-            onEndpointGone: () => forgotten.push("connections"),
+            onEndpointRemoved: () => forgotten.push("connections"),
           });
           entry.registry.upsert(first);
           entry.registry.upsert(second);
         } finally {
           restore();
         }
-        expect(forgotten).to.include(memory);
+        expect(forgotten).to.include(holder);
       });
     }
 
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -34,6 +34,7 @@
  * itself.
  */
 const MAX_RELEASE_DELAY_MILLISECONDS = 5_000;
+
 /** Outcome of a handover. */
 export type HandoverOutcome =
   | { readonly kind: "kept"; readonly kept: PrefilledPrompt }
@@ -55,7 +56,7 @@
   facts: {},
 };
 
-/** Endpoints crashed under the request while it was waiting. */
+/** Endpoints crashed on the request while it was waiting. */
 const CRASHES_ENDPOINTS: HandoverOutcome = {
   kind: "refused",
   reason: "crashes_endpoints",
@@ -178,8 +179,8 @@
     const kept = this.#kept;
     this.#kept = undefined;
     if (kept === undefined) return;
-    const { endpointClient: door, outcomes, timer } = this.#context.parts;
-    const free = () => door.release(kept.address, kept.handle);
+    const { endpointClient, outcomes, timer } = this.#context.parts;
+    const free = () => endpointClient.release(kept.address, kept.handle);
     const wait = outcomes.remainingOverloadMilliseconds(kept.engine);
     if (wait === 0) return free();
     if (wait <= MAX_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
@@ -196,8 +197,8 @@
       readonly took: number;
     },
   ): void {
-    const { endpoint, predictedMilliseconds, slowdown: slowness } = choice;
-    const predicted = predictedMilliseconds / slowness;
+    const { endpoint, predictedMilliseconds, slowdown } = choice;
+    const predicted = predictedMilliseconds / slowdown;
     if (outcome.kind === "failed" && took < predicted) return;
     const { parts } = this.#context;
     if (!parts.registry.isSameRun(endpoint)) return;
--- a/src/entry/forwarding/large_fleet_test.ts
+++ b/src/entry/forwarding/large_fleet_test.ts
@@ -75,11 +75,11 @@
   readonly #random = seededRandom(7);
   #lastId = 0;
 
-  constructor(lostShare = 0) {
+  constructor(lossRate = 0) {
     this.fleet = new EntryFleet({
       entries: ENTRIES,
       zones: ZONES,
-      lossRate: lostShare,
+      lossRate,
       configuration: makeConfiguration({
         routes: [
           route({ name: "summary", pathPrefix: "/summary/" }),
@@ -145,10 +145,10 @@
     return this.#random() < perSecond / 1_000;
   }
 
-  #ask(kind: "summary" | "urgent", waits: ResponseTimes): void {
+  #ask(kind: "summary" | "urgent", times: ResponseTimes): void {
     const { timer } = this.fleet;
     const at = timer.now();
-    waits.asked += 1;
+    times.asked += 1;
     this.#lastId += 1;
     const isSummary = kind === "summary";
     const sink = this.fleet.submit(
@@ -164,7 +164,7 @@
     );
     const { head } = sink;
     sink.head = (...given: Parameters<RecordingSink["head"]>) => {
-      waits.answeredAfter(timer.now() - at);
+      times.answeredAfter(timer.now() - at);
       head.apply(sink, given);
     };
   }
@@ -191,8 +191,8 @@
     expect(large.summaries.within(TARGET_MILLISECONDS)).to.be.at.least(0.9);
   }).timeout(60_000);
 
-  // Some entries freeze that own a tenth of the engines' load. The others time
-  // out on queries to them a few times and then use the reports.
+  // The partitioned entries own the load of a tenth of the engines. Queries to
+  // them time out a few times, and then the other entries use the reports.
   it("degrades little when several entries are partitioned at once", async () => {
     const large = new LargeFleet();
     await large.fleet.timer.advance(2_500);
--- a/src/entry/forwarding/load_queries.ts
+++ b/src/entry/forwarding/load_queries.ts
@@ -24,8 +24,8 @@
 export const LOAD_ANSWER_METHOD = "entry.loadAnswer";
 
 /**
- * Timeout of a query to an owner. An owner that is frozen or partitioned must
- * not delay requests.
+ * Timeout of a query to an owner. An owner that is suspended or partitioned
+ * must not delay requests.
  */
 const ANSWER_TIMEOUT_MILLISECONDS = 6;
 
--- a/src/entry/forwarding/load_queries_test.ts
+++ b/src/entry/forwarding/load_queries_test.ts
@@ -29,7 +29,7 @@
 class Member {
   readonly load: FleetLoad;
   readonly owners: LoadOwners;
-  readonly questions: LoadQueries;
+  readonly queries: LoadQueries;
   readonly outcomes: LoadQueryOutcome[] = [];
 
   constructor(
@@ -41,7 +41,7 @@
     this.owners = new LoadOwners({ self: name, timer });
     const registry = new EndpointRegistry({ timer });
     registry.upsert(ENGINE);
-    this.questions = new LoadQueries({
+    this.queries = new LoadQueries({
       self: name,
       timer,
       registry,
@@ -65,9 +65,9 @@
     const sent = intercept(JSON.parse(JSON.stringify(params)));
     if (sent === undefined) return;
     timer.after(ONE_WAY_MILLISECONDS, () => {
-      const { questions } = members.get(peer) as Member;
-      if (method === LOAD_QUERY_METHOD) questions.onQuery(sent);
-      if (method === LOAD_ANSWER_METHOD) questions.onAnswer(sent);
+      const { queries } = members.get(peer) as Member;
+      if (method === LOAD_QUERY_METHOD) queries.onQuery(sent);
+      if (method === LOAD_ANSWER_METHOD) queries.onAnswer(sent);
     });
   }
 
@@ -95,7 +95,7 @@
   async function ask(member = asker): Promise<number> {
     const before = timer.now();
     let took = -1;
-    void member.questions.refresh([ENGINE.id]).then(() => {
+    void member.queries.refresh([ENGINE.id]).then(() => {
       took = timer.now() - before;
     });
     await timer.advance(20);
@@ -126,8 +126,8 @@
     expect(await ask(owner)).to.equal(0);
   });
 
-  // The owner is frozen. A request that waits for its answer is delayed by it,
-  // and so are all requests behind it.
+  // The owner is suspended. Waiting for its answer delays the request and all
+  // requests behind it.
   it("waits for a few milliseconds, and not at all after three timeouts", async () => {
     intercept = () => undefined;
     expect(await ask()).to.equal(6);
--- a/src/entry/forwarding/network_interfaces.ts
+++ b/src/entry/forwarding/network_interfaces.ts
@@ -26,7 +26,7 @@
   readonly head: ResponseHead;
   /** Streams the body in chunks; call once. */
   read(
-    onPiece: (piece: Buffer) => void,
+    onChunk: (chunk: Buffer) => void,
     onEnd: (end: BodyEnd) => void,
   ): void;
   pause(): void;
@@ -66,7 +66,7 @@
   readonly isDisconnected: boolean;
   head(status: number, headers: readonly string[]): void;
   /** False while the caller reads slowly; `onDrain` signals when to resume. */
-  write(piece: Buffer): boolean;
+  write(chunk: Buffer): boolean;
   finish(): void;
   /** Aborts the response, so that it does not look complete. */
   abort(): void;
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -46,7 +46,7 @@
  * engines and three decode engines.
  */
 class OverloadScenario {
-  readonly bench: ForwardingHarness;
+  readonly harness: ForwardingHarness;
   readonly engines: SimulatedEngines;
   readonly summaries = noOutcomes();
   readonly urgent = noOutcomes();
@@ -57,7 +57,7 @@
     const { estimates, targetMilliseconds = TARGET_MILLISECONDS } = options;
     this.#targetMilliseconds = targetMilliseconds;
     const shares = [{ pool: ENGINES, weight: 1 }];
-    this.bench = new ForwardingHarness(
+    this.harness = new ForwardingHarness(
       makeConfiguration({
         routes: [
           makeRoute({
@@ -81,8 +81,8 @@
       }),
       { estimates },
     );
-    this.engines = new SimulatedEngines(this.bench, options);
-    const { registry } = this.bench.parts;
+    this.engines = new SimulatedEngines(this.harness, options);
+    const { registry } = this.harness.parts;
     for (let index = 0; index < 10; index++) {
       const role = index < 7 ? "prefill" : "decode";
       registry.upsert(makeEngine(`engine-${index}`, role));
@@ -103,25 +103,25 @@
         Math.floor(step * perSecond / 100);
       for (let index = 0; index < due; index++) await this.#ask("summary");
       if (step % 5 === 0) await this.#ask("urgent");
-      await this.bench.timer.advance(10);
+      await this.harness.timer.advance(10);
     }
-    await this.bench.timer.advance(SUMMARY_DEADLINE_MILLISECONDS);
+    await this.harness.timer.advance(SUMMARY_DEADLINE_MILLISECONDS);
   }
 
   async #ask(kind: "summary" | "urgent"): Promise<void> {
     const outcomes = kind === "summary" ? this.summaries : this.urgent;
-    const at = this.bench.timer.now();
-    const sink = await this.bench.submit(this.#request(kind));
+    const at = this.harness.timer.now();
+    const sink = await this.harness.submit(this.#request(kind));
     const seen = { refused: false, headed: false };
     const check = () => {
       this.#note(sink, {
         outcomes,
-        after: this.bench.timer.now() - at,
+        after: this.harness.timer.now() - at,
         seen,
       });
     };
     check();
-    const polling = this.bench.timer.every(5, () => {
+    const polling = this.harness.timer.every(5, () => {
       check();
       if (seen.headed || seen.refused) polling.cancel();
     });
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -67,7 +67,7 @@
   readonly owners: LoadOwners;
   readonly prefixes: PrefixDirectory;
   readonly estimates: EngineEstimates;
-  readonly returning: ReturningCallers;
+  readonly returningCallers: ReturningCallers;
   readonly crashes: CrashTracker;
   readonly sendToPeers: SendToPeers;
   /** Version of the configuration in force here. */
@@ -111,9 +111,12 @@
 
   /** Interval of the reports to peers, in milliseconds. */
   get #interval(): number {
-    const beyondFew = Math.max(0, this.#addresses.length - SMALL_FLEET_PEERS);
+    const additionalPeers = Math.max(
+      0,
+      this.#addresses.length - SMALL_FLEET_PEERS,
+    );
     return MIN_REPORT_INTERVAL_MILLISECONDS +
-      REPORT_MILLISECONDS_PER_PEER * beyondFew;
+      REPORT_MILLISECONDS_PER_PEER * additionalPeers;
   }
 
   /** True if reports are too infrequent to place work by them alone. */
@@ -192,7 +195,7 @@
       if (isSameRun) prefixes.recordPeerCached(prompt);
     }
     for (const refusal of params.refusals) {
-      this.#options.returning.recordPeer(refusal);
+      this.#options.returningCallers.recordPeer(refusal);
     }
     for (const loss of params.losses ?? []) {
       this.#options.crashes.recordPeerLoss(loss);
@@ -226,13 +229,15 @@
       load,
       prefixes,
       registry,
-      returning,
+      returningCallers,
       timer,
     } = this.#options;
     const now = timer.now();
     const isFull =
       now - this.#lastFullReportAt >= FULL_REPORT_INTERVAL_MILLISECONDS;
-    if (!isFull && !load.hasUnreported && !returning.hasUnreported) return;
+    if (!isFull && !load.hasUnreported && !returningCallers.hasUnreported) {
+      return;
+    }
     if (isFull) this.#lastFullReportAt = now;
     const losses = isFull ? crashes.reports.recentLosses() : [];
     this.broadcast(WORK_METHOD, {
@@ -240,7 +245,7 @@
       version: this.#options.version(),
       work: withRuns(registry, load.report({ whole: isFull })),
       prompts: prefixes.takeUnreported().map(encodePrompt),
-      refusals: returning.takeUnreported(),
+      refusals: returningCallers.takeUnreported(),
       ...(losses.length > 0 && { losses }),
       ...(isFull && {
         speeds: estimates.report(),
--- a/src/entry/forwarding/peer_state_fallback.ts
+++ b/src/entry/forwarding/peer_state_fallback.ts
@@ -68,7 +68,7 @@
  */
 export class PeerStateFallback {
   readonly #options: PeerStateFallbackOptions;
-  #storeReachedAt: number;
+  #storeReadAt: number;
   #polling: Subscription | undefined;
   #isUsingPeer = false;
   #newestPeerVersion = -Infinity;
@@ -76,7 +76,7 @@
 
   constructor(options: PeerStateFallbackOptions) {
     this.#options = options;
-    this.#storeReachedAt = -Infinity;
+    this.#storeReadAt = -Infinity;
   }
 
   start(): void {
@@ -92,7 +92,7 @@
 
   /** Records that the store has returned the current registrations. */
   onStoreRead(): void {
-    this.#storeReachedAt = this.#options.timer.now();
+    this.#storeReadAt = this.#options.timer.now();
     if (!this.#isUsingPeer) return;
     this.#isUsingPeer = false;
     this.#options.logger.info(
@@ -124,7 +124,7 @@
    */
   snapshot(): StreamSnapshot | undefined {
     const configuration = this.#options.configuration();
-    const age = this.#options.timer.now() - this.#storeReachedAt;
+    const age = this.#options.timer.now() - this.#storeReadAt;
     if (configuration === undefined || !Number.isFinite(age)) return undefined;
     const state: ForwardingState = {
       age,
@@ -139,7 +139,7 @@
 
   async #poll(): Promise<void> {
     const { ask, peers, random, timer } = this.#options;
-    const silentMilliseconds = timer.now() - this.#storeReachedAt;
+    const silentMilliseconds = timer.now() - this.#storeReadAt;
     const addresses = peers();
     const needsPeers = silentMilliseconds >= STORE_SILENCE_MILLISECONDS ||
       this.#isBehind;
@@ -149,7 +149,7 @@
     if (answer.isErr()) return;
     // The store may have responded during the query; its data is newer.
     const isCurrent = silentMilliseconds < STORE_SILENCE_MILLISECONDS ||
-      timer.now() - this.#storeReachedAt < silentMilliseconds;
+      timer.now() - this.#storeReadAt < silentMilliseconds;
     this.#apply(answer.value.state, { peer, isCurrent });
   }
 
--- a/src/entry/forwarding/peer_state_fallback_test.ts
+++ b/src/entry/forwarding/peer_state_fallback_test.ts
@@ -17,7 +17,7 @@
 import { PeerStateFallback } from "./peer_state_fallback.ts";
 
 interface EntryNode {
-  readonly relay: PeerStateFallback;
+  readonly fallback: PeerStateFallback;
   readonly registry: EndpointRegistry;
   configuration: ForwardingConfiguration | undefined;
   asked: number;
@@ -37,7 +37,7 @@
       registry,
       configuration,
       asked: 0,
-      relay: new PeerStateFallback({
+      fallback: new PeerStateFallback({
         timer,
         random: () => 0,
         logger: NOOP_LOGGER,
@@ -68,15 +68,15 @@
     timer = new ManualTimerService();
     connected = makeNode(() => undefined, makeConfiguration({ version: 9 }));
     connected.registry.upsert(makeEndpoint("a"));
-    disconnected = makeNode(() => connected.relay.snapshot());
-    disconnected.relay.start();
+    disconnected = makeNode(() => connected.fallback.snapshot());
+    disconnected.fallback.start();
   });
 
-  afterEach(() => disconnected.relay.stop());
+  afterEach(() => disconnected.fallback.stop());
 
   async function advanceConnected(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 100) {
-      connected.relay.onStoreRead();
+      connected.fallback.onStoreRead();
       await timer.advance(100);
       await flushPromises();
     }
@@ -105,10 +105,10 @@
   // treated as current, it would bring back endpoints that have ended.
   it("takes no endpoints from a peer that is behind too", async () => {
     disconnected.configuration = makeConfiguration({ version: 9 });
-    disconnected.relay.stop();
-    connected.relay.onStoreRead();
+    disconnected.fallback.stop();
+    connected.fallback.onStoreRead();
     await timer.advance(2_000);
-    disconnected.relay.start();
+    disconnected.fallback.start();
     await timer.advance(2_000);
     expect(disconnected.asked).to.be.greaterThan(0);
     expect(disconnected.registry.size).to.equal(0);
@@ -116,7 +116,7 @@
 
   it("sends no query while the store responds", async () => {
     for (let count = 0; count < 20; count++) {
-      disconnected.relay.onStoreRead();
+      disconnected.fallback.onStoreRead();
       await timer.advance(300);
     }
     expect(disconnected.asked).to.equal(0);
@@ -126,10 +126,10 @@
   // silently, while everything else works. Callers get 404 for a new route.
   it("queries a peer that has a newer configuration", async () => {
     disconnected.configuration = makeConfiguration({ version: 8 });
-    disconnected.relay.onPeerVersion(9);
+    disconnected.fallback.onPeerVersion(9);
     for (let passed = 0; passed < 1_000; passed += 100) {
-      disconnected.relay.onStoreRead();
-      connected.relay.onStoreRead();
+      disconnected.fallback.onStoreRead();
+      connected.fallback.onStoreRead();
       await timer.advance(100);
       await flushPromises();
     }
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -19,8 +19,8 @@
 const TIMEOUT_TO_PREDICTION_RATIO = 4;
 const MIN_PREFILL_TIMEOUT_MILLISECONDS = 400;
 /**
- * Part of the deadline that is reserved for the response. A prompt is not read
- * if its response cannot be complete by then.
+ * Part of the deadline that is reserved for the response. A prompt is not
+ * prefilled if its response cannot be complete by then.
  */
 const DECODE_RESERVE_MILLISECONDS = 120;
 /** Maximum size of a response to a prefill. */
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -100,8 +100,8 @@
   await parts.refreshLoad(refreshed);
   // An engine may have started to leave during the query.
   const remaining = context.preferUntried(context.endpoints());
-  const readers = remaining.filter(({ id }) => refreshed.includes(id));
-  return { engines: remaining, pool, prefillEngines: readers };
+  const prefillEngines = remaining.filter(({ id }) => refreshed.includes(id));
+  return { engines: remaining, pool, prefillEngines };
 }
 
 /** Queue entry for a prompt that waits here for a nearly idle engine. */
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -44,7 +44,7 @@
 /** Lowest of the priorities that engines support. */
 const LOWEST_PRIORITY = 9;
 
-/** Endpoints have crashed under requests with this digest. */
+/** Endpoints have crashed on requests with this digest. */
 const BLOCKED = "crashes_endpoints";
 /** The caller's key was removed while its request was waiting. */
 const KEY_REMOVED = "key_removed";
@@ -95,7 +95,7 @@
       this.#context.allowedMilliseconds,
       () => this.#onDeadline(),
     );
-    sink.onDisconnect(() => this.#onCallerGone());
+    sink.onDisconnect(() => this.#onDisconnect());
   }
 
   async run(): Promise<void> {
@@ -196,7 +196,7 @@
     const cacheZone = handover === undefined
       ? undefined
       : parts.registry.get(handover.kept.engine)?.availabilityZone;
-    const choice = await this.#chooseDecoder(prompt, cacheZone);
+    const choice = await this.#chooseDecodeEngine(prompt, cacheZone);
     if (choice === undefined) return undefined;
     return {
       endpoint: choice.endpoint,
@@ -211,17 +211,20 @@
   }
 
   /** Undefined if no engine becomes available before the caller gives up. */
-  async #chooseDecoder(
+  async #chooseDecodeEngine(
     prompt: Prompt,
     cacheZone: AvailabilityZoneId | undefined,
   ): Promise<DecodeChoice | undefined> {
     const { parts, pool } = this.#context;
-    const refreshed = await this.#refreshDecoderLoad(cacheZone);
+    const refreshed = await this.#refreshDecodeEngineLoad(cacheZone);
     if (this.#context.settled) return undefined;
-    const choose = ({ withRoom } = { withRoom: false }) => {
+    const choose = ({ requiresCapacity } = { requiresCapacity: false }) => {
       // The engines may have changed during the prefill.
       const decodeEngines = this.#context.endpoints().filter(canDecode);
-      const decodeCandidates = this.#decoders(decodeEngines, withRoom);
+      const decodeCandidates = this.#decodeCandidates(
+        decodeEngines,
+        requiresCapacity,
+      );
       const withFreshLoad = decodeCandidates.filter(({ id }) =>
         refreshed.has(id)
       );
@@ -230,8 +233,8 @@
         {
           prompt,
           pool,
-          cacheZone: cacheZone,
-          requiresCapacity: withRoom,
+          cacheZone,
+          requiresCapacity,
         },
       );
     };
@@ -240,7 +243,7 @@
   }
 
   /** Refreshes the load of some decode engines; returns their ids. */
-  async #refreshDecoderLoad(
+  async #refreshDecodeEngineLoad(
     cacheZone: AvailabilityZoneId | undefined,
   ): Promise<ReadonlySet<EndpointId>> {
     const { parts } = this.#context;
@@ -248,7 +251,7 @@
     const decodeEngines = this.#context.endpoints().filter(canDecode);
     const refreshed = parts.placement
       .decodeEnginesToRefresh(this.#context.withoutRejecting(decodeEngines), {
-        cacheZone: cacheZone,
+        cacheZone,
       })
       .map(({ id }) => id);
     await parts.refreshLoad(refreshed);
@@ -260,13 +263,13 @@
    * asked again only once it has capacity; otherwise the request uses up its
    * retries at one full engine within milliseconds.
    */
-  #decoders(
+  #decodeCandidates(
     decodeEngines: readonly RegisteredEndpoint[],
-    withRoom: boolean,
+    requiresCapacity: boolean,
   ): readonly RegisteredEndpoint[] {
     const others = this.#context.withoutRejecting(decodeEngines);
     if (others.length > 0) return others;
-    return withRoom
+    return requiresCapacity
       ? this.#context.parts.outcomes.filterAccepting(decodeEngines)
       : [];
   }
@@ -274,7 +277,7 @@
   async #send(plan: AttemptPlan): Promise<NextStep> {
     const { parts } = this.#context;
     const { endpoint } = plan;
-    // Endpoints may have crashed under the request while it was waiting.
+    // Endpoints may have crashed on the request while it was waiting.
     if (this.#context.blockedMilliseconds > 0) return "blocked";
     if (this.#context.isKeyRemoved) return KEY_REMOVED;
     if (!this.#context.arrivals.reserve({ prefill: false })) return "refuse";
@@ -330,8 +333,8 @@
 
   /** Called before a response that could be passed on is discarded. */
   #mayResend(reason: string): boolean {
-    const reading = this.#handover.needsAnotherPrefill;
-    return this.#context.mayResend(reason, { prefill: reading });
+    const prefill = this.#handover.needsAnotherPrefill;
+    return this.#context.mayResend(reason, { prefill });
   }
 
   /** True if another run is harmless and the route allows one. */
@@ -397,11 +400,11 @@
   #finish(status: number): NextStep {
     this.#settle();
     this.#sink.finish();
-    const { arrived, elapsedMilliseconds: elapsed, sends } = this.#context;
+    const { arrived, elapsedMilliseconds, sends } = this.#context;
     this.#context.report("answered", {
       status,
       firstByteMilliseconds: Math.round((this.#firstByteAt ?? 0) - arrived),
-      milliseconds: Math.round(elapsed),
+      milliseconds: Math.round(elapsedMilliseconds),
       sends,
     });
     return "delivered";
@@ -422,7 +425,7 @@
     this.#respond({ status, reason: "deadline" });
   }
 
-  #onCallerGone(): void {
+  #onDisconnect(): void {
     if (this.#context.settled) return;
     this.#settle();
     if (this.#mayBeRunning) this.#noteServiceStarted();
--- a/src/entry/forwarding/request_forwarder_test.ts
+++ b/src/entry/forwarding/request_forwarder_test.ts
@@ -20,7 +20,7 @@
   type ReplicaStartTime,
 } from "../../core/identity/mod.ts";
 
-function benchWith(
+function makeHarness(
   route: Partial<Route>,
   options?: ConstructorParameters<typeof ForwardingHarness>[1],
 ): ForwardingHarness {
@@ -36,17 +36,17 @@
       route: Partial<Route>,
       options: { readonly repeats?: number } = {},
     ): ForwardingHarness {
-      const bench = benchWith(route, options);
+      const harness = makeHarness(route, options);
       for (const id of ["a", "b", "c"]) {
-        bench.parts.registry.upsert(makeEndpoint(id));
+        harness.parts.registry.upsert(makeEndpoint(id));
       }
-      return bench;
+      return harness;
     }
 
     it("gets the endpoint's status, headers and body", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].respond("case 7", {
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].respond("case 7", {
         status: 201,
         headers: ["A", "b"],
       });
@@ -59,8 +59,8 @@
     });
 
     it("is refused with 404 if no route matches", async () => {
-      const bench = portal({ pathPrefix: "/other/" });
-      const caller = await bench.submit(makeRequest());
+      const harness = portal({ pathPrefix: "/other/" });
+      const caller = await harness.submit(makeRequest());
       expect(caller.refusal?.status).to.equal(404);
     });
 
@@ -69,15 +69,15 @@
     // made; sent again, or reported as "not run" and retried by the caller, it
     // would be made twice.
     it("has an unknown outcome if its replica restarts", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
-      const [first] = bench.sent;
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
+      const [first] = harness.sent;
       const startedAt = numbered<ReplicaStartTime>(1_000);
-      bench.parts.registry.upsert(
+      harness.parts.registry.upsert(
         makeEndpoint(first.options.endpoint, { startedAt }),
       );
       await first.fail("exchange_lost");
-      expect(bench.sent).to.have.length(1);
+      expect(harness.sent).to.have.length(1);
       expect(caller.refusal).to.deep.include({
         status: 502,
         reason: "unknown",
@@ -88,132 +88,134 @@
     // If these failures counted against it, a healthy replica would be
     // excluded.
     it("does not count failures of a previous run against the new one", async () => {
-      const bench = portal({ repeat: "idempotent", mostAttempts: 1 });
+      const harness = portal({ repeat: "idempotent", mostAttempts: 1 });
       const startedAt = numbered<ReplicaStartTime>(1_000);
       for (let count = 0; count < 36; count++) {
-        await bench.submit(makeRequest());
+        await harness.submit(makeRequest());
       }
-      bench.parts.registry.upsert(makeEndpoint("a", { startedAt }));
-      for (const attempt of bench.sent) {
+      harness.parts.registry.upsert(makeEndpoint("a", { startedAt }));
+      for (const attempt of harness.sent) {
         const isFormerRun = attempt.options.endpoint === makeEndpoint("a").id;
         if (isFormerRun) await attempt.fail("exchange_lost");
         else await attempt.respond("done");
       }
-      const { outcomes, registry } = bench.parts;
+      const { outcomes, registry } = harness.parts;
       expect(outcomes.filterHealthy([...registry.all])).to.have.length(3);
     });
 
     it("logs the endpoint that it was lost with, and its digest", async () => {
-      const bench = portal({ repeat: "once" });
+      const harness = portal({ repeat: "once" });
       const request = makeRequest();
-      await bench.submit(request);
-      await bench.sent[0].fail("exchange_lost");
-      const lost = bench.decisions.find((each) =>
+      await harness.submit(request);
+      await harness.sent[0].fail("exchange_lost");
+      const lost = harness.decisions.find((each) =>
         each.decision === "endpoint_lost"
       );
       expect(lost).to.deep.include({
         requestId: request.id,
         route: "route",
-        digest: bench.parts.digestOf(request),
-        endpoint: bench.sent[0].options.endpoint,
+        digest: harness.parts.digestOf(request),
+        endpoint: harness.sent[0].options.endpoint,
         step: "run",
       });
     });
 
     it("is not sent again if it may run only once", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].fail("exchange_lost");
-      expect(bench.sent).to.have.length(1);
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].fail("exchange_lost");
+      expect(harness.sent).to.have.length(1);
       expect(caller.refusal?.status).to.equal(502);
     });
 
     it("is sent again if the endpoint confirms that it did not run", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].respondNotRun();
-      expect(bench.sent[1].options.endpoint)
-        .to.not.equal(bench.sent[0].options.endpoint);
-      await bench.sent[1].respond("done");
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].respondNotRun();
+      expect(harness.sent[1].options.endpoint)
+        .to.not.equal(harness.sent[0].options.endpoint);
+      await harness.sent[1].respond("done");
       expect(caller.body).to.equal("done");
     });
 
     // The first endpoint lost the response to a lookup, and the others reject
     // it. "Not run" would be false, as the first may still be working on it.
     it("is not reported as not run after an earlier send that may have run", async () => {
-      const bench = portal({ repeat: "idempotent", mostAttempts: 3 });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].fail("exchange_lost");
+      const harness = portal({ repeat: "idempotent", mostAttempts: 3 });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].fail("exchange_lost");
       for (const attempt of [1, 2, 3]) {
-        await bench.sent[attempt]?.respondNotRun();
+        await harness.sent[attempt]?.respondNotRun();
       }
       expect(caller.refusal?.status).to.equal(502);
     });
 
     it("is retried after a failure if it is idempotent", async () => {
-      const bench = portal({ repeat: "idempotent" });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].respond("sorry", { status: 500 });
-      await bench.sent[1].respond("fine");
+      const harness = portal({ repeat: "idempotent" });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].respond("sorry", { status: 500 });
+      await harness.sent[1].respond("fine");
       expect(caller.body).to.equal("fine");
     });
 
     // Every endpoint rejects everything. Without the retry budget each request
     // would be retried until its deadline and multiply the load.
     it("is refused with a retry time once the retry budget is used up", async () => {
-      const bench = portal({ repeat: "once" }, { repeats: 0 });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].respondNotRun();
-      expect(bench.sent).to.have.length(1);
+      const harness = portal({ repeat: "once" }, { repeats: 0 });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].respondNotRun();
+      expect(harness.sent).to.have.length(1);
       expect(caller.refusal?.status).to.equal(503);
       expect(caller.refusal?.retryAfterMilliseconds).to.be.greaterThan(0);
     });
 
     // Without the abort the portal would continue work whose result is unused.
     it("is aborted when its caller disconnects", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
       caller.disconnect();
-      expect(bench.sent[0].aborted).to.equal(true);
-      expect(bench.parts.load.total(bench.sent[0].options.endpoint).requests)
+      expect(harness.sent[0].aborted).to.equal(true);
+      expect(
+        harness.parts.load.total(harness.sent[0].options.endpoint).requests,
+      )
         .to.equal(0);
     });
 
     it("is refused with 504 at the route's timeout", async () => {
-      const bench = portal({ repeat: "once", timeoutMilliseconds: 500 });
-      const caller = await bench.submit(makeRequest());
-      await bench.timer.advance(500);
+      const harness = portal({ repeat: "once", timeoutMilliseconds: 500 });
+      const caller = await harness.submit(makeRequest());
+      await harness.timer.advance(500);
       expect(caller.refusal?.status).to.equal(504);
-      expect(bench.sent[0].aborted).to.equal(true);
+      expect(harness.sent[0].aborted).to.equal(true);
     });
 
     it("forwards the remaining time, not the caller's whole deadline", async () => {
-      const bench = portal({ repeat: "idempotent" });
-      await bench.submit(makeRequest({ deadlineMilliseconds: 900 }));
-      await bench.timer.advance(300);
-      await bench.sent[0].fail("exchange_lost");
-      expect(bench.sent[0].options.deadlineMilliseconds).to.equal(900);
-      expect(bench.sent[1].options.deadlineMilliseconds).to.equal(600);
+      const harness = portal({ repeat: "idempotent" });
+      await harness.submit(makeRequest({ deadlineMilliseconds: 900 }));
+      await harness.timer.advance(300);
+      await harness.sent[0].fail("exchange_lost");
+      expect(harness.sent[0].options.deadlineMilliseconds).to.equal(900);
+      expect(harness.sent[1].options.deadlineMilliseconds).to.equal(600);
     });
 
     it("is visibly truncated if the endpoint breaks off", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
-      await bench.sent[0].head();
-      await bench.sent[0].chunk("hal");
-      await bench.sent[0].end("cut");
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
+      await harness.sent[0].head();
+      await harness.sent[0].chunk("hal");
+      await harness.sent[0].end("cut");
       expect(caller.ended).to.equal("cut");
     });
 
     it("pauses the endpoint while the caller reads slowly", async () => {
-      const bench = portal({ repeat: "once" });
-      const caller = await bench.submit(makeRequest());
+      const harness = portal({ repeat: "once" });
+      const caller = await harness.submit(makeRequest());
       caller.acceptsWrites = false;
-      await bench.sent[0].head();
-      await bench.sent[0].chunk("x");
-      expect(bench.sent[0].paused).to.equal(true);
+      await harness.sent[0].head();
+      await harness.sent[0].chunk("x");
+      expect(harness.sent[0].paused).to.equal(true);
       caller.drain();
-      expect(bench.sent[0].paused).to.equal(false);
+      expect(harness.sent[0].paused).to.equal(false);
     });
   });
 
@@ -227,22 +229,22 @@
     const prompt = makePrompt("river", { shared: 100, own: 100 });
 
     function engines(): ForwardingHarness {
-      const bench = benchWith(route);
-      bench.parts.registry.upsert(makeEngine("a", "decode"));
-      bench.parts.registry.upsert(makeEngine("b", "decode"));
-      return bench;
+      const harness = makeHarness(route);
+      harness.parts.registry.upsert(makeEngine("a", "decode"));
+      harness.parts.registry.upsert(makeEngine("b", "decode"));
+      return harness;
     }
 
     // An engine crashes in the middle of its third event. The stream resumes at
     // another engine without a gap and without a partial event.
     it("resumes at another engine after the last whole event", async () => {
-      const bench = engines();
-      const caller = await bench.submit(makeRequest({ prompt }));
-      const [first] = bench.sent;
+      const harness = engines();
+      const caller = await harness.submit(makeRequest({ prompt }));
+      const [first] = harness.sent;
       await first.head();
       await first.chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
       await first.end("cut");
-      const second = bench.sent[1];
+      const second = harness.sent[1];
       expect(second.options.lastEventId).to.equal("2");
       expect(second.options.endpoint).to.not.equal(first.options.endpoint);
       await second.head({ headers: ["Seal", "another"] });
@@ -259,13 +261,13 @@
     });
 
     it("is cut if no further run is allowed", async () => {
-      const bench = engines();
-      const caller = await bench.submit(makeRequest({ prompt }));
+      const harness = engines();
+      const caller = await harness.submit(makeRequest({ prompt }));
       for (const attempt of [0, 1]) {
-        await bench.sent[attempt].head();
-        await bench.sent[attempt].end("cut");
+        await harness.sent[attempt].head();
+        await harness.sent[attempt].end("cut");
       }
-      expect(bench.sent).to.have.length(2);
+      expect(harness.sent).to.have.length(2);
       expect(caller.ended).to.equal("cut");
     });
   });
@@ -280,12 +282,12 @@
     function fleet(
       options?: ConstructorParameters<typeof ForwardingHarness>[1],
     ) {
-      const bench = benchWith(route, options);
-      bench.parts.registry.upsert(makeEngine("reader-1", "prefill"));
-      bench.parts.registry.upsert(makeEngine("reader-2", "prefill"));
-      bench.parts.registry.upsert(makeEngine("maker-1", "decode"));
-      bench.parts.registry.upsert(makeEngine("maker-2", "decode"));
-      return bench;
+      const harness = makeHarness(route, options);
+      harness.parts.registry.upsert(makeEngine("reader-1", "prefill"));
+      harness.parts.registry.upsert(makeEngine("reader-2", "prefill"));
+      harness.parts.registry.upsert(makeEngine("maker-1", "decode"));
+      harness.parts.registry.upsert(makeEngine("maker-2", "decode"));
+      return harness;
     }
 
     const BODY_BYTES = 9_200;
@@ -293,11 +295,11 @@
     const LONGEST_PROMPT = { shared: 1_000, own: 55_000 };
 
     function ask(
-      bench: ForwardingHarness,
+      harness: ForwardingHarness,
       subject = "river",
       tokens: Parameters<typeof makePrompt>[1] = {},
     ) {
-      return bench.submit(makeRequest({
+      return harness.submit(makeRequest({
         prompt: makePrompt(subject, tokens),
         body: Buffer.alloc(BODY_BYTES),
         deadlineMilliseconds: 2_000,
@@ -305,40 +307,40 @@
     }
 
     it("is prefilled by one engine and decoded by another", async () => {
-      const bench = fleet();
-      const caller = await ask(bench);
-      expect(bench.sent[0].options.prefillOnly).to.equal(true);
-      await bench.sent[0].respond("handle-1");
-      expect(bench.sent[1].options.prefilledPrompt).to.deep.include({
+      const harness = fleet();
+      const caller = await ask(harness);
+      expect(harness.sent[0].options.prefillOnly).to.equal(true);
+      await harness.sent[0].respond("handle-1");
+      expect(harness.sent[1].options.prefilledPrompt).to.deep.include({
         handle: "handle-1",
-        engine: bench.sent[0].options.endpoint,
+        engine: harness.sent[0].options.endpoint,
       });
-      await bench.sent[1].respond("verdict");
+      await harness.sent[1].respond("verdict");
       expect(caller.body).to.equal("verdict");
-      expect(bench.released).to.deep.equal([]);
+      expect(harness.released).to.deep.equal([]);
     });
 
     // The prefill engine stops responding. A prefill runs nothing, so another
     // engine may repeat it immediately; otherwise the caller waits until its
     // deadline.
     it("is prefilled by a second engine if the first does not respond", async () => {
-      const bench = fleet();
-      await ask(bench);
-      await bench.timer.advance(500);
-      expect(bench.sent[0].aborted).to.equal(true);
-      expect(bench.sent[1].options.prefillOnly).to.equal(true);
-      expect(bench.sent[1].options.endpoint)
-        .to.not.equal(bench.sent[0].options.endpoint);
+      const harness = fleet();
+      await ask(harness);
+      await harness.timer.advance(500);
+      expect(harness.sent[0].aborted).to.equal(true);
+      expect(harness.sent[1].options.prefillOnly).to.equal(true);
+      expect(harness.sent[1].options.endpoint)
+        .to.not.equal(harness.sent[0].options.endpoint);
     });
 
     // Both prefills fail. A decode engine could prefill the prompt as well, but
     // every urgent stream on it would pause meanwhile.
     it("is refused rather than prefilled by a decode engine", async () => {
-      const bench = fleet();
-      const caller = await ask(bench);
-      await bench.sent[0].respondNotRun();
-      await bench.sent[1].respondNotRun();
-      expect(bench.sent).to.have.length(2);
+      const harness = fleet();
+      const caller = await ask(harness);
+      await harness.sent[0].respondNotRun();
+      await harness.sent[1].respondNotRun();
+      expect(harness.sent).to.have.length(2);
       expect(caller.refusal?.status).to.equal(503);
     });
 
@@ -347,15 +349,15 @@
     // prompt is sent to the other. That engine ends, and the caller's response
     // with it.
     it("is not prefilled by an engine that has started to leave", async () => {
-      const bench = fleet();
-      const caller = await ask(bench);
-      const asked = bench.sent[0].options.endpoint;
+      const harness = fleet();
+      const caller = await ask(harness);
+      const asked = harness.sent[0].options.endpoint;
       const other = asked === "reader-1" ? "reader-2" : "reader-1";
-      bench.parts.registry.upsert(
+      harness.parts.registry.upsert(
         makeEngine(other, "prefill", { leaving: true }),
       );
-      await bench.sent[0].respondNotRun();
-      expect(bench.sent.map(({ options }) => options.endpoint))
+      await harness.sent[0].respondNotRun();
+      expect(harness.sent.map(({ options }) => options.endpoint))
         .to.not.include(other);
       expect(caller.refusal?.status).to.equal(503);
     });
@@ -364,46 +366,46 @@
     // id while a decode engine rejects the request. The cache is gone, so every
     // further decode with it is rejected until the caller gives up.
     it("is prefilled again if its cache was lost with the engine's run", async () => {
-      const bench = fleet();
-      const { registry } = bench.parts;
-      await ask(bench);
-      await bench.sent[0].respond("handle-1");
-      const reader = bench.sent[0].options.endpoint;
+      const harness = fleet();
+      const { registry } = harness.parts;
+      await ask(harness);
+      await harness.sent[0].respond("handle-1");
+      const reader = harness.sent[0].options.endpoint;
       const startedAt = numbered<ReplicaStartTime>(1_000);
       registry.upsert(makeEngine(reader, "prefill", { startedAt }));
-      await bench.sent[1].respondNotRun(503);
-      expect(bench.sent[2].options.prefillOnly).to.equal(true);
+      await harness.sent[1].respondNotRun(503);
+      expect(harness.sent[2].options.prefillOnly).to.equal(true);
     });
 
     // An engine whose role has just changed rejects the request. Another
     // prefill would cost an engine 25 ms without need.
     it("keeps its cache when a decode engine rejects it", async () => {
-      const bench = fleet();
-      await ask(bench);
-      await bench.sent[0].respond("handle-1");
-      await bench.sent[1].respondNotRun(421);
-      expect(bench.sent[2].options.prefilledPrompt?.handle).to.equal(
+      const harness = fleet();
+      await ask(harness);
+      await harness.sent[0].respond("handle-1");
+      await harness.sent[1].respondNotRun(421);
+      expect(harness.sent[2].options.prefilledPrompt?.handle).to.equal(
         "handle-1",
       );
-      expect(bench.sent[2].options.endpoint)
-        .to.not.equal(bench.sent[1].options.endpoint);
+      expect(harness.sent[2].options.endpoint)
+        .to.not.equal(harness.sent[1].options.endpoint);
     });
 
     // An engine responds with 421 for seconds, until its registration shows its
     // new role. If every request tried it again, it would use up the retry
     // budget for all.
     it("avoids an engine that has rejected one as misdirected", async () => {
-      const bench = fleet();
-      await ask(bench);
-      await bench.sent[0].respond("handle-1");
-      const turnedAway = bench.sent[1].options.endpoint;
-      await bench.sent[1].respondNotRun(421);
+      const harness = fleet();
+      await ask(harness);
+      await harness.sent[0].respond("handle-1");
+      const rejecting = harness.sent[1].options.endpoint;
+      await harness.sent[1].respondNotRun(421);
       for (let index = 0; index < 5; index++) {
-        const count = bench.sent.length;
-        await ask(bench, `subject-${index}`);
-        await bench.sent[count].respond(`handle-${index}`);
-        expect(bench.sent[count + 1].options.endpoint)
-          .to.not.equal(turnedAway);
+        const count = harness.sent.length;
+        await ask(harness, `subject-${index}`);
+        await harness.sent[count].respond(`handle-${index}`);
+        expect(harness.sent[count + 1].options.endpoint)
+          .to.not.equal(rejecting);
       }
     });
 
@@ -411,10 +413,10 @@
     // request tried them in turn, it would cost hundreds of connections, and
     // callers whose prompts are prefilled and who could wait would be refused.
     it("waits for a decode engine with few connection attempts", async () => {
-      const bench = fleet();
+      const harness = fleet();
       let isDown = true;
       let refusedConnections = 0;
-      bench.onSend = (attempt) => {
+      harness.onSend = (attempt) => {
         if (attempt.options.prefillOnly) return void attempt.respond("handle");
         if (!isDown) return void attempt.respond("verdict");
         refusedConnections += 1;
@@ -422,11 +424,11 @@
       };
       const callers = [];
       for (let index = 0; index < 40; index++) {
-        callers.push(await ask(bench, `s${index}`));
-        await bench.timer.advance(30);
+        callers.push(await ask(harness, `s${index}`));
+        await harness.timer.advance(30);
       }
       isDown = false;
-      await bench.timer.advance(300);
+      await harness.timer.advance(300);
       await flushPromises();
       const served = callers.filter(({ body }) => body === "verdict");
       expect(served).to.have.length(40);
@@ -437,50 +439,50 @@
     // No engine recovers before callers give up. If they were held to the end,
     // they would get no response and could not retry in time.
     it("is refused in time if no decode engine recovers", async () => {
-      const bench = fleet();
-      bench.onSend = (attempt) => {
+      const harness = fleet();
+      harness.onSend = (attempt) => {
         if (attempt.options.prefillOnly) return void attempt.respond("handle");
         void attempt.fail("exchange_not_sent");
       };
-      const caller = await ask(bench);
+      const caller = await ask(harness);
       // The fake engine responds in chunks, one per turn of the event loop.
       await flushPromises();
-      await bench.timer.advance(1_600);
+      await harness.timer.advance(1_600);
       expect(caller.refusal).to.equal(undefined);
-      await bench.timer.advance(150);
+      await harness.timer.advance(150);
       expect(caller.refusal?.status).to.equal(503);
-      expect(bench.released).to.deep.equal(["handle"]);
+      expect(harness.released).to.deep.equal(["handle"]);
     });
 
     it("releases its cache when the caller disconnects", async () => {
-      const bench = fleet();
-      const caller = await ask(bench);
-      await bench.sent[0].respond("handle-1");
+      const harness = fleet();
+      const caller = await ask(harness);
+      await harness.sent[0].respond("handle-1");
       caller.disconnect();
-      expect(bench.released).to.deep.equal(["handle-1"]);
+      expect(harness.released).to.deep.equal(["handle-1"]);
     });
 
     // Callers have different deadlines. One with a short deadline was mistaken
     // for a caller that had waited before, and its prompt was prefilled behind
     // all others although engines were idle.
     it("is prefilled immediately for a caller with a shorter deadline than others", async () => {
-      const bench = fleet();
-      await ask(bench, "first");
-      await bench.submit(makeRequest({
+      const harness = fleet();
+      await ask(harness, "first");
+      await harness.submit(makeRequest({
         prompt: makePrompt("second"),
         deadlineMilliseconds: 1_700,
       }));
-      expect(bench.decisions[1]).to.include({ step: "prefill", late: false });
+      expect(harness.decisions[1]).to.include({ step: "prefill", late: false });
     });
 
     // A caller was refused during an overload and retries. Its response is late
     // in any case; prefilled first, it would make another one late as well.
     it("is prefilled after others for a caller that was refused before", async () => {
-      const bench = fleet();
-      bench.parts.returningCallers.record("river-own", 0);
-      await bench.timer.advance(400);
-      await ask(bench);
-      expect(bench.decisions[0]).to.include({
+      const harness = fleet();
+      harness.parts.returningCallers.record("river-own", 0);
+      await harness.timer.advance(400);
+      await ask(harness);
+      expect(harness.decisions[0]).to.include({
         step: "prefill",
         late: true,
         waitedMilliseconds: 400,
@@ -492,23 +494,23 @@
     // callers.
     for (const kind of ["on time", "late"]) {
       it(`is not forwarded if the caller disconnects meanwhile, ${kind}`, async () => {
-        const bench = fleet();
-        Object.assign(bench.parts, {
+        const harness = fleet();
+        Object.assign(harness.parts, {
           isLoadStale: () => true,
           refreshLoad: () =>
             new Promise<void>((resolve) => {
-              bench.timer.after(3, resolve);
+              harness.timer.after(3, resolve);
             }),
         });
         if (kind === "late") {
-          bench.parts.returningCallers.record("river-own", 400);
+          harness.parts.returningCallers.record("river-own", 400);
         }
-        const caller = await ask(bench);
-        await bench.timer.advance(kind === "late" ? 4 : 1);
+        const caller = await ask(harness);
+        await harness.timer.advance(kind === "late" ? 4 : 1);
         caller.disconnect();
-        await bench.timer.advance(100);
+        await harness.timer.advance(100);
         await flushPromises();
-        expect(bench.sent).to.deep.equal([]);
+        expect(harness.sent).to.deep.equal([]);
       });
     }
 
@@ -517,42 +519,44 @@
     // engine after half a second, when each of them is late, and the prefill
     // would be wasted.
     it("is refused immediately if it would wait for the entry's link", async () => {
-      const bench = fleet({ linkMegabitsPerSecond: 7 });
+      const harness = fleet({ linkMegabitsPerSecond: 7 });
       const callers = [];
       for (let index = 0; index < 30; index++) {
-        callers.push(await ask(bench, `s${index}`));
+        callers.push(await ask(harness, `s${index}`));
       }
       const refused = callers.filter(({ refusal }) => refusal !== undefined);
-      const admitted = bench.sent.length + bench.parts.held.count;
+      const admitted = harness.sent.length + harness.parts.held.count;
       expect(admitted).to.be.within(4, 10);
       expect(refused).to.have.length(30 - admitted);
       expect(refused[0].refusal?.reason).to.equal("entry_full");
       // The log line contains the figures behind the decision: the engines
       // alone would have met the target of 150 ms.
-      const line = bench.decisions.find((each) => each.decision === "refused");
+      const line = harness.decisions.find((each) =>
+        each.decision === "refused"
+      );
       expect(line?.entryMilliseconds).to.be.greaterThan(75);
       expect(line?.onTimeMilliseconds).to.be.lessThan(0.85 * 150);
       // Short enough that another entry can still respond on time.
       expect(refused[0].refusal?.retryAfterMilliseconds).to.be.within(20, 50);
-      await bench.timer.advance(200);
-      expect((await ask(bench, "next")).refusal).to.equal(undefined);
+      await harness.timer.advance(200);
+      expect((await ask(harness, "next")).refusal).to.equal(undefined);
     });
 
     it("is refused immediately if the entry's event loop is delayed", async () => {
-      const bench = fleet();
-      bench.loopDelay = 100;
-      expect((await ask(bench)).refusal?.reason).to.equal("entry_full");
+      const harness = fleet();
+      harness.loopDelay = 100;
+      expect((await ask(harness)).refusal?.reason).to.equal("entry_full");
     });
 
     // A prompt of 55,000 tokens takes longer to prefill than its target allows,
     // even on idle engines. One of two dozen entries, whose share of the retry
     // budget is small, refused such prompts during its first seconds.
     it("is prefilled for a late response if few retries are allowed", async () => {
-      const bench = fleet({ repeats: 4 });
-      const caller = await ask(bench, "letter", LONGEST_PROMPT);
+      const harness = fleet({ repeats: 4 });
+      const caller = await ask(harness, "letter", LONGEST_PROMPT);
       expect(caller.refusal).to.equal(undefined);
-      expect(bench.sent[0].options.prefillOnly).to.equal(true);
-      expect(bench.decisions[0]).to.include({ step: "prefill", late: true });
+      expect(harness.sent[0].options.prefillOnly).to.equal(true);
+      expect(harness.decisions[0]).to.include({ step: "prefill", late: true });
     });
 
     // Late prompts that wait at engines are rejected at their deadline. Each
@@ -560,17 +564,17 @@
     // engine failed. Prompts that are held at the entry cost no retries,
     // however many there are.
     it("is held and costs no retry if it would be late", async () => {
-      const bench = fleet({ repeats: 0 });
+      const harness = fleet({ repeats: 0 });
       for (const reader of ["reader-1", "reader-2"]) {
-        bench.parts.load.started(identifier<EndpointId>(reader), {
+        harness.parts.load.started(identifier<EndpointId>(reader), {
           milliseconds: 400,
           tokens: 0,
         });
       }
-      const caller = await ask(bench);
+      const caller = await ask(harness);
       expect(caller.refusal).to.equal(undefined);
-      await bench.timer.advance(1_750);
-      expect(bench.sent).to.deep.equal([]);
+      await harness.timer.advance(1_750);
+      expect(harness.sent).to.deep.equal([]);
       expect(caller.refusal).to.include({
         status: 503,
         reason: "engines_full",
@@ -578,27 +582,27 @@
     });
 
     it("is prefilled once an engine is nearly idle, in order of urgency", async () => {
-      const bench = fleet();
-      const tickets = ["reader-1", "reader-2"].map((reader) =>
-        bench.parts.load.started(identifier<EndpointId>(reader), {
+      const harness = fleet();
+      const workHandles = ["reader-1", "reader-2"].map((reader) =>
+        harness.parts.load.started(identifier<EndpointId>(reader), {
           milliseconds: 400,
           tokens: 0,
         })
       );
-      await ask(bench, "first");
-      await ask(bench, "second");
-      await bench.timer.advance(300);
-      expect(bench.sent).to.deep.equal([]);
-      tickets[0].end();
-      await bench.timer.advance(25);
-      expect(bench.sent[0].request.prompt).to.deep.equal(makePrompt("first"));
-      expect(bench.sent[0].options.endpoint).to.equal("reader-1");
+      await ask(harness, "first");
+      await ask(harness, "second");
+      await harness.timer.advance(300);
+      expect(harness.sent).to.deep.equal([]);
+      workHandles[0].end();
+      await harness.timer.advance(25);
+      expect(harness.sent[0].request.prompt).to.deep.equal(makePrompt("first"));
+      expect(harness.sent[0].options.endpoint).to.equal("reader-1");
     });
 
     it("is refused immediately if it can't be answered by its deadline", async () => {
-      const bench = fleet();
-      for (let index = 0; index < 200; index++) await ask(bench, `s${index}`);
-      const caller = await ask(bench, "last");
+      const harness = fleet();
+      for (let index = 0; index < 200; index++) await ask(harness, `s${index}`);
+      const caller = await ask(harness, "last");
       expect(caller.refusal?.status).to.equal(503);
     });
   });
--- a/src/entry/forwarding/retry_budget_test.ts
+++ b/src/entry/forwarding/retry_budget_test.ts
@@ -13,7 +13,7 @@
 } from "../../../test/support/forwarding_fixtures.ts";
 import { identifier, type RequestId } from "../../core/identity/mod.ts";
 
-/** Configured retry budget, as passed to the test bench. */
+/** Configured retry budget, as passed to the test harness. */
 const RATIO = 0.2;
 const MINIMUM = 100;
 const WINDOW_MILLISECONDS = 10_000;
@@ -31,7 +31,7 @@
 class ArrivalCounter {
   readonly requestTimes: number[] = [];
   readonly #arrivals: Arrival[] = [];
-  readonly #read = new Set<string>();
+  readonly #prefilled = new Set<string>();
 
   arrived(attempt: SentAttempt, at: number): Arrival {
     const arrival = { at, request: String(attempt.request.id), isFree: false };
@@ -41,8 +41,8 @@
 
   /** The engine has prefilled the prompt and keeps its cache. */
   accepted(arrival: Arrival): void {
-    arrival.isFree = !this.#read.has(arrival.request);
-    this.#read.add(arrival.request);
+    arrival.isFree = !this.#prefilled.has(arrival.request);
+    this.#prefilled.add(arrival.request);
   }
 
   /** All arrivals at the engines, free or not. */
@@ -51,7 +51,7 @@
   }
 
   /** Times of the arrivals after the first one of each request. */
-  get repeats(): number[] {
+  get retries(): number[] {
     const seen = new Set<string>();
     return this.#arrivals.filter(({ isFree, request }) => {
       if (isFree) return false;
@@ -63,9 +63,9 @@
 
   /** Maximum excess over the budget in any span of one window. */
   get worstExcess(): number {
-    const { repeats } = this;
+    const { retries } = this;
     return Math.max(
-      ...repeats.map((from) => {
+      ...retries.map((from) => {
         const within = (at: number) =>
           at >= from && at < from + WINDOW_MILLISECONDS;
         const requests = Math.max(
@@ -75,7 +75,7 @@
             ).length
           ),
         );
-        return repeats.filter(within).length - (RATIO * requests + MINIMUM);
+        return retries.filter(within).length - (RATIO * requests + MINIMUM);
       }),
     );
   }
@@ -84,19 +84,19 @@
 /** One entry and its engines, whose decode engine is controlled by the test. */
 class RetryScenario {
   readonly arrivals = new ArrivalCounter();
-  bench = this.#makeBench();
+  harness = this.#makeHarness();
   /** How the decode engine handles a request. */
   decode: (attempt: SentAttempt) => void = (attempt) =>
     void attempt.respondNotRun();
   /** Duration of a prefill. */
-  readMilliseconds = 40;
+  prefillMilliseconds = 40;
   #asked = 0;
   #elapsed = 0;
 
   /** Creates an entry that has been up for a whole budget window. */
   static async start(): Promise<RetryScenario> {
     const scenario = new RetryScenario();
-    await scenario.bench.timer.advance(WINDOW_MILLISECONDS);
+    await scenario.harness.timer.advance(WINDOW_MILLISECONDS);
     return scenario;
   }
 
@@ -108,19 +108,19 @@
     const steps = Math.round(options.milliseconds / stepMilliseconds);
     for (let step = 0; step < steps; step++) {
       await this.#ask();
-      await this.bench.timer.advance(stepMilliseconds);
+      await this.harness.timer.advance(stepMilliseconds);
       this.#elapsed += stepMilliseconds;
     }
   }
 
   /** Replaces the entry with a new process, as after a kill. */
   restart(): void {
-    this.bench.onSend = undefined;
-    this.bench = this.#makeBench();
+    this.harness.onSend = undefined;
+    this.harness = this.#makeHarness();
   }
 
-  #makeBench(): ForwardingHarness {
-    const bench = new ForwardingHarness(
+  #makeHarness(): ForwardingHarness {
+    const harness = new ForwardingHarness(
       makeConfiguration({
         routes: [makeRoute({
           repeat: "stream",
@@ -131,29 +131,29 @@
       }),
       { repeats: MINIMUM },
     );
-    const { registry } = bench.parts;
+    const { registry } = harness.parts;
     for (let index = 0; index < 6; index++) {
       registry.upsert(makeEngine(`reader-${index}`, "prefill"));
     }
     registry.upsert(makeEngine("maker", "decode"));
-    bench.onSend = (attempt) => this.#take(attempt);
-    return bench;
+    harness.onSend = (attempt) => this.#onSend(attempt);
+    return harness;
   }
 
   async #ask(): Promise<void> {
     this.#asked += 1;
     this.arrivals.requestTimes.push(this.#elapsed);
-    await this.bench.submit(makeRequest({
+    await this.harness.submit(makeRequest({
       id: identifier<RequestId>(`request-${this.#asked}`),
       prompt: makePrompt(`subject-${this.#asked % 20}`),
       deadlineMilliseconds: DEADLINE_MILLISECONDS,
     }));
   }
 
-  #take(attempt: SentAttempt): void {
+  #onSend(attempt: SentAttempt): void {
     const arrival = this.arrivals.arrived(attempt, this.#elapsed);
     if (!attempt.options.prefillOnly) return this.decode(attempt);
-    this.bench.timer.after(this.readMilliseconds, () => {
+    this.harness.timer.after(this.prefillMilliseconds, () => {
       if (attempt.aborted) return;
       this.arrivals.accepted(arrival);
       void attempt.respond("handle");
@@ -183,7 +183,7 @@
     const scenario = await RetryScenario.start();
     await scenario.run({ perSecond: 110, milliseconds: 3_000 });
     // One in ten requests; the fleet's budget allows 256 in ten seconds.
-    expect(scenario.arrivals.repeats.length).to.be.below(0.1 * 330);
+    expect(scenario.arrivals.retries.length).to.be.below(0.1 * 330);
   });
 
   // The decode engine crashes with open streams and restarts immediately. Each
@@ -198,7 +198,7 @@
     await scenario.run({ perSecond: 110, milliseconds: 10_000 });
     await breakStreams(open);
     await scenario.run({ perSecond: 110, milliseconds: 1_000 });
-    expect(scenario.arrivals.repeats.length).to.be.greaterThan(0);
+    expect(scenario.arrivals.retries.length).to.be.greaterThan(0);
     expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
@@ -219,7 +219,7 @@
     await scenario.run({ perSecond: 110, milliseconds: 8_600 });
     await breakStreams(open);
     await scenario.run({ perSecond: 110, milliseconds: 1_000 });
-    expect(scenario.arrivals.repeats.length).to.be.greaterThan(0);
+    expect(scenario.arrivals.retries.length).to.be.greaterThan(0);
     expect(scenario.arrivals.worstExcess).to.be.at.most(0);
   });
 
--- a/src/entry/forwarding/role_share_test.ts
+++ b/src/entry/forwarding/role_share_test.ts
@@ -21,17 +21,20 @@
 const TARGET_MILLISECONDS = 156;
 
 function makeEngines(prefillShare: number): RegisteredEndpoint[] {
-  const readers = Math.round(prefillShare * ENGINE_COUNT);
+  const prefillEngines = Math.round(prefillShare * ENGINE_COUNT);
   return Array.from(
     { length: ENGINE_COUNT },
     (_, index) =>
-      makeEngine(`engine-${index}`, index < readers ? "prefill" : "decode"),
+      makeEngine(
+        `engine-${index}`,
+        index < prefillEngines ? "prefill" : "decode",
+      ),
   );
 }
 
 /** Share of a burst of urgent responses that start within their target. */
 async function onTimeShare(prefillShare: number): Promise<number> {
-  const bench = new ForwardingHarness(
+  const harness = new ForwardingHarness(
     makeConfiguration({
       routes: [makeRoute({
         repeat: "stream",
@@ -42,27 +45,27 @@
     }),
     { repeats: 1_000 },
   );
-  new SimulatedEngines(bench);
+  new SimulatedEngines(harness);
   for (const engine of makeEngines(prefillShare)) {
-    bench.parts.registry.upsert(engine);
+    harness.parts.registry.upsert(engine);
   }
   let asked = 0;
   let onTime = 0;
   for (let time = 0; time < SECONDS * 1_000; time += 10) {
     const due = Math.floor((time + 10) * URGENT_PER_SECOND / 1_000);
     for (; asked < due; asked++) {
-      const sink = await bench.submit(makeRequest({
+      const sink = await harness.submit(makeRequest({
         id: identifier<RequestId>(`request-${asked}`),
         prompt: makePrompt(`subject-${asked}`, { shared: 80, own: 140 }),
         deadlineMilliseconds: 15_000,
       }));
-      bench.timer.after(TARGET_MILLISECONDS, () => {
+      harness.timer.after(TARGET_MILLISECONDS, () => {
         if (sink.status === 200) onTime += 1;
       });
     }
-    await bench.timer.advance(10);
+    await harness.timer.advance(10);
   }
-  await bench.timer.advance(TARGET_MILLISECONDS);
+  await harness.timer.advance(TARGET_MILLISECONDS);
   return onTime / asked;
 }
 
--- a/src/entry/forwarding/usage_reporter.ts
+++ b/src/entry/forwarding/usage_reporter.ts
@@ -301,9 +301,9 @@
 
   /** True if every entry that ran in the window has sent all its counts. */
   #isComplete(window: UsageWindow): boolean {
-    const { listedPeers: listed, windowMilliseconds } = this.#options;
+    const { listedPeers, windowMilliseconds } = this.#options;
     const end = this.#endOf(window);
-    for (const entry of listed()) {
+    for (const entry of listedPeers()) {
       const run = this.#runIds.get(entry);
       if (run === undefined) continue;
       const hasEnded = !this.#ledger.isKnownUntil(
--- a/src/entry/forwarding/usage_reporter_test.ts
+++ b/src/entry/forwarding/usage_reporter_test.ts
@@ -12,7 +12,7 @@
   expect(fleet.platform.reported.size).to.be.greaterThan(0);
 }
 
-describe("UsageKeeper", () => {
+describe("UsageReporter", () => {
   it("reports every window once, by one holder, soon after its end", async () => {
     const fleet = new UsageFleet({ entries: 4 });
     await fleet.serve(32_000);
@@ -40,9 +40,9 @@
   for (const moment of [900, 1_300, 2_000, 2_250, 2_500, 3_000, 4_500]) {
     it(`survives a kill of the holder ${moment} ms after a window's end`, async () => {
       const fleet = new UsageFleet({ entries: 4 });
-      const begun = WINDOW_MILLISECONDS -
+      const untilNextWindow = WINDOW_MILLISECONDS -
         fleet.timer.wallClock() % WINDOW_MILLISECONDS;
-      await fleet.serve(begun + 10_000 + moment);
+      await fleet.serve(untilNextWindow + 10_000 + moment);
       fleet.kill(0);
       await fleet.serve(3_000);
       fleet.restart(0);
--- a/src/entry/forwarding/wait_for_choice.ts
+++ b/src/entry/forwarding/wait_for_choice.ts
@@ -10,9 +10,9 @@
 const MIN_REMAINING_SHARE = 0.15;
 
 /**
- * Checks for an engine with capacity after which any engine is chosen.
- * Otherwise newer requests, which do not require capacity, overtake the waiting
- * ones.
+ * Number of checks for an engine with capacity after which any engine is
+ * chosen. Otherwise newer requests, which do not require capacity, overtake the
+ * waiting ones.
  */
 const MAX_CAPACITY_CHECKS = 8;
 
@@ -20,13 +20,15 @@
  * Chooses only engines with capacity for a limited number of checks, then any.
  */
 export function preferCapacity<Choice>(
-  choose: (options: { readonly withRoom: boolean }) => Choice | undefined,
+  choose: (
+    options: { readonly requiresCapacity: boolean },
+  ) => Choice | undefined,
 ): () => Choice | undefined {
   let fullChecks = 0;
   return () => {
-    const withCapacity = choose({ withRoom: true });
+    const withCapacity = choose({ requiresCapacity: true });
     if (withCapacity !== undefined) return withCapacity;
-    const any = choose({ withRoom: false });
+    const any = choose({ requiresCapacity: false });
     if (any !== undefined) fullChecks += 1;
     return fullChecks > MAX_CAPACITY_CHECKS ? any : undefined;
   };
@@ -59,13 +61,13 @@
 ): boolean {
   const {
     allowedMilliseconds,
-    remainingToFirstByteMilliseconds: leftToFirstByte,
+    remainingToFirstByteMilliseconds,
     route,
   } = context;
   const totalMilliseconds = Math.min(
     allowedMilliseconds,
     route.patienceMilliseconds ?? Infinity,
   );
-  const remainingMilliseconds = leftToFirstByte - milliseconds;
+  const remainingMilliseconds = remainingToFirstByteMilliseconds - milliseconds;
   return remainingMilliseconds > MIN_REMAINING_SHARE * totalMilliseconds;
 }
--- a/src/entry/forwarding/wait_for_choice_test.ts
+++ b/src/entry/forwarding/wait_for_choice_test.ts
@@ -10,8 +10,8 @@
   // without requiring capacity. A waiting request would wait until its caller
   // gives up.
   it("chooses a full engine after several checks, and not before", () => {
-    const choose = preferCapacity(({ withRoom }) =>
-      withRoom ? undefined : "full"
+    const choose = preferCapacity(({ requiresCapacity }) =>
+      requiresCapacity ? undefined : "full"
     );
     const choices = Array.from({ length: 9 }, () => choose());
     expect(choices.slice(0, 8)).to.deep.equal(new Array(8).fill(undefined));
@@ -20,8 +20,8 @@
 
   it("counts no check while no engine is reachable", () => {
     let isBack = false;
-    const choose = preferCapacity(({ withRoom }) =>
-      isBack && !withRoom ? "full" : undefined
+    const choose = preferCapacity(({ requiresCapacity }) =>
+      isBack && !requiresCapacity ? "full" : undefined
     );
     for (let check = 0; check < 50; check++) choose();
     isBack = true;
--- a/src/entry/forwarding/work_notification.ts
+++ b/src/entry/forwarding/work_notification.ts
@@ -103,7 +103,7 @@
     typeof incarnation === "string" &&
     typeof sequence === "number" &&
     Array.isArray(prompts) &&
-    Array.isArray(refusals) && refusals.every(isRefusalRow) &&
+    Array.isArray(refusals) && refusals.every(isRefusalReport) &&
     isWorkRows(work);
 }
 
@@ -117,7 +117,7 @@
     );
 }
 
-function isRefusalRow(value: unknown): value is RefusalReport {
+function isRefusalReport(value: unknown): value is RefusalReport {
   return Array.isArray(value) && typeof value[0] === "string" &&
     typeof value[1] === "number";
 }
