--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -277,9 +277,9 @@
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
     for (const endpoint of outcomes.filterHealthy(decodeEngines)) {
-      if (requiresCapacity && !hasCapacity(endpoint, { load, pool, tokens })) {
-        continue;
-      }
+      if (
+        requiresCapacity && !hasCapacity(endpoint, { load, pool, tokens })
+      ) continue;
       const isOtherZone = cacheZone !== undefined &&
         endpoint.availabilityZone !== cacheZone;
       const cost = load.total(endpoint.id).requests +
--- a/src/entry/forwarding/peer_exchange.ts
+++ b/src/entry/forwarding/peer_exchange.ts
@@ -235,9 +235,9 @@
     const now = timer.now();
     const isFull =
       now - this.#lastFullReportAt >= FULL_REPORT_INTERVAL_MILLISECONDS;
-    if (!isFull && !load.hasUnreported && !returningCallers.hasUnreported) {
-      return;
-    }
+    if (
+      !isFull && !load.hasUnreported && !returningCallers.hasUnreported
+    ) return;
     if (isFull) this.#lastFullReportAt = now;
     const losses = isFull ? crashes.reports.recentLosses() : [];
     this.broadcast(WORK_METHOD, {
