--- a/src/core/forwarding/admission/engine_admission.ts
+++ b/src/core/forwarding/admission/engine_admission.ts
@@ -1,19 +1,19 @@
 /**
  * Share of a route's target latency that the predicted time to first byte may
- * use. A slightly optimistic prediction would make the answer late and spend
+ * use. A slightly optimistic prediction would make the response late and spend
  * engine time that another request could have used to be on time.
  */
 const ON_TIME_TARGET_SHARE = 0.85;
 /**
  * Share of the caller's remaining time that the predicted first byte of a late
- * answer may use. The rest covers the error of a long prediction and the answer
- * itself: 300 ms of two seconds.
+ * response may use. The rest covers the error of a long prediction and the
+ * response itself: 300 ms of two seconds.
  */
 export const REMAINING_TIME_SHARE = 0.85;
 
 /**
- * Longest delay in the entry at which a late answer is still admitted. Beyond
- * it, late answers would take link capacity from those that can be on time.
+ * Longest delay in the entry at which a late response is still admitted. Beyond
+ * it, late responses would take link capacity from those that can be on time.
  */
 const MAX_LATE_ENTRY_MILLISECONDS = 75;
 
@@ -41,7 +41,7 @@
   readonly lateMilliseconds: number;
   /** Time from the end of the prefill to the first byte at the caller. */
   readonly handoverMilliseconds: number;
-  /** Queueing delay of the request and its answer in this entry. */
+  /** Queueing delay of the request and its response in this entry. */
   readonly entryMilliseconds: number;
   /** Time since the caller's first attempt. */
   readonly elapsedMilliseconds: number;
--- a/src/core/forwarding/admission/held_prompt_queue.ts
+++ b/src/core/forwarding/admission/held_prompt_queue.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Priority queue of prompts whose answers will be late, held until an engine is
- * nearly idle. Engines process prompts in order of arrival, so late prompts
+ * Priority queue of prompts whose responses will be late, held until an engine
+ * is nearly idle. Engines process prompts in order of arrival, so late prompts
  * sent early would delay those behind them. Ordered by rank, then by expiry.
  */
 export class HeldPromptQueue<Choice> {
--- a/src/core/forwarding/admission/held_prompt_queue_test.ts
+++ b/src/core/forwarding/admission/held_prompt_queue_test.ts
@@ -71,7 +71,7 @@
   });
 
   // The caller disconnects while its prompt is held. Starting the prompt would
-  // spend an engine on an answer that nobody reads while others wait.
+  // spend an engine on a response that nobody reads while others wait.
   it("skips a prompt whose caller has disconnected", async () => {
     let isCancelled = false;
     enqueue("gone", { isCancelled: () => isCancelled });
--- a/src/core/forwarding/admission/link_backlog.ts
+++ b/src/core/forwarding/admission/link_backlog.ts
@@ -1,8 +1,8 @@
 import type { TimerService } from "../../time/mod.ts";
 
 /**
- * Share of the link's bandwidth available to requests and answers. The rest is
- * for traffic between entries, retransmissions and packet headers.
+ * Share of the link's bandwidth available to requests and responses. The rest
+ * is for traffic between entries, retransmissions and packet headers.
  */
 const USABLE_SHARE = 0.8;
 const BITS_PER_BYTE = 8;
--- a/src/core/forwarding/admission/request_arrivals_test.ts
+++ b/src/core/forwarding/admission/request_arrivals_test.ts
@@ -92,7 +92,7 @@
       expect(countedRetries()).to.equal(1);
     });
 
-    // An engine crashes and loses the answer's cache. The prompt is prefilled
+    // An engine crashes and loses the response's cache. The prompt is prefilled
     // and sent once more: two arrivals, which a single retry does not cover.
     it("need two retries for a repeated prefill", async () => {
       budget = await createBudget(1);
--- a/src/core/forwarding/configuration.ts
+++ b/src/core/forwarding/configuration.ts
@@ -33,7 +33,7 @@
   /** Maximum time a caller is kept waiting, milliseconds. */
   readonly timeoutMilliseconds: number;
   /**
-   * Time within which an answer (of a stream, its first event) is on time,
+   * Time within which a response (of a stream, its first event) is on time,
    * milliseconds.
    */
   readonly targetMilliseconds: number;
--- a/src/core/forwarding/crashes/crash_tracker.ts
+++ b/src/core/forwarding/crashes/crash_tracker.ts
@@ -169,7 +169,7 @@
   }
 
   /**
-   * Records that the run refuses connections: it has ended, and later answers
+   * Records that the run refuses connections: it has ended, and later responses
    * at its address do not show that it is alive.
    */
   recordRefusedConnection(run: EndpointRun): void {
--- a/src/core/forwarding/crashes/crash_tracker_test.ts
+++ b/src/core/forwarding/crashes/crash_tracker_test.ts
@@ -120,7 +120,7 @@
     });
 
     it("does not hide the crashing one with its own losses", () => {
-      // Long answers that began before the first crash and end with the last
+      // Long responses that began before the first crash and end with the last
       // one.
       for (const endpoint of ["a", "b", "c", "d"]) {
         tracker.lost(makeEndpoint(endpoint), {
@@ -152,7 +152,7 @@
       expect(lose("d", CRASHING)).to.equal(3);
     });
 
-    it("retracts nothing for an answer to an earlier request", async () => {
+    it("retracts nothing for a response to an earlier request", async () => {
       const sentAt = timer.now();
       await timer.advance(10);
       lose("a", CRASHING);
--- a/src/core/forwarding/endpoints/fleet_load.ts
+++ b/src/core/forwarding/endpoints/fleet_load.ts
@@ -90,8 +90,8 @@
 
 /**
  * Open work of all entries at each endpoint. An endpoint's own report is only
- * as recent as its last answer, and all entries would choose the same engine by
- * it.
+ * as recent as its last response, and all entries would choose the same engine
+ * by it.
  */
 export class FleetLoad {
   readonly #timer: TimerService;
--- a/src/core/forwarding/estimates/handover_time_test.ts
+++ b/src/core/forwarding/estimates/handover_time_test.ts
@@ -2,8 +2,8 @@
 import { HandoverTime } from "./handover_time.ts";
 
 describe("HandoverTime", () => {
-  // Engines with long decode steps answer 60 ms after the prefill. Predicted at
-  // the speed of faster ones, every answer near its target would be late.
+  // Engines with long decode steps respond 60 ms after the prefill. Predicted
+  // at the speed of faster ones, every response near its target would be late.
   for (const milliseconds of [2, 15, 60]) {
     it(`learns that engines take ${milliseconds} ms`, () => {
       const handover = new HandoverTime();
@@ -22,7 +22,7 @@
     expect(handover.conservativeMilliseconds).to.be.below(35);
   });
 
-  it("allows for the deviation of answers", () => {
+  it("allows for the deviation of responses", () => {
     const handover = new HandoverTime();
     for (let count = 0; count < 100; count++) {
       handover.record(count % 2 === 0 ? 10 : 30, 0);
--- a/src/core/forwarding/estimates/mod.ts
+++ b/src/core/forwarding/estimates/mod.ts
@@ -1,4 +1,4 @@
-/** Estimates of engines' speed, learned from their answers. */
+/** Estimates of engines' speed, learned from their responses. */
 export {
   EngineEstimates,
   type PoolEstimates,
--- a/src/core/forwarding/estimates/prefill_speed_test.ts
+++ b/src/core/forwarding/estimates/prefill_speed_test.ts
@@ -72,8 +72,8 @@
 }
 
 describe("PrefillSpeed", () => {
-  // Engines of an unknown kind. Predicted at the speed of another kind, answers
-  // would be late, or callers refused while engines are idle.
+  // Engines of an unknown kind. Predicted at the speed of another kind,
+  // responses would be late, or callers refused while engines are idle.
   for (const tokensPerMillisecond of [20, 61, 140, 310, 1_000]) {
     const engine = { tokensPerMillisecond, callMilliseconds: 4 };
 
@@ -84,7 +84,7 @@
         expect(medianError(speed, engine, random)).to.be.below(0.05);
       });
 
-      // Some answers wait for a peer's prompt, and some parts that are assumed
+      // Some prefills wait for a peer's prompt, and some parts that are assumed
       // to be cached have been evicted and are computed again.
       it("are predicted where a fifth of the samples took far longer", () => {
         const random = seededRandom(202);
--- a/src/core/forwarding/placement/decode_capacity.ts
+++ b/src/core/forwarding/placement/decode_capacity.ts
@@ -3,9 +3,10 @@
 
 /**
  * Share of an engine's memory that open requests may use before the engine gets
- * one that has waited. Answers grow while they run, and an engine that recovers
- * from a crash would otherwise get more waiting requests than its memory holds.
- * Requests that have not waited are not limited: engines have a short queue.
+ * one that has waited. Responses grow while they run, and an engine that
+ * recovers from a crash would otherwise get more waiting requests than its
+ * memory holds. Requests that have not waited are not limited: engines have a
+ * short queue.
  */
 const MAX_MEMORY_SHARE = 0.9;
 
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -102,7 +102,7 @@
   readonly random: Random;
 }
 
-/** Chooses prefill engines for prompts and decode engines for answers. */
+/** Chooses prefill engines for prompts and decode engines for responses. */
 export class EnginePlacement {
   readonly #options: EnginePlacementOptions;
 
@@ -132,7 +132,7 @@
       handoverTransferMilliseconds(prompt, pool);
   }
 
-  /** Records the time to first byte of an answer after a handover. */
+  /** Records the time to first byte of a response after a handover. */
   recordHandover(prompt: Prompt, pool: Pool, milliseconds: number): void {
     const { handover } = this.#options.estimates.forPool(pool.name);
     handover.record(milliseconds, handoverTransferMilliseconds(prompt, pool));
@@ -153,7 +153,7 @@
   }
 
   /**
-   * Decode engines whose load is refreshed before an answer is placed.
+   * Decode engines whose load is refreshed before a response is placed.
    * `cacheZone` is the zone of the prompt's cache.
    */
   decodeEnginesToRefresh(
--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -81,7 +81,7 @@
       });
 
     // An engine queues a few requests itself and starts them as others end.
-    // Held back in the entry, an urgent answer would wait for the next check.
+    // Held back in the entry, an urgent response would wait for the next check.
     it("ignores the capacity for requests that have not waited", () => {
       openRequests(9, 100_000);
       expect(chooseDecode(ENGINE_POOL, false)?.endpoint.id).to.equal("maker");
@@ -146,7 +146,7 @@
 
   // Many callers ask for one subject at once, and the engine with its parts has
   // a queue. Another engine would need 20 ms per prompt to recompute them,
-  // which makes the answers behind late.
+  // which makes the responses behind late.
   describe("where the engine with the cached parts is busy", () => {
     it("chooses another one that fetches them and computes the rest", () => {
       cachePrefix(engines[1]);
--- a/src/core/forwarding/placement/engine_sample.ts
+++ b/src/core/forwarding/placement/engine_sample.ts
@@ -47,7 +47,7 @@
 }
 
 /**
- * Decode engines to compare for an answer, those of the preferred zone first.
+ * Decode engines to compare for a response, those of the preferred zone first.
  */
 export function sampleDecodeEngines(
   decodeEngines: readonly RegisteredEndpoint[],
--- a/src/core/forwarding/requests.ts
+++ b/src/core/forwarding/requests.ts
@@ -13,7 +13,7 @@
 export interface Prompt {
   readonly model: ModelName;
   readonly inputTokens: number;
-  /** Maximum number of tokens in the answer. */
+  /** Maximum number of tokens in the response. */
   readonly mostOutputTokens: number;
   readonly parts: readonly PromptPart[];
 }
--- a/src/entry/forwarding/forward_context.ts
+++ b/src/entry/forwarding/forward_context.ts
@@ -101,7 +101,7 @@
     return crashes.size === 0 ? 0 : crashes.blockedMilliseconds(this.digest);
   }
 
-  /** Number of consecutive crashes attributed to the request, as known here. */
+  /** Number of successive crashes attributed to the request, as known here. */
   get knownCrashes(): number {
     const { crashes } = this.parts;
     return crashes.size === 0 ? 0 : crashes.crashCount(this.digest);
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -20,7 +20,7 @@
 const MIN_PREFILL_TIMEOUT_MILLISECONDS = 400;
 /**
  * Part of the deadline that is reserved for the response. A prompt is not
- * prefilled if its response cannot be complete by then.
+ * prefilled if its response cannot be complete by the deadline.
  */
 const DECODE_RESERVE_MILLISECONDS = 120;
 /** Maximum size of a response to a prefill. */
--- a/src/entry/forwarding/role_controller.ts
+++ b/src/entry/forwarding/role_controller.ts
@@ -31,14 +31,15 @@
  */
 const INITIAL_SETTLE_MILLISECONDS = 2_000;
 /**
- * The same for later plans; an engine that crashes is back with its role by
- * then.
+ * The same for later plans; an engine that crashes is back with its role within
+ * this time.
  */
 const SETTLE_MILLISECONDS = 7_000;
 /** Interval at which the demand on the engines is sampled. */
 const DEMAND_SAMPLE_MILLISECONDS = 250;
 /**
- * A role change that is not visible by then has failed and is planned again.
+ * A role change that is not visible within this time has failed and is planned
+ * again.
  */
 const CHANGE_TIMEOUT_MILLISECONDS = 12_000;
 
