--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -54,7 +54,7 @@
     placement.choosePrefill(PROMPT, { engines, pool: ENGINE_POOL });
 
   // The link speed of the engines is not configured. If the transfer counted as
-  // infinite, every long prompt would be rejected while all engines are idle.
+  // infinite, every long prompt would be refused while all engines are idle.
   it("predicts a finite handover where the link speed is unknown", () => {
     const { engine } = ENGINE_POOL;
     const pool = makePool({
@@ -73,15 +73,15 @@
       }
     }
 
-    const chooseDecode = (pool = ENGINE_POOL, withRoom = true) =>
+    const chooseDecode = (pool = ENGINE_POOL, requiresCapacity = true) =>
       placement.chooseDecode([decodeEngine], {
         prompt: PROMPT,
         pool,
-        requiresCapacity: withRoom,
+        requiresCapacity,
       });
 
     // An engine queues a few requests itself and starts them as others end.
-    // Held back in the entry, an urgent answer would wait for the next check.
+    // Held back in the entry, an urgent response would wait for the next check.
     it("ignores the capacity for requests that have not waited", () => {
       openRequests(9, 100_000);
       expect(chooseDecode(ENGINE_POOL, false)?.endpoint.id).to.equal("maker");
@@ -146,7 +146,7 @@
 
   // Many callers ask for one subject at once, and the engine with its parts has
   // a queue. Another engine would need 20 ms per prompt to recompute them,
-  // which makes the answers behind late.
+  // which makes the responses behind late.
   describe("where the engine with the cached parts is busy", () => {
     it("chooses another one that fetches them and computes the rest", () => {
       cachePrefix(engines[1]);
