--- a/src/core/admission/class_share_limiter.ts
+++ b/src/core/admission/class_share_limiter.ts
@@ -30,7 +30,7 @@
     return counts.admitted >= servedShare * counts.offered;
   }
 
-  admitted(className: string): void {
+  recordAdmission(className: string): void {
     this.#countsOf(className).admitted += 1;
   }
 
--- a/src/core/admission/drain_rate_estimator.ts
+++ b/src/core/admission/drain_rate_estimator.ts
@@ -21,7 +21,7 @@
   #busySince: number | undefined;
 
   /** Records admitted work of a class; rank 0 is the most urgent. */
-  admitted(rank: number, work: { cost: number; now: number }): void {
+  recordAdmission(rank: number, work: { cost: number; now: number }): void {
     const rate = this.#arrivals[rank] ?? { value: 0, at: work.now };
     this.#arrivals[rank] = rate;
     addWork(rate, work);
--- a/src/core/admission/output_length_estimator.ts
+++ b/src/core/admission/output_length_estimator.ts
@@ -28,10 +28,10 @@
   /** Tokens that are still expected, bounded by the caller's maximum. */
   expectedRemaining(
     className: string,
-    bounds: { most: number; delivered: number },
+    bounds: { maxTokens: number; delivered: number },
   ): number {
     const mean = this.#meanTokensByClass.get(className) ??
       DEFAULT_OUTPUT_TOKENS;
-    return Math.max(1, Math.min(mean, bounds.most) - bounds.delivered);
+    return Math.max(1, Math.min(mean, bounds.maxTokens) - bounds.delivered);
   }
 }
--- a/src/core/configuration/check_inventory.ts
+++ b/src/core/configuration/check_inventory.ts
@@ -12,11 +12,11 @@
   const problems = [
     ...duplicates(inventory.availabilityZones, {
       path: (index) => `/inventory/availabilityZones/${index}`,
-      what: "availability zone",
+      label: "availability zone",
     }),
     ...duplicates(inventory.pools.map((pool) => pool.name), {
       path: (index) => `/inventory/pools/${index}/name`,
-      what: "pool name",
+      label: "pool name",
     }),
     ...checkRepeatedEndpoints(inventory),
     ...checkRepeatedModels(inventory),
@@ -100,11 +100,11 @@
   return [
     ...duplicates(places.map(({ endpoint }) => endpoint.id), {
       path: (index) => `${places[index].path}/id`,
-      what: "endpoint id",
+      label: "endpoint id",
     }),
     ...duplicates(places.map(({ endpoint }) => endpoint.side), {
       path: (index) => `${places[index].path}/side`,
-      what: "address of a side process",
+      label: "address of a side process",
     }),
   ];
 }
@@ -122,7 +122,7 @@
   );
   return duplicates(places.map(({ model }) => model), {
     path: (index) => places[index].path,
-    what: "model",
+    label: "model",
   });
 }
 
@@ -135,7 +135,7 @@
   );
   return duplicates(places.map(({ key }) => key), {
     path: (index) => places[index].path,
-    what: "route",
+    label: "route",
   });
 }
 
--- a/src/core/configuration/check_rules.ts
+++ b/src/core/configuration/check_rules.ts
@@ -13,7 +13,7 @@
   const classes = new Set(rules.classes.map((entry) => entry.name));
   const problems = duplicates(rules.classes.map((entry) => entry.name), {
     path: (index) => `/rules/classes/${index}/name`,
-    what: "class name",
+    label: "class name",
   });
   const expected = `one of ${[...classes].join(", ")}`;
   if (!classes.has(rules.defaultClass)) {
--- a/src/core/configuration/problem.ts
+++ b/src/core/configuration/problem.ts
@@ -9,7 +9,7 @@
 /** Returns a problem for each value that repeats an earlier one. */
 export function duplicates(
   values: readonly string[],
-  options: { path: (index: number) => string; what: string },
+  options: { path: (index: number) => string; label: string },
 ): ConfigurationProblem[] {
   const seen = new Set<string>();
   const problems: ConfigurationProblem[] = [];
@@ -17,7 +17,7 @@
     if (seen.has(value)) {
       problems.push(problem(options.path(index), {
         found: value,
-        expected: `a ${options.what} that is used once`,
+        expected: `a ${options.label} that is used once`,
       }));
     }
     seen.add(value);
--- a/src/core/journal/appender.ts
+++ b/src/core/journal/appender.ts
@@ -89,7 +89,7 @@
   /** Consecutive calls that the log service rejected without effect. */
   #consecutiveRejections = 0;
   #endRetryWait: (() => void) | undefined;
-  /** Calls of the log service's append, for measurements. */
+  /** Number of calls of the log service's `append`, for metrics. */
   calls = 0;
 
   constructor(options: AppenderOptions) {
--- a/src/core/journal/journal_test.ts
+++ b/src/core/journal/journal_test.ts
@@ -334,12 +334,12 @@
       log.appendDirectly(ORDERS, ["a", "b", "c", "d"].map(record));
       await timer.advance(100);
       log.expire(ORDERS, 3);
-      let asked = 0;
+      let queries = 0;
       const late = start("late", {
         log: failingExpiredReads(log),
         peers: () =>
           Promise.resolve(
-            asked++ === 0 ? undefined : peer.journal.snapshot(),
+            queries++ === 0 ? undefined : peer.journal.snapshot(),
           ),
         writesCheckpoints: false,
       });
@@ -407,19 +407,19 @@
     // The log is down for half an hour. All entries have the same state, and
     // without backoff each would fetch it from its peers repeatedly.
     it("queries its peers rarely while it has a state", async () => {
-      let asked = 0;
+      let queries = 0;
       const one = start("one", {
         peers: () => {
-          asked += 1;
+          queries += 1;
           return Promise.resolve(undefined);
         },
       });
       log.appendDirectly(ORDERS, [record("a", 0)]);
       await timer.advance(1_000);
       one.faults.down = true;
-      asked = 0;
+      queries = 0;
       await timer.advance(1_800_000);
-      expect(asked).to.be.within(2, 8);
+      expect(queries).to.be.within(2, 8);
     });
 
     // Only this process is cut off from the log. Its peers continue to read;
--- a/src/core/journal/outage_test.ts
+++ b/src/core/journal/outage_test.ts
@@ -15,7 +15,7 @@
   replaces: -1,
 };
 
-describe("journal at the beginning of an outage", () => {
+describe("Journal at the beginning of an outage", () => {
   async function make() {
     const timer = new ManualTimerService();
     const log = new FakeLog({ timer });
--- a/src/core/journal/peer_source.ts
+++ b/src/core/journal/peer_source.ts
@@ -73,11 +73,11 @@
     this.#degradedSince = undefined;
   }
 
-  async #queryWithBackoff(firstMilliseconds: number): Promise<void> {
+  async #queryWithBackoff(initialMilliseconds: number): Promise<void> {
     const now = this.#options.timer.now();
     if (this.#degradedSince === undefined) {
       this.#degradedSince = now;
-      this.#nextQueryAfter = firstMilliseconds;
+      this.#nextQueryAfter = initialMilliseconds;
     }
     const waited = now - this.#degradedSince;
     if (waited < this.#nextQueryAfter) return;
--- a/src/core/limits/adaptive_limit.ts
+++ b/src/core/limits/adaptive_limit.ts
@@ -42,7 +42,7 @@
  * time, multiplicative decrease when they do not.
  */
 export class AdaptiveLimit {
-  #mostRunning: number;
+  #maxRunning: number;
   readonly #targetMilliseconds?: number;
   readonly #toleratedSlowdown: number;
   #limit: number;
@@ -55,7 +55,7 @@
   #peakRunning = 0;
 
   constructor(options: AdaptiveLimitOptions) {
-    this.#mostRunning = options.mostRunning;
+    this.#maxRunning = options.mostRunning;
     this.#targetMilliseconds = options.targetMilliseconds;
     this.#toleratedSlowdown = options.toleratedSlowdown ?? TOLERATED_SLOWDOWN;
     this.#limit = options.mostRunning;
@@ -71,7 +71,7 @@
 
   /** Restarts from a new upper bound; the best mean may differ there. */
   setCeiling(mostRunning: number): void {
-    this.#mostRunning = mostRunning;
+    this.#maxRunning = mostRunning;
     this.#limit = mostRunning;
     this.#smoothedMean = 0;
     this.#bestMean = Infinity;
@@ -100,7 +100,7 @@
     if (this.#isTooSlow()) {
       this.#limit = Math.max(1, this.#limit * DECREASE_FACTOR);
     } else if (this.#peakRunning >= this.limit) {
-      this.#limit = Math.min(this.#mostRunning, this.#limit + 1);
+      this.#limit = Math.min(this.#maxRunning, this.#limit + 1);
     }
     this.#peakRunning = running;
   }
--- a/src/core/limits/endpoint_limiter.ts
+++ b/src/core/limits/endpoint_limiter.ts
@@ -33,7 +33,7 @@
   readonly deadlineMilliseconds: number;
   /** The attempt may be paused while more urgent work waits. */
   readonly mayPause?: boolean;
-  /** Identifies the attempt in `toPause` and `toResume`. */
+  /** Identifies the attempt in the slot that it gets. */
   readonly attemptId?: string;
   /** Tokens of the prompt, counted as backlog until the first token. */
   readonly promptTokens?: number;
@@ -79,11 +79,11 @@
  */
 export class EndpointLimiter {
   readonly #timer: TimerService;
-  readonly #mostWaiting: number;
+  readonly #maxWaiting: number;
   readonly #maxBeforeFirstToken: number;
   readonly #limit: AdaptiveLimit;
   readonly #active = new Set<ActiveAttempt>();
-  /** Sorted, most urgent first; the length is bounded by `mostWaiting`. */
+  /** Sorted, most urgent first; the length is bounded by `#maxWaiting`. */
   readonly #waiting: Waiter[] = [];
   /** Active attempts that are not paused. */
   #running = 0;
@@ -94,7 +94,7 @@
 
   constructor(options: EndpointLimiterOptions) {
     this.#timer = options.timer;
-    this.#mostWaiting = options.mostWaiting;
+    this.#maxWaiting = options.mostWaiting;
     this.#maxBeforeFirstToken = options.maxBeforeFirstToken ?? 0;
     this.#limit = new AdaptiveLimit({
       mostRunning: options.mostRunning,
@@ -281,7 +281,7 @@
    * Returns false if the wait queue is full of work that is at least as urgent.
    */
   #ensureQueueSpaceFor(options: AcquireOptions): boolean {
-    if (this.#waiting.length < this.#mostWaiting) return true;
+    if (this.#waiting.length < this.#maxWaiting) return true;
     const last = this.#waiting[this.#waiting.length - 1];
     if (last === undefined || last.options.priority <= options.priority) {
       return false;
--- a/src/core/limits/endpoint_limiter_test.ts
+++ b/src/core/limits/endpoint_limiter_test.ts
@@ -23,7 +23,7 @@
   };
 }
 
-describe("SideLimiter", () => {
+describe("EndpointLimiter", () => {
   it("refuses attempts beyond the limit and the wait queue", async () => {
     const { limiter } = makeLimiter(1, 1);
     await limiter.acquire(BULK);
--- a/src/core/membership/rendezvous_first_test.ts
+++ b/src/core/membership/rendezvous_first_test.ts
@@ -24,7 +24,7 @@
   });
 });
 
-describe("hashBehind", () => {
+describe("hashWithPrefix", () => {
   it("hashes the prefix and the text as one string", () => {
     for (const text of ["", "engine-1", "part\u00e9"]) {
       expect(hashWithPrefix("picker\u0000")(text))
--- a/src/core/observation/emit_event.ts
+++ b/src/core/observation/emit_event.ts
@@ -5,7 +5,7 @@
 export type EventFields = Readonly<Record<string, string | number | boolean>>;
 
 /** Emits an event of one process. */
-export type EmitEvent = (kind: HistoryEventKind, facts: EventFields) => void;
+export type EmitEvent = (kind: HistoryEventKind, fields: EventFields) => void;
 
 export interface EmitEventOptions {
   readonly observe: Observe | undefined;
@@ -20,8 +20,13 @@
  * an observer.
  */
 export function createEmitEvent(options: EmitEventOptions): EmitEvent {
-  const { observe, timer, process, commonFields: always } = options;
+  const { observe, timer, process, commonFields } = options;
   if (observe === undefined) return () => {};
-  return (kind, facts) =>
-    observe({ at: timer.now(), process, kind, facts: { ...facts, ...always } });
+  return (kind, fields) =>
+    observe({
+      at: timer.now(),
+      process,
+      kind,
+      facts: { ...fields, ...commonFields },
+    });
 }
--- a/src/core/observation/logger.ts
+++ b/src/core/observation/logger.ts
@@ -6,13 +6,13 @@
  */
 export interface Logger {
   /** Details for debugging the program. */
-  debug(facts: LogFields, message: string): void;
+  debug(fields: LogFields, message: string): void;
   /** A change of state that an operator expects to see. */
-  info(facts: LogFields, message: string): void;
+  info(fields: LogFields, message: string): void;
   /** Something failed and the system continues without an operator. */
-  warn(facts: LogFields, message: string): void;
+  warn(fields: LogFields, message: string): void;
   /** Something failed that an operator has to look at. */
-  error(facts: LogFields, message: string): void;
+  error(fields: LogFields, message: string): void;
 }
 
 /** Discards everything; for tests and embedders that want no log. */
--- a/src/core/observation/tracer.ts
+++ b/src/core/observation/tracer.ts
@@ -19,7 +19,7 @@
    * hop then passes on the value that it received itself.
    */
   readonly traceparent: string | undefined;
-  add(facts: SpanAttributes): void;
+  add(attributes: SpanAttributes): void;
   /** Marks the hop as failed; it still has to end. */
   fail(reason: string): void;
   end(): void;
--- a/src/core/once/acquisition.ts
+++ b/src/core/once/acquisition.ts
@@ -148,9 +148,9 @@
   view: { readonly owner: KeyOwner; readonly now: number },
 ): boolean {
   if (acquisition.lostPermit?.record === view.owner.record) return true;
-  const { unseenRecord: notSeen } = acquisition;
-  if (notSeen?.record !== view.owner.record) return false;
-  return view.now - notSeen.since >= BAR_GRACE_MILLISECONDS;
+  const { unseenRecord } = acquisition;
+  if (unseenRecord?.record !== view.owner.record) return false;
+  return view.now - unseenRecord.since >= BAR_GRACE_MILLISECONDS;
 }
 
 /**
--- a/src/core/once/coordinator.ts
+++ b/src/core/once/coordinator.ts
@@ -48,8 +48,8 @@
   readonly deadline?: number;
   /**
    * Permit that this request has already sent and whose outcome is unknown. The
-   * side is asked to bar it at once, and until it has, no result says that
-   * nothing has call.
+   * side is asked to bar it at once; until it has done so, no result says that
+   * the work has not run.
    */
   readonly lost?: OncePermit;
 }
@@ -223,9 +223,9 @@
 
   /**
    * Handles a failed query. The side may be reachable again shortly; one
-   * that stays away does not answer before the deadline either, so holding the
-   * caller longer than `UNREACHABLE_TIMEOUT_MILLISECONDS` would not change its
-   * result.
+   * that stays unreachable does not answer before the deadline either, so
+   * holding the caller longer than `UNREACHABLE_TIMEOUT_MILLISECONDS` would not
+   * change its result.
    */
   async #handleFailedQuery(
     call: AcquireCall,
@@ -239,7 +239,7 @@
   }
 
   async #waitForNextQuery(call: AcquireCall): Promise<undefined> {
-    const again = this.#options.timer.now() + QUERY_INTERVAL_MILLISECONDS;
-    await this.#waiter.nextChange(Math.min(again, call.deadline));
+    const nextQueryAt = this.#options.timer.now() + QUERY_INTERVAL_MILLISECONDS;
+    await this.#waiter.nextChange(Math.min(nextQueryAt, call.deadline));
   }
 }
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -173,9 +173,9 @@
     const known = this.#owners.has(owner.key);
     this.#owners.set(owner.key, owner);
     if (known) return;
-    const group = bucketOf(timeOfKey(owner.key) ?? 0);
-    const keys = this.#keysByBucket.get(group);
-    if (keys === undefined) this.#keysByBucket.set(group, [owner.key]);
+    const bucket = bucketOf(timeOfKey(owner.key) ?? 0);
+    const keys = this.#keysByBucket.get(bucket);
+    if (keys === undefined) this.#keysByBucket.set(bucket, [owner.key]);
     else keys.push(owner.key);
   }
 
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -36,7 +36,9 @@
   };
 }
 
-/** A short outage of the log ends within seconds; see the readers' retries. */
+/**
+ * Retry time while the log is down; a short outage ends within seconds.
+ */
 const LOG_RETRY_MILLISECONDS = 3_000;
 
 export function refusedResult(refusal: Refusal): AcquireResult {
--- a/src/core/once/side_table.ts
+++ b/src/core/once/side_table.ts
@@ -152,14 +152,14 @@
       return;
     }
     const size = 2 * answer.body.length;
-    const kept = size <= this.#maxBytesPerAnswer;
+    const isStored = size <= this.#maxBytesPerAnswer;
     this.#set(permit.record, {
       key: known.key,
       state: "answered",
-      answer: kept ? answer : undefined,
-      size: kept ? size : 0,
+      answer: isStored ? answer : undefined,
+      size: isStored ? size : 0,
     });
-    if (!kept) return;
+    if (!isStored) return;
     this.#answers.add(permit.record);
     this.#answerBytes += size;
     this.#evictAnswers();
--- a/src/core/placement/endpoint_view.ts
+++ b/src/core/placement/endpoint_view.ts
@@ -249,7 +249,7 @@
         outputTokens * 1_000 / this.#rates.outputTokensPerSecond);
   }
 
-  attemptStarted(attempt: OwnAttempt, now: number): void {
+  recordAttemptStart(attempt: OwnAttempt, now: number): void {
     this.#ownAttempts += 1;
     if (attempt.rank > 0) this.#ownLessUrgentAttempts += 1;
     this.#recordPlacedPrompt(attempt);
@@ -267,7 +267,7 @@
     }
   }
 
-  attemptEnded(attempt: OwnAttempt): void {
+  recordAttemptEnd(attempt: OwnAttempt): void {
     this.#ownAttempts -= 1;
     if (attempt.rank > 0) this.#ownLessUrgentAttempts -= 1;
   }
--- a/src/core/placement/placement_test.ts
+++ b/src/core/placement/placement_test.ts
@@ -79,13 +79,13 @@
   const fast = { ratioToPredicted: 1, ratioToRated: 1 };
   const slow = { ratioToPredicted: 1, ratioToRated: 6 };
 
-  it("reports a failing endpoint as bad", () => {
+  it("ejects a failing endpoint", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 10; index++) health.failed(0);
     expect(health.shouldEject(1)).to.equal(true);
   });
 
-  it("reports a slow endpoint as bad even if its reports predict it", () => {
+  it("ejects a slow endpoint even if its reports predict it", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.shouldEject(1)).to.equal(true);
@@ -93,7 +93,7 @@
 
   // The whole pool is slow because it is loaded. Ejecting endpoints then slows
   // the others further.
-  it("reports no endpoint as bad that is like the others", () => {
+  it("does not eject an endpoint that is like the others", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
     for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
     expect(health.shouldEject(5)).to.equal(false);
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -95,7 +95,7 @@
   }
 
   /** Replaces the routing plan; recent placements carry over. */
-  usePlan(plan: RoutingPlan): void {
+  setPlan(plan: RoutingPlan): void {
     plan.inheritPlacements(this.#plan);
     this.#plan = plan;
   }
@@ -106,7 +106,10 @@
   }
 
   /** Whether a request of the class has a free slot. */
-  hasRoom(className: string, options: { rank: number; now: number }): boolean {
+  hasCapacity(
+    className: string,
+    options: { rank: number; now: number },
+  ): boolean {
     const { rank, now } = options;
     return this.#views.some((view) =>
       isAvailable(view, now) && view.freeSlots(rank, now) >= 1 &&
@@ -199,13 +202,13 @@
 
   /** Ejects unhealthy endpoints up to the ejection ceiling. */
   review(now: number): void {
-    const judged = this.#views.filter((view) => view.usable);
+    const usable = this.#views.filter((view) => view.usable);
     const maxEjected = Math.floor(
-      judged.length * this.#options.maxEjectedShare,
+      usable.length * this.#options.maxEjectedShare,
     );
-    let ejected = judged.filter((one) => one.health.ejected).length;
-    const median = medianOf(judged.map((one) => one.health.ratioToRated));
-    for (const view of judged) {
+    let ejected = usable.filter((one) => one.health.ejected).length;
+    const median = medianOf(usable.map((one) => one.health.ratioToRated));
+    for (const view of usable) {
       if (ejected >= maxEjected) return;
       if (!view.health.shouldEject(median)) continue;
       view.health.eject(now);
--- a/src/core/queueing/request_queue_test.ts
+++ b/src/core/queueing/request_queue_test.ts
@@ -14,12 +14,12 @@
 
 function queueWith(
   items: readonly TestItem[],
-  hasRoom: (workClass: WorkClass) => boolean = () => true,
+  hasCapacity: (workClass: WorkClass) => boolean = () => true,
 ) {
   const served: string[] = [];
   const queue = new RequestQueue({
     classes: CLASSES,
-    hasCapacity: hasRoom,
+    hasCapacity,
     defaultShare: 0,
   });
   for (const item of items) {
--- a/src/core/scheduling/completion_predictor.ts
+++ b/src/core/scheduling/completion_predictor.ts
@@ -28,8 +28,8 @@
 /** Predicts when a request completes, and decides on its admission. */
 export class CompletionPredictor {
   readonly #options: CompletionPredictorOptions;
-  readonly #drain = new DrainRateEstimator();
-  readonly #thinning = new ClassShareLimiter();
+  readonly #drainRate = new DrainRateEstimator();
+  readonly #shareLimiter = new ClassShareLimiter();
 
   constructor(options: CompletionPredictorOptions) {
     this.#options = options;
@@ -71,12 +71,12 @@
   }
 
   recordAdmission(query: PlacementQuery, cost: number): void {
-    this.#drain.admitted(query.rank, { cost, now: query.now });
+    this.#drainRate.recordAdmission(query.rank, { cost, now: query.now });
   }
 
   recordDispatch(cost: number, now: number): void {
     const othersWait = this.#options.queue.waiting > 0;
-    this.#drain.recordDispatch({ cost, now, othersWait });
+    this.#drainRate.recordDispatch({ cost, now, othersWait });
   }
 
   /** Requests of this kind that the pool's slots complete per second. */
@@ -93,7 +93,9 @@
     const { rank, now } = query;
     const { className } = query.profile;
     const costAhead = queue.costAhead(className);
-    if (costAhead === 0 && placer.hasRoom(className, { rank, now })) return 0;
+    if (costAhead === 0 && placer.hasCapacity(className, { rank, now })) {
+      return 0;
+    }
     if (!policy.learnsDrain) {
       const share = rank === 0 ? 1 : policy.lessUrgentShare;
       return (costAhead + service) / Math.max(1, placer.capacity(now) * share);
@@ -101,7 +103,8 @@
     const counts = placer.usableCounts(now);
     const expected = (counts.mixed + counts.prefill + counts.decode) /
       Math.max(1, entriesSharing());
-    return costAhead / this.#drain.ratePerMillisecond(rank, { expected, now });
+    return costAhead /
+      this.#drainRate.ratePerMillisecond(rank, { expected, now });
   }
 
   /**
@@ -113,10 +116,13 @@
     const { profile, rank, now } = query;
     if (rank === 0 || !policy.thinsClasses) return false;
     const share = placer.servedShare(profile.className);
-    const isOver = this.#thinning.exceedsShare(profile.className, share);
+    const exceedsShare = this.#shareLimiter.exceedsShare(
+      profile.className,
+      share,
+    );
     const timeLeft = profile.deadline - now;
-    if (wait > timeLeft * policy.thinningWaitShare && isOver) return true;
-    this.#thinning.admitted(profile.className);
+    if (wait > timeLeft * policy.thinningWaitShare && exceedsShare) return true;
+    this.#shareLimiter.recordAdmission(profile.className);
     return false;
   }
 }
--- a/src/core/scheduling/demand_window.ts
+++ b/src/core/scheduling/demand_window.ts
@@ -26,14 +26,14 @@
 
   recordArrival(
     now: number,
-    seen: { className: string; promptTokens: number; outputTokens: number },
+    arrival: { className: string; promptTokens: number; outputTokens: number },
   ): void {
     const { classes } = this.#sliceAt(now);
-    const totals = classes.get(seen.className) ?? zeroTotals();
-    classes.set(seen.className, totals);
+    const totals = classes.get(arrival.className) ?? zeroTotals();
+    classes.set(arrival.className, totals);
     totals.arrivals += 1;
-    totals.promptTokens += seen.promptTokens;
-    totals.outputTokens += seen.outputTokens;
+    totals.promptTokens += arrival.promptTokens;
+    totals.outputTokens += arrival.outputTokens;
   }
 
   recordRefusal(now: number): void {
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -46,9 +46,9 @@
 class EntryScheduler implements Scheduler {
   readonly #options: SchedulerOptions;
   readonly #pools = new Map<string, PoolScheduler>();
-  readonly #poolOf = new Map<string, PoolScheduler>();
-  readonly #budget = new RetryBudget();
-  readonly #loopGuard = new LoadShedder();
+  readonly #poolsByEndpoint = new Map<string, PoolScheduler>();
+  readonly #retryBudget = new RetryBudget();
+  readonly #loadShedder = new LoadShedder();
 
   constructor(options: SchedulerOptions) {
     this.#options = options;
@@ -63,7 +63,7 @@
   }
 
   configure(inventory: Inventory, rules: Rules): void {
-    this.#poolOf.clear();
+    this.#poolsByEndpoint.clear();
     for (const pool of inventory.pools) {
       const existing = this.#pools.get(pool.name);
       existing?.configure(pool, rules);
@@ -73,11 +73,13 @@
         availabilityZone: this.#options.availabilityZone,
         salt: this.#options.name ?? this.#options.availabilityZone,
         policy: this.#options.policy ?? DEFAULT_POLICY,
-        onAnswered: () => this.#budget.recordSuccess(),
+        onAnswered: () => this.#retryBudget.recordSuccess(),
         entriesSharing: this.#options.entriesSharing ?? (() => 1),
       });
       this.#pools.set(pool.name, scheduler);
-      for (const { id } of pool.endpoints) this.#poolOf.set(id, scheduler);
+      for (const { id } of pool.endpoints) {
+        this.#poolsByEndpoint.set(id, scheduler);
+      }
     }
     this.#removePoolsNotIn(inventory);
   }
@@ -87,11 +89,11 @@
     if (pool === undefined) return err(refusal("not_configured"));
     pool.recordArrival(profile);
     const rank = pool.rank(profile.className);
-    if (this.#loopGuard.shouldShed(rank, pool.ranks)) {
+    if (this.#loadShedder.shouldShed(rank, pool.ranks)) {
       return err(pool.refuse(profile, "overloaded_entry"));
     }
     const { mostQueued, mostQueuedPerWorkspace } = this.#options.limits;
-    if (pool.waitingOf(profile.workspace) >= mostQueuedPerWorkspace) {
+    if (pool.waitingForWorkspace(profile.workspace) >= mostQueuedPerWorkspace) {
       return err(pool.refuse(profile, "share_exhausted"));
     }
     if (this.waiting >= mostQueued && !pool.evictLessUrgent(profile)) {
@@ -103,21 +105,21 @@
   resubmit(profile: RequestProfile): Result<WaitingRequest, Refusal> {
     const pool = this.#pools.get(profile.pool);
     if (pool === undefined) return err(refusal("not_configured"));
-    if (!this.#budget.tryAcquire()) {
+    if (!this.#retryBudget.tryAcquire()) {
       return err(pool.refuse(profile, "saturated"));
     }
     return pool.submit(profile);
   }
 
   report(report: SideReport, receivedAt: number): void {
-    const pool = this.#poolOf.get(report.endpoint);
+    const pool = this.#poolsByEndpoint.get(report.endpoint);
     const view = pool?.endpointView(report.endpoint as EndpointId);
     view?.applyReport(report, receivedAt);
     pool?.recheck();
   }
 
   suspect(endpoint: EndpointId, suspected: boolean): void {
-    const pool = this.#poolOf.get(endpoint);
+    const pool = this.#poolsByEndpoint.get(endpoint);
     pool?.endpointView(endpoint)?.setSuspected(suspected);
     pool?.recheck();
   }
@@ -126,11 +128,11 @@
     endpoint: EndpointId,
     event: { added: readonly string[]; dropped: readonly string[] },
   ): void {
-    this.#poolOf.get(endpoint)?.cacheEvent(endpoint, event);
+    this.#poolsByEndpoint.get(endpoint)?.cacheEvent(endpoint, event);
   }
 
   loopDelay(milliseconds: number): void {
-    this.#loopGuard.recordLoopDelay(milliseconds);
+    this.#loadShedder.recordLoopDelay(milliseconds);
   }
 
   demand(): readonly PoolDemand[] {
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -75,8 +75,8 @@
       workspace: "workspace-1",
     });
     const arrivals = mergeByTime(arrivalsAt(0.8), burst);
-    const figures = await runLoad(0.8, { arrivals });
-    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
+    const stats = await runLoad(0.8, { arrivals });
+    expect(stats.forClass("alert").goodput).to.be.greaterThan(0.98);
   });
 
   // One workspace sends as many reports as the fleet can serve. Without fair
@@ -106,40 +106,40 @@
   // One engine runs five times slower than the inventory says. Callers whose
   // requests it gets would wait far beyond their deadline.
   it("avoids an endpoint that has become slow", async () => {
-    const figures = await runLoad(0.6, {
+    const stats = await runLoad(0.6, {
       injectFaults: ({ sides }) => {
         const { engine } = sides.get("triage-llm-1") ?? {};
         if (engine !== undefined) engine.speed = 0.2;
       },
     });
-    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
-    expect(figures.total().goodput).to.be.greaterThan(0.95);
+    expect(stats.forClass("alert").goodput).to.be.greaterThan(0.98);
+    expect(stats.total().goodput).to.be.greaterThan(0.95);
   });
 
   // One engine fails every request within milliseconds, so it always looks
   // idle. Placement by load alone sends it nearly all requests, and callers get
   // errors although only one VM is faulty.
   it("avoids an endpoint that is fast because it fails", async () => {
-    const prepare = ({ sides }: LoadRun) => {
+    const injectFaults = ({ sides }: LoadRun) => {
       const side = sides.get("triage-llm-1");
       if (side !== undefined) side.failureShare = 1;
     };
-    const figures = await runLoad(0.6, { injectFaults: prepare });
+    const stats = await runLoad(0.6, { injectFaults });
     const baseline = await runLoad(
       0.6,
-      { injectFaults: prepare },
+      { injectFaults },
       LEAST_IN_FLIGHT,
     );
-    expect(figures.total().goodput).to.be.greaterThan(0.95);
-    expect(figures.failedAttempts).to.be.lessThan(baseline.failedAttempts / 4);
+    expect(stats.total().goodput).to.be.greaterThan(0.95);
+    expect(stats.failedAttempts).to.be.lessThan(baseline.failedAttempts / 4);
   });
 
   // Short alerts and long summaries share the engines at full load. An alert
   // that waits for the slot or the prefill of a summary gets its first token
   // too late.
   it("delivers urgent first tokens early while long prompts run", async () => {
-    const figures = await runLoad(1);
-    const { firstToken, goodput } = figures.forClass("alert");
+    const stats = await runLoad(1);
+    const { firstToken, goodput } = stats.forClass("alert");
     expect(goodput).to.be.greaterThan(0.99);
     expect(firstToken.percentile(0.95)).to.be.lessThan(2_000);
   });
@@ -158,9 +158,9 @@
   // choose the endpoint that looked idle seconds ago.
   for (const lag of [0, 2_000, 10_000]) {
     it(`keeps its goodput with reports that are ${lag} ms old`, async () => {
-      const figures = await runLoad(0.7, { reportLagMilliseconds: lag });
-      expect(figures.forClass("alert").goodput).to.be.greaterThan(0.98);
-      expect(figures.total().goodput).to.be.greaterThan(0.9);
+      const stats = await runLoad(0.7, { reportLagMilliseconds: lag });
+      expect(stats.forClass("alert").goodput).to.be.greaterThan(0.98);
+      expect(stats.total().goodput).to.be.greaterThan(0.9);
     });
   }
 
@@ -171,7 +171,7 @@
       { length: 24 },
       (_, index) => [0, 1, 2].map((block) => `summary-${index}/${block}`),
     ).flat();
-    const figures = await runLoad(0.7, {
+    const stats = await runLoad(0.7, {
       injectFaults: ({ timer, entries }) =>
         timer.every(1_000, () => {
           for (const entry of entries) {
@@ -182,14 +182,14 @@
           }
         }),
     });
-    expect(figures.total().goodput).to.be.greaterThan(0.95);
+    expect(stats.total().goodput).to.be.greaterThan(0.95);
   });
 
   // An availability zone fails with a third of the engines. Requests that run
   // there fail; without a retry elsewhere their callers get errors, and without
   // suspicion the zone keeps getting work.
   it("keeps serving urgent work when a zone fails", async () => {
-    const figures = await runLoad(0.6, {
+    const stats = await runLoad(0.6, {
       injectFaults: ({ timer, sides, entries }) => {
         const lost = KOPERASI.inventory.pools.flatMap((pool) =>
           pool.endpoints.filter((one) => one.availabilityZone === "petaling")
@@ -204,27 +204,27 @@
         });
       },
     });
-    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.97);
-    expect(figures.total().goodput).to.be.greaterThan(0.9);
+    expect(stats.forClass("alert").goodput).to.be.greaterThan(0.97);
+    expect(stats.total().goodput).to.be.greaterThan(0.9);
   });
 
   // The planner fails or the log is unavailable, so roles stay as they are.
   // Admission and placement have to work without it.
   it("works without a planner", async () => {
-    const figures = await runLoad(0.8, {
-      injectFaults: (load) => {
-        load.plannerEnabled = false;
+    const stats = await runLoad(0.8, {
+      injectFaults: (run) => {
+        run.plannerEnabled = false;
       },
     });
-    expect(figures.roleChanges).to.equal(0);
-    expect(figures.forClass("alert").goodput).to.be.greaterThan(0.99);
-    expect(figures.total().goodput).to.be.greaterThan(0.9);
+    expect(stats.roleChanges).to.equal(0);
+    expect(stats.forClass("alert").goodput).to.be.greaterThan(0.99);
+    expect(stats.total().goodput).to.be.greaterThan(0.9);
   });
 });
 
 describe("Baselines of the load bench", () => {
-  // The bench once ran the present policy under the name of the first one, so
-  // the comparison showed no gain.
+  // If the bench ran the current policy under the name of the baseline, its
+  // comparison would show no gain.
   it("run the policy that they are named after", async () => {
     const goodput = async (variant: string) => {
       const changes = { seconds: SECONDS };
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -8,8 +8,7 @@
   /**
    * Endpoints sampled at random and compared for one placement. Sampling keeps
    * several entries that act on the same stale reports from all choosing the
-   * endpoint that looked best. 8 of at most 24: sampling 2 gives the same
-   * results within noise, comparing all of them gives worse ones.
+   * endpoint that looked best; comparing all endpoints gives worse results.
    */
   readonly choices: number;
   /**
@@ -22,8 +21,7 @@
   /**
    * Occupancy relative to the pool's mean up to which a cached prefix is
    * followed. Without the bound, one document that every caller asks about
-   * overloads its engine while others idle. 1.25 allows a quarter above the
-   * mean.
+   * overloads its engine while others idle.
    */
   readonly maxAffinityOccupancy: number;
   /** Prefixes remembered at one entry; bounds the index to a few megabytes. */
@@ -31,9 +29,8 @@
   /**
    * Share of an endpoint's limit that requests of all classes but the most
    * urgent may hold, so that an urgent request finds a free slot. 1 is enough
-   * where a side makes bulk work yield to urgent work; 0.7 and 0.85 are within
-   * the noise of the sweep. Lower it for engines whose streams can't be
-   * resumed.
+   * where a side makes bulk work yield to urgent work. Lower it for engines
+   * whose streams can't be resumed.
    */
   readonly lessUrgentShare: number;
   /**
@@ -52,8 +49,8 @@
   readonly extraPlaces: number;
   /**
    * Share of the service reserved for a class whose rule names none, so that
-   * urgent work that alone fills the fleet can't starve it. 3 in 100 are too
-   * little to delay urgent work.
+   * urgent work that alone fills the fleet can't starve it. It is small enough
+   * not to delay urgent work.
    */
   readonly defaultShare: number;
   /**
@@ -94,27 +91,27 @@
   readonly learnsDrain: boolean;
   /**
    * Mean deviations of the prediction error that are added for the most urgent
-   * class. 0: a refused alert is as lost as a late one, and costs more trust.
+   * class. None by default, since a refused alert is as lost as a late one and
+   * costs more trust.
    */
   readonly urgentDeviations: number;
   /**
-   * The same for the other classes. 1: a late answer has used engine time that
-   * another answer could have used, a refused one has not. 0 and 2 are within
-   * the noise of the sweep.
+   * The same for the other classes. Above 0, since a late answer has used engine
+   * time that another answer could have used, and a refused one has not.
    */
   readonly otherDeviations: number;
   /**
    * Share of a pool's endpoints that may be ejected at the same time. With a
    * fault that all endpoints share, ejection would otherwise remove one after
-   * the other until none is left. The value allows a third: one zone of three.
+   * the other until none is left. A third covers one zone of three.
    */
   readonly maxEjectedShare: number;
   readonly health: HealthLimits;
   /**
    * Endpoints of a pool that one entry uses. With 12,000 replicas behind 410
-   * nodes, 24 keep the cost of a decision at that of a small fleet, and put
-   * each replica into the subsets of about 24 × 410 / 12,000, four fifths, of
-   * an entry. Raise it where there are fewer entries.
+   * nodes, 24 keep the cost of a decision at that of a small fleet, and each
+   * replica is in 24 × 410 / 12,000 = 0.8 subsets on average. Raise it where
+   * there are fewer entries.
    */
   readonly maxEndpoints: number;
   /**
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -92,7 +92,7 @@
       classes: rules.classes,
       defaultShare: policy.defaultShare,
       hasCapacity: (workClass) =>
-        this.#placer.hasRoom(workClass.name, {
+        this.#placer.hasCapacity(workClass.name, {
           rank: this.#rankOf(workClass),
           now: this.#now(),
         }),
@@ -164,7 +164,7 @@
     return this.#classes.length;
   }
 
-  waitingOf(workspace: string): number {
+  waitingForWorkspace(workspace: string): number {
     return this.#queue.countForWorkspace(workspace);
   }
 
@@ -313,7 +313,7 @@
       promptTokens: candidate.promptTokens,
     };
     this.#statistics.recordPlacement(admitted.profile, candidate.promptTokens);
-    view.attemptStarted(attempt, now);
+    view.recordAttemptStart(attempt, now);
     if (view.health.mayProbe(now)) view.health.probeStarted();
     this.#placer.recordPlacement(view.config.endpoint, admitted.profile);
     this.#running += 1;
@@ -324,7 +324,7 @@
         released = true;
         this.#running -= 1;
         if (summary.result === "answered") this.#options.onAnswered();
-        view.attemptEnded(attempt);
+        view.recordAttemptEnd(attempt);
         this.#statistics.recordCompletion(
           { ...admitted, candidate, summary, placedAt: now },
           this.#now(),
@@ -354,7 +354,7 @@
       now,
       engine: this.#engine,
       classes,
-      sharing: Math.max(1, this.#options.entriesSharing()),
+      entriesSharing: Math.max(1, this.#options.entriesSharing()),
       mostUrgent: this.#classes[0].name,
     });
   }
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -27,9 +27,9 @@
 
 /** Statistics of a pool's classes and endpoints, learned from its answers. */
 export class PoolStatistics {
-  readonly #outputs = new OutputLengthEstimator();
-  readonly #errors = new PredictionCorrection();
-  readonly #uncached = new Map<string, number>();
+  readonly #outputLengths = new OutputLengthEstimator();
+  readonly #corrections = new PredictionCorrection();
+  readonly #uncachedShares = new Map<string, number>();
   /**
    * Plain services: the output length of a call is its duration, milliseconds.
    */
@@ -41,33 +41,36 @@
 
   setInitialOutputs(classes: readonly WorkClass[]): void {
     for (const one of classes) {
-      this.#outputs.setInitial(one.name, one.expectedOutputTokens);
+      this.#outputLengths.setInitial(one.name, one.expectedOutputTokens);
     }
   }
 
   expectedOutput(profile: RequestProfile): number {
-    return this.#outputs.expectedRemaining(profile.className, {
-      most: this.#isService ? Infinity : profile.mostOutputTokens,
+    return this.#outputLengths.expectedRemaining(profile.className, {
+      maxTokens: this.#isService ? Infinity : profile.mostOutputTokens,
       delivered: profile.deliveredTokens,
     });
   }
 
   /** Expected number of prompt tokens that are not cached anywhere. */
   uncachedTokens({ className, promptTokens }: RequestProfile): number {
-    return promptTokens * (this.#uncached.get(className) ?? 1);
+    return promptTokens * (this.#uncachedShares.get(className) ?? 1);
   }
 
   /** Factor to apply to a predicted completion time of the class. */
   errorFactor(className: string, deviations: number): number {
-    return this.#errors.factor(className, deviations);
+    return this.#corrections.factor(className, deviations);
   }
 
   /** Learns the share of a class's prompt tokens that has to be processed. */
   recordPlacement(profile: RequestProfile, promptTokens: number): void {
     const { className } = profile;
-    const mean = this.#uncached.get(className) ?? 1;
+    const mean = this.#uncachedShares.get(className) ?? 1;
     const share = promptTokens / Math.max(1, profile.promptTokens);
-    this.#uncached.set(className, mean + UNCACHED_WEIGHT * (share - mean));
+    this.#uncachedShares.set(
+      className,
+      mean + UNCACHED_WEIGHT * (share - mean),
+    );
   }
 
   recordCompletion(attempt: CompletedAttempt, now: number): void {
@@ -84,11 +87,11 @@
         if (summary.load === undefined) view.markFull(now);
         return;
       case "answered":
-        this.#outputs.record(
+        this.#outputLengths.record(
           profile.className,
           this.#isService ? summary.totalMilliseconds : summary.tokens,
         );
-        this.#errors.record(
+        this.#corrections.record(
           profile.className,
           (now - attempt.submittedAt) / attempt.predictedMilliseconds,
         );
--- a/src/core/scheduling/role_allocator.ts
+++ b/src/core/scheduling/role_allocator.ts
@@ -20,7 +20,7 @@
   readonly engine: EngineCharacteristics;
   readonly classes: readonly ClassArrivals[];
   /** Entries that see the same demand as this one, this one included. */
-  readonly sharing: number;
+  readonly entriesSharing: number;
   readonly mostUrgent: string;
 }
 
@@ -36,13 +36,13 @@
     this.#allocatedAt = input.now;
     const demand = input.classes.map((one) => ({
       ...one,
-      arrivalsPerSecond: one.arrivalsPerSecond * input.sharing,
+      arrivalsPerSecond: one.arrivalsPerSecond * input.entriesSharing,
       value: one.className === input.mostUrgent ? URGENT_ANSWER_VALUE : 1,
     }));
     const plan = new RoutingPlan(demand, placer.usableCounts(input.now), {
       engine: input.engine,
       profiles: ROLE_PROFILES,
     });
-    placer.usePlan(plan);
+    placer.setPlan(plan);
   }
 }
