--- a/src/core/attempts/answer_assembler_test.ts
+++ b/src/core/attempts/answer_assembler_test.ts
@@ -7,8 +7,10 @@
 
 function createAssembler() {
   const tokens: string[] = [];
-  const answer = new AnswerAssembler({ onToken: (text) => tokens.push(text) });
-  return { answer, tokens };
+  const assembler = new AnswerAssembler({
+    onToken: (text) => tokens.push(text),
+  });
+  return { assembler, tokens };
 }
 
 function token(attemptId: string, index: number): AttemptFrame {
@@ -23,49 +25,53 @@
   it("drops frames of an abandoned attempt", () => {
     // An endpoint is cut off and the answer continues elsewhere; then the old
     // stream is delivered after all. Its words must not appear twice.
-    const { answer, tokens } = createAssembler();
-    answer.beginAttempt("a");
-    answer.receive(token("a", 0));
-    answer.beginAttempt("b");
-    expect(answer.receive(token("a", 1))).to.equal("dropped");
-    expect(answer.receive(end("a", 1))).to.equal("dropped");
-    expect(answer.receive(token("b", 1))).to.equal("taken");
+    const { assembler, tokens } = createAssembler();
+    assembler.beginAttempt("a");
+    assembler.receive(token("a", 0));
+    assembler.beginAttempt("b");
+    expect(assembler.receive(token("a", 1))).to.equal("dropped");
+    expect(assembler.receive(end("a", 1))).to.equal("dropped");
+    expect(assembler.receive(token("b", 1))).to.equal("taken");
     expect(tokens).to.deep.equal(TEXTS.slice(0, 2));
   });
 
   it("is not complete without every token, whatever the end frame says", () => {
     // A frame is lost and the end arrives. Shown as complete, the answer would
     // lack a word such as "not" and mean the opposite.
-    const { answer } = createAssembler();
-    answer.beginAttempt("a");
-    answer.receive(token("a", 0));
-    answer.receive(token("a", 2));
-    expect(answer.receive(end("a", 3))).to.equal("held");
-    expect(answer.complete).to.equal(undefined);
-    expect(answer.hasGap).to.equal(true);
-    expect(answer.receive(token("a", 1))).to.equal("complete");
+    const { assembler } = createAssembler();
+    assembler.beginAttempt("a");
+    assembler.receive(token("a", 0));
+    assembler.receive(token("a", 2));
+    expect(assembler.receive(end("a", 3))).to.equal("held");
+    expect(assembler.complete).to.equal(undefined);
+    expect(assembler.hasGap).to.equal(true);
+    expect(assembler.receive(token("a", 1))).to.equal("complete");
   });
 
   it("abandons an attempt that contradicts the delivered tokens", () => {
-    const { answer } = createAssembler();
-    answer.beginAttempt("a");
-    answer.receive(token("a", 0));
-    answer.beginAttempt("b");
-    expect(answer.receive(end("b", 0))).to.equal("broken");
-    expect(answer.complete).to.equal(undefined);
+    const { assembler } = createAssembler();
+    assembler.beginAttempt("a");
+    assembler.receive(token("a", 0));
+    assembler.beginAttempt("b");
+    expect(assembler.receive(end("b", 0))).to.equal("broken");
+    expect(assembler.complete).to.equal(undefined);
   });
 
   it("rejects not_run after a start", () => {
     // A dispatch is duplicated: one copy runs, the other is refused as
     // saturated. Accepted, the refusal would report "not run" for work that has
     // run.
-    const { answer } = createAssembler();
-    answer.beginAttempt("a");
-    answer.receive({ kind: "started", attemptId: "a" });
+    const { assembler } = createAssembler();
+    assembler.beginAttempt("a");
+    assembler.receive({ kind: "started", attemptId: "a" });
     expect(
-      answer.receive({ kind: "not_run", attemptId: "a", reason: "saturated" }),
+      assembler.receive({
+        kind: "not_run",
+        attemptId: "a",
+        reason: "saturated",
+      }),
     ).to.equal("broken");
-    expect(answer.anyAttemptStarted).to.equal(true);
+    expect(assembler.anyAttemptStarted).to.equal(true);
   });
 
   it("delivers each token once and in order despite network faults", () => {
@@ -79,14 +85,14 @@
     const schedule = fc.array(fc.constantFrom(...frames), { maxLength: 60 });
     fc.assert(
       fc.property(schedule, fc.nat(60), (received, switchIndex) => {
-        const { answer, tokens } = createAssembler();
-        answer.beginAttempt("a");
+        const { assembler, tokens } = createAssembler();
+        assembler.beginAttempt("a");
         received.forEach((frame, index) => {
-          if (index === switchIndex) answer.beginAttempt("b");
-          answer.receive(frame);
+          if (index === switchIndex) assembler.beginAttempt("b");
+          assembler.receive(frame);
         });
         expect(tokens).to.deep.equal(TEXTS.slice(0, tokens.length));
-        if (answer.complete) expect(tokens).to.deep.equal(TEXTS);
+        if (assembler.complete) expect(tokens).to.deep.equal(TEXTS);
       }),
       { numRuns: 1_000, seed: 11 },
     );
--- a/src/core/identity/mod.ts
+++ b/src/core/identity/mod.ts
@@ -10,7 +10,9 @@
   readonly [brand]: Name;
 };
 
-/** An endpoint of the inventory: one replica of a model engine or plain service. */
+/**
+ * An endpoint of the inventory: one replica of a model engine or plain service.
+ */
 export type EndpointId = Branded<string, "EndpointId">;
 /**
  * Start time of a replica, Unix milliseconds of its own clock. A replica can
--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -26,8 +26,7 @@
  * non-idempotent request of a region adds one key to the memory of every entry,
  * so without expiry the memory grows until the entry fails. A retry after the
  * caller's own reconnect (minutes) must still find the first run; half an hour
- * covers retries by people and machines. docs/ONCE.md has the measured memory
- * per key.
+ * covers retries by people and machines. docs/ONCE.md has the memory per key.
  *
  * Two readers with different windows stay safe: each takes a record by the same
  * rule or treats it as void, and a saved state contains the writer's expiry
--- a/src/core/once/fold_test.ts
+++ b/src/core/once/fold_test.ts
@@ -24,9 +24,9 @@
   };
 }
 
-function fold(records: readonly OnceRecord[], state = new OnceFold()) {
-  records.forEach((body, offset) => state.apply(numbered(offset), body));
-  return state;
+function foldOf(records: readonly OnceRecord[], fold = new OnceFold()) {
+  records.forEach((body, offset) => fold.apply(numbered(offset), body));
+  return fold;
 }
 
 describe("OnceFold", () => {
@@ -36,32 +36,32 @@
     it("gives the key to its first record", () => {
       // Two entries append for one key concurrently. If both records owned it,
       // the permit would be booked at both endpoints.
-      const state = fold([record(key), record(key)]);
-      expect(state.owner(key)?.record).to.equal(0);
+      const fold = foldOf([record(key), record(key)]);
+      expect(fold.owner(key)?.record).to.equal(0);
     });
 
     it("accepts a takeover only if it names the current record", () => {
       // Two entries bar the same record and take over concurrently. The second
       // must fail, or both run the booking.
-      const state = fold([record(key), record(key, 0), record(key, 0)]);
-      expect(state.owner(key)?.record).to.equal(1);
+      const fold = foldOf([record(key), record(key, 0), record(key, 0)]);
+      expect(fold.owner(key)?.record).to.equal(1);
     });
 
     it("voids a takeover with another body", () => {
       // The caller reuses its key for other work. A takeover by that work would
       // answer the first request with the second one's result.
-      const state = fold([record(key), {
+      const fold = foldOf([record(key), {
         ...record(key, 0),
         fingerprint: "g",
       }]);
-      expect(state.owner(key)?.record).to.equal(0);
+      expect(fold.owner(key)?.record).to.equal(0);
     });
 
     it("voids a record whose time differs from its key's", () => {
       // A faulty writer sets a recent time for an old key. If the time were
       // trusted, an expired key would be owned and run again.
-      const state = fold([{ ...record(key), keyTime: START + 1 }]);
-      expect(state.owner(key)).to.equal(undefined);
+      const fold = foldOf([{ ...record(key), keyTime: START + 1 }]);
+      expect(fold.owner(key)).to.equal(undefined);
     });
   });
 
@@ -70,19 +70,19 @@
       // A record reaches the log only after its key has expired. Treated as a
       // first record, it would run the work again.
       const later = keyAt(START + 31 * MINUTE_MILLISECONDS);
-      const state = fold([record(key), record(later), record(key)]);
-      expect(state.owner(key)).to.equal(undefined);
-      expect(state.isExpired(key)).to.equal(true);
-      expect(state.owner(later)?.record).to.equal(1);
+      const fold = foldOf([record(key), record(later), record(key)]);
+      expect(fold.owner(key)).to.equal(undefined);
+      expect(fold.isExpired(key)).to.equal(true);
+      expect(fold.owner(later)?.record).to.equal(1);
     });
 
     it("keeps memory bounded by the window", () => {
-      const state = new OnceFold();
+      const fold = new OnceFold();
       for (let minute = 0; minute < 200; minute += 1) {
         const fresh = keyAt(START + minute * MINUTE_MILLISECONDS);
-        state.apply(numbered(minute), record(fresh));
+        fold.apply(numbered(minute), record(fresh));
       }
-      expect(state.size).to.be.at.most(33);
+      expect(fold.size).to.be.at.most(33);
     });
   });
 
@@ -92,7 +92,7 @@
     // would book the permit of an expired key again.
     const short = new OnceFold({ windowMilliseconds: MINUTE_MILLISECONDS });
     const later = keyAt(START + 2 * MINUTE_MILLISECONDS);
-    fold([record(key), record(later)], short);
+    foldOf([record(key), record(later)], short);
     const long = new OnceFold();
     long.load(JSON.parse(JSON.stringify(short.save())));
     expect(long.isExpired(key)).to.equal(true);
@@ -103,11 +103,11 @@
   it("restores the same owners from a saved state", () => {
     // A reader that starts from a checkpoint must decide like one that has read
     // every record, or the two disagree on which request runs.
-    const state = fold([record(key), record(key, 0)]);
+    const fold = foldOf([record(key), record(key, 0)]);
     const copy = new OnceFold();
-    copy.load(JSON.parse(JSON.stringify(state.save())));
+    copy.load(JSON.parse(JSON.stringify(fold.save())));
     copy.apply(numbered(2), record(key, 0));
-    expect(copy.owner(key)).to.deep.equal(state.owner(key));
-    expect(copy.streamTime).to.equal(state.streamTime);
+    expect(copy.owner(key)).to.deep.equal(fold.owner(key));
+    expect(copy.streamTime).to.equal(fold.streamTime);
   });
 });
--- a/src/core/once/results.ts
+++ b/src/core/once/results.ts
@@ -36,9 +36,7 @@
   };
 }
 
-/**
- * Retry time while the log is down; a short outage ends within seconds.
- */
+/** Retry time while the log is down; a short outage ends within seconds. */
 const LOG_RETRY_MILLISECONDS = 3_000;
 
 export function refusedResult(refusal: Refusal): AcquireResult {
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -105,11 +105,8 @@
     return this.#plan?.servedShare(className) ?? 1;
   }
 
-  /** Whether a request of the class has a free slot. */
-  hasCapacity(
-    className: string,
-    options: { rank: number; now: number },
-  ): boolean {
+  /** Whether a request of the class can be placed in a free slot now. */
+  canPlace(className: string, options: { rank: number; now: number }): boolean {
     const { rank, now } = options;
     return this.#views.some((view) =>
       isAvailable(view, now) && view.freeSlots(rank, now) >= 1 &&
@@ -197,7 +194,9 @@
   recordPlacement(endpoint: EndpointId, profile: RequestProfile): void {
     this.#prefixes.record(endpoint, profile.prefixHashes);
     const role = this.#byId.get(endpoint)?.role;
-    if (role !== undefined) this.#plan?.addPlacement(profile.className, role);
+    if (role !== undefined) {
+      this.#plan?.recordPlacement(profile.className, role);
+    }
   }
 
   /** Ejects unhealthy endpoints up to the ejection ceiling. */
--- a/src/core/placement/subset.ts
+++ b/src/core/placement/subset.ts
@@ -28,9 +28,9 @@
   const ranked = candidates
     .map((candidate) => ({
       candidate,
-      weight: hash(`${options.salt}/${candidate.endpoint}`),
+      score: hash(`${options.salt}/${candidate.endpoint}`),
     }))
-    .sort((one, other) => other.weight - one.weight)
+    .sort((one, other) => other.score - one.score)
     .map(({ candidate }) => candidate);
   const isOwn = (candidate: Candidate) =>
     candidate.availabilityZone === options.availabilityZone;
--- a/src/core/rules/mod.ts
+++ b/src/core/rules/mod.ts
@@ -22,11 +22,9 @@
   options: ClassifyOptions = {},
 ): WorkClass {
   const compiled = options.compiled ?? new CompiledRules(rules);
-  const assigned = compiled.classOf(request);
-  if (request.className === undefined) return assigned;
-  const requested = compiled.classes.get(request.className);
-  if (requested === undefined || requested.priority < assigned.priority) {
-    return assigned;
-  }
-  return requested;
+  const given = compiled.classOf(request);
+  if (request.className === undefined) return given;
+  const wanted = compiled.classes.get(request.className);
+  if (wanted === undefined || wanted.priority < given.priority) return given;
+  return wanted;
 }
--- a/src/core/scheduling/completion_predictor.ts
+++ b/src/core/scheduling/completion_predictor.ts
@@ -49,7 +49,7 @@
   /**
    * Admits a request that can finish on time. With more work than the pool can
    * finish, engine time spent on late answers makes the next ones late as well.
-   * The predicted completion, multiplied by the learned error factor, is
+   * The predicted completion, multiplied by the learned correction factor, is
    * compared with the deadline.
    */
   decide(
@@ -64,7 +64,7 @@
     const deviations = rank === 0
       ? policy.urgentDeviations
       : policy.otherDeviations;
-    const factor = statistics.errorFactor(profile.className, deviations);
+    const factor = statistics.correctionFactor(profile.className, deviations);
     if ((wait + service) * factor > timeLeft) return "saturated";
     if (this.#exceedsServedShare(query, wait)) return "saturated";
     return "admit";
@@ -93,9 +93,7 @@
     const { rank, now } = query;
     const { className } = query.profile;
     const costAhead = queue.costAhead(className);
-    if (costAhead === 0 && placer.hasCapacity(className, { rank, now })) {
-      return 0;
-    }
+    if (costAhead === 0 && placer.canPlace(className, { rank, now })) return 0;
     if (!policy.learnsDrain) {
       const share = rank === 0 ? 1 : policy.lessUrgentShare;
       return (costAhead + service) / Math.max(1, placer.capacity(now) * share);
--- a/src/core/scheduling/entry_scheduler.ts
+++ b/src/core/scheduling/entry_scheduler.ts
@@ -46,7 +46,7 @@
 class EntryScheduler implements Scheduler {
   readonly #options: SchedulerOptions;
   readonly #pools = new Map<string, PoolScheduler>();
-  readonly #poolsByEndpoint = new Map<string, PoolScheduler>();
+  readonly #byEndpoint = new Map<string, PoolScheduler>();
   readonly #retryBudget = new RetryBudget();
   readonly #loadShedder = new LoadShedder();
 
@@ -63,7 +63,7 @@
   }
 
   configure(inventory: Inventory, rules: Rules): void {
-    this.#poolsByEndpoint.clear();
+    this.#byEndpoint.clear();
     for (const pool of inventory.pools) {
       const existing = this.#pools.get(pool.name);
       existing?.configure(pool, rules);
@@ -77,9 +77,7 @@
         entriesSharing: this.#options.entriesSharing ?? (() => 1),
       });
       this.#pools.set(pool.name, scheduler);
-      for (const { id } of pool.endpoints) {
-        this.#poolsByEndpoint.set(id, scheduler);
-      }
+      for (const { id } of pool.endpoints) this.#byEndpoint.set(id, scheduler);
     }
     this.#removePoolsNotIn(inventory);
   }
@@ -112,14 +110,14 @@
   }
 
   report(report: SideReport, receivedAt: number): void {
-    const pool = this.#poolsByEndpoint.get(report.endpoint);
+    const pool = this.#byEndpoint.get(report.endpoint);
     const view = pool?.endpointView(report.endpoint as EndpointId);
     view?.applyReport(report, receivedAt);
     pool?.recheck();
   }
 
   suspect(endpoint: EndpointId, suspected: boolean): void {
-    const pool = this.#poolsByEndpoint.get(endpoint);
+    const pool = this.#byEndpoint.get(endpoint);
     pool?.endpointView(endpoint)?.setSuspected(suspected);
     pool?.recheck();
   }
@@ -128,7 +126,7 @@
     endpoint: EndpointId,
     event: { added: readonly string[]; dropped: readonly string[] },
   ): void {
-    this.#poolsByEndpoint.get(endpoint)?.cacheEvent(endpoint, event);
+    this.#byEndpoint.get(endpoint)?.cacheEvent(endpoint, event);
   }
 
   loopDelay(milliseconds: number): void {
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -96,8 +96,8 @@
    */
   readonly urgentDeviations: number;
   /**
-   * The same for the other classes. Above 0, since a late answer has used engine
-   * time that another answer could have used, and a refused one has not.
+   * The same for the other classes. Above 0, since a late answer has used
+   * engine time that another answer could have used, and a refused one has not.
    */
   readonly otherDeviations: number;
   /**
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -45,7 +45,8 @@
   readonly outputTokens: number;
   readonly submittedAt: number;
   /**
-   * Predicted time to the complete answer, without the learned error factor.
+   * Predicted time to the complete answer, without the learned correction
+   * factor.
    */
   readonly predictedMilliseconds: number;
   readonly settle: (result: Result<Placement, Refusal>) => void;
@@ -92,7 +93,7 @@
       classes: rules.classes,
       defaultShare: policy.defaultShare,
       hasCapacity: (workClass) =>
-        this.#placer.hasCapacity(workClass.name, {
+        this.#placer.canPlace(workClass.name, {
           rank: this.#rankOf(workClass),
           now: this.#now(),
         }),
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -58,7 +58,7 @@
   }
 
   /** Factor to apply to a predicted completion time of the class. */
-  errorFactor(className: string, deviations: number): number {
+  correctionFactor(className: string, deviations: number): number {
     return this.#corrections.factor(className, deviations);
   }
 
