--- a/src/core/admission/load_shedder.ts
+++ b/src/core/admission/load_shedder.ts
@@ -4,8 +4,8 @@
  * Event loop delay at which the least urgent class is refused; each further
  * step refuses one more class. An entry whose event loop cannot keep up stalls
  * as a whole and fails the load balancer's health check, which loses its urgent
- * requests too. The delay is noticeable within a time to first token of some
- * 300 ms, while a load balancer usually waits a second or more.
+ * requests too. The delay is noticeable within a time to first token of
+ * 310 ms, while a load balancer usually waits a second or more.
  */
 const SHED_STEP_MILLISECONDS = 40;
 
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -194,9 +194,7 @@
   recordPlacement(endpoint: EndpointId, profile: RequestProfile): void {
     this.#prefixes.record(endpoint, profile.prefixHashes);
     const role = this.#byId.get(endpoint)?.role;
-    if (role !== undefined) {
-      this.#plan?.recordPlacement(profile.className, role);
-    }
+    if (role !== undefined) this.#plan?.addPlacement(profile.className, role);
   }
 
   /** Ejects unhealthy endpoints up to the ejection ceiling. */
--- a/src/core/placement/routing_plan.ts
+++ b/src/core/placement/routing_plan.ts
@@ -81,7 +81,7 @@
   }
 
   /** Records a placement; older ones decay. */
-  recordPlacement(className: string, role: Role): void {
+  addPlacement(className: string, role: Role): void {
     const existing = this.#placements.get(className);
     const counts = existing ?? ROLES.map(() => 0);
     if (existing === undefined) this.#placements.set(className, counts);
--- a/src/core/roles/policies.ts
+++ b/src/core/roles/policies.ts
@@ -90,7 +90,7 @@
 
 /**
  * Constants of the cost-based policy. bench/load_sweeps.ts varies
- * `noiseDeviations` and the pace of the swing.
+ * `noiseDeviations` and how fast the demand swings.
  */
 export interface CostBasedOptions {
   /** Share of the rated rates that is used: above it, waits grow steeply. */
