--- a/src/core/once/fold.ts
+++ b/src/core/once/fold.ts
@@ -26,8 +26,7 @@
  * non-idempotent request of a region adds one key to the memory of every entry,
  * so without expiry the memory grows until the entry fails. A retry after the
  * caller's own reconnect (minutes) must still find the first run; half an hour
- * covers retries by people and machines. docs/ONCE.md has the measured memory
- * per key.
+ * covers retries by people and machines. docs/ONCE.md has the memory per key.
  *
  * Two readers with different windows stay safe: each takes a record by the same
  * rule or treats it as void, and a saved state contains the writer's expiry
@@ -173,9 +172,9 @@
     const known = this.#owners.has(owner.key);
     this.#owners.set(owner.key, owner);
     if (known) return;
-    const group = bucketOf(timeOfKey(owner.key) ?? 0);
-    const keys = this.#keysByBucket.get(group);
-    if (keys === undefined) this.#keysByBucket.set(group, [owner.key]);
+    const bucket = bucketOf(timeOfKey(owner.key) ?? 0);
+    const keys = this.#keysByBucket.get(bucket);
+    if (keys === undefined) this.#keysByBucket.set(bucket, [owner.key]);
     else keys.push(owner.key);
   }
 
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -95,7 +95,7 @@
   }
 
   /** Replaces the routing plan; recent placements carry over. */
-  usePlan(plan: RoutingPlan): void {
+  setPlan(plan: RoutingPlan): void {
     plan.inheritPlacements(this.#plan);
     this.#plan = plan;
   }
@@ -105,8 +105,8 @@
     return this.#plan?.servedShare(className) ?? 1;
   }
 
-  /** Whether a request of the class has a free slot. */
-  hasRoom(className: string, options: { rank: number; now: number }): boolean {
+  /** Whether a request of the class can be placed in a free slot now. */
+  canPlace(className: string, options: { rank: number; now: number }): boolean {
     const { rank, now } = options;
     return this.#views.some((view) =>
       isAvailable(view, now) && view.freeSlots(rank, now) >= 1 &&
@@ -199,13 +199,13 @@
 
   /** Ejects unhealthy endpoints up to the ejection ceiling. */
   review(now: number): void {
-    const judged = this.#views.filter((view) => view.usable);
+    const usable = this.#views.filter((view) => view.usable);
     const maxEjected = Math.floor(
-      judged.length * this.#options.maxEjectedShare,
+      usable.length * this.#options.maxEjectedShare,
     );
-    let ejected = judged.filter((one) => one.health.ejected).length;
-    const median = medianOf(judged.map((one) => one.health.ratioToRated));
-    for (const view of judged) {
+    let ejected = usable.filter((one) => one.health.ejected).length;
+    const median = medianOf(usable.map((one) => one.health.ratioToRated));
+    for (const view of usable) {
       if (ejected >= maxEjected) return;
       if (!view.health.shouldEject(median)) continue;
       view.health.eject(now);
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -45,7 +45,8 @@
   readonly outputTokens: number;
   readonly submittedAt: number;
   /**
-   * Predicted time to the complete answer, without the learned error factor.
+   * Predicted time to the complete answer, without the learned correction
+   * factor.
    */
   readonly predictedMilliseconds: number;
   readonly settle: (result: Result<Placement, Refusal>) => void;
@@ -92,7 +93,7 @@
       classes: rules.classes,
       defaultShare: policy.defaultShare,
       hasCapacity: (workClass) =>
-        this.#placer.hasRoom(workClass.name, {
+        this.#placer.canPlace(workClass.name, {
           rank: this.#rankOf(workClass),
           now: this.#now(),
         }),
@@ -164,7 +165,7 @@
     return this.#classes.length;
   }
 
-  waitingOf(workspace: string): number {
+  waitingForWorkspace(workspace: string): number {
     return this.#queue.countForWorkspace(workspace);
   }
 
@@ -313,7 +314,7 @@
       promptTokens: candidate.promptTokens,
     };
     this.#statistics.recordPlacement(admitted.profile, candidate.promptTokens);
-    view.attemptStarted(attempt, now);
+    view.recordAttemptStart(attempt, now);
     if (view.health.mayProbe(now)) view.health.probeStarted();
     this.#placer.recordPlacement(view.config.endpoint, admitted.profile);
     this.#running += 1;
@@ -324,7 +325,7 @@
         released = true;
         this.#running -= 1;
         if (summary.result === "answered") this.#options.onAnswered();
-        view.attemptEnded(attempt);
+        view.recordAttemptEnd(attempt);
         this.#statistics.recordCompletion(
           { ...admitted, candidate, summary, placedAt: now },
           this.#now(),
@@ -354,7 +355,7 @@
       now,
       engine: this.#engine,
       classes,
-      sharing: Math.max(1, this.#options.entriesSharing()),
+      entriesSharing: Math.max(1, this.#options.entriesSharing()),
       mostUrgent: this.#classes[0].name,
     });
   }
