--- a/src/adapters/callers/caller_api_server.ts
+++ b/src/adapters/callers/caller_api_server.ts
@@ -165,14 +165,14 @@
       return;
     }
     const requestId = this.#options.newRequestId();
-    const header = {
+    const metadata = {
       id: requestId,
       created: this.#options.wallClockSeconds(),
       model: chat.value.work.model,
     };
     const sink = chat.value.stream
-      ? new EventStreamSink(context.response, header)
-      : new JsonCompletionSink(context.response, header);
+      ? new EventStreamSink(context.response, metadata)
+      : new JsonCompletionSink(context.response, metadata);
     this.#submit(request, {
       requestId,
       work: chat.value.work,
--- a/src/adapters/callers/response_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -131,7 +131,9 @@
 /** Forwards the response of a plain service unchanged. */
 export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
-  #reply: { status: number; contentType: string; body: string } | undefined;
+  #serviceResponse:
+    | { status: number; contentType: string; body: string }
+    | undefined;
 
   constructor(response: ServerResponse) {
     this.#response = response;
@@ -144,7 +146,7 @@
   response(
     serviceResponse: { status: number; contentType: string; body: string },
   ): void {
-    this.#reply = serviceResponse;
+    this.#serviceResponse = serviceResponse;
   }
 
   finish(outcome: Outcome): void {
@@ -153,7 +155,7 @@
       return;
     }
     const { status = 204, contentType = "text/plain", body = "" } =
-      this.#reply ?? {};
+      this.#serviceResponse ?? {};
     this.#response.writeHead(status, { "content-type": contentType });
     this.#response.end(body, "latin1");
   }
--- a/src/adapters/endpoint/mod_test.ts
+++ b/src/adapters/endpoint/mod_test.ts
@@ -214,7 +214,7 @@
       expect(JSON.parse(body).received).to.equal(bytes.toString("utf8"));
     });
 
-    const brokenAnswers = [
+    const brokenResponses = [
       ["loses its response", { lostAnswers: 1 }, "endpoint_unreachable"],
       ["closes during its response", { cutAnswers: 1 }, "endpoint_closed"],
       [
@@ -224,7 +224,7 @@
       ],
       ["hangs", { delayMilliseconds: 900 }, "endpoint_unreachable"],
     ] as const;
-    for (const [fault, faults, name] of brokenAnswers) {
+    for (const [fault, faults, name] of brokenResponses) {
       // The booking has run although its response was lost. Reporting it as not
       // run would cause a second booking.
       it(`reports that work may have run when the service ${fault}`, async () => {
--- a/src/adapters/forwarding/caller_response.ts
+++ b/src/adapters/forwarding/caller_response.ts
@@ -13,22 +13,22 @@
   readonly #response: ServerResponse;
   readonly #isStopping: () => boolean;
   #isFinished = false;
-  #gone = false;
+  #isDisconnected = false;
 
   /** `isStopping`: whether to close the connection after the response. */
   constructor(response: ServerResponse, isStopping: () => boolean) {
     this.#response = response;
     this.#isStopping = isStopping;
     response.on("error", () => {});
-    response.on("close", () => this.#gone = true);
+    response.on("close", () => this.#isDisconnected = true);
   }
 
   get isDisconnected(): boolean {
-    return this.#gone;
+    return this.#isDisconnected;
   }
 
   head(status: number, headers: readonly string[]): void {
-    if (this.#gone || this.#isFinished) return;
+    if (this.#isDisconnected || this.#isFinished) return;
     this.#response.sendDate = false;
     this.#response.writeHead(
       status,
@@ -38,7 +38,7 @@
   }
 
   write(chunk: Buffer): boolean {
-    if (this.#gone || this.#isFinished) return true;
+    if (this.#isDisconnected || this.#isFinished) return true;
     return this.#response.write(chunk);
   }
 
@@ -67,7 +67,7 @@
   }
 
   refuse(refusal: ForwardingRefusal): void {
-    if (this.#gone || this.#isFinished) return;
+    if (this.#isDisconnected || this.#isFinished) return;
     this.#isFinished = true;
     const body = JSON.stringify({ reason: refusal.reason });
     const headers = [
--- a/src/adapters/forwarding/caller_server.ts
+++ b/src/adapters/forwarding/caller_server.ts
@@ -223,7 +223,7 @@
    * Event-loop delay; a request may have waited this long. Timers run before
    * pending input is read, so the delay of the last sample counts too.
    */
-  get loopDelay(): number {
+  get loopDelayMilliseconds(): number {
     return Math.max(this.#currentDelay, this.#lastSampledDelay);
   }
 
@@ -244,10 +244,10 @@
     context: { readonly incoming: IncomingMessage; readonly sink: CallerSink },
   ): void {
     const { incoming, sink } = context;
-    const loopDelay = this.loopDelay;
+    const loopDelayMilliseconds = this.loopDelayMilliseconds;
     const isFirst = !this.#usedConnections.has(incoming.socket);
     this.#usedConnections.add(incoming.socket);
-    const isLate = loopDelay >= LOOP_DELAY_THRESHOLD_MILLISECONDS;
+    const isLate = loopDelayMilliseconds >= LOOP_DELAY_THRESHOLD_MILLISECONDS;
     if (!isLate && !isFirst) return this.#options.handle(request, sink);
     // The first callback still runs in the current event-loop iteration.
     setImmediate(() =>
@@ -260,7 +260,10 @@
         this.#options.handle({
           ...request,
           ...(isLate && deadlineMilliseconds !== undefined && {
-            deadlineMilliseconds: Math.max(0, deadlineMilliseconds - loopDelay),
+            deadlineMilliseconds: Math.max(
+              0,
+              deadlineMilliseconds - loopDelayMilliseconds,
+            ),
           }),
         }, sink);
       })
--- a/src/adapters/forwarding/caller_server_test.ts
+++ b/src/adapters/forwarding/caller_server_test.ts
@@ -235,14 +235,14 @@
     // the exit.
     it("forwards nothing after the load balancer's grace period", async () => {
       const agent = new Agent({ keepAlive: true });
-      const ask = () =>
+      const send = () =>
         new Promise<number>((resolve) => {
           request({ port, host: "127.0.0.1", agent }, (incoming) => {
             incoming.resume();
             incoming.on("end", () => resolve(incoming.statusCode ?? 0));
           }).end();
         });
-      const first = ask();
+      const first = send();
       await untilForwarded(1);
       const { sink } = forwarded[0];
       sink.head(200, ["Content-Length", "2"]);
@@ -251,7 +251,7 @@
       sink.write(Buffer.from("ok"));
       sink.finish();
       expect(await first).to.equal(200);
-      expect(await ask()).to.equal(503);
+      expect(await send()).to.equal(503);
       agent.destroy();
       expect(forwarded).to.have.length(1);
     });
--- a/src/adapters/forwarding/endpoint_http_client.ts
+++ b/src/adapters/forwarding/endpoint_http_client.ts
@@ -35,7 +35,7 @@
   readonly requestId: string;
 }
 
-/** Options of `EndpointExchanges`. */
+/** Options of `EndpointHttpClient`. */
 export interface EndpointHttpClientOptions {
   readonly timer: TimerService;
   /** Maximum number of connections to the endpoint at the address. */
@@ -150,11 +150,11 @@
       const errorValues = { address: outgoing.address, reason };
       return err(failure(EXCHANGE_FOREIGN, errorValues));
     }
-    return ok(createAnswer(head, incoming));
+    return ok(createResponse(head, incoming));
   }
 }
 
-function createAnswer(
+function createResponse(
   head: ResponseHead,
   incoming: IncomingMessage,
 ): EndpointResponse {
@@ -164,14 +164,14 @@
     : () => false;
   return {
     head,
-    read(onPiece, onEnd) {
+    read(onChunk, onEnd) {
       let ended = false;
       const end = (how: "whole" | "cut") => {
         if (ended) return;
         ended = true;
         onEnd(how);
       };
-      incoming.on("data", onPiece);
+      incoming.on("data", onChunk);
       incoming.on("end", () => {
         end(incoming.complete && !wasReset() ? "whole" : "cut");
       });
--- a/src/adapters/forwarding/endpoint_http_client_test.ts
+++ b/src/adapters/forwarding/endpoint_http_client_test.ts
@@ -27,10 +27,10 @@
   readonly end?: BodyEnd;
 }
 
-describe("EndpointExchanges", () => {
+describe("EndpointHttpClient", () => {
   let replica: ScriptedReplica;
   let address: string;
-  let exchanges: EndpointHttpClient;
+  let client: EndpointHttpClient;
 
   async function startReplica(script: ReplicaScript): Promise<void> {
     replica = new ScriptedReplica(script);
@@ -38,7 +38,7 @@
   }
 
   async function send(requestId = "r"): Promise<Outcome> {
-    const exchange = exchanges.send({
+    const exchange = client.send({
       address,
       method: "POST",
       target: "/x",
@@ -58,7 +58,7 @@
   }
 
   beforeEach(() => {
-    exchanges = new EndpointHttpClient({
+    client = new EndpointHttpClient({
       timer: new SystemTimerService(),
       mostConnections: () => 4,
       decodeHead,
@@ -66,7 +66,7 @@
   });
 
   afterEach(() => {
-    exchanges.close();
+    client.close();
     replica?.close();
   });
 
@@ -139,7 +139,7 @@
   });
 
   // A faulty replica responds twice. The second response waits on the
-  // keep-alive connection and would be delivered to another member's request.
+  // keep-alive connection and would be delivered to another caller's request.
   it("does not reuse a connection that received a second response", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("one") + answerBytes("two"));
@@ -202,7 +202,7 @@
       server.listen(0, "127.0.0.1", resolve)
     );
     const { port } = server.address() as AddressInfo;
-    const exchange = exchanges.send({
+    const exchange = client.send({
       address: `127.0.0.1:${port}`,
       method: "POST",
       target: "/x",
@@ -216,23 +216,23 @@
     );
     await new Promise((resolve) => setTimeout(resolve, 300));
     server.close();
-    exchanges.close();
+    client.close();
     expect(received).to.be.greaterThan(body.length);
   });
 
   // An endpoint may lose its registration while it streams a response, or a new
   // endpoint may have its address. Closing all connections to the address would
   // truncate valid responses.
-  it("keeps connections in use when an endpoint is forgotten", async () => {
+  it("keeps connections in use when it closes idle ones", async () => {
     await startReplica((socket) => {
       socket.write(answerBytes("", { headers: "Content-Length: 5\r\n" }));
       setTimeout(() => socket.write("hello"), 60);
     });
     const pendingOutcome = send();
     await new Promise((resolve) => setTimeout(resolve, 30));
-    exchanges.closeIdleConnections(address);
+    client.closeIdleConnections(address);
     expect(await pendingOutcome).to.deep.equal({ body: "hello", end: "whole" });
-    exchanges.closeIdleConnections(address);
+    client.closeIdleConnections(address);
     await send();
     expect(replica.connections).to.equal(2);
   });
--- a/src/adapters/forwarding/peer_notification_socket.ts
+++ b/src/adapters/forwarding/peer_notification_socket.ts
@@ -11,7 +11,7 @@
   readonly params: unknown;
 }
 
-/** Options of `PeerDatagrams`. */
+/** Options of `PeerNotificationSocket`. */
 export interface PeerNotificationSocketOptions {
   readonly host: string;
   readonly port: number;
--- a/src/adapters/forwarding/request_digest.ts
+++ b/src/adapters/forwarding/request_digest.ts
@@ -2,8 +2,8 @@
 import type { ForwardedRequest } from "../../core/forwarding/mod.ts";
 import { identifier, type RequestDigest } from "../../core/identity/mod.ts";
 
-/** Length of a digest in bytes. */
 const DIGEST_BYTES = 12;
+
 /**
  * Returns the digest of everything that determines what an endpoint executes:
  * method, host, target, credentials and body. Request ids and deadlines are
--- a/src/adapters/peers/peer_client.ts
+++ b/src/adapters/peers/peer_client.ts
@@ -34,9 +34,7 @@
  */
 const MAX_IDLE_CONNECTIONS = 32;
 
-/**
- * Carries a link failure through the JSON-RPC client; not thrown to callers.
- */
+/** Carries a link failure through the JSON-RPC client; caught in `#call`. */
 class LinkError extends Error {
   readonly link: LinkFailure;
 
--- a/src/adapters/settings/defaults.ts
+++ b/src/adapters/settings/defaults.ts
@@ -43,8 +43,7 @@
   // their callers.
   shutdownSeconds: 30,
   // Keeps reports, connections and state of an entry independent of the fleet
-  // size, at a quarter of a megabyte per side in use. Placement decisions were
-  // measured with 24 endpoints.
+  // size, at a quarter of a megabyte per side in use.
   mostEndpointsPerPool: 24,
   // A request that failed at four endpoints is unlikely to succeed at a fifth.
   mostAttempts: 4,
--- a/src/adapters/telemetry/forwarding_telemetry.ts
+++ b/src/adapters/telemetry/forwarding_telemetry.ts
@@ -33,7 +33,7 @@
   15,
 ];
 
-/** Options of `recordForwarding`. */
+/** Options of `createForwardingObserver`. */
 export interface ForwardingObserverOptions {
   readonly registry: Registry;
   readonly logger: Logger;
@@ -56,13 +56,13 @@
 export function createLoadQueryCounter(
   registry: Registry,
 ): (outcome: LoadQueryOutcome) => void {
-  const questions = new Counter({
+  const queries = new Counter({
     name: "filbertshore_load_questions_total",
     help: "Questions to other entries for an endpoint's load, by outcome",
     labelNames: ["outcome"],
     registers: [registry],
   });
-  return (outcome) => questions.inc({ outcome });
+  return (outcome) => queries.inc({ outcome });
 }
 
 /** Returns a function that counts usage reports by outcome. */
@@ -98,7 +98,7 @@
 /** Exports the retries of each pool and this entry's limit on them. */
 export function registerRetryGauges(
   registry: Registry,
-  uses: () => readonly RetryBudgetUsage[],
+  usageByPool: () => readonly RetryBudgetUsage[],
 ): void {
   new Gauge({
     name: "filbertshore_repeats",
@@ -106,7 +106,9 @@
     labelNames: ["pool"],
     registers: [registry],
     collect() {
-      for (const { pool, counted } of uses()) this.set({ pool }, counted);
+      for (const { pool, counted } of usageByPool()) {
+        this.set({ pool }, counted);
+      }
     },
   });
   new Gauge({
@@ -115,7 +117,9 @@
     labelNames: ["pool"],
     registers: [registry],
     collect() {
-      for (const { pool, allowed } of uses()) this.set({ pool }, allowed);
+      for (const { pool, allowed } of usageByPool()) {
+        this.set({ pool }, allowed);
+      }
     },
   });
 }
--- a/src/adapters/telemetry/forwarding_telemetry_test.ts
+++ b/src/adapters/telemetry/forwarding_telemetry_test.ts
@@ -2,7 +2,7 @@
 import { Registry } from "prom-client";
 import { registerRetryGauges } from "./mod.ts";
 
-describe("showRepeats", () => {
+describe("registerRetryGauges", () => {
   // When engines receive more retries than the fleet allows, on-call engineers
   // need to see which entry sends them and how close it is to its limit.
   it("exports the current retries of each pool and their limit", async () => {
--- a/src/adapters/telemetry/logger.ts
+++ b/src/adapters/telemetry/logger.ts
@@ -13,7 +13,7 @@
 /** A logger that can create child loggers for the components of the process. */
 export interface ComponentLogger extends Logger {
   /** Returns a child logger that adds the component's name to each line. */
-  forComponent(part: string): ComponentLogger;
+  forComponent(component: string): ComponentLogger;
 }
 
 /** Options of `createLogger`. */
@@ -50,6 +50,7 @@
     info: (fields, message) => log.info(fields, message),
     warn: (fields, message) => log.warn(fields, message),
     error: (fields, message) => log.error(fields, message),
-    forComponent: (part) => createPinoAdapter(log.child({ part })),
+    forComponent: (component) =>
+      createPinoAdapter(log.child({ part: component })),
   };
 }
--- a/src/cli/publish/run_publish.ts
+++ b/src/cli/publish/run_publish.ts
@@ -134,8 +134,8 @@
     const { version } = this.#fold;
     if (base === "latest") return version;
     if (base !== undefined) return Number(base);
-    const isRepeat = this.#fold.outcome(this.#id) !== undefined;
-    return version === 0 || isRepeat ? version : undefined;
+    const hasOutcome = this.#fold.outcome(this.#id) !== undefined;
+    return version === 0 || hasOutcome ? version : undefined;
   }
 
   #reportMissingBase(): number {
--- a/src/entry/entry_core.ts
+++ b/src/entry/entry_core.ts
@@ -135,7 +135,7 @@
       ...options.times,
       onChange: () => this.#updateSides(),
     });
-    this.#log = this.#makeLog();
+    this.#log = this.#createLog();
     this.#scheduler = createScheduler({
       timer: options.timer,
       random: options.random,
@@ -150,7 +150,7 @@
       },
       entriesSharing: () => this.#entriesPerEndpoint(),
     });
-    this.#directory = this.#makeDirectory();
+    this.#directory = this.#createDirectory();
     this.#relay = new ConfigurationRelay({
       timer: options.timer,
       availabilityZone: options.availabilityZone,
@@ -158,8 +158,8 @@
       peers: this.#peers,
       activeConfiguration: () => this.#active,
     });
-    this.#intake = this.#makeIntake();
-    this.#planner = this.#makePlanner();
+    this.#intake = this.#createIntake();
+    this.#planner = this.#createPlanner();
   }
 
   start(): void {
@@ -370,7 +370,7 @@
     if (suspected) this.#intake.onSuspected(endpoint);
   }
 
-  #makeLog(): RegionLog {
+  #createLog(): RegionLog {
     return new RegionLog({
       ...this.#options,
       peers: () => this.#peers.entries(),
@@ -382,7 +382,7 @@
     });
   }
 
-  #makeDirectory(): SideDirectory {
+  #createDirectory(): SideDirectory {
     const { timer, sides, times } = this.#options;
     return new SideDirectory({
       timer,
@@ -396,35 +396,35 @@
     });
   }
 
-  #makeIntake(): RequestIntake {
+  #createIntake(): RequestIntake {
     const { timer, availabilityZone, hash, limits } = this.#options;
     return new RequestIntake({
       timer,
       availabilityZone,
       hash,
       mostOpenRequests: limits.mostOpenRequests,
-      context: this.#makeContext(),
+      context: this.#createRunContext(),
       tracer: this.#options.tracer ?? NOOP_TRACER,
       activeConfiguration: () => this.#active,
       emitEvent: this.#emitEvent,
     });
   }
 
-  #makeContext(): RunContext {
+  #createRunContext(): RunContext {
     const { timer, sides, limits, tracer } = this.#options;
     return {
       timer,
       scheduler: this.#scheduler,
       sideLink: sides,
       directory: this.#directory,
-      onceCoordinator: this.#makeOnce(),
+      onceCoordinator: this.#createOnceCoordinator(),
       mostAttempts: limits.mostAttempts,
       tracer: tracer ?? NOOP_TRACER,
       emitEvent: this.#emitEvent,
     };
   }
 
-  #makeOnce(): OnceCoordinator {
+  #createOnceCoordinator(): OnceCoordinator {
     return new OnceCoordinator({
       fold: this.#log.once,
       append: (body) => this.#log.journals.once.append(body),
@@ -446,7 +446,7 @@
     );
   }
 
-  #makePlanner(): Planner {
+  #createPlanner(): Planner {
     const { timer, times, entries } = this.#options;
     return new Planner({
       timer,
--- a/src/entry/non_idempotent_run.ts
+++ b/src/entry/non_idempotent_run.ts
@@ -90,7 +90,7 @@
       const chosen = await chooseEndpoint(run);
       if (chosen.isErr()) return err(chosen.error);
       placement = chosen.value.placement;
-      return ok(chosen.value.choice);
+      return ok(chosen.value.target);
     },
   });
   return { result, placement };
@@ -99,7 +99,7 @@
 /** Acquires a slot at an endpoint whose side's current incarnation is known. */
 async function chooseEndpoint(
   run: RequestRun,
-): Promise<Result<{ placement: Placement; choice: ExecutionTarget }, Refusal>> {
+): Promise<Result<{ placement: Placement; target: ExecutionTarget }, Refusal>> {
   const placed = await submitAndPlace(run);
   if (placed.isErr()) return err(placed.error);
   const { endpoint } = placed.value;
--- a/src/entry/region_log.ts
+++ b/src/entry/region_log.ts
@@ -94,18 +94,18 @@
     this.configuration = new ConfigurationFold({
       guards: guards?.configuration,
     });
-    this.orders = this.#makeOrdersFold();
-    this.once = this.#makeOnceFold();
+    this.orders = this.#createOrdersFold();
+    this.once = this.#createOnceFold();
     this.journals = {
       configuration: this.#openJournal("configuration", this.configuration),
       orders: this.#openJournal("orders", this.orders),
       once: this.#openJournal("once", this.once),
     };
-    this.configurationClaim = this.#makeClaim("configuration", {
+    this.configurationClaim = this.#createClaimKeeper("configuration", {
       view: this.configuration,
       onGained: () => this.#validator.consider(),
     });
-    this.ordersClaim = this.#makeClaim("orders", { view: this.orders });
+    this.ordersClaim = this.#createClaimKeeper("orders", { view: this.orders });
     this.#validator = new ConfigurationJudge({
       journal: this.journals.configuration,
       fold: this.configuration,
@@ -210,7 +210,7 @@
     return latest;
   }
 
-  #makeClaim(
+  #createClaimKeeper(
     kind: StreamKind,
     options: { view: ClaimView; onGained?: () => void },
   ): ClaimKeeper {
@@ -236,7 +236,7 @@
     });
   }
 
-  #makeOrdersFold(): OrdersFold {
+  #createOrdersFold(): OrdersFold {
     const { emitEvent } = this.#options;
     return new OrdersFold({
       guards: this.#options.guards?.orders,
@@ -263,7 +263,7 @@
     });
   }
 
-  #makeOnceFold(): OnceFold {
+  #createOnceFold(): OnceFold {
     return new OnceFold({
       windowMilliseconds: this.#options.times.keyWindowMilliseconds,
       onOwner: (owner, replaces) =>
--- a/src/side/attempt_executor.ts
+++ b/src/side/attempt_executor.ts
@@ -13,7 +13,7 @@
   OnceQuestion,
 } from "../generated/messages.ts";
 import { GenerationRun } from "./generation_run.ts";
-import type { GenerationOutcome } from "./generation_run.ts";
+import type { ExecutionOutcome } from "./generation_run.ts";
 import type { SideGuardOverrides } from "./guards.ts";
 import { RecentAttempts } from "./recent_attempts.ts";
 import { ServiceRun } from "./service_run.ts";
@@ -185,7 +185,9 @@
 
   async #admit(context: AttemptContext): Promise<void> {
     const { attempt } = context;
-    if (this.#isForOtherRun(attempt)) return this.#failAlreadyRun(context);
+    if (this.#isForOtherIncarnation(attempt)) {
+      return this.#failAlreadyRun(context);
+    }
     const closedReason = this.#closedReason(attempt);
     if (closedReason !== undefined) return this.#refuse(context, closedReason);
     const pendingSlot = this.#limiter.acquire({
@@ -209,7 +211,7 @@
    * Running the call here could execute it twice, and answering `not_run` could
    * be false.
    */
-  #isForOtherRun({ sideIncarnation }: AttemptRequest): boolean {
+  #isForOtherIncarnation({ sideIncarnation }: AttemptRequest): boolean {
     return sideIncarnation !== undefined &&
       sideIncarnation !== this.#options.incarnation;
   }
@@ -253,7 +255,7 @@
       attempt: withTraceparent(attempt, span),
     };
     let ended = false;
-    const done = (end: GenerationOutcome, answer?: ServiceResponse) => {
+    const done = (end: ExecutionOutcome, answer?: ServiceResponse) => {
       ended = true;
       if (end !== "answered") span.fail(end);
       span.end();
@@ -270,7 +272,7 @@
 
   #runGeneration(
     context: AttemptContext,
-    options: { slot: Slot; done: (end: GenerationOutcome) => void },
+    options: { slot: Slot; done: (end: ExecutionOutcome) => void },
   ): RunningAttempt {
     const run = new GenerationRun(context.attempt, {
       ...this.#options,
@@ -291,7 +293,7 @@
 
   #runService(
     context: AttemptContext,
-    done: (end: GenerationOutcome, answer?: ServiceResponse) => void,
+    done: (end: ExecutionOutcome, answer?: ServiceResponse) => void,
   ): RunningAttempt {
     const run = new ServiceRun(context.attempt, {
       ...this.#options,
@@ -311,7 +313,7 @@
 
   #onFinished(
     context: AttemptContext,
-    result: { end: GenerationOutcome; answer?: ServiceResponse },
+    result: { end: ExecutionOutcome; answer?: ServiceResponse },
   ): void {
     const { attempt, span } = context;
     const { end, answer } = result;
@@ -328,7 +330,7 @@
     for (const listener of listeners) listener();
   }
 
-  #emitEndEvent(attempt: AttemptRequest, end: GenerationOutcome): void {
+  #emitEndEvent(attempt: AttemptRequest, end: ExecutionOutcome): void {
     const facts = attemptFacts(attempt);
     const cause = CANCEL_CAUSES[end];
     if (cause !== undefined) {
@@ -388,7 +390,7 @@
 }
 
 /** Causes of the outcomes that the side itself brings about. */
-const CANCEL_CAUSES: Partial<Record<GenerationOutcome, string>> = {
+const CANCEL_CAUSES: Partial<Record<ExecutionOutcome, string>> = {
   cancelled: "caller",
   deadline: "deadline",
   moved: "planned",
--- a/src/side/generation_run.ts
+++ b/src/side/generation_run.ts
@@ -18,7 +18,7 @@
  * How an attempt ended at its endpoint. `turned_down`: the endpoint did not
  * start it.
  */
-export type GenerationOutcome =
+export type ExecutionOutcome =
   | "answered"
   | "turned_down"
   | FailedFrame["reason"];
@@ -58,7 +58,7 @@
 export class GenerationRun {
   readonly attempt: AttemptRequest;
   readonly #options: GenerationRunOptions;
-  readonly #done: (end: GenerationOutcome) => void;
+  readonly #done: (end: ExecutionOutcome) => void;
   readonly #deadlineTimer: Subscription;
   readonly #call: GenerationCall;
   #silenceTimer: Subscription;
@@ -74,7 +74,7 @@
 
   constructor(
     attempt: AttemptRequest,
-    options: GenerationRunOptions & { done: (end: GenerationOutcome) => void },
+    options: GenerationRunOptions & { done: (end: ExecutionOutcome) => void },
   ) {
     this.attempt = attempt;
     this.#options = options;
@@ -203,7 +203,7 @@
     });
   }
 
-  #end(end: GenerationOutcome, frame: AttemptFrame): void {
+  #end(end: ExecutionOutcome, frame: AttemptFrame): void {
     this.#ended = true;
     this.#silenceTimer.cancel();
     this.#deadlineTimer.cancel();
@@ -218,7 +218,7 @@
 export function endpointFailureOutcome(
   attempt: AttemptRequest,
   failure: { name: EndpointFailure["name"]; load: EndpointLoad },
-): { end: GenerationOutcome; frame: AttemptFrame } {
+): { end: ExecutionOutcome; frame: AttemptFrame } {
   const { attemptId } = attempt;
   if (failure.name === "endpoint_refused") {
     const { load } = failure;
--- a/src/side/service_run.ts
+++ b/src/side/service_run.ts
@@ -12,7 +12,7 @@
   FailedFrame,
 } from "../generated/messages.ts";
 import { endpointFailureOutcome } from "./generation_run.ts";
-import type { GenerationOutcome } from "./generation_run.ts";
+import type { ExecutionOutcome } from "./generation_run.ts";
 
 export interface ServiceRunOptions {
   readonly timer: TimerService;
@@ -23,7 +23,7 @@
   readonly deadline: number;
   /** Called once when the endpoint has finished the call. */
   readonly done: (
-    end: GenerationOutcome,
+    end: ExecutionOutcome,
     answer: ServiceResponse | undefined,
   ) => void;
 }
--- a/src/side/side_core.ts
+++ b/src/side/side_core.ts
@@ -159,7 +159,7 @@
     });
     this.#watchLoops = Array.from(
       { length: ATTACHED_ENTRY_COUNT },
-      (_, index) => this.#makeWatchLoop(index),
+      (_, index) => this.#createWatchLoop(index),
     );
   }
 
@@ -167,7 +167,7 @@
   start(): void {
     this.#emitEvent("process_started", { role: "side" });
     this.#initialAnswers.start();
-    for (const watch of this.#watchLoops) watch.start();
+    for (const loop of this.#watchLoops) loop.start();
     if (this.#options.kind === "engine") this.#startObserving();
   }
 
@@ -189,7 +189,7 @@
   /** Stops all timers and running work at once. */
   halt(): void {
     this.#leaving = true;
-    for (const watch of this.#watchLoops) watch.stop();
+    for (const loop of this.#watchLoops) loop.stop();
     this.#initialAnswers.stop();
     this.#observationTimer?.cancel();
     this.#orderExecutor?.stop();
@@ -254,7 +254,7 @@
     return CLOSED_REASONS[this.#state()];
   }
 
-  #makeWatchLoop(loopIndex: number): WatchLoop {
+  #createWatchLoop(loopIndex: number): WatchLoop {
     return new WatchLoop({
       ...this.#options,
       candidates: () => this.#candidates(),
@@ -336,7 +336,7 @@
   #executeOrder(): void {
     if (this.#latestOrder === undefined) return;
     if (this.#configuration?.state === "withdrawn") return;
-    this.#orderExecutor ??= this.#makeOrderExecutor();
+    this.#orderExecutor ??= this.#createOrderExecutor();
     this.#orderExecutor.take(this.#latestOrder);
   }
 
@@ -344,7 +344,7 @@
    * Created with the first order, because only then it is known whether the
    * engine checks fencing tokens.
    */
-  #makeOrderExecutor(): OrderExecutor {
+  #createOrderExecutor(): OrderExecutor {
     const { endpoint, timer, incarnation, times, observe, name } =
       this.#options;
     return new OrderExecutor({
