--- a/src/adapters/telemetry/forwarding_telemetry.ts
+++ b/src/adapters/telemetry/forwarding_telemetry.ts
@@ -98,7 +98,7 @@
 /** Exports the retries of each pool and this entry's limit on them. */
 export function registerRetryGauges(
   registry: Registry,
-  usageByPool: () => readonly RetryBudgetUsage[],
+  usages: () => readonly RetryBudgetUsage[],
 ): void {
   new Gauge({
     name: "filbertshore_repeats",
@@ -106,9 +106,7 @@
     labelNames: ["pool"],
     registers: [registry],
     collect() {
-      for (const { pool, counted } of usageByPool()) {
-        this.set({ pool }, counted);
-      }
+      for (const { pool, counted } of usages()) this.set({ pool }, counted);
     },
   });
   new Gauge({
@@ -117,9 +115,7 @@
     labelNames: ["pool"],
     registers: [registry],
     collect() {
-      for (const { pool, allowed } of usageByPool()) {
-        this.set({ pool }, allowed);
-      }
+      for (const { pool, allowed } of usages()) this.set({ pool }, allowed);
     },
   });
 }
--- a/src/adapters/telemetry/metrics.ts
+++ b/src/adapters/telemetry/metrics.ts
@@ -119,7 +119,7 @@
         this.#firstToken.observe({ class: className }, seconds),
       tokenInterval: (className, seconds) =>
         this.#tokenInterval.observe({ class: className }, seconds),
-      completed: (completion) => this.#recordCompletion(completion),
+      completed: (ended) => this.#recordCompletion(ended),
     });
     const timings = this.#timings;
     new Gauge({
@@ -180,18 +180,16 @@
     return { contentType: this.registry.contentType, body };
   }
 
-  #recordCompletion(completion: RequestCompletion): void {
-    const { className } = completion;
-    this.#requests.inc({ class: className, outcome: completion.outcome });
-    if (completion.tokens > 0) {
-      this.#tokens.inc({ class: className }, completion.tokens);
+  #recordCompletion(ended: RequestCompletion): void {
+    const { className } = ended;
+    this.#requests.inc({ class: className, outcome: ended.outcome });
+    if (ended.tokens > 0) this.#tokens.inc({ class: className }, ended.tokens);
+    if (ended.outcome === "not_run") {
+      this.#refusals.inc({ class: className, reason: ended.reason });
     }
-    if (completion.outcome === "not_run") {
-      this.#refusals.inc({ class: className, reason: completion.reason });
-    }
-    if (completion.outcome !== "answered") return;
-    this.#answerTime.observe({ class: className }, completion.seconds);
-    if (completion.onTime) this.#goodput.inc({ class: className });
+    if (ended.outcome !== "answered") return;
+    this.#answerTime.observe({ class: className }, ended.seconds);
+    if (ended.onTime) this.#goodput.inc({ class: className });
   }
 
   #counter<Label extends string>(
--- a/src/entry/non_idempotent_run.ts
+++ b/src/entry/non_idempotent_run.ts
@@ -110,7 +110,7 @@
   }
   return ok({
     placement: placed.value,
-    choice: { endpoint, sideIncarnation: identifier(report.incarnation) },
+    target: { endpoint, sideIncarnation: identifier(report.incarnation) },
   });
 }
 
--- a/src/entry/planner.ts
+++ b/src/entry/planner.ts
@@ -141,10 +141,8 @@
         });
       }),
     );
-    for (const [peer, { receivedAt }] of this.#peers) {
-      if (timer.now() - receivedAt > PEER_EXPIRY_MILLISECONDS) {
-        this.#peers.delete(peer);
-      }
+    for (const [peer, { receivedAt: at }] of this.#peers) {
+      if (timer.now() - at > PEER_EXPIRY_MILLISECONDS) this.#peers.delete(peer);
     }
   }
 
--- a/src/side/attempt_executor.ts
+++ b/src/side/attempt_executor.ts
@@ -185,9 +185,7 @@
 
   async #admit(context: AttemptContext): Promise<void> {
     const { attempt } = context;
-    if (this.#isForOtherIncarnation(attempt)) {
-      return this.#failAlreadyRun(context);
-    }
+    if (this.#isForOtherRun(attempt)) return this.#failAlreadyRun(context);
     const closedReason = this.#closedReason(attempt);
     if (closedReason !== undefined) return this.#refuse(context, closedReason);
     const pendingSlot = this.#limiter.acquire({
@@ -211,7 +209,7 @@
    * Running the call here could execute it twice, and answering `not_run` could
    * be false.
    */
-  #isForOtherIncarnation({ sideIncarnation }: AttemptRequest): boolean {
+  #isForOtherRun({ sideIncarnation }: AttemptRequest): boolean {
     return sideIncarnation !== undefined &&
       sideIncarnation !== this.#options.incarnation;
   }
