--- a/src/adapters/callers/response_sinks.ts
+++ b/src/adapters/callers/response_sinks.ts
@@ -131,9 +131,7 @@
 /** Forwards the response of a plain service unchanged. */
 export class ServiceResponseSink implements AnswerSink {
   readonly #response: ServerResponse;
-  #serviceResponse:
-    | { status: number; contentType: string; body: string }
-    | undefined;
+  #reply: { status: number; contentType: string; body: string } | undefined;
 
   constructor(response: ServerResponse) {
     this.#response = response;
@@ -146,7 +144,7 @@
   response(
     serviceResponse: { status: number; contentType: string; body: string },
   ): void {
-    this.#serviceResponse = serviceResponse;
+    this.#reply = serviceResponse;
   }
 
   finish(outcome: Outcome): void {
@@ -155,7 +153,7 @@
       return;
     }
     const { status = 204, contentType = "text/plain", body = "" } =
-      this.#serviceResponse ?? {};
+      this.#reply ?? {};
     this.#response.writeHead(status, { "content-type": contentType });
     this.#response.end(body, "latin1");
   }
--- a/src/adapters/settings/defaults.ts
+++ b/src/adapters/settings/defaults.ts
@@ -31,7 +31,7 @@
   // About ten seconds of arrivals at one entry of a busy region. Requests that
   // would wait longer miss their deadline and are better refused immediately.
   mostQueued: 2_000,
-  // A tenth of the queue, so that a burst of one customer leaves capacity for
+  // A tenth of the queue, so that a burst of one workspace leaves capacity for
   // others.
   mostQueuedPerWorkspace: 200,
   // Limits the memory of open streams to 120 MB, at 30 KB each.
@@ -71,7 +71,7 @@
 /** Default intervals and timeouts of the coordination. */
 export const DEFAULT_COORDINATION_TIMES: Required<CoordinationTimes> = {
   // A report of 400 bytes to two entries each second takes less than a fifth of
-  // the 5 KB a second that a node may use for control traffic.
+  // the 5 KB a second that a VM may use for control traffic.
   reportMilliseconds: 1_000,
   // Three consecutive missing reports; a single late report must not make an
   // endpoint unavailable.
--- a/src/entry/idempotent_run.ts
+++ b/src/entry/idempotent_run.ts
@@ -17,13 +17,13 @@
     const end = await run.runAttempt(placed.value);
     if (run.settled) return;
     if (end.kind === "complete") return run.finishAnswered();
-    const refusal = refusalToRetry(run, end);
+    const refusal = retryRefusal(run, end);
     if (refusal !== undefined) return run.finishRefused(refusal);
     submitted = scheduler.resubmit(run.currentProfile());
   }
 }
 
-function refusalToRetry(
+function retryRefusal(
   run: RequestRun,
   end: Exclude<AttemptOutcome, { kind: "complete" }>,
 ): Refusal | undefined {
--- a/src/entry/planner.ts
+++ b/src/entry/planner.ts
@@ -49,7 +49,7 @@
 
 /**
  * Status queries per second of the planner. With 36 other entries in a region,
- * the entry that plans would otherwise exceed a node's control traffic budget.
+ * the entry that plans would otherwise exceed a VM's control traffic budget.
  * With demand on 14 pools an answer has about 3 KB, so one query a second is 3
  * KB/s.
  */
@@ -72,7 +72,7 @@
  */
 export class Planner {
   readonly #options: PlannerOptions;
-  readonly #roles = new RolePlanner();
+  readonly #rolePlanner = new RolePlanner();
   readonly #peers = new Map<PeerAddress, PeerState>();
   #planTimer: Subscription | undefined;
   #isPlanning = false;
@@ -151,7 +151,7 @@
     const claim = this.#options.claim.held;
     if (active === undefined || claim === undefined) return;
     const reports = this.#reports();
-    const roleChanges = this.#roles.plan(
+    const roleChanges = this.#rolePlanner.plan(
       this.#plannerInput(active, reports),
     );
     const missing = missingOrders({
--- a/src/entry/side_directory.ts
+++ b/src/entry/side_directory.ts
@@ -31,7 +31,7 @@
 
 /**
  * Report requests per second of one entry. Polling each of a hundred sides
- * every second would cost 60 KB/s, twelve times a node's control traffic
+ * every second would cost 60 KB/s, twelve times a VM's control traffic
  * budget. Four requests of about 600 bytes use half of the budget. The load in
  * every final frame makes up for polling an idle side less than once a second.
  */
--- a/src/entry/side_directory_test.ts
+++ b/src/entry/side_directory_test.ts
@@ -91,7 +91,7 @@
   }
 
   // With a hundred sides per entry, polling all of them every second would take
-  // twelve times the node's control traffic budget.
+  // twelve times the VM's control traffic budget.
   it("polls at a bounded rate for any number of sides", async () => {
     useSides(112);
     await timer.advance(0);
