--- a/src/cli/check/command.ts
+++ b/src/cli/check/command.ts
@@ -14,8 +14,8 @@
 export const checkCommand: CommandModule<unknown, CheckArguments> = {
   command: "check",
   describe: "Validate files and report all problems",
-  builder: (arguments_) =>
-    arguments_
+  builder: (args) =>
+    args
       .option("inventory", {
         type: "string",
         implies: "rules",
@@ -47,8 +47,8 @@
         throw new Error("Specify at least one file to check");
       })
       .epilogue("Exit codes: 0 no problems, 2 problems found"),
-  handler: async (arguments_) => {
+  handler: async (args) => {
     const { runCheck } = await import("./run_check.ts");
-    process.exitCode = await runCheck(arguments_);
+    process.exitCode = await runCheck(args);
   },
 };
--- a/src/cli/entry/command.ts
+++ b/src/cli/entry/command.ts
@@ -6,16 +6,16 @@
   command: "entry",
   describe:
     "Run an entry, which accepts requests of callers and schedules them on endpoints",
-  builder: (arguments_) =>
-    arguments_.option("settings", {
+  builder: (args) =>
+    args.option("settings", {
       type: "string",
       demandOption: true,
       describe: "Settings file of the entry (TOML)",
     }).epilogue(
       "Exit codes: 0 stopped by a signal, 2 invalid settings, 3 an address cannot be bound",
     ),
-  handler: async (arguments_) => {
+  handler: async (args) => {
     const { runEntry } = await import("./run_entry.ts");
-    process.exitCode = await runEntry(arguments_.settings);
+    process.exitCode = await runEntry(args.settings);
   },
 };
--- a/src/cli/publish/command.ts
+++ b/src/cli/publish/command.ts
@@ -19,8 +19,8 @@
 export const publishCommand: CommandModule<unknown, PublishArguments> = {
   command: "publish",
   describe: "Publish inventory and rules and wait until they are in force",
-  builder: (arguments_) =>
-    arguments_
+  builder: (args) =>
+    args
       .option("settings", {
         type: "string",
         demandOption: true,
@@ -68,8 +68,8 @@
       .epilogue(
         "Exit codes: 0 in force in all processes, 1 failed or rejected, 2 invalid files, 4 outcome unknown, 5 in force but not yet confirmed by all processes",
       ),
-  handler: async (arguments_) => {
+  handler: async (args) => {
     const { runPublish } = await import("./run_publish.ts");
-    process.exitCode = await runPublish(arguments_);
+    process.exitCode = await runPublish(args);
   },
 };
--- a/src/cli/side/command.ts
+++ b/src/cli/side/command.ts
@@ -6,16 +6,16 @@
   command: "side",
   describe:
     "Run a side, the sidecar process through which all requests to one endpoint pass",
-  builder: (arguments_) =>
-    arguments_.option("settings", {
+  builder: (args) =>
+    args.option("settings", {
       type: "string",
       demandOption: true,
       describe: "Settings file of the side (TOML)",
     }).epilogue(
       "Exit codes: 0 stopped by a signal, 2 invalid settings, 3 an address cannot be bound",
     ),
-  handler: async (arguments_) => {
+  handler: async (args) => {
     const { runSide } = await import("./run_side.ts");
-    process.exitCode = await runSide(arguments_.settings);
+    process.exitCode = await runSide(args.settings);
   },
 };
--- a/src/cli/status/command.ts
+++ b/src/cli/status/command.ts
@@ -11,8 +11,8 @@
 export const statusCommand: CommandModule<unknown, StatusArguments> = {
   command: "status",
   describe: "Show configuration versions, planner and endpoints",
-  builder: (arguments_) =>
-    arguments_
+  builder: (args) =>
+    args
       .option("settings", {
         type: "string",
         demandOption: true,
@@ -26,8 +26,8 @@
       .epilogue(
         "Exit codes: 0 all entries responded, 1 some or all did not, 2 invalid settings",
       ),
-  handler: async (arguments_) => {
+  handler: async (args) => {
     const { runStatus } = await import("./run_status.ts");
-    process.exitCode = await runStatus(arguments_);
+    process.exitCode = await runStatus(args);
   },
 };
--- a/src/entry/catalog.ts
+++ b/src/entry/catalog.ts
@@ -70,7 +70,7 @@
     return ok({ pool: match.pool, idempotent: match.route.idempotent });
   }
 
-  /** IDs of all endpoints in the inventory. */
+  /** Ids of all endpoints in the inventory. */
   endpoints(): Iterable<EndpointId> {
     return this.#endpoints.keys();
   }
--- a/src/entry/entry_core.ts
+++ b/src/entry/entry_core.ts
@@ -284,7 +284,7 @@
     return isSameIncarnation ? changedSince?.change ?? 0 : 0;
   }
 
-  /** Snapshot of a stream's state, for a peer that can't read the log. */
+  /** Snapshot of a stream's state, for a peer that cannot read the log. */
   snapshot(stream: string): StreamSnapshot | undefined {
     return this.#log.snapshot(stream);
   }
--- a/src/entry/order_plan.ts
+++ b/src/entry/order_plan.ts
@@ -34,7 +34,7 @@
 /**
  * Returns the orders that are missing on the log. The inventory's target and
  * the requested role changes are merged into one target per engine here, and
- * nothing else creates orders, so a publication and a role change can't
+ * nothing else creates orders, so a publication and a role change cannot
  * contradict each other. An order that is already on the log is not repeated: a
  * planner that takes over continues the orders of its predecessor.
  */
--- a/src/entry/region_log.ts
+++ b/src/entry/region_log.ts
@@ -33,7 +33,7 @@
 
 /**
  * Timeout for appending an idempotency key's record, for an outage or a slow
- * log: a call whose record can't be written would otherwise keep its caller
+ * log: a call whose record cannot be written would otherwise keep its caller
  * waiting without an answer. An append normally takes some tens of
  * milliseconds.
  */
@@ -97,9 +97,9 @@
     this.orders = this.#createOrdersFold();
     this.once = this.#createOnceFold();
     this.journals = {
-      configuration: this.#openJournal("configuration", this.configuration),
-      orders: this.#openJournal("orders", this.orders),
-      once: this.#openJournal("once", this.once),
+      configuration: this.#createJournal("configuration", this.configuration),
+      orders: this.#createJournal("orders", this.orders),
+      once: this.#createJournal("once", this.once),
     };
     this.configurationClaim = this.#createClaimKeeper("configuration", {
       view: this.configuration,
@@ -148,7 +148,7 @@
     return `${kind}.${this.#options.region}`;
   }
 
-  #openJournal(kind: StreamKind, fold: StreamFold): Journal {
+  #createJournal(kind: StreamKind, fold: StreamFold): Journal {
     const { log, timer, random, name, incarnation, times } = this.#options;
     const stream = this.#streamName(kind);
     return new Journal({
--- a/src/side/attempt_executor.ts
+++ b/src/side/attempt_executor.ts
@@ -375,7 +375,7 @@
     });
   }
 
-  /** The call may have run before, so the answer can't be `not_run`. */
+  /** The call may have run before, so the answer cannot be `not_run`. */
   #failAlreadyRun({ attempt, emit, span }: AttemptContext): void {
     span.fail("already_run");
     span.end();
--- a/src/side/guards.ts
+++ b/src/side/guards.ts
@@ -7,7 +7,7 @@
  */
 export interface SideGuardOverrides {
   /** Whether an offered configuration version is newer than the active one. */
-  readonly isNewer?: (offered: number, inForce: number) => boolean;
+  readonly isNewer?: (offered: number, active: number) => boolean;
   /** Whether an attempt has arrived before. */
   readonly isDuplicate?: (attemptId: string) => boolean;
   /**
--- a/src/side/recent_attempts.ts
+++ b/src/side/recent_attempts.ts
@@ -1,12 +1,12 @@
 import type { TimerService } from "../core/time/mod.ts";
 
-/** Retention of attempt IDs, milliseconds. */
+/** Retention of attempt ids, milliseconds. */
 const RETENTION_MILLISECONDS = 120_000;
-/** Maximum retained attempt IDs; the oldest are evicted first. */
+/** Maximum retained attempt ids; the oldest are evicted first. */
 const MAX_ATTEMPT_IDS = 20_000;
 
 /**
- * IDs of recently received attempts, for dropping messages that the network
+ * Ids of recently received attempts, for dropping messages that the network
  * delivers twice: a duplicate would execute the call again and use its permit
  * twice. The memory is bounded: a duplicate could only arrive after the
  * bounds over a link that buffers messages for minutes, which a TCP connection
--- a/src/side/watch_loop.ts
+++ b/src/side/watch_loop.ts
@@ -12,7 +12,7 @@
   readonly candidates: () => readonly PeerAddress[];
   /** Index of this loop among the side's loops, from 0. */
   readonly loopIndex: number;
-  /** Number of the side's loops; with it, loops never share an entry. */
+  /** Number of the side's loops, by which each steps through the candidates. */
   readonly loopCount: number;
   readonly report: () => SideReport;
   readonly onAnswer: (answer: WatchAnswer) => void;
@@ -73,7 +73,9 @@
 
   /**
    * Current candidate of this loop. Each loop steps through the candidates by
-   * the number of loops, so two loops never use the same entry.
+   * the number of loops, so that two loops use different entries. After a
+   * failure they can still share one if the number of candidates is not a
+   * multiple of the number of loops.
    */
   #entry(): PeerAddress | undefined {
     const { candidates, loopIndex, loopCount } = this.#options;
