--- a/src/adapters/forwarding/endpoint_http_client_test.ts
+++ b/src/adapters/forwarding/endpoint_http_client_test.ts
@@ -99,9 +99,9 @@
       expect(await send()).to.deep.equal({ body: "hello", end: "whole" });
     });
 
-    // The replica crashes during such a response and its operating system resets
-    // the connection. If the reset counted as the end, a truncated response would
-    // be delivered as a complete one.
+    // The replica crashes during such a response and its operating system
+    // resets the connection. If the reset counted as the end, a truncated
+    // response would be delivered as a complete one.
     it("is truncated when its connection is reset", async () => {
       await startReplica((socket) => {
         socket.write(answerBytes("hel", { headers: "" }), () => {
--- a/src/side/initial_answers.ts
+++ b/src/side/initial_answers.ts
@@ -19,11 +19,12 @@
 
 /**
  * Buffers the first answers of a starting side until all its entries have
- * answered. A restarted side has lost its configuration and order. An entry that
- * is cut off from the log would give it older ones than its previous incarnation
- * had, and a drained endpoint would accept work again. The previous incarnation got its state from one of these entries, so the newest
- * of the answers is at least as new. After the timeout, the newest answer so
- * far is used, because a side must also serve when its other entry is lost.
+ * answered. A restarted side has lost its configuration and order. An entry
+ * that is cut off from the log would give it older ones than its previous
+ * incarnation had, and a drained endpoint would accept work again. The previous
+ * incarnation got its state from one of these entries, so the newest of the
+ * answers is at least as new. After the timeout, the newest answer so far is
+ * used, because a side must also serve when its other entry is lost.
  */
 export class InitialAnswers {
   readonly #options: InitialAnswersOptions;
--- a/src/side/recent_attempts.ts
+++ b/src/side/recent_attempts.ts
@@ -8,9 +8,9 @@
 /**
  * Ids of recently received attempts, for dropping messages that the network
  * delivers twice: a duplicate would execute the call again and use its permit
- * twice. The memory is bounded: a duplicate could only arrive after the
- * bounds over a link that buffers messages for minutes, which a TCP connection
- * does not.
+ * twice. The memory is bounded: a duplicate could only arrive after the bounds
+ * over a link that buffers messages for minutes, which a TCP connection does
+ * not.
  */
 export class RecentAttempts {
   readonly #timer: TimerService;
