--- a/src/entry/region_log.ts
+++ b/src/entry/region_log.ts
@@ -33,7 +33,7 @@
 
 /**
  * Timeout for appending an idempotency key's record, for an outage or a slow
- * log: a call whose record can't be written would otherwise keep its caller
+ * log: a call whose record cannot be written would otherwise keep its caller
  * waiting without an answer. An append normally takes some tens of
  * milliseconds.
  */
@@ -94,18 +94,18 @@
     this.configuration = new ConfigurationFold({
       guards: guards?.configuration,
     });
-    this.orders = this.#makeOrdersFold();
-    this.once = this.#makeOnceFold();
+    this.orders = this.#createOrdersFold();
+    this.once = this.#createOnceFold();
     this.journals = {
-      configuration: this.#openJournal("configuration", this.configuration),
-      orders: this.#openJournal("orders", this.orders),
-      once: this.#openJournal("once", this.once),
+      configuration: this.#createJournal("configuration", this.configuration),
+      orders: this.#createJournal("orders", this.orders),
+      once: this.#createJournal("once", this.once),
     };
-    this.configurationClaim = this.#makeClaim("configuration", {
+    this.configurationClaim = this.#createClaimKeeper("configuration", {
       view: this.configuration,
       onGained: () => this.#validator.consider(),
     });
-    this.ordersClaim = this.#makeClaim("orders", { view: this.orders });
+    this.ordersClaim = this.#createClaimKeeper("orders", { view: this.orders });
     this.#validator = new ConfigurationJudge({
       journal: this.journals.configuration,
       fold: this.configuration,
@@ -148,7 +148,7 @@
     return `${kind}.${this.#options.region}`;
   }
 
-  #openJournal(kind: StreamKind, fold: StreamFold): Journal {
+  #createJournal(kind: StreamKind, fold: StreamFold): Journal {
     const { log, timer, random, name, incarnation, times } = this.#options;
     const stream = this.#streamName(kind);
     return new Journal({
@@ -210,7 +210,7 @@
     return latest;
   }
 
-  #makeClaim(
+  #createClaimKeeper(
     kind: StreamKind,
     options: { view: ClaimView; onGained?: () => void },
   ): ClaimKeeper {
@@ -236,7 +236,7 @@
     });
   }
 
-  #makeOrdersFold(): OrdersFold {
+  #createOrdersFold(): OrdersFold {
     const { emitEvent } = this.#options;
     return new OrdersFold({
       guards: this.#options.guards?.orders,
@@ -263,7 +263,7 @@
     });
   }
 
-  #makeOnceFold(): OnceFold {
+  #createOnceFold(): OnceFold {
     return new OnceFold({
       windowMilliseconds: this.#options.times.keyWindowMilliseconds,
       onOwner: (owner, replaces) =>
--- a/src/side/attempt_executor.ts
+++ b/src/side/attempt_executor.ts
@@ -13,7 +13,7 @@
   OnceQuestion,
 } from "../generated/messages.ts";
 import { GenerationRun } from "./generation_run.ts";
-import type { GenerationOutcome } from "./generation_run.ts";
+import type { ExecutionOutcome } from "./generation_run.ts";
 import type { SideGuardOverrides } from "./guards.ts";
 import { RecentAttempts } from "./recent_attempts.ts";
 import { ServiceRun } from "./service_run.ts";
@@ -253,7 +253,7 @@
       attempt: withTraceparent(attempt, span),
     };
     let ended = false;
-    const done = (end: GenerationOutcome, answer?: ServiceResponse) => {
+    const done = (end: ExecutionOutcome, answer?: ServiceResponse) => {
       ended = true;
       if (end !== "answered") span.fail(end);
       span.end();
@@ -270,7 +270,7 @@
 
   #runGeneration(
     context: AttemptContext,
-    options: { slot: Slot; done: (end: GenerationOutcome) => void },
+    options: { slot: Slot; done: (end: ExecutionOutcome) => void },
   ): RunningAttempt {
     const run = new GenerationRun(context.attempt, {
       ...this.#options,
@@ -291,7 +291,7 @@
 
   #runService(
     context: AttemptContext,
-    done: (end: GenerationOutcome, answer?: ServiceResponse) => void,
+    done: (end: ExecutionOutcome, answer?: ServiceResponse) => void,
   ): RunningAttempt {
     const run = new ServiceRun(context.attempt, {
       ...this.#options,
@@ -311,7 +311,7 @@
 
   #onFinished(
     context: AttemptContext,
-    result: { end: GenerationOutcome; answer?: ServiceResponse },
+    result: { end: ExecutionOutcome; answer?: ServiceResponse },
   ): void {
     const { attempt, span } = context;
     const { end, answer } = result;
@@ -328,7 +328,7 @@
     for (const listener of listeners) listener();
   }
 
-  #emitEndEvent(attempt: AttemptRequest, end: GenerationOutcome): void {
+  #emitEndEvent(attempt: AttemptRequest, end: ExecutionOutcome): void {
     const facts = attemptFacts(attempt);
     const cause = CANCEL_CAUSES[end];
     if (cause !== undefined) {
@@ -375,7 +375,7 @@
     });
   }
 
-  /** The call may have run before, so the answer can't be `not_run`. */
+  /** The call may have run before, so the answer cannot be `not_run`. */
   #failAlreadyRun({ attempt, emit, span }: AttemptContext): void {
     span.fail("already_run");
     span.end();
@@ -388,7 +388,7 @@
 }
 
 /** Causes of the outcomes that the side itself brings about. */
-const CANCEL_CAUSES: Partial<Record<GenerationOutcome, string>> = {
+const CANCEL_CAUSES: Partial<Record<ExecutionOutcome, string>> = {
   cancelled: "caller",
   deadline: "deadline",
   moved: "planned",
