--- a/bench/configuration.ts
+++ b/bench/configuration.ts
@@ -133,8 +133,8 @@
   }
   return Object.fromEntries(
     Object.entries(counts).map((
-      [kind, times],
-    ) => [kind, round(times / seconds)]),
+      [kind, count],
+    ) => [kind, round(count / seconds)]),
   );
 }
 
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -99,10 +99,10 @@
 
   /** Simulates the loss of the VM whose entry is the judge. */
   killJudge(): void {
-    const judge = this.entries.find(({ judge }) => judge.keeper.held);
-    if (judge === undefined) throw new Error("No judge holds the claim");
-    this.inForce.delete(judge.id);
-    for (const follower of [judge.judge, judge.planner]) {
+    const holder = this.entries.find(({ judge }) => judge.keeper.held);
+    if (holder === undefined) throw new Error("No judge holds the claim");
+    this.inForce.delete(holder.id);
+    for (const follower of [holder.judge, holder.planner]) {
       follower.faults.silent = true;
       follower.journal.stop();
     }
--- a/bench/entry_host.ts
+++ b/bench/entry_host.ts
@@ -13,7 +13,7 @@
 import { uuidv7 } from "../test/support/uuid.ts";
 import { MODEL, REGION, SLOTS, timer, ZONE } from "./bench_region.ts";
 
-/** Runs entries on real sockets in this process, and one side of the binary. */
+/** Runs entries on real sockets in this process, and one side as a process. */
 export class EntryHost {
   readonly #fleet = new ProcessFleet();
   readonly #peers = new HttpPeerClient();
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -61,10 +61,10 @@
 
 function merge(results: readonly CellResult[]): Map<string, RunStats> {
   const merged = new Map<string, RunStats>();
-  for (const { cell, figures } of results) {
+  for (const { cell, stats } of results) {
     const name = resultKey(cell.deployment, cell.load, cell.variant);
     const sum = merged.get(name) ?? new RunStats();
-    sum.addSerialized(figures);
+    sum.addSerialized(stats);
     merged.set(name, sum);
   }
   return merged;
@@ -74,15 +74,15 @@
   return (whole === 0 ? 0 : part / whole).toFixed(4);
 }
 
-function printRun(name: string, figures: RunStats): void {
-  const all = figures.total();
+function printRun(name: string, stats: RunStats): void {
+  const all = stats.total();
   console.log(
     `  ${name.padEnd(9)} goodput ${all.goodput.toFixed(4)}` +
       ` late ${fraction(all.late, all.offered)}` +
       ` refused ${fraction(all.refused, all.offered)}` +
-      ` role changes ${(figures.roleChanges / figures.runs).toFixed(2)} a run`,
+      ` role changes ${(stats.roleChanges / stats.runs).toFixed(2)} a run`,
   );
-  for (const [className, classStats] of figures.classes) {
+  for (const [className, classStats] of stats.classes) {
     const formatPercentiles = (histogram: typeof classStats.firstToken) =>
       PERCENTILES.map((quantile) => histogram.percentile(quantile).toFixed(0))
         .join("/");
@@ -98,11 +98,11 @@
   }
 }
 
-function urgentGoodput(figures: RunStats, urgent: string): number {
-  return figures.forClass(urgent).goodput;
+function urgentGoodput(stats: RunStats, urgent: string): number {
+  return stats.forClass(urgent).goodput;
 }
 
-/** Figures of one deployment for the JSON line, mainly at full load. */
+/** Statistics of one deployment for the JSON line, mainly at load 1. */
 function summarize(
   deployment: (typeof DEPLOYMENTS)[number],
   merged: ReadonlyMap<string, RunStats>,
@@ -112,13 +112,13 @@
     merged.get(resultKey(deployment.name, load, variant)) as RunStats;
   const urgent = deployment.shapes[0].workClass.name;
   const round = (value: number) => Number(value.toFixed(4));
-  const present = statsAt(1, "present");
+  const current = statsAt(1, "present");
   return {
-    goodput: round(present.total().goodput),
+    goodput: round(current.total().goodput),
     baseline: round(statsAt(1, "fifo").total().goodput),
     bound: round(bounds.get(1) as number),
-    urgent_goodput: round(urgentGoodput(present, urgent)),
-    role_changes: round(present.roleChanges / present.runs),
+    urgent_goodput: round(urgentGoodput(current, urgent)),
+    role_changes: round(current.roleChanges / current.runs),
     threshold_role_changes: round(
       statsAt(1, "threshold").roleChanges / statsAt(1, "threshold").runs,
     ),
@@ -154,8 +154,8 @@
         ` with the best fixed roles ${staticBound.toFixed(4)}`,
     );
     for (const { name } of VARIANTS) {
-      const figures = merged.get(resultKey(deployment.name, load, name));
-      if (figures !== undefined) printRun(name, figures);
+      const stats = merged.get(resultKey(deployment.name, load, name));
+      if (stats !== undefined) printRun(name, stats);
     }
   }
   summaries[deployment.name] = summarize(deployment, merged, bounds);
--- a/bench/load_baselines.ts
+++ b/bench/load_baselines.ts
@@ -96,7 +96,7 @@
 
 export const STATIC_ROLES: Variant = { name: "static", roles: staticPolicy };
 
-export const FIRST_VERSION: Variant = {
+export const BASELINE_SCHEDULING: Variant = {
   name: "first",
   scheduling: BASELINE_POLICY,
   roles: () => costBasedPolicy(),
--- a/bench/load_cells.ts
+++ b/bench/load_cells.ts
@@ -46,14 +46,14 @@
 
 export interface CellResult {
   readonly cell: Cell;
-  readonly figures: SerializedStats;
+  readonly stats: SerializedStats;
 }
 
 export const VARIANTS: readonly Variant[] = [
   baselines.CURRENT,
   baselines.LEAST_IN_FLIGHT,
   baselines.STATIC_ROLES,
-  baselines.FIRST_VERSION,
+  baselines.BASELINE_SCHEDULING,
   baselines.THRESHOLD_ROLES,
   baselines.FORECAST_ROLES,
 ];
@@ -103,7 +103,7 @@
   return { ...deployment, rules: { ...deployment.rules, planner } };
 }
 
-/** Runs all seeds of one cell in sequence and merges their figures. */
+/** Runs all seeds of one cell in sequence and merges their statistics. */
 export async function runCell(cell: Cell): Promise<RunStats> {
   const { changes = {} } = cell;
   const deployment = withRoleChangeWeight(
@@ -168,8 +168,8 @@
 if (process.argv[2] === WORKER_ARGUMENT) {
   process.on("message", (message) => {
     const cell = message as Cell;
-    void runCell(cell).then((figures) =>
-      process.send?.({ cell, figures: figures.serialize() })
+    void runCell(cell).then((stats) =>
+      process.send?.({ cell, stats: stats.serialize() })
     );
   });
 }
--- a/bench/load_deployments.ts
+++ b/bench/load_deployments.ts
@@ -1,5 +1,5 @@
 /**
- * Two deployments at their present sizes, with their work classes. Sizes and
+ * Two deployments at their current sizes, with their work classes. Sizes and
  * availability zones are those of the customers; token counts, deadlines and
  * engine rates are parameters of the model.
  */
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -73,7 +73,7 @@
 const ORDER_DELAY_MILLISECONDS = 300;
 /** One-way latency between entry and side; 1 to 2 ms between zones. */
 const SAME_ZONE_LATENCY_MILLISECONDS = 0.5;
-const OTHER_ZONE_LATENCY_MILLISECONDS = 1.5;
+const CROSS_ZONE_LATENCY_MILLISECONDS = 1.5;
 const MAX_ATTEMPTS = 3;
 const DEFAULT_SIDE_WAITING = 8;
 
@@ -89,7 +89,7 @@
 
 export class LoadRun {
   readonly timer = new ManualTimerService();
-  readonly figures = new RunStats();
+  readonly stats = new RunStats();
   readonly sides = new Map<string, SideModel>();
   readonly entries: Scheduler[] = [];
   /** False simulates a log outage or the loss of the planner: no plans. */
@@ -143,9 +143,9 @@
       ),
     );
     await this.timer.advance((seconds + longestDeadlineSeconds + 1) * 1_000);
-    for (const side of this.sides.values()) this.figures.pauses += side.pauses;
-    this.figures.runs = 1;
-    return this.figures;
+    for (const side of this.sides.values()) this.stats.pauses += side.pauses;
+    this.stats.runs = 1;
+    return this.stats;
   }
 
   #addSides(pool: Pool): void {
@@ -214,7 +214,7 @@
         .map((pool) => this.#poolState(pool)),
     });
     for (const change of changes) {
-      if (this.timer.now() >= this.measuredFrom) this.figures.roleChanges += 1;
+      if (this.timer.now() >= this.measuredFrom) this.stats.roleChanges += 1;
       this.timer.after(ORDER_DELAY_MILLISECONDS, () => {
         this.sides.get(change.endpoint)?.changeRole(change.to, () => {});
       });
@@ -261,7 +261,7 @@
       stop: () => {},
     };
     if (arrival.at >= this.measuredFrom) {
-      this.figures.forClass(workClass.name).offered += 1;
+      this.stats.forClass(workClass.name).offered += 1;
     }
     const deadlineTimer = this.timer.after(
       workClass.deadlineSeconds * 1_000,
@@ -322,7 +322,7 @@
     const side = this.sides.get(placement.endpoint) as SideModel;
     const delay = this.#zoneByEndpoint.get(placement.endpoint) === request.zone
       ? SAME_ZONE_LATENCY_MILLISECONDS
-      : OTHER_ZONE_LATENCY_MILLISECONDS;
+      : CROSS_ZONE_LATENCY_MILLISECONDS;
     const placedAt = this.timer.now();
     let firstTokenAt: number | undefined;
     let cancelAtSide: (() => void) | undefined;
@@ -383,7 +383,7 @@
     if (request.done) return;
     placement.release(summary);
     if (summary.result === "answered") return this.#finish(request, "onTime");
-    this.figures.failedAttempts += 1;
+    this.stats.failedAttempts += 1;
     const retryable = summary.result === "not_run" ||
       request.profile.idempotent;
     if (!retryable || request.attempts >= MAX_ATTEMPTS) {
@@ -402,9 +402,9 @@
     const { arrival } = request;
     if (request.done || firstTokenAt === undefined) return;
     if (arrival.at < this.measuredFrom) return;
-    const figures = this.figures.forClass(arrival.shape.workClass.name);
-    figures.firstToken.add(firstTokenAt - arrival.at);
-    figures.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
+    const stats = this.stats.forClass(arrival.shape.workClass.name);
+    stats.firstToken.add(firstTokenAt - arrival.at);
+    stats.betweenTokens.add((now - firstTokenAt) / arrival.outputTokens);
   }
 
   #finish(request: OpenRequest, result: "onTime" | "late" | "refused"): void {
@@ -413,7 +413,7 @@
     const { arrival } = request;
     if (arrival.at < this.measuredFrom) return;
     this.#options.onRequestEnd?.(arrival, result);
-    this.figures.forClass(arrival.shape.workClass.name)[result] += 1;
+    this.stats.forClass(arrival.shape.workClass.name)[result] += 1;
   }
 }
 
--- a/bench/load_stats.ts
+++ b/bench/load_stats.ts
@@ -1,4 +1,4 @@
-/** Figures of one or several runs; times are in logarithmic histograms. */
+/** Statistics of one or several runs; times are in logarithmic histograms. */
 
 const BUCKETS_PER_DOUBLING = 16;
 const LOWEST_MILLISECONDS = 0.1;
@@ -63,7 +63,7 @@
   }
 }
 
-/** Figures as plain data, to send to another process. */
+/** Statistics as plain data, to send to another process. */
 export interface SerializedStats {
   readonly classes: readonly {
     readonly name: string;
@@ -82,17 +82,17 @@
   pauses = 0;
 
   forClass(className: string): ClassStats {
-    let figures = this.classes.get(className);
-    if (figures === undefined) {
-      figures = new ClassStats();
-      this.classes.set(className, figures);
+    let stats = this.classes.get(className);
+    if (stats === undefined) {
+      stats = new ClassStats();
+      this.classes.set(className, stats);
     }
-    return figures;
+    return stats;
   }
 
   merge(other: RunStats): void {
-    for (const [name, figures] of other.classes) {
-      this.forClass(name).merge(figures);
+    for (const [name, stats] of other.classes) {
+      this.forClass(name).merge(stats);
     }
     this.roleChanges += other.roleChanges;
     this.failedAttempts += other.failedAttempts;
@@ -102,7 +102,7 @@
 
   total(): ClassStats {
     const sum = new ClassStats();
-    for (const figures of this.classes.values()) sum.merge(figures);
+    for (const stats of this.classes.values()) sum.merge(stats);
     return sum;
   }
 
--- a/bench/load_sweeps.ts
+++ b/bench/load_sweeps.ts
@@ -115,13 +115,13 @@
           cell.deployment === deployment.name && cell.load === load &&
           JSON.stringify(cell.changes) === JSON.stringify(changes)
         );
-        const figures = new RunStats();
-        if (result !== undefined) figures.addSerialized(result.figures);
+        const stats = new RunStats();
+        if (result !== undefined) stats.addSerialized(result.stats);
         const urgent = deployment.shapes[0].workClass.name;
         return [
-          figures.total().goodput.toFixed(4),
-          figures.forClass(urgent).goodput.toFixed(4),
-          (figures.roleChanges / Math.max(1, figures.runs)).toFixed(1),
+          stats.total().goodput.toFixed(4),
+          stats.forClass(urgent).goodput.toFixed(4),
+          (stats.roleChanges / Math.max(1, stats.runs)).toFixed(1),
         ].join(" / ");
       })
     );
--- a/bench/once.ts
+++ b/bench/once.ts
@@ -17,7 +17,7 @@
 import { makeJournal } from "../test/support/coordination.ts";
 import { FakeLog } from "../test/support/fake_log.ts";
 
-/** Entries of one present deployment, and of a large region. */
+/** Numbers of entries of one current deployment and of a large region. */
 const ENTRY_COUNTS = [3, 40];
 const RATES_PER_SECOND = [20, 100, 300, 800];
 /** With -1, every record is appended by a separate call. */
@@ -35,7 +35,7 @@
   readonly p99Milliseconds: number;
   /** Requests not permitted to run by the end, because the log lags behind. */
   readonly unserved: number;
-  /** Calls that were sent, whether or not the log has come to them. */
+  /** Calls that were sent, whether or not the log has processed them. */
   readonly appendCallsPerSecond: number;
 }
 
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -102,7 +102,7 @@
 }
 
 function cpuSecondsBetween(before: ProcessStats, after: ProcessStats): number {
-  return after.processorSeconds - before.processorSeconds;
+  return after.cpuSeconds - before.cpuSeconds;
 }
 
 /** Compares direct and proxied streams at ten tokens per second each. */
@@ -110,13 +110,13 @@
   await path.setPace(PACED_TICK_MILLISECONDS, 1);
   const direct = new StreamLoad(path.engineUrl);
   const directTimes = await openStreams(direct, count);
-  const directFigures = await measureWindow(path, direct);
+  const directStats = await measureWindow(path, direct);
   direct.close();
   const proxied = new StreamLoad(path.entryUrl);
   const memoryBefore = readProcess(path.entryPid).residentBytes;
   const sideMemoryBefore = readProcess(path.sidePid).residentBytes;
   const times = await openStreams(proxied, count);
-  const figures = await measureWindow(path, proxied);
+  const proxiedStats = await measureWindow(path, proxied);
   const memory = readProcess(path.entryPid).residentBytes - memoryBefore;
   const sideMemory = readProcess(path.sidePid).residentBytes - sideMemoryBefore;
   proxied.close();
@@ -127,10 +127,10 @@
       percentile(times, 0.5) - percentile(directTimes, 0.5),
     ),
     addedTokenMilliseconds: rounded(
-      figures.medianTokenLatency - directFigures.medianTokenLatency,
+      proxiedStats.medianTokenLatency - directStats.medianTokenLatency,
     ),
-    entryMicrosecondsPerToken: rounded(figures.entryMicrosecondsPerToken),
-    sideMicrosecondsPerToken: rounded(figures.sideMicrosecondsPerToken),
+    entryMicrosecondsPerToken: rounded(proxiedStats.entryMicrosecondsPerToken),
+    sideMicrosecondsPerToken: rounded(proxiedStats.sideMicrosecondsPerToken),
     entryBytesPerStream: Math.round(memory / count),
     sideBytesPerStream: Math.round(sideMemory / count),
   };
@@ -141,10 +141,10 @@
   await path.setPace(5, 1);
   const load = new StreamLoad(path.entryUrl);
   await openStreams(load, FULL_LOAD_STREAMS);
-  const figures = await measureWindow(path, load);
+  const stats = await measureWindow(path, load);
   load.close();
   await sleep(1_000);
-  const { tokensPerSecond, entryShare, sideShare, engineShare } = figures;
+  const { tokensPerSecond, entryShare, sideShare, engineShare } = stats;
   return {
     offeredTokensPerSecond: FULL_LOAD_STREAMS * 200,
     tokensPerSecond: rounded(tokensPerSecond),
@@ -217,7 +217,7 @@
   ? undefined
   : process.argv[profileFlagIndex + 1];
 if (profileFolder !== undefined) mkdirSync(profileFolder, { recursive: true });
-const path = new PathProcesses({ profileFolder: profileFolder });
+const path = new PathProcesses({ profileFolder });
 await path.start();
 try {
   const figures = await measurePath(path);
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -81,10 +81,13 @@
     await this.#waitUntilReady();
   }
 
-  async setPace(beatMilliseconds: number, tokensPerBeat: number) {
+  async setPace(tickMilliseconds: number, tokensPerTick: number) {
     await fetch(`${this.engineUrl}/pace`, {
       method: "POST",
-      body: JSON.stringify({ beatMilliseconds, tokensPerBeat }),
+      body: JSON.stringify({
+        beatMilliseconds: tickMilliseconds,
+        tokensPerBeat: tokensPerTick,
+      }),
     });
   }
 
@@ -109,7 +112,7 @@
   ): number {
     const file = join(this.#folder, `${role}.toml`);
     writeFileSync(file, stringify(settings));
-    const { profileFolder: profileFolder } = this.#options;
+    const { profileFolder } = this.#options;
     const profiling = profileFolder === undefined ? [] : [
       "--cpu-prof",
       `--cpu-prof-dir=${profileFolder}`,
--- a/bench/process_figures.ts
+++ b/bench/process_figures.ts
@@ -7,7 +7,7 @@
 
 /** Resource usage of a process since its start, as counted by the kernel. */
 export interface ProcessStats {
-  readonly processorSeconds: number;
+  readonly cpuSeconds: number;
   readonly residentBytes: number;
   /** Bytes read and written by system calls, nearly all of them on sockets. */
   readonly bytes: number;
@@ -17,14 +17,14 @@
   const status = readFileSync(`/proc/${pid}/status`, "utf8");
   const io = readFileSync(`/proc/${pid}/io`, "utf8");
   return {
-    processorSeconds: processorSeconds(pid),
+    cpuSeconds: readCpuSeconds(pid),
     residentBytes: 1024 * numberAfter(status, "VmRSS:"),
     bytes: numberAfter(io, "rchar:") + numberAfter(io, "wchar:"),
   };
 }
 
 /** Sums `schedstat` over all threads; it has nanoseconds, `stat` only ticks. */
-function processorSeconds(pid: number): number {
+function readCpuSeconds(pid: number): number {
   const folder = `/proc/${pid}/task`;
   let nanoseconds = 0;
   for (const thread of readdirSync(folder)) {
@@ -37,7 +37,7 @@
 /** Resource usage of a process over an interval. */
 export interface ProcessRates {
   /** Fraction of one core. */
-  readonly processorShare: number;
+  readonly cpuShare: number;
   readonly bytesPerSecond: number;
   /** At the end of the interval. */
   readonly residentBytes: number;
@@ -53,7 +53,7 @@
   const after = readProcess(pid);
   const seconds = (performance.now() - start) / 1000;
   return {
-    processorShare: (after.processorSeconds - before.processorSeconds) /
+    cpuShare: (after.cpuSeconds - before.cpuSeconds) /
       seconds,
     bytesPerSecond: (after.bytes - before.bytes) / seconds,
     residentBytes: after.residentBytes,
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -27,7 +27,7 @@
       value: `${name} processor`,
       variable,
       unit: "share of a core",
-      points: points((rates) => rates.processorShare),
+      points: points((rates) => rates.cpuShare),
     },
     {
       value: `${name} resident memory`,
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -37,7 +37,7 @@
   readonly #prefills = new Map<string, Prefill>();
   readonly #prefillsByRoute = new Map<string, Prefill[]>();
   readonly #firstBytesByRoute = new Map<string, number[]>();
-  readonly #handovers = new Map<string, number[]>();
+  readonly #handoversByRoute = new Map<string, number[]>();
   readonly #losses = new Map<string, Map<number, number>>();
   #startMilliseconds: number | undefined;
 
@@ -49,12 +49,15 @@
     );
     const { decision, requestId, route } = line;
     if (decision === "placed" && line.step === "prefill") this.#onPlaced(line);
-    if (decision === "prompt_read") this.#onRead(line);
+    if (decision === "prompt_read") this.#onPrefilled(line);
     if (decision === "answered") {
       const first = line.firstByteMilliseconds ?? 0;
       listIn(this.#firstBytesByRoute, route).push(first);
-      const took = this.#prefills.get(requestId)?.measuredMilliseconds;
-      if (took !== undefined) listIn(this.#handovers, route).push(first - took);
+      const prefillMilliseconds = this.#prefills.get(requestId)
+        ?.measuredMilliseconds;
+      if (prefillMilliseconds !== undefined) {
+        listIn(this.#handoversByRoute, route).push(first - prefillMilliseconds);
+      }
     }
     if (["refused", "cut", "caller_gone"].includes(decision)) {
       this.#countLoss(`${decision} ${line.reason ?? ""}`, window);
@@ -71,7 +74,7 @@
     listIn(this.#prefillsByRoute, line.route).push(prefill);
   }
 
-  #onRead(line: DecisionLine): void {
+  #onPrefilled(line: DecisionLine): void {
     const prefill = this.#prefills.get(line.requestId);
     if (prefill !== undefined) prefill.measuredMilliseconds = line.milliseconds;
   }
@@ -108,7 +111,7 @@
       }
     }
     printQuantiles("First byte, ms", this.#firstBytesByRoute);
-    printQuantiles("First byte minus prefill, ms", this.#handovers);
+    printQuantiles("First byte minus prefill, ms", this.#handoversByRoute);
   }
 }
 
--- a/scripts/matrix.ts
+++ b/scripts/matrix.ts
@@ -35,13 +35,13 @@
 interface CellTally {
   runs: number;
   violations: number;
-  reached: number;
+  injected: number;
 }
 
 async function runAll(cells: readonly MatrixCell[]): Promise<boolean> {
   const tallies = new Map<string, CellTally>();
   for (const cell of cells) {
-    const tally: CellTally = { runs: 0, violations: 0, reached: 0 };
+    const tally: CellTally = { runs: 0, violations: 0, injected: 0 };
     for (let run = 0; run < options.runs; run += 1) {
       addRun(tally, await runCell(cell, { seed: firstSeed + run }));
     }
@@ -53,7 +53,7 @@
 
 function addRun(tally: CellTally, run: CellRun): void {
   tally.runs += 1;
-  if (run.faultsInjected) tally.reached += 1;
+  if (run.faultsInjected) tally.injected += 1;
   if (run.violations.length === 0) return;
   tally.violations += 1;
   const { condition, detail } = run.violations[0];
@@ -62,7 +62,7 @@
   console.log(`  npm run matrix -- --cell "${name}" --seed ${run.seed}`);
 }
 
-/** Numbers count the runs in which the fault occurred; `!` marks violations. */
+/** Numbers count the runs in which the fault was injected; `!` marks violations. */
 function printTable(tallies: ReadonlyMap<string, CellTally>): void {
   FAULTS.forEach((fault, index) => console.log(`${index + 1}: ${fault}`));
   const header = FAULTS.map((_, index) => String(index + 1).padStart(4)).join(
@@ -74,7 +74,7 @@
       const tally = tallies.get(cellName({ step, fault }));
       if (tally === undefined) return "   .";
       const mark = tally.violations > 0 ? "!" : "";
-      return `${mark}${tally.reached}`.padStart(4);
+      return `${mark}${tally.injected}`.padStart(4);
     });
     console.log(step.name.padEnd(20) + row.join(""));
   }
@@ -88,7 +88,7 @@
     cells: tallies.length,
     runs: sum((tally) => tally.runs),
     violations,
-    unreached: tallies.filter((tally) => tally.reached === 0).length,
+    unreached: tallies.filter((tally) => tally.injected === 0).length,
   };
   console.log(JSON.stringify({ matrix }));
   return violations === 0;
@@ -139,13 +139,15 @@
 async function runWithoutGuards(): Promise<boolean> {
   let caught = 0;
   for (const guard of GUARD_CASES) {
-    const { name, seed, violation, violationsWithGuard: withGuard } =
+    const { name, seed, violation, violationsWithGuard } =
       await runWithoutGuard(guard, options);
-    if (violation !== undefined && withGuard === 0) caught += 1;
+    if (violation !== undefined && violationsWithGuard === 0) caught += 1;
     const found = violation === undefined
       ? "NOT CAUGHT"
       : `seed ${seed}: ${violation.condition}: ${violation.detail}`;
-    console.log(`without ${name}: ${found}; with it: ${withGuard} violations`);
+    console.log(
+      `without ${name}: ${found}; with it: ${violationsWithGuard} violations`,
+    );
   }
   const total = GUARD_CASES.length;
   console.log(JSON.stringify({ guards: { total, caught } }));
--- a/test/history/orders.ts
+++ b/test/history/orders.ts
@@ -51,7 +51,7 @@
 
 function checkConflicts(engine: EngineState, event: HistoryEvent): Violation[] {
   const violations: Violation[] = [];
-  const { inProgress: inProgress, newest } = engine;
+  const { inProgress, newest } = engine;
   if (inProgress !== undefined && !isSameOrder(event, inProgress)) {
     violations.push(
       conflictViolation("Second order while another was in progress", [
--- a/test/matrix/fake_endpoints.ts
+++ b/test/matrix/fake_endpoints.ts
@@ -63,7 +63,7 @@
   #weights = "";
   #models: readonly string[] = [];
   #change: Subscription | undefined;
-  #highestFencingNumber = -1;
+  #maxFencing = -1;
   #down = false;
 
   constructor(options: EngineOptions) {
@@ -132,11 +132,11 @@
     if (this.#down) return err(failure(ENDPOINT_UNREACHABLE, {}));
     const { timer, checksFencing, id } = this.#options;
     const facts = { endpoint: id, order: fencing, target: targetText(target) };
-    if (checksFencing && fencing < this.#highestFencingNumber) {
+    if (checksFencing && fencing < this.#maxFencing) {
       this.#recordEvent("order_refused", facts);
       return err(failure(ORDER_FENCED, {}));
     }
-    this.#highestFencingNumber = Math.max(this.#highestFencingNumber, fencing);
+    this.#maxFencing = Math.max(this.#maxFencing, fencing);
     this.#recordEvent("order_received", facts);
     this.#abortGenerations();
     this.#change?.cancel();
--- a/test/matrix/fake_links.ts
+++ b/test/matrix/fake_links.ts
@@ -374,7 +374,7 @@
   }
 }
 
-interface EndpointClient {
+interface EndpointRoute {
   readonly from: string;
   readonly gate: ProcessGate;
   readonly endpoint: FakeEngine | FakeService;
@@ -383,19 +383,19 @@
 /** The local connection between a side and its endpoint. */
 class EndpointConnection {
   readonly #options: FakeLinksOptions;
-  readonly #client: EndpointClient;
+  readonly #route: EndpointRoute;
 
-  constructor(options: FakeLinksOptions, client: EndpointClient) {
+  constructor(options: FakeLinksOptions, route: EndpointRoute) {
     this.#options = options;
-    this.#client = client;
+    this.#route = route;
   }
 
   generate(
     attempt: AttemptRequest,
     onToken: (text: string) => void,
   ): GenerationCall {
-    const { from, gate } = this.#client;
-    const engine = this.#client.endpoint as FakeEngine;
+    const { from, gate } = this.#route;
+    const engine = this.#route.endpoint as FakeEngine;
     let call: GenerationCall | undefined;
     let cancelled = false;
     const finished = new Promise<Awaited<GenerationCall["finished"]>>(
@@ -428,7 +428,7 @@
   }
 
   call(attempt: AttemptRequest): ReturnType<EndpointLink["call"]> {
-    const service = this.#client.endpoint as FakeService;
+    const service = this.#route.endpoint as FakeService;
     return this.#request("call", () => service.call(attempt));
   }
 
@@ -436,12 +436,12 @@
     target: Parameters<EndpointLink["order"]>[0],
     fencing: number,
   ): ReturnType<EndpointLink["order"]> {
-    const engine = this.#client.endpoint as FakeEngine;
+    const engine = this.#route.endpoint as FakeEngine;
     return this.#request("order", () => engine.order(target, fencing));
   }
 
   observe(): ReturnType<EndpointLink["observe"]> {
-    const engine = this.#client.endpoint as FakeEngine;
+    const engine = this.#route.endpoint as FakeEngine;
     return this.#request("observe", () => engine.observe());
   }
 
@@ -451,7 +451,7 @@
       | Result<Value, Failed | EndpointFailure>
       | Promise<Result<Value, Failed | EndpointFailure>>,
   ): Promise<Result<Value, Failed | EndpointFailure>> {
-    const { from, gate, endpoint } = this.#client;
+    const { from, gate, endpoint } = this.#route;
     const { network, timer } = this.#options;
     const response = new Promise<Result<Value, Failed | EndpointFailure>>(
       (resolve) => {
--- a/test/matrix/fake_region.ts
+++ b/test/matrix/fake_region.ts
@@ -126,7 +126,7 @@
     this.log = new FakeLog({
       timer: this.timer,
       latencyMilliseconds: 2,
-      retainedRecords: this.#variant.keepRecords,
+      retainedRecords: this.#variant.retainedRecords,
     });
     this.network = new FakeNetwork({
       timer: this.timer,
@@ -456,12 +456,12 @@
 }
 
 interface RegionVariant {
-  /** Whether the engines refuse orders with an old fencing number. */
+  /** Whether the engines refuse orders with an outdated fencing token. */
   readonly checksFencing: boolean;
   /** Whether the entries have the platform's list of VMs. */
   readonly listsVms: boolean;
   /** Records that the log keeps of each stream. */
-  readonly keepRecords: number;
+  readonly retainedRecords: number;
 }
 
 /** Varies the settings by seed, so that a range of seeds covers them. */
@@ -469,7 +469,7 @@
   return {
     checksFencing: seed % 2 === 0,
     listsVms: seed % 5 !== 0,
-    keepRecords: seed % 3 === 0 ? 15 : Infinity,
+    retainedRecords: seed % 3 === 0 ? 15 : Infinity,
   };
 }
 
--- a/test/matrix/fault_injector.ts
+++ b/test/matrix/fault_injector.ts
@@ -131,7 +131,7 @@
 
 /**
  * An order reaches its engine within the side's `longestOrderMilliseconds` or
- * never; a side whose engine ignores fencing numbers depends on this bound.
+ * never; a side whose engine does not check fencing tokens depends on this bound.
  */
 function faultDelayOf({ step }: NetworkMessage): number {
   return step === "order"
--- a/test/matrix/fault_table.ts
+++ b/test/matrix/fault_table.ts
@@ -93,9 +93,9 @@
 
 /** Returns a cell for each step and each fault that applies to it. */
 export function allCells(): MatrixCell[] {
-  return STEPS.flatMap((each) =>
-    FAULTS.filter((fault) => isApplicable(each, fault))
-      .map((fault) => ({ step: each, fault }))
+  return STEPS.flatMap((step) =>
+    FAULTS.filter((fault) => isApplicable(step, fault))
+      .map((fault) => ({ step, fault }))
   );
 }
 
--- a/test/matrix/guard_cases.ts
+++ b/test/matrix/guard_cases.ts
@@ -137,13 +137,13 @@
 function guardForCells(
   name: string,
   cells: readonly string[],
-  without: Partial<FakeRegionOptions>,
+  overrides: Partial<FakeRegionOptions>,
 ): GuardCase {
   return {
     name,
-    seed: without.seed ?? 1,
+    seed: overrides.seed ?? 1,
     run: async (options) => {
-      const region = options.without ? without : {};
+      const region = options.without ? overrides : {};
       const found = cells.map((cell) => findCell(cell) as MatrixCell);
       const run = await runCells(found, { seed: options.seed, region });
       return run.violations;
--- a/test/process/planned_and_unplanned_stops_test.ts
+++ b/test/process/planned_and_unplanned_stops_test.ts
@@ -147,16 +147,16 @@
     // rejection would end the test while they still run.
     const callerResults = Promise.allSettled(callers);
     for (const { id, side } of deployment.engines) {
-      await pause(600);
+      await sleep(600);
       side.child.kill("SIGKILL");
       await side.exited;
-      await pause(300);
+      await sleep(300);
       deployment.fleet.startProgram([
         "side",
         "--settings",
         join(deployment.fleet.folder, `${id}.toml`),
       ]);
-      await pause(1_500);
+      await sleep(1_500);
     }
     finished = true;
     for (const caller of await callerResults) {
@@ -212,7 +212,7 @@
   });
 });
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
--- a/test/process/random_faults_test.ts
+++ b/test/process/random_faults_test.ts
@@ -98,7 +98,7 @@
       if (answer.ended) expect(answer.tokens).to.deep.equal(tokens);
       else expect(answer.problem).to.not.equal(undefined);
       complete.push(answer.ended);
-      await pause(20);
+      await sleep(20);
     }
     return complete;
   }
@@ -110,7 +110,7 @@
       bookings.push({ key, outcome: first });
       // Repeats the key after an answer and after an unknown outcome.
       if (first !== "not_run") await book(key);
-      await pause(20);
+      await sleep(20);
     }
   }
 
@@ -129,14 +129,14 @@
     const faults = [
       killSide,
       stopSide,
-      pauseSide,
+      suspendSide,
       injectEngineFault,
       injectLogFault,
     ];
     const pending: Promise<void>[] = [];
     while (performance.now() < end) {
       pending.push(pick(faults, random)());
-      await pause(200 + 400 * random());
+      await sleep(200 + 400 * random());
     }
     await Promise.all(pending);
   }
@@ -144,7 +144,7 @@
   function killSide(): Promise<void> {
     return whileUnavailable(async (id, side) => {
       side.child.kill("SIGKILL");
-      await pause(500);
+      await sleep(500);
       restartSide(id);
     });
   }
@@ -157,10 +157,10 @@
     });
   }
 
-  function pauseSide(): Promise<void> {
+  function suspendSide(): Promise<void> {
     return whileUnavailable(async (_, side) => {
       side.child.kill("SIGSTOP");
-      await pause(1_500);
+      await sleep(1_500);
       side.child.kill("SIGCONT");
     });
   }
@@ -172,7 +172,7 @@
     if (unavailable.has(id) || unavailable.size >= MAX_UNAVAILABLE) return;
     unavailable.add(id);
     await action(id, sides.get(id) as StartedProcess);
-    await pause(600);
+    await sleep(600);
     unavailable.delete(id);
   }
 
@@ -195,7 +195,7 @@
       random,
     );
     await control(deployment.logUrl, fault);
-    await pause(700);
+    await sleep(700);
     await control(deployment.logUrl, { down: "no", delayMilliseconds: 0 });
   }
 
@@ -223,7 +223,7 @@
   return values[Math.floor(random() * values.length)];
 }
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -51,7 +51,7 @@
   try {
     const answer = await streamChat(options.entryUrl(), { prompt });
     if (answer.status !== 200) {
-      await pause(RETRY_MILLISECONDS);
+      await sleep(RETRY_MILLISECONDS);
       return `stream refused: ${answer.problem?.outcome}`;
     }
     const received = answer.tokens.join("");
@@ -61,7 +61,7 @@
       ? "stream complete"
       : "stream wrong";
   } catch {
-    await pause(RETRY_MILLISECONDS);
+    await sleep(RETRY_MILLISECONDS);
     return "stream connection lost";
   }
 }
@@ -80,7 +80,7 @@
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (await bookOnce(key, options)) break;
       if (performance.now() >= end) return;
-      await pause(RETRY_MILLISECONDS);
+      await sleep(RETRY_MILLISECONDS);
     }
   }
 }
@@ -113,6 +113,6 @@
   }
 }
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/test/stand_ins/model_engine.ts
+++ b/test/stand_ins/model_engine.ts
@@ -94,7 +94,7 @@
     }, {
       checksFencing: options.checksFencing ?? false,
       changeMilliseconds: options.roleChangeMilliseconds ?? 500,
-      onChangeStart: () => this.#abortForRoleChange(),
+      onChangeStart: () => this.#abortForStateChange(),
       onHalfway: () => {
         if (this.faults.crashInChange) this.onCrash();
       },
@@ -214,10 +214,10 @@
   }
 
   /**
-   * Aborts all running generations at a role change; draining first is the
-   * side's task.
+   * Aborts all running generations when a state change starts; draining the
+   * engine beforehand is the side's task.
    */
-  #abortForRoleChange(): void {
+  #abortForStateChange(): void {
     for (const [sequence, response] of [...this.#openResponses]) {
       this.counts.cutByChange += 1;
       this.#dropSequence(sequence);
--- a/test/support/coordination.ts
+++ b/test/support/coordination.ts
@@ -81,7 +81,7 @@
  */
 export function makeJudge(options: TestProcessOptions): TestJudge {
   const fold = new ConfigurationFold();
-  const parts = makeJournal(fold, {
+  const testJournal = makeJournal(fold, {
     ...options,
     stream: CONFIGURATION,
     journal: {
@@ -92,18 +92,18 @@
       ...options.journal,
     },
   });
-  const keeper = makeKeeper(parts, {
+  const keeper = makeKeeper(testJournal, {
     timer: options.timer,
     onGained: () => judge.consider(),
   });
   const judge = new ConfigurationJudge({
-    journal: parts.journal,
+    journal: testJournal.journal,
     fold,
     heldClaim: () => keeper.held?.offset,
   });
-  parts.journal.start();
+  testJournal.journal.start();
   keeper.start();
-  return { ...parts, keeper };
+  return { ...testJournal, keeper };
 }
 
 export type TestPlanner = TestJournal<OrdersFold> & {
@@ -114,28 +114,28 @@
 export function makePlanner(
   options: TestProcessOptions & { fold?: OrdersFoldOptions },
 ): TestPlanner {
-  const parts = makeJournal(new OrdersFold(options.fold), {
+  const testJournal = makeJournal(new OrdersFold(options.fold), {
     ...options,
     stream: ORDERS,
     journal: { onApplied: () => keeper.changed(), ...options.journal },
   });
-  const keeper = makeKeeper(parts, { timer: options.timer });
-  parts.journal.start();
+  const keeper = makeKeeper(testJournal, { timer: options.timer });
+  testJournal.journal.start();
   keeper.start();
-  return { ...parts, keeper };
+  return { ...testJournal, keeper };
 }
 
 function makeKeeper(
-  parts: TestJournal<ConfigurationFold | OrdersFold>,
+  testJournal: TestJournal<ConfigurationFold | OrdersFold>,
   options: { timer: TimerService; onGained?: (claim: Claim) => void },
 ): ClaimKeeper {
   return new ClaimKeeper({
-    journal: parts.journal,
-    view: parts.fold,
+    journal: testJournal.journal,
+    view: testJournal.fold,
     timer: options.timer,
-    random: seededRandom(seedOf(parts.incarnation)),
-    process: parts.process,
-    incarnation: parts.incarnation,
+    random: seededRandom(seedOf(testJournal.incarnation)),
+    process: testJournal.process,
+    incarnation: testJournal.incarnation,
     claimSilenceMilliseconds: CLAIM_SILENCE_MILLISECONDS,
     onGained: options.onGained,
   });
--- a/test/support/crashing_replicas.ts
+++ b/test/support/crashing_replicas.ts
@@ -33,7 +33,7 @@
 
 /** Replicas that crash on some requests and restart after a delay. */
 export class CrashingReplicas {
-  /** Times at which replicas crashed on such a request, milliseconds. */
+  /** Times at which replicas crashed on a request, milliseconds. */
   readonly crashTimes: number[] = [];
   /** Arrivals at replicas of requests that crash them. */
   readonly arrivals: Arrival[] = [];
--- a/test/support/forwarding_harness.ts
+++ b/test/support/forwarding_harness.ts
@@ -54,7 +54,7 @@
   aborted = false;
   #onChunk: (chunk: Buffer) => void = () => {};
   #onEnd: (end: BodyEnd) => void = () => {};
-  #settle: (respond: Result<EndpointResponse, ExchangeFailure>) => void;
+  #settle: (answer: Result<EndpointResponse, ExchangeFailure>) => void;
   paused = false;
 
   constructor(
@@ -128,15 +128,15 @@
   refusal: ForwardingRefusal | undefined;
   /** Result of `write`; false simulates a caller that reads slowly. */
   acceptsWrites = true;
-  #onGone: (() => void)[] = [];
+  #onDisconnect: (() => void)[] = [];
   #onDrain: (() => void)[] = [];
 
   head(status: number, headers: readonly string[]): void {
     this.status = status;
     this.headers = headers;
   }
-  write(piece: Buffer): boolean {
-    this.body += piece.toString();
+  write(chunk: Buffer): boolean {
+    this.body += chunk.toString();
     return this.acceptsWrites;
   }
   finish(): void {
@@ -149,7 +149,7 @@
     this.#onDrain.push(listener);
   }
   onDisconnect(listener: () => void): void {
-    this.#onGone.push(listener);
+    this.#onDisconnect.push(listener);
   }
   refuse(refusal: ForwardingRefusal): void {
     this.refusal = refusal;
@@ -160,11 +160,11 @@
   }
   disconnect(): void {
     this.isDisconnected = true;
-    for (const listener of this.#onGone) listener();
+    for (const listener of this.#onDisconnect) listener();
   }
 }
 
-/** The forwarding path on virtual time; the test plays the endpoints. */
+/** The forwarding path on virtual time; the test responds as the endpoints. */
 export class ForwardingHarness {
   readonly timer = new ManualTimerService();
   readonly sent: SentAttempt[] = [];
@@ -240,7 +240,7 @@
       loopDelayMilliseconds: () => this.loopDelay,
       isLoadStale: () => false,
       refreshLoad: () => Promise.resolve(),
-      endpointClient: endpointClient,
+      endpointClient,
       digestOf,
       observe: (decision, facts) => {
         this.decisions.push({ decision, ...facts });
--- a/test/support/free_port_test.ts
+++ b/test/support/free_port_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { findFreePort } from "./free_port.ts";
 
-describe("freePort", () => {
+describe("findFreePort", () => {
   // If two stand-ins of a deployment are allocated the same port, the second
   // cannot listen, both URLs lead to the first, and its runs count twice.
   it("allocates no port twice", async () => {
--- a/test/support/small_deployment.ts
+++ b/test/support/small_deployment.ts
@@ -35,8 +35,8 @@
 const REGION = "klang-valley";
 
 /**
- * The complete system as processes on the loopback, with stand-ins for its
- * surroundings.
+ * The complete system as processes on the loopback, with stand-ins for the
+ * platform and the endpoints.
  */
 export class SmallDeployment {
   readonly fleet = new ProcessFleet();
@@ -207,11 +207,11 @@
     parameters: { index: number; options: SmallDeploymentOptions },
   ): Promise<void> {
     const { index, options } = parameters;
-    const engine = kind === "engine";
-    const id = engine ? `triage-${index}` : `portal-${index}`;
+    const isEngine = kind === "engine";
+    const id = isEngine ? `triage-${index}` : `portal-${index}`;
     const standIn = await this.fleet.startStandIn(
-      engine ? "model_engine" : "plain_service",
-      engine ? options.engine : { prefix: `${id}-case` },
+      isEngine ? "model_engine" : "plain_service",
+      isEngine ? options.engine : { prefix: `${id}-case` },
     );
     const port = await findFreePort();
     const sideAddress = `127.0.0.1:${port}`;
@@ -235,7 +235,7 @@
       side: this.fleet.startProgram(["side", "--settings", file]),
       sideAddress,
     };
-    (engine ? this.engines : this.services)[index] = deployed;
+    (isEngine ? this.engines : this.services)[index] = deployed;
   }
 }
 
--- a/test/support/usage_fleet.ts
+++ b/test/support/usage_fleet.ts
@@ -18,7 +18,7 @@
 interface Member {
   readonly name: ProcessId;
   incarnation: number;
-  keeper: UsageReporter;
+  reporter: UsageReporter;
   isAlive: boolean;
   /**
    * Whether the member is partitioned from the store and the report receiver.
@@ -28,7 +28,7 @@
   isSuspended: boolean;
 }
 
-/** Usage keepers on virtual time that exchange datagrams. */
+/** Usage reporters on virtual time that exchange datagrams. */
 export class UsageFleet {
   readonly timer = new ManualTimerService();
   readonly platform = new UsagePlatform(this.timer);
@@ -39,7 +39,7 @@
   readonly #lossRate: number;
 
   constructor(
-    { entries, lossRate: lossRate = 0 }: {
+    { entries, lossRate = 0 }: {
       readonly entries: number;
       readonly lossRate?: number;
     },
@@ -55,14 +55,14 @@
         isSuspended: false,
       };
       return Object.assign(member, {
-        keeper: this.#makeKeeper(member, { isFirstStart: true }),
+        reporter: this.#makeReporter(member, { isFirstStart: true }),
       });
     });
-    for (const { keeper } of this.members) keeper.start();
+    for (const { reporter } of this.members) reporter.start();
   }
 
-  #makeKeeper(
-    member: Omit<Member, "keeper">,
+  #makeReporter(
+    member: Omit<Member, "reporter">,
     { isFirstStart }: { readonly isFirstStart: boolean },
   ): UsageReporter {
     const { incarnation } = member;
@@ -102,7 +102,7 @@
     const copy = JSON.parse(JSON.stringify(params));
     this.timer.after(1 + this.#random(), () => {
       const member = this.members.find(({ name }) => name === to);
-      if (member?.isAlive) member.keeper.onNotification(method, copy);
+      if (member?.isAlive) member.reporter.onNotification(method, copy);
     });
   }
 
@@ -123,7 +123,7 @@
     const counts = this.expectedCounts.get(window) ?? new Map<string, number>();
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
     this.expectedCounts.set(window, counts);
-    member.keeper.noteStarted(
+    member.reporter.noteStarted(
       identifier<WorkspaceId>(workspace),
       this.timer.now(),
     );
@@ -137,8 +137,8 @@
     const member = this.members[index];
     member.incarnation += 1;
     member.isAlive = true;
-    member.keeper = this.#makeKeeper(member, { isFirstStart: false });
-    member.keeper.start();
+    member.reporter = this.#makeReporter(member, { isFirstStart: false });
+    member.reporter.start();
   }
 
   /** Largest relative error of any workspace's count in a reported window. */
