--- a/bench/claims.ts
+++ b/bench/claims.ts
@@ -79,12 +79,14 @@
 }
 
 /** Counts valid claims while a delay is added to every call of the log. */
-async function countClaimsWhileSlow(slowMilliseconds: number): Promise<number> {
+async function countClaimsWhileSlow(
+  addedLatencyMilliseconds: number,
+): Promise<number> {
   const region = new Region();
   await region.timer.advance(SETTLE_MILLISECONDS);
   const before = region.claims;
   for (const { faults } of region.planners) {
-    faults.addedLatencyMilliseconds = slowMilliseconds;
+    faults.addedLatencyMilliseconds = addedLatencyMilliseconds;
   }
   await region.timer.advance(FAULT_MILLISECONDS);
   return region.claims - before;
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -41,7 +41,7 @@
   readonly judge: TestJudge;
   readonly planner: TestPlanner;
   readonly traffic: Traffic;
-  readonly waiting: Set<() => void>;
+  readonly waiters: Set<() => void>;
 }
 
 /** Entries and sides of one region that read the same configuration stream. */
@@ -116,15 +116,15 @@
       countingLog(this.log.connect(faults), traffic);
     const judge = makeJudge({ ...options, connect: connectCounted });
     const planner = makePlanner({ ...options, connect: connectCounted });
-    const waiting = new Set<() => void>();
+    const waiters = new Set<() => void>();
     const times = new Map<number, number>();
     this.inForce.set(id, times);
     judge.fold.onChange(() => {
       times.set(judge.fold.version, this.timer.now());
-      for (const wake of [...waiting]) wake();
+      for (const wake of [...waiters]) wake();
     });
     const availabilityZone = `zone-${Math.floor(index / ENTRIES_IN_ZONE)}`;
-    return { id, availabilityZone, judge, planner, traffic, waiting };
+    return { id, availabilityZone, judge, planner, traffic, waiters };
   }
 
   #startSide(index: number): void {
@@ -167,12 +167,12 @@
     if (entry.judge.fold.version > knownVersion) return Promise.resolve();
     return new Promise((resolve) => {
       const finish = () => {
-        entry.waiting.delete(finish);
+        entry.waiters.delete(finish);
         timeout.cancel();
         resolve();
       };
       const timeout = this.timer.after(LONG_POLL_MILLISECONDS, finish);
-      entry.waiting.add(finish);
+      entry.waiters.add(finish);
     });
   }
 
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -359,7 +359,9 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") this.#record(request, firstTokenAt, now);
+            if (result === "answered") {
+              this.#recordTimes(request, firstTokenAt, now);
+            }
             this.#onAttemptEnd(request, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
@@ -394,7 +396,7 @@
     this.#submitAttempt(request, { ...request.profile, excluded });
   }
 
-  #record(
+  #recordTimes(
     request: OpenRequest,
     firstTokenAt: number | undefined,
     now: number,
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -15,14 +15,14 @@
 const EXPIRY_MILLISECONDS = 150_000;
 const DISCARDING_SINK = { token: () => true, response() {}, finish() {} };
 
-/** Bytes and messages by process, counted while `on` is set. */
+/** Bytes and messages by process, counted while `isCounting` is set. */
 class Traffic {
   readonly #bytes = new Map<PeerAddress, number>();
-  on = false;
+  isCounting = false;
   messages = 0;
 
   readonly count = (message: NetworkMessage): void => {
-    if (!this.on) return;
+    if (!this.isCounting) return;
     this.messages += 1;
     for (const address of [message.from, message.to]) {
       this.#bytes.set(address, (this.#bytes.get(address) ?? 0) + message.bytes);
@@ -55,7 +55,7 @@
 
 async function measureIdle(options: InProcessOptions): Promise<IdleStats> {
   const { region, traffic, before } = await startRegion(options);
-  traffic.on = true;
+  traffic.isCounting = true;
   await region.timer.advance(IDLE_SECONDS * 1000);
   const heapBytes = await liveHeapBytes() - before;
   const rates = region.fleet.entries.map((_, index) =>
@@ -224,7 +224,7 @@
   });
   const { timer, log, fleet } = region;
   const appendsBefore = sumOf(log.appendCalls.values());
-  traffic.on = true;
+  traffic.isCounting = true;
   let slowestMilliseconds = 0;
   for (let change = 0; change < changes; change += 1) {
     const startedAt = timer.now();
--- a/examples/embedding/memory_log.ts
+++ b/examples/embedding/memory_log.ts
@@ -14,7 +14,7 @@
 export class MemoryLog implements LogService {
   readonly #timer: TimerService;
   readonly #streams = new Map<StreamName, LogItem[]>();
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
 
   constructor(timer: TimerService) {
     this.#timer = timer;
@@ -27,7 +27,7 @@
       const text = JSON.stringify(value);
       items.push({ offset: numbered(items.length), value: JSON.parse(text) });
     }
-    for (const wake of [...this.#waiting]) wake();
+    for (const wake of [...this.#waiters]) wake();
     return Promise.resolve(ok(first));
   }
 
@@ -56,12 +56,12 @@
   #waitForRecord(timeoutMilliseconds: number): Promise<void> {
     return new Promise((resolve) => {
       const finish = () => {
-        this.#waiting.delete(finish);
+        this.#waiters.delete(finish);
         timeout.cancel();
         resolve();
       };
       const timeout = this.#timer.after(timeoutMilliseconds, finish);
-      this.#waiting.add(finish);
+      this.#waiters.add(finish);
     });
   }
 }
--- a/scripts/demo/callers.ts
+++ b/scripts/demo/callers.ts
@@ -1,6 +1,6 @@
 /** Callers of the demo: the requests that they send and their results. */
 import { createParser } from "eventsource-parser";
-import { v7 as newTimeOrderedId } from "uuid";
+import { v7 as uuidv7 } from "uuid";
 import { expectedAnswer } from "../../test/stand_ins/engine_answers.ts";
 
 /** Result of one caller, with a detail for the output. */
@@ -68,7 +68,7 @@
  * first answer arrives, as a caller with a bad connection does.
  */
 export async function callBooking(call: BookingCall): Promise<CallerResult> {
-  const key = newTimeOrderedId();
+  const key = uuidv7();
   try {
     const [first, repeat] = await Promise.all(
       call.entryUrls.map((url) => book(url, { key, body: call.body })),
--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -37,7 +37,7 @@
   readonly #prefills = new Map<string, Prefill>();
   readonly #prefillsByRoute = new Map<string, Prefill[]>();
   readonly #firstBytesByRoute = new Map<string, number[]>();
-  readonly #handoversByRoute = new Map<string, number[]>();
+  readonly #handovers = new Map<string, number[]>();
   readonly #losses = new Map<string, Map<number, number>>();
   #startMilliseconds: number | undefined;
 
@@ -53,11 +53,8 @@
     if (decision === "answered") {
       const first = line.firstByteMilliseconds ?? 0;
       listIn(this.#firstBytesByRoute, route).push(first);
-      const prefillMilliseconds = this.#prefills.get(requestId)
-        ?.measuredMilliseconds;
-      if (prefillMilliseconds !== undefined) {
-        listIn(this.#handoversByRoute, route).push(first - prefillMilliseconds);
-      }
+      const took = this.#prefills.get(requestId)?.measuredMilliseconds;
+      if (took !== undefined) listIn(this.#handovers, route).push(first - took);
     }
     if (["refused", "cut", "caller_gone"].includes(decision)) {
       this.#countLoss(`${decision} ${line.reason ?? ""}`, window);
@@ -111,7 +108,7 @@
       }
     }
     printQuantiles("First byte, ms", this.#firstBytesByRoute);
-    printQuantiles("First byte minus prefill, ms", this.#handoversByRoute);
+    printQuantiles("First byte minus prefill, ms", this.#handovers);
   }
 }
 
--- a/test/process/operator_commands_test.ts
+++ b/test/process/operator_commands_test.ts
@@ -22,7 +22,7 @@
     await deployment.close();
   });
 
-  async function logControl(change: unknown): Promise<void> {
+  async function setLogFaults(change: unknown): Promise<void> {
     await fetch(`${deployment.logUrl}/control`, {
       method: "POST",
       body: JSON.stringify(change),
@@ -85,7 +85,7 @@
   // append would conflict with the first and be reported to the operator as
   // rejected.
   it("publish finds its publication after a lost response", async () => {
-    await logControl({ lostAnswers: 1 });
+    await setLogFaults({ lostAnswers: 1 });
     const before = await publications();
     const result = await operator.publish({ "triage-0": "draining" });
     expect(result.code, result.output).to.equal(0);
@@ -106,12 +106,12 @@
   });
 
   it("publish reports not_made while the log is down", async () => {
-    await logControl({ down: "refuse" });
+    await setLogFaults({ down: "refuse" });
     const args = ["--base", "latest", "--wait-seconds", "2"];
     const result = await operator.publish({ "triage-0": "draining" }, args);
     expect(result.code, result.output).to.equal(1);
     expect(JSON.parse(result.output).outcome).to.equal("not_made");
-    await logControl({ down: "no" });
+    await setLogFaults({ down: "no" });
     await waitFor(async () => {
       const again = await operator.publish({ "triage-0": "draining" });
       return again.code === 0;
--- a/test/process/platform_faults_test.ts
+++ b/test/process/platform_faults_test.ts
@@ -84,7 +84,7 @@
     return counts.reduce((sum, count) => sum + count, 0);
   }
 
-  async function setLog(faults: Record<string, unknown>): Promise<void> {
+  async function setLogFaults(faults: Record<string, unknown>): Promise<void> {
     await fetch(`${deployment.logUrl}/control`, {
       method: "POST",
       body: JSON.stringify(faults),
@@ -109,7 +109,7 @@
   // During an outage of the log service, a booking must not be sent because its
   // key can't be recorded. Generations don't need the log and continue.
   it("an outage of the log refuses bookings as not run and nothing else", async () => {
-    await setLog({ down: "refuse" });
+    await setLogFaults({ down: "refuse" });
     const key = uuidv7();
     const booking = await book(deployment.entries[0], key);
     expect(booking.status).to.equal(503);
@@ -125,7 +125,7 @@
       },
     );
     expect(chat.status, await chat.text()).to.equal(200);
-    await setLog({ down: "no" });
+    await setLogFaults({ down: "no" });
     let last: Answer | undefined;
     await waitFor(
       async () => {
@@ -140,7 +140,7 @@
   // The log appends the record and its response is lost. A second append would
   // book twice, and giving up would not book at all.
   it("a lost response of the log leads to one booking", async () => {
-    await setLog({ lostAnswers: 1 });
+    await setLogFaults({ lostAnswers: 1 });
     const key = uuidv7();
     const booking = await book(deployment.entries[0], key);
     expect(booking.status).to.equal(201);
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -85,12 +85,12 @@
   }
 
   async #injectLogFault(faults: Record<string, unknown>): Promise<void> {
-    await this.#setLog(faults);
+    await this.#setLogFaults(faults);
     await this.#wait(MIN_PAUSE_MILLISECONDS, MAX_FAULT_MILLISECONDS);
-    await this.#setLog({ down: "no", lostAnswers: 0 });
+    await this.#setLogFaults({ down: "no", lostAnswers: 0 });
   }
 
-  async #setLog(faults: Record<string, unknown>): Promise<void> {
+  async #setLogFaults(faults: Record<string, unknown>): Promise<void> {
     await fetch(`${this.#options.deployment.logUrl}/control`, {
       method: "POST",
       body: JSON.stringify(faults),
