--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -359,9 +359,7 @@
         onEnd: (result, load) => {
           this.timer.after(delay, () => {
             const now = this.timer.now();
-            if (result === "answered") {
-              this.#recordTimes(request, firstTokenAt, now);
-            }
+            if (result === "answered") this.#record(request, firstTokenAt, now);
             this.#onAttemptEnd(request, placement, {
               result,
               tokens: result === "answered" ? arrival.outputTokens : 0,
@@ -396,7 +394,7 @@
     this.#submitAttempt(request, { ...request.profile, excluded });
   }
 
-  #recordTimes(
+  #record(
     request: OpenRequest,
     firstTokenAt: number | undefined,
     now: number,
