--- a/test/matrix/fake_network.ts
+++ b/test/matrix/fake_network.ts
@@ -32,7 +32,7 @@
 /**
  * The network of a run. Messages of one channel stay in order, as on a
  * connection. A cut link holds its messages until it heals, as retransmission
- * on a connection would; this delays them for as long as the cut can.
+ * on a connection would. That is the longest delay that a cut can cause.
  */
 export class FakeNetwork {
   readonly #options: FakeNetworkOptions;
--- a/test/process/random_faults_test.ts
+++ b/test/process/random_faults_test.ts
@@ -15,7 +15,7 @@
 
 const SEED = 20261202;
 const RUN_MILLISECONDS = 12_000;
-/** Time without new faults at the end, in which all open faults pass. */
+/** Time without new faults at the end, in which all open faults end. */
 const FAULT_FREE_MILLISECONDS = 3_500;
 /** Limit of concurrently unavailable sides, of seven. */
 const MAX_UNAVAILABLE = 2;
--- a/test/support/usage_platform.ts
+++ b/test/support/usage_platform.ts
@@ -177,17 +177,17 @@
     });
   }
 
-  #alternatingHolders(lease: number): string[] {
-    return this.taken.flatMap((call, index) => {
+  #alternatingHolders(leaseMilliseconds: number): string[] {
+    return this.taken.flatMap((report, index) => {
       const other = this.taken.slice(0, index)
-        .findLast(({ holder }) => holder !== call.holder);
+        .findLast(({ holder }) => holder !== report.holder);
       if (other === undefined) return [];
       const earlier = this.taken.slice(0, this.taken.indexOf(other))
-        .findLast(({ holder }) => holder === call.holder);
-      const span = earlier === undefined ? Infinity : call.at - earlier.at;
-      return span >= lease
+        .findLast(({ holder }) => holder === report.holder);
+      const span = earlier === undefined ? Infinity : report.at - earlier.at;
+      return span >= leaseMilliseconds
         ? []
-        : [`${call.holder}, ${other.holder}, ${call.holder} in ${span} ms`];
+        : [`${report.holder}, ${other.holder}, ${report.holder} in ${span} ms`];
     });
   }
 }
