--- a/scripts/losses.ts
+++ b/scripts/losses.ts
@@ -49,7 +49,7 @@
     );
     const { decision, requestId, route } = line;
     if (decision === "placed" && line.step === "prefill") this.#onPlaced(line);
-    if (decision === "prompt_read") this.#onRead(line);
+    if (decision === "prompt_read") this.#onPrefilled(line);
     if (decision === "answered") {
       const first = line.firstByteMilliseconds ?? 0;
       listIn(this.#firstBytesByRoute, route).push(first);
@@ -71,7 +71,7 @@
     listIn(this.#prefillsByRoute, line.route).push(prefill);
   }
 
-  #onRead(line: DecisionLine): void {
+  #onPrefilled(line: DecisionLine): void {
     const prefill = this.#prefills.get(line.requestId);
     if (prefill !== undefined) prefill.measuredMilliseconds = line.milliseconds;
   }
