--- a/bench/entry_under_test.ts
+++ b/bench/entry_under_test.ts
@@ -12,7 +12,7 @@
   SLOTS,
   ZONE,
 } from "./bench_region.ts";
-import { sleep } from "./process_figures.ts";
+import { sleep } from "./process_stats.ts";
 import { SideHost, TOKEN_MILLISECONDS } from "./side_host.ts";
 
 /** Time for streams to get their first tokens. */
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -9,7 +9,7 @@
 import process from "node:process";
 import { builtBinary } from "../test/support/built_binary.ts";
 import { PathProcesses } from "./path_processes.ts";
-import { type ProcessStats, readProcess, sleep } from "./process_figures.ts";
+import { type ProcessStats, readProcess, sleep } from "./process_stats.ts";
 import { StreamLoad } from "./stream_load.ts";
 
 const STREAM_COUNTS = [1, 100, 1_000];
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -8,7 +8,7 @@
 import { findFreePort } from "../test/support/free_port.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import { MODEL, REGION, ZONE } from "./bench_region.ts";
-import { sleep } from "./process_figures.ts";
+import { sleep } from "./process_stats.ts";
 
 export interface PathOptions {
   /** Directory for CPU profiles of entry and side; none if absent. */
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -4,7 +4,7 @@
 import { ENDPOINTS_PER_POOL } from "./bench_region.ts";
 import { EntryHost } from "./entry_host.ts";
 import { EntryUnderTest } from "./entry_under_test.ts";
-import { measureProcess, type ProcessRates, sleep } from "./process_figures.ts";
+import { measureProcess, type ProcessRates, sleep } from "./process_stats.ts";
 import type { Series } from "./slope_fit.ts";
 
 const WINDOW_MILLISECONDS = 6_000;
--- a/bench/slopes_folds.ts
+++ b/bench/slopes_folds.ts
@@ -2,7 +2,7 @@
 import { OnceFold, OrdersFold, type RecordBody } from "../src/mod.ts";
 import { numbered } from "../src/core/identity/mod.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
-import { liveHeapBytes } from "./process_figures.ts";
+import { liveHeapBytes } from "./process_stats.ts";
 import type { Point, Series } from "./slope_fit.ts";
 
 const FIRST_KEY_TIME = Date.UTC(2026, 0, 1);
--- a/bench/slopes_in_process.ts
+++ b/bench/slopes_in_process.ts
@@ -6,7 +6,7 @@
   InProcessRegion,
 } from "../test/support/in_process_region.ts";
 import type { PeerAddress } from "../src/core/links/mod.ts";
-import { liveHeapBytes } from "./process_figures.ts";
+import { liveHeapBytes } from "./process_stats.ts";
 import type { Point, Series } from "./slope_fit.ts";
 
 const IDLE_SECONDS = 30;
--- a/src/core/forwarding/endpoints/endpoint_availability.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability.ts
@@ -102,7 +102,9 @@
     if (state.openAttempts === 0) state.silentSince = this.#timer.now();
     state.openAttempts += 1;
     state.nextProbeAt = this.#timer.now() + PROBE_INTERVAL_MILLISECONDS;
-    if (state.health.mayProbe(this.#timer.now())) state.health.probeStarted();
+    if (state.health.mayProbe(this.#timer.now())) {
+      state.health.recordProbeStart();
+    }
   }
 
   /** Records a response from the endpoint. */
@@ -120,13 +122,13 @@
 
   recordSuccess(id: EndpointId): void {
     this.#stateOf(id).rejections = 0;
-    this.#stateOf(id).health.succeeded(NEUTRAL_TIMES, this.#timer.now());
+    this.#stateOf(id).health.recordSuccess(NEUTRAL_TIMES, this.#timer.now());
   }
 
   failed(id: EndpointId): void {
     const { health } = this.#stateOf(id);
     const now = this.#timer.now();
-    health.failed(now);
+    health.recordFailure(now);
     if (health.shouldEject(1)) health.eject(now);
   }
 
--- a/src/core/forwarding/mod.ts
+++ b/src/core/forwarding/mod.ts
@@ -64,8 +64,8 @@
   type KeyedTopic,
   type PeerReadResult,
   type StoreFailure,
-  type TopicRange,
   TopicReader,
+  type TopicSpan,
 } from "./store/topic_reader.ts";
 export type {
   DecodeChoice,
--- a/src/core/forwarding/store/topic_reader.ts
+++ b/src/core/forwarding/store/topic_reader.ts
@@ -11,7 +11,7 @@
 }
 
 /** A range of records of a topic, from one position up to another. */
-export interface TopicRange {
+export interface TopicSpan {
   readonly from: number;
   /** Position after the last record. */
   readonly to: number;
@@ -60,7 +60,7 @@
   /** Called after a read from a position, with or without records. */
   readonly onRecords: (
     records: readonly KeyedRecord[],
-    span: TopicRange,
+    span: TopicSpan,
   ) => void;
   readonly onFailure: (failure: StoreFailure) => void;
   /**
@@ -127,7 +127,7 @@
    * the span is empty: a quiet topic has no records for minutes, and each entry
    * would otherwise continue to poll it.
    */
-  applyPeerRead({ from, to }: TopicRange): PeerReadResult {
+  applyPeerRead({ from, to }: TopicSpan): PeerReadResult {
     const position = this.#position;
     if (position === undefined || position < from || this.#stopped) {
       return "apart";
--- a/src/core/placement/endpoint_health.ts
+++ b/src/core/placement/endpoint_health.ts
@@ -71,12 +71,12 @@
     return this.ejected && !this.#probeInFlight && now >= this.#ejectedUntil;
   }
 
-  probeStarted(): void {
+  recordProbeStart(): void {
     this.#probeInFlight = true;
   }
 
   /** Records an answer. A probe that is slow ejects the endpoint again. */
-  succeeded(times: AttemptTimes, now: number): void {
+  recordSuccess(times: AttemptTimes, now: number): void {
     this.#failureShare *= 1 - ATTEMPT_WEIGHT;
     this.#recordTimes(times);
     if (!this.#probeInFlight) return;
@@ -96,7 +96,7 @@
       (Math.min(MAX_SLOWNESS, ratioToRated) - this.#ratioToRated);
   }
 
-  failed(now: number): void {
+  recordFailure(now: number): void {
     this.#attempts += 1;
     this.#failureShare += ATTEMPT_WEIGHT * (1 - this.#failureShare);
     if (this.#probeInFlight) this.eject(now);
@@ -107,7 +107,7 @@
    * is a lower bound: without it, an endpoint so slow that nothing completes
    * there looks untried.
    */
-  cancelled(times: AttemptTimes, now: number): void {
+  recordCancellation(times: AttemptTimes, now: number): void {
     if (this.#probeInFlight && times.ratioToRated > this.#limits.maxSlowness) {
       this.eject(now);
     }
--- a/src/core/placement/placement_test.ts
+++ b/src/core/placement/placement_test.ts
@@ -81,13 +81,13 @@
 
   it("ejects a failing endpoint", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
-    for (let index = 0; index < 10; index++) health.failed(0);
+    for (let index = 0; index < 10; index++) health.recordFailure(0);
     expect(health.shouldEject(1)).to.equal(true);
   });
 
   it("ejects a slow endpoint even if its reports predict it", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
-    for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
+    for (let index = 0; index < 20; index++) health.recordSuccess(slow, 0);
     expect(health.shouldEject(1)).to.equal(true);
   });
 
@@ -95,14 +95,14 @@
   // the others further.
   it("does not eject an endpoint that is like the others", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
-    for (let index = 0; index < 20; index++) health.succeeded(slow, 0);
+    for (let index = 0; index < 20; index++) health.recordSuccess(slow, 0);
     expect(health.shouldEject(5)).to.equal(false);
   });
 
   // Nothing ever completes at the endpoint: callers give up at their deadlines.
   it("learns from callers that gave up", () => {
     const health = new EndpointHealth(HEALTH_LIMITS);
-    for (let index = 0; index < 20; index++) health.cancelled(slow, 0);
+    for (let index = 0; index < 20; index++) health.recordCancellation(slow, 0);
     expect(health.shouldEject(1)).to.equal(true);
   });
 
@@ -111,13 +111,13 @@
     health.eject(0);
     expect(health.mayProbe(1_999)).to.equal(false);
     expect(health.mayProbe(2_000)).to.equal(true);
-    health.probeStarted();
+    health.recordProbeStart();
     expect(health.mayProbe(2_000)).to.equal(false);
-    health.succeeded(slow, 2_500);
+    health.recordSuccess(slow, 2_500);
     expect(health.mayProbe(6_000)).to.equal(false);
     expect(health.mayProbe(6_500)).to.equal(true);
-    health.probeStarted();
-    health.succeeded(fast, 7_000);
+    health.recordProbeStart();
+    health.recordSuccess(fast, 7_000);
     expect(health.ejected).to.equal(false);
   });
 });
--- a/src/core/scheduling/pool_scheduler.ts
+++ b/src/core/scheduling/pool_scheduler.ts
@@ -315,7 +315,7 @@
     };
     this.#statistics.recordPlacement(admitted.profile, candidate.promptTokens);
     view.recordAttemptStart(attempt, now);
-    if (view.health.mayProbe(now)) view.health.probeStarted();
+    if (view.health.mayProbe(now)) view.health.recordProbeStart();
     this.#placer.recordPlacement(view.config.endpoint, admitted.profile);
     this.#running += 1;
     return new Promise((finishJob) => {
--- a/src/core/scheduling/pool_statistics.ts
+++ b/src/core/scheduling/pool_statistics.ts
@@ -79,9 +79,9 @@
     if (summary.load !== undefined) view.applyLoad(summary.load, now);
     switch (summary.result) {
       case "failed":
-        return view.health.failed(now);
+        return view.health.recordFailure(now);
       case "cancelled":
-        return view.health.cancelled(relativeTimes(attempt, now), now);
+        return view.health.recordCancellation(relativeTimes(attempt, now), now);
       case "not_run":
         view.health.recordInconclusive();
         if (summary.load === undefined) view.markFull(now);
@@ -95,7 +95,7 @@
           profile.className,
           (now - attempt.submittedAt) / attempt.predictedMilliseconds,
         );
-        view.health.succeeded(relativeTimes(attempt, now), now);
+        view.health.recordSuccess(relativeTimes(attempt, now), now);
     }
   }
 }
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -21,7 +21,7 @@
   ReturningCallers,
   RouteTable,
   SharedRetryBudget,
-  type TopicRange,
+  type TopicSpan,
   WorkRate,
 } from "../../core/forwarding/mod.ts";
 import {
@@ -107,7 +107,7 @@
   /** Called when the connections to an address are no longer needed. */
   readonly onEndpointRemoved: (address: string) => void;
   /** Records that a peer has read this span of the registrations. */
-  readonly recordPeerRead: (span: TopicRange) => PeerReadResult;
+  readonly recordPeerRead: (span: TopicSpan) => PeerReadResult;
   /** Called with the outcome of each load query. */
   readonly onLoadQuery: (outcome: LoadQueryOutcome) => void;
   /** Persists a blocked request for entries that start while no other runs. */
--- a/src/entry/forwarding/forwarding_entry_test.ts
+++ b/src/entry/forwarding/forwarding_entry_test.ts
@@ -58,7 +58,7 @@
         endpointClient: {
           send: () => ({ answer: new Promise(() => {}), abort() {} }),
           parseCacheHandle: () => undefined,
-          listKept: () => Promise.resolve(undefined),
+          listCachedParts: () => Promise.resolve(undefined),
           release() {},
         },
         digestOf,
--- a/src/entry/forwarding/network_interfaces.ts
+++ b/src/entry/forwarding/network_interfaces.ts
@@ -51,7 +51,7 @@
   /**
    * Prompt parts in the engine's cache; undefined if the engine did not report.
    */
-  listKept(
+  listCachedParts(
     engine: Pick<RegisteredEndpoint, "id" | "address">,
   ): Promise<readonly PromptPart[] | undefined>;
   /** Releases a cached prompt that will not be used. */
--- a/src/entry/forwarding/prefix_cache_survey.ts
+++ b/src/entry/forwarding/prefix_cache_survey.ts
@@ -30,7 +30,7 @@
   readonly timer: TimerService;
   readonly random: Random;
   readonly logger: Logger;
-  readonly endpointClient: Pick<EndpointClient, "listKept">;
+  readonly endpointClient: Pick<EndpointClient, "listCachedParts">;
   readonly prefixes: PrefixDirectory;
   readonly configuration: () => ForwardingConfiguration | undefined;
   /** Number of entries in the fleet, including this one. */
@@ -77,7 +77,7 @@
       random,
     } = this.#options;
     if (random() >= QUERYING_ENTRIES / entries()) return;
-    const parts = await endpointClient.listKept(engine);
+    const parts = await endpointClient.listCachedParts(engine);
     const memoryTokens = this.#memoryTokensOf(engine);
     if (parts === undefined || memoryTokens === undefined) return;
     prefixes.recordPeerCached({ engine: engine.id, parts, memoryTokens });
--- a/src/entry/forwarding/prefix_cache_survey_test.ts
+++ b/src/entry/forwarding/prefix_cache_survey_test.ts
@@ -26,7 +26,7 @@
       random: seededRandom(77),
       logger: NOOP_LOGGER,
       endpointClient: {
-        listKept: ({ id }) => {
+        listCachedParts: ({ id }) => {
           queried.push(id);
           return Promise.resolve(answers ? PARTS : undefined);
         },
@@ -87,7 +87,7 @@
         random,
         logger: NOOP_LOGGER,
         endpointClient: {
-          listKept: ({ id }) => {
+          listCachedParts: ({ id }) => {
             queried.push(id);
             return Promise.resolve(PARTS);
           },
--- a/src/entry/forwarding/registration_sync.ts
+++ b/src/entry/forwarding/registration_sync.ts
@@ -3,7 +3,7 @@
   EndpointRun,
   PeerReadResult,
   RegisteredEndpoint,
-  TopicRange,
+  TopicSpan,
 } from "../../core/forwarding/mod.ts";
 import type { EndpointId } from "../../core/identity/mod.ts";
 
@@ -18,12 +18,12 @@
 export interface RegistrationSyncOptions {
   readonly registry: EndpointRegistry;
   /** Records that a peer has read this span of the registrations. */
-  readonly recordPeerRead: (span: TopicRange) => PeerReadResult;
+  readonly recordPeerRead: (span: TopicSpan) => PeerReadResult;
   /** Called when the store was reached, by this entry or by a peer for it. */
   readonly onStoreReached: () => void;
   readonly broadcast: (update: {
     readonly changes: readonly RegistrationChange[];
-    readonly span: TopicRange | undefined;
+    readonly span: TopicSpan | undefined;
   }) => void;
 }
 
@@ -39,7 +39,7 @@
    * Applies the registrations of a span that this entry has read, oldest first,
    * and broadcasts what has changed: one entry reads on behalf of all.
    */
-  applyRead(changes: readonly RegistrationChange[], span?: TopicRange): void {
+  applyRead(changes: readonly RegistrationChange[], span?: TopicSpan): void {
     const changed = new Map<EndpointId, RegistrationChange>();
     for (const change of changes) {
       const hasChanged = this.#apply(change);
@@ -104,8 +104,8 @@
   }
 }
 
-function isSpan(value: unknown): value is TopicRange {
+function isSpan(value: unknown): value is TopicSpan {
   if (typeof value !== "object" || value === null) return false;
-  const { from, to } = value as Partial<TopicRange>;
+  const { from, to } = value as Partial<TopicSpan>;
   return typeof from === "number" && typeof to === "number";
 }
--- a/test/support/entry_fleet.ts
+++ b/test/support/entry_fleet.ts
@@ -102,7 +102,7 @@
         send: (request, attempt) => this.#send(request, attempt),
         parseCacheHandle: (body) =>
           body.length > 0 ? body.toString() : undefined,
-        listKept: () => Promise.resolve(undefined),
+        listCachedParts: () => Promise.resolve(undefined),
         release() {},
       },
       digestOf,
--- a/test/support/forwarding_harness.ts
+++ b/test/support/forwarding_harness.ts
@@ -200,7 +200,7 @@
     const endpointClient: EndpointClient = {
       send: (request, attempt) => this.#send(request, attempt),
       parseCacheHandle: (body) => body.length > 0 ? body.toString() : undefined,
-      listKept: () => Promise.resolve(undefined),
+      listCachedParts: () => Promise.resolve(undefined),
       release: (_, handle) => void this.released.push(handle),
     };
     const availabilityZone = identifier<AvailabilityZoneId>("zone-1");
