--- a/test/process/random_faults_test.ts
+++ b/test/process/random_faults_test.ts
@@ -9,7 +9,7 @@
   promptFor,
   streamChat,
 } from "../support/chat_caller.ts";
-import type { StartedProcess } from "../support/process_fleet.ts";
+import { type StartedProcess, waitFor } from "../support/process_fleet.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 import { uuidv7 } from "../support/uuid.ts";
 
@@ -173,9 +173,22 @@
     unavailable.add(id);
     await action(id, sides.get(id) as StartedProcess);
     await sleep(600);
+    await waitUntilListening(id);
     unavailable.delete(id);
   }
 
+  /**
+   * On a busy machine a side takes longer to start. SIGTERM would end it before
+   * its handler is installed, which is no graceful shutdown.
+   */
+  function waitUntilListening(id: string): Promise<void> {
+    const output = () => sides.get(id)?.output() ?? "";
+    return waitFor(() => output().includes("Side is listening"), {
+      what: `${id} to listen`,
+      found: output,
+    });
+  }
+
   function restartSide(id: string): void {
     const file = join(deployment.fleet.folder, `${id}.toml`);
     sides.set(id, deployment.fleet.startProgram(["side", "--settings", file]));
