--- a/src/adapters/endpoint/errors.ts
+++ b/src/adapters/endpoint/errors.ts
@@ -51,7 +51,7 @@
   hint: "Check the endpoint's own log; the work may have run",
 });
 
-/** The engine has received an order with a higher fencing number. */
+/** The engine has received an order with a higher fencing token. */
 export const ORDER_FENCED = defineError<{ url: string; fencing: number }>()({
   name: "order_fenced",
   title: "Engine rejected an outdated order",
--- a/src/adapters/endpoint/mod_test.ts
+++ b/src/adapters/endpoint/mod_test.ts
@@ -166,7 +166,7 @@
     });
 
     // A planner that resumes after a pause sends an order with an old fencing
-    // number. The engine's rejection must be reported as fenced.
+    // token. The engine's rejection must be reported as fenced.
     it("reports that an order was fenced", async () => {
       await link.order({ role: "decode" }, 7);
       const late = await link.order({ role: "prefill" }, 6);
--- a/src/core/forwarding/endpoints/endpoint_availability_test.ts
+++ b/src/core/forwarding/endpoints/endpoint_availability_test.ts
@@ -7,15 +7,15 @@
   const endpoints = ["a", "b", "c"].map((id) => makeEndpoint(id));
   const [a, b, c] = endpoints;
   let timer: ManualTimerService;
-  let outcomes: EndpointAvailability;
+  let availability: EndpointAvailability;
 
   beforeEach(() => {
     timer = new ManualTimerService();
-    outcomes = new EndpointAvailability(timer);
+    availability = new EndpointAvailability(timer);
   });
 
   function healthyIds(): string[] {
-    return outcomes.filterHealthy(endpoints).map(({ id }) => String(id));
+    return availability.filterHealthy(endpoints).map(({ id }) => String(id));
   }
 
   // Two of three engines change their role and reject all requests for seconds.
@@ -23,47 +23,47 @@
   // up although no request has failed.
   it("skips endpoints that reject requests, even most of the pool", () => {
     for (const endpoint of [a, b]) {
-      outcomes.recordRejection(endpoint.id);
-      outcomes.recordRejection(endpoint.id);
+      availability.recordRejection(endpoint.id);
+      availability.recordRejection(endpoint.id);
     }
     expect(healthyIds()).to.deep.equal(["c"]);
   });
 
   it("retries a skipped endpoint after an increasing delay", async () => {
-    outcomes.recordRejection(a.id);
-    outcomes.recordRejection(a.id);
+    availability.recordRejection(a.id);
+    availability.recordRejection(a.id);
     await timer.advance(260);
     expect(healthyIds()).to.contain("a");
-    outcomes.recordRejection(a.id);
+    availability.recordRejection(a.id);
     await timer.advance(260);
     expect(healthyIds()).to.not.contain("a");
     await timer.advance(300);
-    outcomes.recordSuccess(a.id);
-    outcomes.recordRejection(a.id);
+    availability.recordSuccess(a.id);
+    availability.recordRejection(a.id);
     expect(healthyIds()).to.contain("a");
   });
 
   describe("overload", () => {
     it("lasts for the longest time that the endpoint has announced", async () => {
-      outcomes.recordOverload(a.id, 3_000);
-      outcomes.recordOverload(a.id, 500);
-      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(3_000);
+      availability.recordOverload(a.id, 3_000);
+      availability.recordOverload(a.id, 500);
+      expect(availability.remainingOverloadMilliseconds(a.id)).to.equal(3_000);
       await timer.advance(2_000);
-      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(1_000);
+      expect(availability.remainingOverloadMilliseconds(a.id)).to.equal(1_000);
       await timer.advance(1_000);
-      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(0);
+      expect(availability.remainingOverloadMilliseconds(a.id)).to.equal(0);
     });
 
     it("applies to one endpoint only, and to one run of it", () => {
-      outcomes.recordOverload(a.id, 3_000);
-      expect(outcomes.remainingOverloadMilliseconds(b.id)).to.equal(0);
-      outcomes.forget(a);
-      expect(outcomes.remainingOverloadMilliseconds(a.id)).to.equal(0);
+      availability.recordOverload(a.id, 3_000);
+      expect(availability.remainingOverloadMilliseconds(b.id)).to.equal(0);
+      availability.forget(a);
+      expect(availability.remainingOverloadMilliseconds(a.id)).to.equal(0);
     });
 
     it("does not skip the endpoint after that time", async () => {
       for (let count = 0; count < 5; count++) {
-        outcomes.recordOverload(a.id, 200);
+        availability.recordOverload(a.id, 200);
       }
       await timer.advance(200);
       expect(healthyIds()).to.contain("a");
@@ -71,31 +71,31 @@
   });
 
   it("skips an endpoint whose address another replica uses", () => {
-    outcomes.recordMisdirected(b.id);
+    availability.recordMisdirected(b.id);
     expect(healthyIds()).to.deep.equal(["a", "c"]);
   });
 
   // A machine fails without closing connections. Without the timeout, requests
   // would be sent there for several seconds.
   it("skips an endpoint that is silent with open attempts", async () => {
-    outcomes.started(a.id);
+    availability.started(a.id);
     await timer.advance(700);
     expect(healthyIds()).to.deep.equal(["b", "c"]);
-    outcomes.recordResponse(a.id);
+    availability.recordResponse(a.id);
     expect(healthyIds()).to.contain("a");
   });
 
   it("skips an endpoint that refuses connections", () => {
-    outcomes.recordRefusedConnection(c.id);
-    outcomes.recordRefusedConnection(c.id);
+    availability.recordRefusedConnection(c.id);
+    availability.recordRefusedConnection(c.id);
     expect(healthyIds()).to.deep.equal(["a", "b"]);
   });
 
   // A replica fails half of its requests while its health check passes.
   it("skips an endpoint that fails more often than the others", () => {
     for (let count = 0; count < 20; count++) {
-      outcomes.failed(a.id);
-      outcomes.recordSuccess(b.id);
+      availability.failed(a.id);
+      availability.recordSuccess(b.id);
     }
     expect(healthyIds()).to.deep.equal(["b", "c"]);
   });
@@ -104,7 +104,7 @@
   // turn the failure of some requests into the refusal of all.
   it("skips at most half of a pool because of failures", () => {
     for (const { id } of endpoints) {
-      for (let count = 0; count < 20; count++) outcomes.failed(id);
+      for (let count = 0; count < 20; count++) availability.failed(id);
     }
     expect(healthyIds()).to.have.length(3);
   });
--- a/src/core/forwarding/placement/engine_placement.ts
+++ b/src/core/forwarding/placement/engine_placement.ts
@@ -96,7 +96,7 @@
   readonly availabilityZone: AvailabilityZoneId;
   readonly load: FleetLoad;
   readonly prefixes: PrefixDirectory;
-  readonly outcomes: EndpointAvailability;
+  readonly availability: EndpointAvailability;
   readonly estimates: EngineEstimates;
   readonly slowness: EngineSlowness;
   readonly random: Random;
@@ -143,7 +143,7 @@
     prompt: Prompt,
     engines: readonly RegisteredEndpoint[],
   ): readonly RegisteredEndpoint[] {
-    const prefillEngines = this.#options.outcomes.filterHealthy(
+    const prefillEngines = this.#options.availability.filterHealthy(
       engines.filter(isPrefillEngine),
     );
     return samplePrefillEngines(prompt, {
@@ -160,8 +160,8 @@
     engines: readonly RegisteredEndpoint[],
     { cacheZone }: { readonly cacheZone?: AvailabilityZoneId },
   ): readonly RegisteredEndpoint[] {
-    const { availabilityZone, outcomes, random } = this.#options;
-    return sampleDecodeEngines(outcomes.filterHealthy(engines), {
+    const { availabilityZone, availability, random } = this.#options;
+    return sampleDecodeEngines(availability.filterHealthy(engines), {
       random,
       availabilityZone: cacheZone ?? availabilityZone,
     });
@@ -195,17 +195,17 @@
     },
   ): PrefillChoice | undefined {
     const { engines, isEligible = () => true, pool } = options;
-    const { availabilityZone, outcomes, prefixes } = this.#options;
+    const { availabilityZone, availability, prefixes } = this.#options;
     const prefillEngines = (options.prefillEngines ?? engines).filter((each) =>
       isPrefillEngine(each) && isEligible(each)
     );
     const sources = bestSources(prompt.parts, {
-      engines: outcomes.filterHealthy(engines),
+      engines: availability.filterHealthy(engines),
       prefixes,
     });
     let best: PrefillChoice | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.filterHealthy(prefillEngines)) {
+    for (const endpoint of availability.filterHealthy(prefillEngines)) {
       const choice = this.#prefillChoiceAt(endpoint, { prompt, pool, sources });
       const isOtherZone = endpoint.availabilityZone !== availabilityZone;
       const cost = choice.backlogMilliseconds +
@@ -265,7 +265,7 @@
       readonly requiresCapacity?: boolean;
     },
   ): DecodeChoice | undefined {
-    const { estimates, load, outcomes, prefixes, random } = this.#options;
+    const { estimates, load, availability, prefixes, random } = this.#options;
     const {
       cacheZone,
       pool,
@@ -276,7 +276,7 @@
     const tokens = prompt.inputTokens + prompt.mostOutputTokens;
     let best: RegisteredEndpoint | undefined;
     let bestCost = Infinity;
-    for (const endpoint of outcomes.filterHealthy(decodeEngines)) {
+    for (const endpoint of availability.filterHealthy(decodeEngines)) {
       if (
         requiresCapacity && !hasCapacity(endpoint, { load, pool, tokens })
       ) continue;
--- a/src/core/forwarding/placement/engine_placement_test.ts
+++ b/src/core/forwarding/placement/engine_placement_test.ts
@@ -34,7 +34,7 @@
       availabilityZone: identifier<AvailabilityZoneId>("zone-1"),
       load,
       prefixes,
-      outcomes: new EndpointAvailability(timer),
+      availability: new EndpointAvailability(timer),
       estimates: knownEstimates(),
       slowness: new EngineSlowness(timer),
       random: () => 0.5,
--- a/src/core/journal/stream_reader.ts
+++ b/src/core/journal/stream_reader.ts
@@ -27,9 +27,9 @@
 
 const MAX_RECORDS_PER_PAGE = 500;
 /**
- * Long-poll timeout of reads at the end of the stream. 410 nodes that each tail
- * three streams make 120 idle reads per second at 10 s, about 50 bytes per
- * second and node.
+ * Long-poll timeout of reads at the end of the stream. 410 entries that each
+ * tail three streams make 120 idle reads per second at 10 s, about 50 bytes per
+ * second and entry.
  */
 const LONG_POLL_MILLISECONDS = 10_000;
 /**
--- a/src/core/observation/mod.ts
+++ b/src/core/observation/mod.ts
@@ -25,7 +25,7 @@
  * | retry | entry | requestId, attemptId of the new attempt, [reason] |
  * | order_sent | side, to its endpoint | endpoint, order, claim, target |
  * | order_received | endpoint that accepts the order | endpoint, order, target, [claim] |
- * | order_refused | endpoint that checks fencing numbers | endpoint, order |
+ * | order_refused | endpoint that checks fencing tokens | endpoint, order |
  * | order_done | endpoint | endpoint, order, target |
  * | claim_seen | entry, per claim that it considers valid | stream, claim, holder |
  * | order_valid | entry, per order that it reads | endpoint, order, claim, target |
--- a/src/core/orders/order_executor.ts
+++ b/src/core/orders/order_executor.ts
@@ -31,7 +31,7 @@
   readonly endpoint: EndpointLink;
   readonly timer: TimerService;
   /**
-   * Whether the engine refuses an order with an old fencing number. A function
+   * Whether the engine refuses an order with an old fencing token. A function
    * if the configuration may correct it while the side runs.
    */
   readonly checksFencing: boolean | (() => boolean);
--- a/src/core/placement/subset.ts
+++ b/src/core/placement/subset.ts
@@ -16,7 +16,7 @@
 /**
  * Selects the endpoints that one entry uses by rendezvous hashing: its own
  * availability zone first, the rest for spillover. With 12,000 replicas behind
- * 410 nodes, this keeps state, connections and report traffic at each entry
+ * 410 entries, this keeps state, connections and report traffic at each entry
  * from growing with the fleet. Adding or removing a replica changes only the
  * subsets that contain it.
  */
--- a/src/core/scheduling/policy.ts
+++ b/src/core/scheduling/policy.ts
@@ -109,7 +109,7 @@
   readonly health: HealthLimits;
   /**
    * Endpoints of a pool that one entry uses. With 12,000 replicas behind 410
-   * nodes, 24 keep the cost of a decision at that of a small fleet, and each
+   * entries, 24 keep the cost of a decision at that of a small fleet, and each
    * replica is in 24 × 410 / 12,000 = 0.8 subsets on average. Raise it where
    * there are fewer entries.
    */
--- a/src/entry/forwarding/attempt.ts
+++ b/src/entry/forwarding/attempt.ts
@@ -34,7 +34,7 @@
 export class ForwardAttempt {
   readonly endpoint: RegisteredEndpoint;
   readonly answer: Promise<Result<EndpointResponse, ExchangeFailure>>;
-  readonly #parts: ForwardingDependencies;
+  readonly #dependencies: ForwardingDependencies;
   readonly #context: ForwardContext;
   readonly #plan: AttemptPlan;
   readonly #sentAt: number;
@@ -45,19 +45,19 @@
   #closed = false;
 
   constructor(context: ForwardContext, plan: AttemptPlan) {
-    const { parts, request } = context;
+    const { dependencies, request } = context;
     const { endpoint } = plan;
-    this.#parts = parts;
+    this.#dependencies = dependencies;
     this.#context = context;
     this.#plan = plan;
-    this.#sentAt = parts.timer.now();
+    this.#sentAt = dependencies.timer.now();
     this.#knownCrashes = context.knownCrashes;
     this.endpoint = endpoint;
-    const workHandle = parts.load.started(endpoint.id, plan.work);
+    const workHandle = dependencies.load.started(endpoint.id, plan.work);
     this.#endWork = () => workHandle.end();
-    parts.outcomes.started(endpoint.id);
-    parts.link.recordSent(request.body.length + REQUEST_HEAD_BYTES);
-    const exchange = parts.endpointClient.send(request, {
+    dependencies.availability.started(endpoint.id);
+    dependencies.link.recordSent(request.body.length + REQUEST_HEAD_BYTES);
+    const exchange = dependencies.endpointClient.send(request, {
       ...plan.options,
       endpoint: endpoint.id,
       workspace: context.workspace?.id,
@@ -73,13 +73,13 @@
   /** Records the outcome once the response body has ended. */
   onEnd(end: BodyEnd, status: number): void {
     if (this.#closed) return;
-    const { outcomes } = this.#parts;
+    const { availability } = this.#dependencies;
     if (end === "cut") this.#recordLoss();
     else if (status < 500) this.#recordCompletion();
     if (this.#isSameRun) {
       if (end === "whole" && status < 500) {
-        outcomes.recordSuccess(this.endpoint.id);
-      } else outcomes.failed(this.endpoint.id);
+        availability.recordSuccess(this.endpoint.id);
+      } else availability.failed(this.endpoint.id);
     }
     this.#close();
   }
@@ -90,7 +90,9 @@
    */
   abort(): void {
     if (this.#closed) return;
-    if (this.#isSameRun) this.#parts.outcomes.recordAbandoned(this.endpoint.id);
+    if (this.#isSameRun) {
+      this.#dependencies.availability.recordAbandoned(this.endpoint.id);
+    }
     this.#close();
     this.#abort();
   }
@@ -101,7 +103,7 @@
    * the new run.
    */
   get #isSameRun(): boolean {
-    return this.#parts.registry.isSameRun(this.endpoint);
+    return this.#dependencies.registry.isSameRun(this.endpoint);
   }
 
   #onHead(result: Result<EndpointResponse, ExchangeFailure>): void {
@@ -113,7 +115,7 @@
   }
 
   #recordCrashSignals(result: Result<EndpointResponse, ExchangeFailure>): void {
-    const { crashes } = this.#parts;
+    const { crashes } = this.#dependencies;
     if (result.isOk()) return crashes.answered(this.endpoint, this.#sentAt);
     const { name } = result.error;
     if (name === "exchange_lost") this.#recordLoss();
@@ -124,7 +126,7 @@
 
   /** Records that the endpoint broke the connection with the request open. */
   #recordLoss(): void {
-    const { crashes, timer } = this.#parts;
+    const { crashes, timer } = this.#dependencies;
     const { digest } = this.#context;
     crashes.lost(this.endpoint, { digest, knownBefore: this.#knownCrashes });
     this.#context.report("endpoint_lost", {
@@ -142,35 +144,40 @@
    * the request of suspicion.
    */
   #recordCompletion(): void {
-    const { crashes } = this.#parts;
+    const { crashes } = this.#dependencies;
     if (crashes.size === 0 || this.#plan.options.prefillOnly) return;
     crashes.recordCompletion(this.#context.digest);
   }
 
   #recordOutcome(result: Result<EndpointResponse, ExchangeFailure>): void {
-    const { outcomes } = this.#parts;
+    const { availability } = this.#dependencies;
     const { id } = this.endpoint;
     if (result.isErr()) {
-      if (result.error.name !== "exchange_not_sent") return outcomes.failed(id);
-      return outcomes.recordRefusedConnection(id);
+      if (result.error.name !== "exchange_not_sent") {
+        return availability.failed(id);
+      }
+      return availability.recordRefusedConnection(id);
     }
-    outcomes.recordResponse(id);
+    availability.recordResponse(id);
     const { notExecuted, retryAfterMilliseconds, status } = result.value.head;
     if (retryAfterMilliseconds !== undefined) {
       return this.#recordOverload(retryAfterMilliseconds);
     }
     if (!notExecuted) return;
-    if (status === MISDIRECTED_STATUS) outcomes.recordMisdirected(id);
-    else outcomes.recordRejection(id);
+    if (status === MISDIRECTED_STATUS) availability.recordMisdirected(id);
+    else availability.recordRejection(id);
   }
 
   #reportLeaving(): void {
-    if (!this.#parts.reportLeaving(this.endpoint)) return;
+    if (!this.#dependencies.reportLeaving(this.endpoint)) return;
     this.#context.report("endpoint_leaving", { endpoint: this.endpoint.id });
   }
 
   #recordOverload(milliseconds: number): void {
-    this.#parts.outcomes.recordOverload(this.endpoint.id, milliseconds);
+    this.#dependencies.availability.recordOverload(
+      this.endpoint.id,
+      milliseconds,
+    );
     this.#context.report("endpoint_overloaded", {
       endpoint: this.endpoint.id,
       retryAfterMilliseconds: milliseconds,
@@ -179,7 +186,9 @@
 
   #close(): void {
     this.#closed = true;
-    if (this.#isSameRun) this.#parts.outcomes.ended(this.endpoint.id);
+    if (this.#isSameRun) {
+      this.#dependencies.availability.ended(this.endpoint.id);
+    }
     this.#endWork();
   }
 }
--- a/src/entry/forwarding/caller_keys_test.ts
+++ b/src/entry/forwarding/caller_keys_test.ts
@@ -38,7 +38,7 @@
 describe("callers' keys", () => {
   function portal(configuration: ForwardingConfiguration): ForwardingHarness {
     const harness = new ForwardingHarness(configuration);
-    harness.parts.registry.upsert(makeEndpoint("a"));
+    harness.dependencies.registry.upsert(makeEndpoint("a"));
     return harness;
   }
 
@@ -94,7 +94,7 @@
 
   it("prevent further sends once they are removed", async () => {
     const harness = portal(configurationFor([makeWorkspace()]));
-    harness.parts.registry.upsert(makeEndpoint("b"));
+    harness.dependencies.registry.upsert(makeEndpoint("b"));
     const caller = await harness.submit(makeRequest({ credentials: KEY }));
     harness.applyConfiguration(configurationFor([makeWorkspace({ keys: [] })]));
     await harness.sent[0].respondNotRun();
@@ -119,8 +119,8 @@
         [makeWorkspace({ rank: 1 })],
         { rank: 4, repeat: "stream", shares: [{ pool: ENGINES, weight: 1 }] },
       ));
-      harness.parts.registry.upsert(makeEngine("reader", "prefill"));
-      harness.parts.registry.upsert(makeEngine("maker", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("reader", "prefill"));
+      harness.dependencies.registry.upsert(makeEngine("maker", "decode"));
       await harness.submit(
         makeRequest({ credentials: KEY, prompt: makePrompt("a") }),
       );
@@ -143,7 +143,7 @@
       await harness.submit(makeRequest({ credentials: KEY }));
       await harness.timer.advance(40);
       await harness.sent[0].respond("case 7");
-      expect(harness.began).to.deep.equal([["workspace", 0]]);
+      expect(harness.started).to.deep.equal([["workspace", 0]]);
     });
 
     it("at an engine with its first byte", async () => {
@@ -151,21 +151,21 @@
         repeat: "stream",
         shares: [{ pool: ENGINES, weight: 1 }],
       });
-      harness.parts.registry.upsert(makeEngine("maker", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("maker", "decode"));
       const prompt = makePrompt("a", { shared: 20, own: 10 });
       await harness.submit(makeRequest({ credentials: KEY, prompt }));
       await harness.timer.advance(40);
       await harness.sent[0].respond("token");
-      expect(harness.began).to.deep.equal([["workspace", 40]]);
+      expect(harness.started).to.deep.equal([["workspace", 40]]);
     });
 
     it("once if it was sent twice", async () => {
       const harness = keyed({ repeat: "idempotent" });
-      harness.parts.registry.upsert(makeEndpoint("b"));
+      harness.dependencies.registry.upsert(makeEndpoint("b"));
       await harness.submit(makeRequest({ credentials: KEY }));
       await harness.sent[0].respond("", { status: 500 });
       await harness.sent[1].respond("case 7");
-      expect(harness.began).to.deep.equal([["workspace", 0]]);
+      expect(harness.started).to.deep.equal([["workspace", 0]]);
     });
 
     it("if its response was lost or its caller disconnected", async () => {
@@ -174,7 +174,7 @@
       await harness.sent[0].fail("exchange_lost");
       const caller = await harness.submit(makeRequest({ credentials: KEY }));
       caller.disconnect();
-      expect(harness.began).to.have.length(2);
+      expect(harness.started).to.have.length(2);
     });
 
     it("never if no endpoint ran it", async () => {
@@ -183,7 +183,7 @@
       await harness.sent[0].respondNotRun();
       await harness.submit(makeRequest({ credentials: KEY }));
       await harness.sent.at(-1)?.fail("exchange_not_sent");
-      expect(harness.began).to.deep.equal([]);
+      expect(harness.started).to.deep.equal([]);
     });
   });
 });
--- a/src/entry/forwarding/endpoint_signals_test.ts
+++ b/src/entry/forwarding/endpoint_signals_test.ts
@@ -53,7 +53,9 @@
     this.harness = new ForwardingHarness(
       makeConfiguration({ routes: [makeRoute(route)] }),
     );
-    for (const each of endpoints) this.harness.parts.registry.upsert(each);
+    for (const each of endpoints) {
+      this.harness.dependencies.registry.upsert(each);
+    }
     this.harness.onSend = (attempt) => void this.#answer(attempt);
   }
 
@@ -114,8 +116,8 @@
       const setup = new SignalScenario();
       setup.heads.set("a", { leaving: true });
       await setup.run(1_000);
-      setup.harness.parts.registry.upsert(makeEndpoint("a"));
-      setup.harness.parts.registry.replaceAll(
+      setup.harness.dependencies.registry.upsert(makeEndpoint("a"));
+      setup.harness.dependencies.registry.replaceAll(
         portals(),
       );
       expect(await setup.run(1_000)).not.to.include("a");
@@ -125,7 +127,7 @@
       const setup = new SignalScenario();
       const startedAt = numbered<ReplicaStartTime>(7);
       const endpoint = makeEndpoint("a", { startedAt });
-      const { registry } = setup.harness.parts;
+      const { registry } = setup.harness.dependencies;
       setup.harness.onSend = undefined;
       registry.replaceAll([endpoint]);
       await setup.ask();
@@ -157,7 +159,9 @@
       await setup.run(1_000);
       setup.heads.clear();
       const startedAt = numbered<ReplicaStartTime>(7);
-      setup.harness.parts.registry.upsert(makeEndpoint("a", { startedAt }));
+      setup.harness.dependencies.registry.upsert(
+        makeEndpoint("a", { startedAt }),
+      );
       expect(await setup.run(1_000)).to.include("a");
     });
 
@@ -283,7 +287,10 @@
       await run;
       const [prefill] = harness.sent;
       await prefill.respond("handle");
-      harness.parts.outcomes.recordOverload(prefill.options.endpoint, 3_000);
+      harness.dependencies.availability.recordOverload(
+        prefill.options.endpoint,
+        3_000,
+      );
       (await run).disconnect();
       await harness.timer.advance(2_900);
       expect(harness.released).to.deep.equal([]);
--- a/src/entry/forwarding/forward.ts
+++ b/src/entry/forwarding/forward.ts
@@ -20,16 +20,22 @@
  * request, or refuses it immediately.
  */
 export async function forward(
-  parts: ForwardingDependencies,
+  dependencies: ForwardingDependencies,
   options: { readonly request: ForwardedRequest; readonly sink: CallerSink },
 ): Promise<void> {
   const { request, sink } = options;
-  const routes = parts.routes();
+  const routes = dependencies.routes();
   const refuse = (refusal: ForwardingRefusal) => {
     const { reason, status } = refusal;
     const version = routes?.configuration.version;
     const requestId = request.id;
-    parts.observe("refused", { requestId, route: "", status, reason, version });
+    dependencies.observe("refused", {
+      requestId,
+      route: "",
+      status,
+      reason,
+      version,
+    });
     sink.refuse(refusal);
   };
   if (routes === undefined) {
@@ -43,13 +49,13 @@
   if (route === undefined) return refuse({ status: 404, reason: "no_route" });
   const caller = identify(routes, { request, route });
   if (caller.isErr()) return refuse({ status: 401, reason: caller.error });
-  const poolName = selectPool(route, parts.random);
+  const poolName = selectPool(route, dependencies.random);
   const pool = poolName === undefined
     ? undefined
     : routes.configuration.pools.get(poolName);
   if (pool === undefined) return refuse({ status: 503, reason: "no_pool" });
   const task = { ...caller.value, route, pool };
-  await new RequestForwarder(parts, { task, sink }).run();
+  await new RequestForwarder(dependencies, { task, sink }).run();
 }
 
 /** An authenticated caller's request, with the key removed from its headers. */
--- a/src/entry/forwarding/forward_context.ts
+++ b/src/entry/forwarding/forward_context.ts
@@ -33,7 +33,7 @@
 
 /** State of one request, shared by the steps that forward it. */
 export class ForwardContext {
-  readonly parts: ForwardingDependencies;
+  readonly dependencies: ForwardingDependencies;
   readonly request: ForwardedRequest;
   readonly route: Route;
   readonly pool: Pool;
@@ -53,22 +53,26 @@
   #digest: RequestDigest | undefined;
   #hasStarted = false;
 
-  constructor(parts: ForwardingDependencies, task: ForwardTask) {
+  constructor(dependencies: ForwardingDependencies, task: ForwardTask) {
     const { request, route } = task;
-    this.parts = parts;
+    this.dependencies = dependencies;
     this.request = request;
     this.route = route;
     this.pool = task.pool;
     this.workspace = task.workspace;
-    this.arrived = parts.timer.now();
-    this.arrivals = new RequestArrivals(parts.retryBudget, task.pool.name);
+    this.arrived = dependencies.timer.now();
+    this.arrivals = new RequestArrivals(
+      dependencies.retryBudget,
+      task.pool.name,
+    );
     this.allowedMilliseconds = Math.min(
       request.deadlineMilliseconds ?? Infinity,
       route.timeoutMilliseconds,
     );
-    this.waitedMilliseconds = parts.returningCallers.elapsedSinceFirstAttempt(
-      this.#lastPartId,
-    );
+    this.waitedMilliseconds = dependencies.returningCallers
+      .elapsedSinceFirstAttempt(
+        this.#lastPartId,
+      );
   }
 
   /** Priority of the request; 0 is the most urgent. */
@@ -81,7 +85,7 @@
    */
   get isKeyRemoved(): boolean {
     if (this.workspace === undefined) return false;
-    const keys = this.parts.routes()?.keys;
+    const keys = this.dependencies.routes()?.keys;
     const { credentials } = this.request;
     return keys !== undefined && credentials.kind === "key" &&
       keys.find(credentials.digest) === undefined;
@@ -97,13 +101,13 @@
    * milliseconds.
    */
   get blockedMilliseconds(): number {
-    const { crashes } = this.parts;
+    const { crashes } = this.dependencies;
     return crashes.size === 0 ? 0 : crashes.blockedMilliseconds(this.digest);
   }
 
   /** Number of successive crashes attributed to the request, as known here. */
   get knownCrashes(): number {
-    const { crashes } = this.parts;
+    const { crashes } = this.dependencies;
     return crashes.size === 0 ? 0 : crashes.crashCount(this.digest);
   }
 
@@ -111,7 +115,7 @@
    * Digest that identifies a repeated request; hashes the body on first use.
    */
   get digest(): RequestDigest {
-    this.#digest ??= this.parts.digestOf(this.request);
+    this.#digest ??= this.dependencies.digestOf(this.request);
     return this.#digest;
   }
 
@@ -120,12 +124,13 @@
     const partId = this.#lastPartId;
     if (partId === undefined) return;
     const waited = this.waitedMilliseconds + this.elapsedMilliseconds;
-    this.parts.returningCallers.record(partId, waited);
+    this.dependencies.returningCallers.record(partId, waited);
   }
 
   /** Time until the deadline, in milliseconds. */
   get remainingMilliseconds(): number {
-    return this.arrived + this.allowedMilliseconds - this.parts.timer.now();
+    return this.arrived + this.allowedMilliseconds -
+      this.dependencies.timer.now();
   }
 
   /**
@@ -141,14 +146,14 @@
 
   /** Time since the request arrived, in milliseconds. */
   get elapsedMilliseconds(): number {
-    return this.parts.timer.now() - this.arrived;
+    return this.dependencies.timer.now() - this.arrived;
   }
 
   /** Endpoints of the pool that accept new work. */
   endpoints(): RegisteredEndpoint[] {
-    const { outcomes } = this.parts;
+    const { availability } = this.dependencies;
     return this.#inService().filter(({ id }) =>
-      outcomes.remainingOverloadMilliseconds(id) === 0
+      availability.remainingOverloadMilliseconds(id) === 0
     );
   }
 
@@ -159,14 +164,14 @@
   overloadMilliseconds(
     matches: (endpoint: RegisteredEndpoint) => boolean = () => true,
   ): number {
-    const { outcomes } = this.parts;
+    const { availability } = this.dependencies;
     const waits = this.#inService().filter(matches)
-      .map(({ id }) => outcomes.remainingOverloadMilliseconds(id));
+      .map(({ id }) => availability.remainingOverloadMilliseconds(id));
     return Math.min(Infinity, ...waits);
   }
 
   #inService(): RegisteredEndpoint[] {
-    const { isChanging, registry } = this.parts;
+    const { isChanging, registry } = this.dependencies;
     const isEnginePool = this.pool.engine !== undefined;
     return registry.inPool(this.pool.name).filter(({ id, role }) =>
       !isChanging(id) && (!isEnginePool || role !== undefined)
@@ -201,7 +206,7 @@
     const allowed = this.sends < MAX_SENDS &&
       this.remainingMilliseconds >= MIN_USEFUL_MILLISECONDS &&
       this.arrivals.reserve(next);
-    const { counted, allowed: limit } = this.parts.retryBudget.usageOf(
+    const { counted, allowed: limit } = this.dependencies.retryBudget.usageOf(
       this.pool.name,
     );
     this.report(allowed ? "resent" : "not_resent", {
@@ -216,7 +221,7 @@
   noteStarted(at: number): void {
     if (this.#hasStarted || this.workspace === undefined) return;
     this.#hasStarted = true;
-    this.parts.noteStarted(this.workspace.id, at);
+    this.dependencies.noteStarted(this.workspace.id, at);
   }
 
   /** Reports a decision on this request. */
@@ -224,7 +229,7 @@
     decision: ForwardingDecision,
     facts: Readonly<Record<string, unknown>>,
   ): void {
-    this.parts.observe(decision, {
+    this.dependencies.observe(decision, {
       requestId: this.request.id,
       route: this.route.name,
       ...facts,
--- a/src/entry/forwarding/forwarding_dependencies.ts
+++ b/src/entry/forwarding/forwarding_dependencies.ts
@@ -36,7 +36,7 @@
   readonly registry: EndpointRegistry;
   readonly load: FleetLoad;
   readonly prefixes: PrefixDirectory;
-  readonly outcomes: EndpointAvailability;
+  readonly availability: EndpointAvailability;
   readonly placement: EnginePlacement;
   readonly estimates: EngineEstimates;
   readonly slowness: EngineSlowness;
--- a/src/entry/forwarding/forwarding_entry.ts
+++ b/src/entry/forwarding/forwarding_entry.ts
@@ -134,7 +134,7 @@
   readonly peerStateFallback: PeerStateFallback;
   readonly registrationSync: RegistrationSync;
   readonly #options: ForwardingEntryOptions;
-  readonly #parts: ForwardingDependencies;
+  readonly #dependencies: ForwardingDependencies;
   readonly #roleController: RoleController | undefined;
   readonly #usageReporter: UsageReporter | undefined;
   readonly #survey: PrefixCacheSurvey;
@@ -165,7 +165,7 @@
       },
       onCleared: (digest) => options.removeBlocked(digest),
     });
-    const outcomes = new EndpointAvailability(timer);
+    const availability = new EndpointAvailability(timer);
     const connections: EndpointStateHolder = {
       forget: ({ address }) => options.onEndpointRemoved(address),
     };
@@ -177,7 +177,7 @@
       stateHolders: [
         load,
         prefixes,
-        outcomes,
+        availability,
         slowness,
         crashes,
         connections,
@@ -268,19 +268,19 @@
         broadcastOrders: (orders) =>
           this.peers.broadcast(ROLES_METHOD, { orders }),
       });
-    this.#parts = {
+    this.#dependencies = {
       timer,
       random,
       availabilityZone: options.availabilityZone,
       registry: this.registry,
       load,
       prefixes,
-      outcomes,
+      availability,
       placement: new EnginePlacement({
         availabilityZone: options.availabilityZone,
         load,
         prefixes,
-        outcomes,
+        availability,
         estimates,
         slowness,
         random,
@@ -329,12 +329,12 @@
 
   /** Use of this entry's share of the retry budget, by pool. */
   retryBudgetUses(): RetryBudgetUsage[] {
-    return this.#parts.retryBudget.usageByPool();
+    return this.#dependencies.retryBudget.usageByPool();
   }
 
   /** Number of requests that are blocked for crashing endpoints. */
   get blockedRequests(): number {
-    return this.#parts.crashes.blocked;
+    return this.#dependencies.crashes.blocked;
   }
 
   /**
@@ -347,7 +347,7 @@
 
   /** Open work of all entries at the endpoint. */
   openWorkAt(endpoint: EndpointId): OpenWork {
-    return this.#parts.load.total(endpoint);
+    return this.#dependencies.load.total(endpoint);
   }
 
   /** True while the load balancer should send callers here. */
@@ -399,7 +399,7 @@
     losses: readonly ReportedLoss[],
     options: { readonly ageMilliseconds: number },
   ): boolean {
-    return this.#parts.crashes.restore(losses, options);
+    return this.#dependencies.crashes.restore(losses, options);
   }
 
   /** Handles a notification from a peer. */
@@ -426,6 +426,6 @@
   }
 
   handle(request: ForwardedRequest, sink: CallerSink): void {
-    void forward(this.#parts, { request, sink });
+    void forward(this.#dependencies, { request, sink });
   }
 }
--- a/src/entry/forwarding/handover.ts
+++ b/src/entry/forwarding/handover.ts
@@ -110,7 +110,7 @@
       if (admitted.kind === "refused") return admitted;
       const late = admitted.kind === "held";
       const choice = late
-        ? await this.#context.parts.held.enqueue(admitted.prompt)
+        ? await this.#context.dependencies.held.enqueue(admitted.prompt)
         : admitted.choice;
       if (choice === undefined || this.#context.settled) return ENGINES_FULL;
       if (this.#context.blockedMilliseconds > 0) return CRASHES_ENDPOINTS;
@@ -142,7 +142,7 @@
 
   /** True if the engine has restarted since and lost the cache. */
   #isStale({ engine, engineStartedAt }: PrefilledPrompt): boolean {
-    const current = this.#context.parts.registry.get(engine);
+    const current = this.#context.dependencies.registry.get(engine);
     return current !== undefined && current.startedAt !== engineStartedAt;
   }
 
@@ -162,11 +162,11 @@
   ): void {
     if (this.#kept === undefined) return;
     this.#kept = undefined;
-    const { parts, pool, request } = this.#context;
+    const { dependencies, pool, request } = this.#context;
     if (request.prompt !== undefined) {
-      parts.placement.recordHandover(request.prompt, pool, milliseconds);
+      dependencies.placement.recordHandover(request.prompt, pool, milliseconds);
     }
-    parts.prefixes.recordCached({
+    dependencies.prefixes.recordCached({
       engine: id,
       engineStartedAt: startedAt,
       parts: request.prompt?.parts ?? [],
@@ -179,9 +179,9 @@
     const kept = this.#kept;
     this.#kept = undefined;
     if (kept === undefined) return;
-    const { endpointClient, outcomes, timer } = this.#context.parts;
+    const { endpointClient, availability, timer } = this.#context.dependencies;
     const free = () => endpointClient.release(kept.address, kept.handle);
-    const wait = outcomes.remainingOverloadMilliseconds(kept.engine);
+    const wait = availability.remainingOverloadMilliseconds(kept.engine);
     if (wait === 0) return free();
     if (wait <= MAX_RELEASE_DELAY_MILLISECONDS) timer.after(wait, free);
   }
@@ -200,9 +200,12 @@
     const { endpoint, predictedMilliseconds, slowdown } = choice;
     const predicted = predictedMilliseconds / slowdown;
     if (outcome.kind === "failed" && took < predicted) return;
-    const { parts } = this.#context;
-    if (!parts.registry.isSameRun(endpoint)) return;
-    parts.slowness.record(endpoint.id, { milliseconds: took, predicted });
+    const { dependencies } = this.#context;
+    if (!dependencies.registry.isSameRun(endpoint)) return;
+    dependencies.slowness.record(endpoint.id, {
+      milliseconds: took,
+      predicted,
+    });
   }
 
   /**
@@ -216,8 +219,8 @@
   ): void {
     const { fetchFrom, keptTokens, openRequests } = choice;
     if (openRequests > 0 || fetchFrom !== undefined) return;
-    const { parts, pool } = this.#context;
-    parts.estimates.forPool(pool.name).prefill.record({
+    const { dependencies, pool } = this.#context;
+    dependencies.estimates.forPool(pool.name).prefill.record({
       promptTokens: prompt.inputTokens,
       keptTokens,
       milliseconds: took,
@@ -229,7 +232,7 @@
     admitted: { readonly choice: PrefillChoice; readonly late: boolean },
   ): Promise<PrefillOutcome> {
     const { choice, late } = admitted;
-    const { arrivals, parts, rank, waitedMilliseconds } = this.#context;
+    const { arrivals, dependencies, rank, waitedMilliseconds } = this.#context;
     this.#context.report("placed", {
       step: "prefill",
       endpoint: choice.endpoint.id,
@@ -243,7 +246,7 @@
       keptTokens: choice.keptTokens,
       fetchFrom: choice.fetchFrom?.id,
     });
-    const sent = parts.timer.now();
+    const sent = dependencies.timer.now();
     arrivals.prefillSent();
     const outcome = await prefillPrompt(this.#context, {
       prompt,
@@ -252,7 +255,7 @@
       deadlineMilliseconds: this.#context.remainingToFirstByteMilliseconds,
       onAttempt: this.#onAttempt,
     });
-    const took = parts.timer.now() - sent;
+    const took = dependencies.timer.now() - sent;
     this.#recordSlowness(choice, { outcome, took });
     const accepted = outcome.kind === "kept";
     if (accepted || outcome.arrived) arrivals.prefillEnded({ accepted });
--- a/src/entry/forwarding/overload_test.ts
+++ b/src/entry/forwarding/overload_test.ts
@@ -82,7 +82,7 @@
       { estimates },
     );
     this.engines = new SimulatedEngines(this.harness, options);
-    const { registry } = this.harness.parts;
+    const { registry } = this.harness.dependencies;
     for (let index = 0; index < 10; index++) {
       const role = index < 7 ? "prefill" : "decode";
       registry.upsert(makeEngine(`engine-${index}`, role));
--- a/src/entry/forwarding/prefill_step.ts
+++ b/src/entry/forwarding/prefill_step.ts
@@ -51,7 +51,7 @@
   context: ForwardContext,
   options: PrefillStepOptions,
 ): Promise<PrefillOutcome> {
-  const { parts, pool } = context;
+  const { dependencies, pool } = context;
   const { prompt, choice } = options;
   const { endpoint } = choice;
   const deadlineMilliseconds = options.deadlineMilliseconds -
@@ -78,8 +78,8 @@
       TIMEOUT_TO_PREDICTION_RATIO * predicted,
     ),
   );
-  const read = await withTimeout(readHandle(parts, attempt), {
-    timer: parts.timer,
+  const read = await withTimeout(readHandle(dependencies, attempt), {
+    timer: dependencies.timer,
     milliseconds: timeoutMilliseconds,
   });
   if (read === undefined) {
@@ -93,8 +93,8 @@
   // Recorded only now: an engine looks up cached parts when it accepts a
   // prompt, and does not find parts that are still being prefilled for another
   // one.
-  if (parts.registry.isSameRun(endpoint)) {
-    parts.prefixes.recordCached({
+  if (dependencies.registry.isSameRun(endpoint)) {
+    dependencies.prefixes.recordCached({
       engine,
       engineStartedAt: startedAt,
       parts: prompt.parts,
@@ -123,7 +123,7 @@
 }
 
 async function readHandle(
-  parts: ForwardingDependencies,
+  dependencies: ForwardingDependencies,
   attempt: ForwardAttempt,
 ): Promise<HandleRead> {
   const response = await attempt.answer;
@@ -136,7 +136,7 @@
   attempt.onEnd(body === undefined ? "cut" : "whole", head.status);
   if (body === undefined) return { reason: "cut" };
   const handle = head.status === 200
-    ? parts.endpointClient.parseCacheHandle(body)
+    ? dependencies.endpointClient.parseCacheHandle(body)
     : undefined;
   return { handle, reason: `status ${head.status}` };
 }
--- a/src/entry/forwarding/prompt_admission.ts
+++ b/src/entry/forwarding/prompt_admission.ts
@@ -55,16 +55,19 @@
   context: ForwardContext,
   prompt: Prompt,
 ): Promise<PromptAdmission> {
-  const { parts, pool, route, waitedMilliseconds } = context;
+  const { dependencies, pool, route, waitedMilliseconds } = context;
   const candidates = await candidatesFor(context, prompt);
-  const soonest = parts.placement.choosePrefill(prompt, candidates);
+  const soonest = dependencies.placement.choosePrefill(prompt, candidates);
   const held = makeHeldPrompt(context, prompt, soonest);
   const onTimeMilliseconds = soonest?.predictedMilliseconds ?? Infinity;
   const estimate = {
     onTimeMilliseconds,
     lateMilliseconds: onTimeMilliseconds +
       heldMilliseconds(context, { held, engines: candidates.engines }),
-    handoverMilliseconds: parts.placement.handoverMilliseconds(prompt, pool),
+    handoverMilliseconds: dependencies.placement.handoverMilliseconds(
+      prompt,
+      pool,
+    ),
     entryMilliseconds: entryMilliseconds(context),
     elapsedMilliseconds: waitedMilliseconds + context.elapsedMilliseconds,
     targetMilliseconds: route.targetMilliseconds,
@@ -72,7 +75,7 @@
   };
   const admission = decideAdmission(estimate);
   if (admission === "on_time" && soonest !== undefined) {
-    parts.onTimeWork.recordStarted(soonest.workMilliseconds);
+    dependencies.onTimeWork.recordStarted(soonest.workMilliseconds);
     return { kind: "admitted", choice: soonest };
   }
   if (admission === "late") return { kind: "held", prompt: held };
@@ -92,12 +95,15 @@
   context: ForwardContext,
   prompt: Prompt,
 ): Promise<PrefillCandidates> {
-  const { parts, pool } = context;
+  const { dependencies, pool } = context;
   const engines = context.preferUntried(context.endpoints());
-  if (!parts.isLoadStale()) return { engines, pool };
-  const refreshed = parts.placement.prefillEnginesToRefresh(prompt, engines)
+  if (!dependencies.isLoadStale()) return { engines, pool };
+  const refreshed = dependencies.placement.prefillEnginesToRefresh(
+    prompt,
+    engines,
+  )
     .map(({ id }) => id);
-  await parts.refreshLoad(refreshed);
+  await dependencies.refreshLoad(refreshed);
   // An engine may have started to leave during the query.
   const remaining = context.preferUntried(context.endpoints());
   const prefillEngines = remaining.filter(({ id }) => refreshed.includes(id));
@@ -110,17 +116,17 @@
   prompt: Prompt,
   soonest: PrefillChoice | undefined,
 ): HeldPrompt<PrefillChoice> {
-  const { parts } = context;
+  const { dependencies } = context;
   const workMilliseconds = soonest?.workMilliseconds ?? 0;
   return {
     rank: context.rank,
-    expiresAt: parts.timer.now() +
+    expiresAt: dependencies.timer.now() +
       REMAINING_TIME_SHARE * context.remainingToFirstByteMilliseconds -
       workMilliseconds,
     workMilliseconds,
     choose: async () => {
       const candidates = await candidatesFor(context, prompt);
-      return parts.placement.chooseNearlyIdlePrefill(prompt, candidates);
+      return dependencies.placement.chooseNearlyIdlePrefill(prompt, candidates);
     },
     isCancelled: () => context.settled,
   };
@@ -133,7 +139,7 @@
  * overload until their time runs out and are only then refused.
  */
 function heldMilliseconds(
-  { parts }: ForwardContext,
+  { dependencies }: ForwardContext,
   options: {
     readonly held: HeldPrompt<PrefillChoice>;
     readonly engines: readonly RegisteredEndpoint[];
@@ -142,12 +148,12 @@
   const { held, engines } = options;
   const prefillEngines =
     engines.filter(({ role }) => role === "prefill").length;
-  const entries = parts.entries();
+  const entries = dependencies.entries();
   const free = Math.max(
     MIN_FREE_SHARE * prefillEngines,
-    prefillEngines - entries * parts.onTimeWork.busyEngines,
+    prefillEngines - entries * dependencies.onTimeWork.busyEngines,
   );
-  return entries * parts.held.workAhead(held) /
+  return entries * dependencies.held.workAhead(held) /
     Math.max(MIN_FREE_SHARE, free);
 }
 
@@ -155,12 +161,12 @@
  * Time that this entry's link and event loop add to the response. Held prompts
  * have yet to cross the link and are assumed to be as long as this request.
  */
-function entryMilliseconds({ parts, request }: ForwardContext): number {
+function entryMilliseconds({ dependencies, request }: ForwardContext): number {
   const bytes = SENDS_PER_PROMPT * (request.body.length + REQUEST_HEAD_BYTES);
-  const transferMilliseconds = (1 + parts.held.count) *
-    parts.link.transmissionMilliseconds(bytes);
-  return parts.link.waitMilliseconds + transferMilliseconds +
-    LOOP_TURNS_PER_PROMPT * parts.loopDelayMilliseconds();
+  const transferMilliseconds = (1 + dependencies.held.count) *
+    dependencies.link.transmissionMilliseconds(bytes);
+  return dependencies.link.waitMilliseconds + transferMilliseconds +
+    LOOP_TURNS_PER_PROMPT * dependencies.loopDelayMilliseconds();
 }
 
 /** Rounds to whole numbers and omits infinite values. */
--- a/src/entry/forwarding/request_forwarder.ts
+++ b/src/entry/forwarding/request_forwarder.ts
@@ -75,12 +75,12 @@
   #firstByteAt: number | undefined;
 
   constructor(
-    parts: ForwardingDependencies,
+    dependencies: ForwardingDependencies,
     options: { readonly task: ForwardTask; readonly sink: CallerSink },
   ) {
     const { task, sink } = options;
     const { repeat, resumable } = task.route;
-    this.#context = new ForwardContext(parts, task);
+    this.#context = new ForwardContext(dependencies, task);
     this.#sink = sink;
     this.#handover = new Handover(
       this.#context,
@@ -89,9 +89,9 @@
     this.#relay = new ResponseRelay({
       sink,
       wholeEventsOnly: repeat === "stream" && resumable,
-      onBytes: (count) => parts.link.recordSent(count),
+      onBytes: (count) => dependencies.link.recordSent(count),
     });
-    this.#deadline = parts.timer.after(
+    this.#deadline = dependencies.timer.after(
       this.#context.allowedMilliseconds,
       () => this.#onDeadline(),
     );
@@ -99,8 +99,8 @@
   }
 
   async run(): Promise<void> {
-    const { parts, pool } = this.#context;
-    parts.retryBudget.recordRequest(pool.name);
+    const { dependencies, pool } = this.#context;
+    dependencies.retryBudget.recordRequest(pool.name);
     for (;;) {
       if (this.#context.blockedMilliseconds > 0) return this.#refuse(BLOCKED);
       const plan = await this.#plan();
@@ -142,9 +142,14 @@
   }
 
   #chooseService(): RegisteredEndpoint | undefined {
-    const { parts } = this.#context;
-    const healthy = parts.outcomes.filterHealthy(this.#context.endpoints());
-    return chooseServiceReplica(this.#context.preferUntried(healthy), parts);
+    const { dependencies } = this.#context;
+    const healthy = dependencies.availability.filterHealthy(
+      this.#context.endpoints(),
+    );
+    return chooseServiceReplica(
+      this.#context.preferUntried(healthy),
+      dependencies,
+    );
   }
 
   /** Waits if every replica is overloaded and one becomes available in time. */
@@ -173,14 +178,14 @@
 
   /** Undefined if no engine is left or the request was refused. */
   async #planEngines(prompt: Prompt): Promise<AttemptPlan | undefined> {
-    const { parts, pool, route } = this.#context;
+    const { dependencies, pool, route } = this.#context;
     const endpoints = this.#context.endpoints();
     if (endpoints.length === 0) return undefined;
     // A prefill is wasted if no engine can decode in time.
     if (this.#isOverloaded(canDecode) && !this.#isWorthWaiting(canDecode)) {
       return undefined;
     }
-    const needsHandover = parts.placement.needsHandover(prompt, {
+    const needsHandover = dependencies.placement.needsHandover(prompt, {
       pool,
       targetMilliseconds: route.targetMilliseconds,
     }) &&
@@ -195,7 +200,7 @@
     }
     const cacheZone = handover === undefined
       ? undefined
-      : parts.registry.get(handover.kept.engine)?.availabilityZone;
+      : dependencies.registry.get(handover.kept.engine)?.availabilityZone;
     const choice = await this.#chooseDecodeEngine(prompt, cacheZone);
     if (choice === undefined) return undefined;
     return {
@@ -215,7 +220,7 @@
     prompt: Prompt,
     cacheZone: AvailabilityZoneId | undefined,
   ): Promise<DecodeChoice | undefined> {
-    const { parts, pool } = this.#context;
+    const { dependencies, pool } = this.#context;
     const refreshed = await this.#refreshDecodeEngineLoad(cacheZone);
     if (this.#context.settled) return undefined;
     const choose = ({ requiresCapacity } = { requiresCapacity: false }) => {
@@ -228,7 +233,7 @@
       const withFreshLoad = decodeCandidates.filter(({ id }) =>
         refreshed.has(id)
       );
-      return parts.placement.chooseDecode(
+      return dependencies.placement.chooseDecode(
         withFreshLoad.length > 0 ? withFreshLoad : decodeCandidates,
         {
           prompt,
@@ -246,15 +251,15 @@
   async #refreshDecodeEngineLoad(
     cacheZone: AvailabilityZoneId | undefined,
   ): Promise<ReadonlySet<EndpointId>> {
-    const { parts } = this.#context;
-    if (!parts.isLoadStale()) return new Set();
+    const { dependencies } = this.#context;
+    if (!dependencies.isLoadStale()) return new Set();
     const decodeEngines = this.#context.endpoints().filter(canDecode);
-    const refreshed = parts.placement
+    const refreshed = dependencies.placement
       .decodeEnginesToRefresh(this.#context.withoutRejecting(decodeEngines), {
         cacheZone,
       })
       .map(({ id }) => id);
-    await parts.refreshLoad(refreshed);
+    await dependencies.refreshLoad(refreshed);
     return new Set(refreshed);
   }
 
@@ -270,12 +275,12 @@
     const others = this.#context.withoutRejecting(decodeEngines);
     if (others.length > 0) return others;
     return requiresCapacity
-      ? this.#context.parts.outcomes.filterAccepting(decodeEngines)
+      ? this.#context.dependencies.availability.filterAccepting(decodeEngines)
       : [];
   }
 
   async #send(plan: AttemptPlan): Promise<NextStep> {
-    const { parts } = this.#context;
+    const { dependencies } = this.#context;
     const { endpoint } = plan;
     // Endpoints may have crashed on the request while it was waiting.
     if (this.#context.blockedMilliseconds > 0) return "blocked";
@@ -287,12 +292,12 @@
     this.#context.report("placed", {
       step: "run",
       endpoint: endpoint.id,
-      openRequests: parts.load.total(endpoint.id).requests,
+      openRequests: dependencies.load.total(endpoint.id).requests,
       handover: plan.options.prefilledPrompt !== undefined,
     });
     const attempt = new ForwardAttempt(this.#context, plan);
     this.#attempt = attempt;
-    this.#sentAt = parts.timer.now();
+    this.#sentAt = dependencies.timer.now();
     const response = await attempt.answer;
     if (this.#context.settled) return "delivered";
     if (response.isErr()) {
@@ -304,7 +309,10 @@
       return this.#afterNotRun(endpoint.id);
     }
     if (plan.options.prefilledPrompt !== undefined) {
-      this.#handover.noteTransfer(endpoint, parts.timer.now() - this.#sentAt);
+      this.#handover.noteTransfer(
+        endpoint,
+        dependencies.timer.now() - this.#sentAt,
+      );
     }
     return await this.#deliver(response.value, attempt);
   }
@@ -358,7 +366,7 @@
       discard(response, attempt);
       return "again";
     }
-    this.#firstByteAt ??= this.#context.parts.timer.now();
+    this.#firstByteAt ??= this.#context.dependencies.timer.now();
     const end = await this.#relay.pipe(response, attempt);
     if (this.#context.settled) return "delivered";
     if (end === "whole") return this.#finish(head.status);
@@ -368,7 +376,7 @@
   /** Records that the request has started, as its response has begun. */
   #noteStarted(): void {
     if (this.#isEngineWork) {
-      this.#context.noteStarted(this.#context.parts.timer.now());
+      this.#context.noteStarted(this.#context.dependencies.timer.now());
     } else this.#noteServiceStarted();
   }
 
@@ -449,7 +457,7 @@
 
   /** When a retry is useful, in milliseconds. */
   #retryAfterMilliseconds(reason: string): number {
-    const { random } = this.#context.parts;
+    const { random } = this.#context.dependencies;
     if (reason === "entry_full") {
       return OTHER_ENTRY_RETRY_AFTER_MILLISECONDS +
         OTHER_ENTRY_RETRY_SPREAD_MILLISECONDS * random();
--- a/src/entry/forwarding/request_forwarder_test.ts
+++ b/src/entry/forwarding/request_forwarder_test.ts
@@ -38,7 +38,7 @@
     ): ForwardingHarness {
       const harness = makeHarness(route, options);
       for (const id of ["a", "b", "c"]) {
-        harness.parts.registry.upsert(makeEndpoint(id));
+        harness.dependencies.registry.upsert(makeEndpoint(id));
       }
       return harness;
     }
@@ -73,7 +73,7 @@
       const caller = await harness.submit(makeRequest());
       const [first] = harness.sent;
       const startedAt = numbered<ReplicaStartTime>(1_000);
-      harness.parts.registry.upsert(
+      harness.dependencies.registry.upsert(
         makeEndpoint(first.options.endpoint, { startedAt }),
       );
       await first.fail("exchange_lost");
@@ -93,14 +93,14 @@
       for (let count = 0; count < 36; count++) {
         await harness.submit(makeRequest());
       }
-      harness.parts.registry.upsert(makeEndpoint("a", { startedAt }));
+      harness.dependencies.registry.upsert(makeEndpoint("a", { startedAt }));
       for (const attempt of harness.sent) {
         const isFormerRun = attempt.options.endpoint === makeEndpoint("a").id;
         if (isFormerRun) await attempt.fail("exchange_lost");
         else await attempt.respond("done");
       }
-      const { outcomes, registry } = harness.parts;
-      expect(outcomes.filterHealthy([...registry.all])).to.have.length(3);
+      const { availability, registry } = harness.dependencies;
+      expect(availability.filterHealthy([...registry.all])).to.have.length(3);
     });
 
     it("logs the endpoint that it was lost with, and its digest", async () => {
@@ -114,7 +114,7 @@
       expect(lost).to.deep.include({
         requestId: request.id,
         route: "route",
-        digest: harness.parts.digestOf(request),
+        digest: harness.dependencies.digestOf(request),
         endpoint: harness.sent[0].options.endpoint,
         step: "run",
       });
@@ -176,7 +176,8 @@
       caller.disconnect();
       expect(harness.sent[0].aborted).to.equal(true);
       expect(
-        harness.parts.load.total(harness.sent[0].options.endpoint).requests,
+        harness.dependencies.load.total(harness.sent[0].options.endpoint)
+          .requests,
       )
         .to.equal(0);
     });
@@ -230,8 +231,8 @@
 
     function engines(): ForwardingHarness {
       const harness = makeHarness(route);
-      harness.parts.registry.upsert(makeEngine("a", "decode"));
-      harness.parts.registry.upsert(makeEngine("b", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("a", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("b", "decode"));
       return harness;
     }
 
@@ -283,10 +284,10 @@
       options?: ConstructorParameters<typeof ForwardingHarness>[1],
     ) {
       const harness = makeHarness(route, options);
-      harness.parts.registry.upsert(makeEngine("reader-1", "prefill"));
-      harness.parts.registry.upsert(makeEngine("reader-2", "prefill"));
-      harness.parts.registry.upsert(makeEngine("maker-1", "decode"));
-      harness.parts.registry.upsert(makeEngine("maker-2", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("reader-1", "prefill"));
+      harness.dependencies.registry.upsert(makeEngine("reader-2", "prefill"));
+      harness.dependencies.registry.upsert(makeEngine("maker-1", "decode"));
+      harness.dependencies.registry.upsert(makeEngine("maker-2", "decode"));
       return harness;
     }
 
@@ -353,7 +354,7 @@
       const caller = await ask(harness);
       const asked = harness.sent[0].options.endpoint;
       const other = asked === "reader-1" ? "reader-2" : "reader-1";
-      harness.parts.registry.upsert(
+      harness.dependencies.registry.upsert(
         makeEngine(other, "prefill", { leaving: true }),
       );
       await harness.sent[0].respondNotRun();
@@ -367,7 +368,7 @@
     // further decode with it is rejected until the caller gives up.
     it("is prefilled again if its cache was lost with the engine's run", async () => {
       const harness = fleet();
-      const { registry } = harness.parts;
+      const { registry } = harness.dependencies;
       await ask(harness);
       await harness.sent[0].respond("handle-1");
       const reader = harness.sent[0].options.endpoint;
@@ -479,7 +480,7 @@
     // in any case; prefilled first, it would make another one late as well.
     it("is prefilled after others for a caller that was refused before", async () => {
       const harness = fleet();
-      harness.parts.returningCallers.record("river-own", 0);
+      harness.dependencies.returningCallers.record("river-own", 0);
       await harness.timer.advance(400);
       await ask(harness);
       expect(harness.decisions[0]).to.include({
@@ -495,7 +496,7 @@
     for (const kind of ["on time", "late"]) {
       it(`is not forwarded if the caller disconnects meanwhile, ${kind}`, async () => {
         const harness = fleet();
-        Object.assign(harness.parts, {
+        Object.assign(harness.dependencies, {
           isLoadStale: () => true,
           refreshLoad: () =>
             new Promise<void>((resolve) => {
@@ -503,7 +504,7 @@
             }),
         });
         if (kind === "late") {
-          harness.parts.returningCallers.record("river-own", 400);
+          harness.dependencies.returningCallers.record("river-own", 400);
         }
         const caller = await ask(harness);
         await harness.timer.advance(kind === "late" ? 4 : 1);
@@ -525,7 +526,7 @@
         callers.push(await ask(harness, `s${index}`));
       }
       const refused = callers.filter(({ refusal }) => refusal !== undefined);
-      const admitted = harness.sent.length + harness.parts.held.count;
+      const admitted = harness.sent.length + harness.dependencies.held.count;
       expect(admitted).to.be.within(4, 10);
       expect(refused).to.have.length(30 - admitted);
       expect(refused[0].refusal?.reason).to.equal("entry_full");
@@ -566,7 +567,7 @@
     it("is held and costs no retry if it would be late", async () => {
       const harness = fleet({ repeats: 0 });
       for (const reader of ["reader-1", "reader-2"]) {
-        harness.parts.load.started(identifier<EndpointId>(reader), {
+        harness.dependencies.load.started(identifier<EndpointId>(reader), {
           milliseconds: 400,
           tokens: 0,
         });
@@ -584,7 +585,7 @@
     it("is prefilled once an engine is nearly idle, in order of urgency", async () => {
       const harness = fleet();
       const workHandles = ["reader-1", "reader-2"].map((reader) =>
-        harness.parts.load.started(identifier<EndpointId>(reader), {
+        harness.dependencies.load.started(identifier<EndpointId>(reader), {
           milliseconds: 400,
           tokens: 0,
         })
--- a/src/entry/forwarding/retry_budget_test.ts
+++ b/src/entry/forwarding/retry_budget_test.ts
@@ -131,7 +131,7 @@
       }),
       { repeats: MINIMUM },
     );
-    const { registry } = harness.parts;
+    const { registry } = harness.dependencies;
     for (let index = 0; index < 6; index++) {
       registry.upsert(makeEngine(`reader-${index}`, "prefill"));
     }
--- a/src/entry/forwarding/role_share_test.ts
+++ b/src/entry/forwarding/role_share_test.ts
@@ -47,7 +47,7 @@
   );
   new SimulatedEngines(harness);
   for (const engine of makeEngines(prefillShare)) {
-    harness.parts.registry.upsert(engine);
+    harness.dependencies.registry.upsert(engine);
   }
   let asked = 0;
   let onTime = 0;
--- a/src/entry/forwarding/wait_for_choice.ts
+++ b/src/entry/forwarding/wait_for_choice.ts
@@ -42,7 +42,7 @@
   context: ForwardContext,
   choose: () => Choice | undefined,
 ): Promise<Choice | undefined> {
-  const { timer } = context.parts;
+  const { timer } = context.dependencies;
   let choice: Choice | undefined;
   while (choice === undefined && mayStillWait(context)) {
     await new Promise<void>((resolve) => {
--- a/test/support/forwarding_harness.ts
+++ b/test/support/forwarding_harness.ts
@@ -170,9 +170,9 @@
   readonly sent: SentAttempt[] = [];
   readonly released: string[] = [];
   /** Workspace and start time of each request that began to run. */
-  readonly began: (readonly [workspace: string, at: number])[] = [];
+  readonly started: (readonly [workspace: string, at: number])[] = [];
   readonly decisions: Record<string, unknown>[] = [];
-  readonly parts: ForwardingDependencies;
+  readonly dependencies: ForwardingDependencies;
   /** Event loop delay of the entry, milliseconds. */
   loopDelay = 0;
   /**
@@ -193,7 +193,7 @@
     const random = seededRandom(11);
     const load = new FleetLoad(timer);
     const prefixes = new PrefixDirectory();
-    const outcomes = new EndpointAvailability(timer);
+    const availability = new EndpointAvailability(timer);
     const { estimates = knownEstimates() } = options;
     const slowness = new EngineSlowness(timer);
     this.#routes = new RouteTable(configuration);
@@ -205,19 +205,19 @@
     };
     const availabilityZone = identifier<AvailabilityZoneId>("zone-1");
     const registry = new EndpointRegistry({ timer });
-    this.parts = {
+    this.dependencies = {
       timer,
       random,
       availabilityZone,
       registry,
       load,
       prefixes,
-      outcomes,
+      availability,
       placement: new EnginePlacement({
         availabilityZone,
         load,
         prefixes,
-        outcomes,
+        availability,
         estimates,
         slowness,
         random,
@@ -247,7 +247,7 @@
       },
       routes: () => this.#routes,
       reportLeaving: (run) => registry.markLeaving(run) !== undefined,
-      noteStarted: (workspace, at) => void this.began.push([workspace, at]),
+      noteStarted: (workspace, at) => void this.started.push([workspace, at]),
       isChanging: () => false,
     };
   }
@@ -260,7 +260,7 @@
   /** Forwards a request and returns the sink of its caller. */
   async submit(request: ForwardedRequest): Promise<RecordingSink> {
     const sink = new RecordingSink();
-    void forward(this.parts, { request, sink });
+    void forward(this.dependencies, { request, sink });
     await flushPromises();
     return sink;
   }
