--- a/bench/bench_region.ts
+++ b/bench/bench_region.ts
@@ -1,7 +1,7 @@
 import { SystemTimerService } from "../src/adapters/time/mod.ts";
 
 /** Names and sizes that the processes of a measurement share. */
-export const REGION = "klang-valley";
+export const BENCH_REGION = "klang-valley";
 export const ZONE = "shah-alam";
 export const MODEL = "triage-llm";
 export const SLOTS = 64;
--- a/bench/configuration.ts
+++ b/bench/configuration.ts
@@ -7,7 +7,11 @@
 import { parseArgs } from "node:util";
 import type { LogRecord } from "../src/generated/log_records.ts";
 import { CONFIGURATION, ORDERS } from "../test/support/coordination.ts";
-import { contentFor, Fleet, type FleetSize } from "./configuration_fleet.ts";
+import {
+  ConfigurationFleet,
+  contentFor,
+  type FleetSize,
+} from "./configuration_fleet.ts";
 
 interface FleetCase extends FleetSize {
   readonly changesPerDay: number;
@@ -51,7 +55,7 @@
 
 /** Advances virtual time until the promise settles. */
 async function advanceUntilSettled<Value>(
-  fleet: Fleet,
+  fleet: ConfigurationFleet,
   promise: Promise<Value>,
 ): Promise<Value> {
   let settled = false;
@@ -61,7 +65,7 @@
 }
 
 function inForceTimes(
-  fleet: Fleet,
+  fleet: ConfigurationFleet,
   published: readonly { version: number; started: number }[],
 ): InForceTimes {
   const times: number[] = [];
@@ -86,7 +90,7 @@
 
 /** Messages and bytes per second of one node while `run` executes. */
 async function measureRates(
-  fleet: Fleet,
+  fleet: ConfigurationFleet,
   run: () => Promise<void>,
 ): Promise<Rates> {
   const startedAt = fleet.timer.now();
@@ -122,7 +126,7 @@
 }
 
 /** Records appended per second, by kind, over the whole run. */
-function appendRatesByKind(fleet: Fleet): Record<string, number> {
+function appendRatesByKind(fleet: ConfigurationFleet): Record<string, number> {
   const seconds = fleet.timer.now() / 1_000;
   const counts: Record<string, number> = {};
   for (const stream of [CONFIGURATION, ORDERS]) {
@@ -140,7 +144,7 @@
 
 async function measure(size: FleetCase) {
   const intervalMilliseconds = DAY_MILLISECONDS / size.changesPerDay;
-  const fleet = new Fleet(size);
+  const fleet = new ConfigurationFleet(size);
   await fleet.timer.advance(WARM_UP_MILLISECONDS);
   const quiet = await measureRates(
     fleet,
--- a/bench/configuration_fleet.ts
+++ b/bench/configuration_fleet.ts
@@ -45,7 +45,7 @@
 }
 
 /** Entries and sides of one region that read the same configuration stream. */
-export class Fleet {
+export class ConfigurationFleet {
   readonly timer = new ManualTimerService();
   readonly log = new FakeLog({
     timer: this.timer,
--- a/bench/engine_model.ts
+++ b/bench/engine_model.ts
@@ -18,7 +18,7 @@
 export const SINGLE_STREAM_SHARE = 0.6;
 
 /** Capacity of an engine in each role; see docs/DECISIONS.md. */
-export const ROLE_PROFILES: Readonly<
+export const ENGINE_ROLE_PROFILES: Readonly<
   Record<Role, {
     prefillShare: number;
     slotShare: number;
@@ -107,7 +107,7 @@
   }
 
   get slots(): number {
-    const share = ROLE_PROFILES[this.#role].slotShare;
+    const share = ENGINE_ROLE_PROFILES[this.#role].slotShare;
     return Math.max(1, Math.round(this.#engine.slots * share));
   }
 
@@ -139,7 +139,7 @@
     const filled = this.#decoding / this.#engine.slots;
     const batch = SINGLE_STREAM_SHARE + (1 - SINGLE_STREAM_SHARE) * filled;
     const interference = this.#isPrefilling
-      ? ROLE_PROFILES[this.#role].interference
+      ? ENGINE_ROLE_PROFILES[this.#role].interference
       : 1;
     return this.#engine.millisecondsBetweenTokens * batch * interference /
       this.speed;
@@ -198,7 +198,7 @@
 
   #prefillPerMillisecond(): number {
     return this.#engine.prefillTokensPerSecond / 1_000 * this.speed *
-      ROLE_PROFILES[this.#role].prefillShare;
+      ENGINE_ROLE_PROFILES[this.#role].prefillShare;
   }
 
   /** Advances decoding and prefill to the current time. */
--- a/bench/entry_host.ts
+++ b/bench/entry_host.ts
@@ -11,7 +11,7 @@
 import { findFreePort } from "../test/support/free_port.ts";
 import { ProcessFleet } from "../test/support/process_fleet.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
-import { MODEL, REGION, SLOTS, timer, ZONE } from "./bench_region.ts";
+import { BENCH_REGION, MODEL, SLOTS, timer, ZONE } from "./bench_region.ts";
 
 /** Runs entries on real sockets in this process, and one side as a process. */
 export class EntryHost {
@@ -29,7 +29,7 @@
     const port = await findFreePort();
     const settings = this.#fleet.writeToml("side.toml", {
       name: "side-0",
-      region: REGION,
+      region: BENCH_REGION,
       availabilityZone: ZONE,
       endpoint: "engine-0",
       kind: "engine",
@@ -38,7 +38,7 @@
       entries: addresses,
     });
     const side = this.#fleet.startProgram(["side", "--settings", settings]);
-    log.appendDirectly(identifier(`configuration.${REGION}`), [
+    log.appendDirectly(identifier(`configuration.${BENCH_REGION}`), [
       publicationOf(`127.0.0.1:${port}`),
     ]);
     return side.child.pid ?? 0;
@@ -54,7 +54,7 @@
     const core = new EntryCore({
       name: identifier(`entry-${index}`),
       incarnation: identifier(uuidv7()),
-      region: identifier(REGION),
+      region: identifier(BENCH_REGION),
       availabilityZone: identifier(ZONE),
       timer,
       random: systemRandom,
@@ -109,7 +109,7 @@
       base: 0,
       content: {
         inventory: {
-          region: REGION,
+          region: BENCH_REGION,
           availabilityZones: [ZONE],
           pools: [{
             name: MODEL,
--- a/bench/entry_under_test.ts
+++ b/bench/entry_under_test.ts
@@ -6,13 +6,13 @@
 import { ProcessFleet } from "../test/support/process_fleet.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
 import {
+  BENCH_REGION,
   ENDPOINTS_PER_POOL,
   MODEL,
-  REGION,
   SLOTS,
   ZONE,
 } from "./bench_region.ts";
-import { sleep } from "./process_stats.ts";
+import { realTimeSleep } from "./process_stats.ts";
 import { SideHost, TOKEN_MILLISECONDS } from "./side_host.ts";
 
 /** Time for streams to get their first tokens. */
@@ -41,7 +41,7 @@
     this.#peerAddress = `127.0.0.1:${peers}`;
     const settings = this.#fleet.writeToml("entry.toml", {
       name: "entry-0",
-      region: REGION,
+      region: BENCH_REGION,
       availabilityZone: ZONE,
       callers: { host: "127.0.0.1", port: callers },
       peers: { host: "127.0.0.1", port: peers },
@@ -68,10 +68,13 @@
       sequence: 0,
       body: publication,
     };
-    await fetch(`${this.#logUrl}/streams/configuration.${REGION}/records`, {
-      method: "POST",
-      body: JSON.stringify({ records: [record] }),
-    });
+    await fetch(
+      `${this.#logUrl}/streams/configuration.${BENCH_REGION}/records`,
+      {
+        method: "POST",
+        body: JSON.stringify({ records: [record] }),
+      },
+    );
     await this.#waitUntilInForce();
   }
 
@@ -79,7 +82,10 @@
   async openStreams(count: number): Promise<void> {
     const opened = Array.from({ length: count }, () => this.#openStream());
     // Streams that are queued for a full endpoint count as open.
-    await Promise.race([Promise.all(opened), sleep(OPEN_TIMEOUT_MILLISECONDS)]);
+    await Promise.race([
+      Promise.all(opened),
+      realTimeSleep(OPEN_TIMEOUT_MILLISECONDS),
+    ]);
   }
 
   async close(): Promise<void> {
@@ -142,7 +148,7 @@
           },
         },
       );
-      if (response.isErr()) await sleep(50);
+      if (response.isErr()) await realTimeSleep(50);
       else if (response.value.configurationVersion > this.#version) {
         this.#version = response.value.configurationVersion;
         return;
@@ -178,7 +184,7 @@
       });
     }
     return {
-      inventory: { region: REGION, availabilityZones: [ZONE], pools },
+      inventory: { region: BENCH_REGION, availabilityZones: [ZONE], pools },
       rules: {
         classes: [{ name: "bulk", priority: 5, deadlineSeconds: 3_600 }],
         defaultClass: "bulk",
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -8,9 +8,9 @@
 import { DEPLOYMENTS } from "./load_deployments.ts";
 import { RunStats } from "./load_stats.ts";
 import {
-  type Cell,
   type CellResult,
-  runCells,
+  type LoadCell,
+  runLoadCells,
   scaleFor,
   VARIANTS,
 } from "./load_cells.ts";
@@ -31,8 +31,8 @@
 const SEEDS_PER_CELL = 5;
 const PERCENTILES = [0.5, 0.95, 0.99];
 
-function cellsOf(seeds: number): Cell[] {
-  const cells: Cell[] = [];
+function cellsOf(seeds: number): LoadCell[] {
+  const cells: LoadCell[] = [];
   for (const deployment of DEPLOYMENTS) {
     for (const load of LOADS) {
       for (const variant of VARIANTS) {
@@ -137,7 +137,7 @@
 });
 const seeds = values.quick ? QUICK_SEEDS : Number(values.seeds ?? SEEDS);
 const startedAt = performance.now();
-const merged = merge(await runCells(cellsOf(seeds)));
+const merged = merge(await runLoadCells(cellsOf(seeds)));
 const summaries: Record<string, unknown> = {};
 for (const deployment of DEPLOYMENTS) {
   const scale = scaleFor(deployment);
--- a/bench/load_arrivals.ts
+++ b/bench/load_arrivals.ts
@@ -7,7 +7,7 @@
   swingFactor,
 } from "./load_deployments.ts";
 
-export interface Arrival {
+export interface LoadArrival {
   readonly at: number;
   readonly shape: ClassShape;
   readonly workspace: string;
@@ -39,10 +39,10 @@
 export function makeArrivals(
   deployment: Deployment,
   options: ArrivalOptions,
-): Arrival[] {
+): LoadArrival[] {
   const random = seededRandom(options.seed * 7_919 + 17);
   const phase = random() * (options.periodSeconds ?? SWING_PERIOD_SECONDS);
-  const arrivals: Arrival[] = [];
+  const arrivals: LoadArrival[] = [];
   for (const shape of deployment.shapes) {
     const capacity = options.capacities.get(shape.pool) ?? 0;
     const rate = capacity * options.load * shape.share;
@@ -56,9 +56,9 @@
 function makeClassArrivals(
   shape: ClassShape,
   options: ArrivalOptions & { random: Random; phase: number; rate: number },
-): Arrival[] {
+): LoadArrival[] {
   const { random, rate } = options;
-  const arrivals: Arrival[] = [];
+  const arrivals: LoadArrival[] = [];
   const maxRate = rate * 1.5;
   let seconds = 0;
   for (;;) {
@@ -74,7 +74,7 @@
   at: number,
   shape: ClassShape,
   options: ArrivalOptions & { random: Random },
-): Arrival {
+): LoadArrival {
   const { random } = options;
   const callMilliseconds = (shape.callMilliseconds ?? 0) *
     logNormal(random, CALL_TIME_LOG_DEVIATION);
--- a/bench/load_bound.ts
+++ b/bench/load_bound.ts
@@ -4,7 +4,7 @@
   servedValuePerSecond,
 } from "../src/core/roles/mod.ts";
 import type { Pool } from "../src/generated/inventory.ts";
-import { ROLE_PROFILES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
+import { ENGINE_ROLE_PROFILES, SINGLE_STREAM_SHARE } from "./engine_model.ts";
 import {
   type ClassShape,
   type Deployment,
@@ -22,8 +22,8 @@
   decode: bestProfile("decode"),
 };
 
-function bestProfile(role: keyof typeof ROLE_PROFILES) {
-  const { prefillShare, slotShare, interference } = ROLE_PROFILES[role];
+function bestProfile(role: keyof typeof ENGINE_ROLE_PROFILES) {
+  const { prefillShare, slotShare, interference } = ENGINE_ROLE_PROFILES[role];
   const decodeFactor = SINGLE_STREAM_SHARE +
     (1 - SINGLE_STREAM_SHARE) * slotShare;
   const promptDrag = 1 - 1 / interference;
--- a/bench/load_cells.ts
+++ b/bench/load_cells.ts
@@ -24,7 +24,7 @@
 }
 
 /** One cell of the bench: a deployment, a load, a variant and its seeds. */
-export interface Cell {
+export interface LoadCell {
   readonly deployment: string;
   readonly load: number;
   readonly variant: string;
@@ -45,7 +45,7 @@
 }
 
 export interface CellResult {
-  readonly cell: Cell;
+  readonly cell: LoadCell;
   readonly stats: SerializedStats;
 }
 
@@ -104,7 +104,7 @@
 }
 
 /** Runs all seeds of one cell in sequence and merges their statistics. */
-export async function runCell(cell: Cell): Promise<RunStats> {
+export async function runLoadCell(cell: LoadCell): Promise<RunStats> {
   const { changes = {} } = cell;
   const deployment = withRoleChangeWeight(
     deploymentNamed(cell.deployment),
@@ -130,7 +130,9 @@
 const WORKER_ARGUMENT = "load-worker";
 
 /** Runs the cells in worker processes that share one queue. */
-export async function runCells(cells: readonly Cell[]): Promise<CellResult[]> {
+export async function runLoadCells(
+  cells: readonly LoadCell[],
+): Promise<CellResult[]> {
   const pending = [...cells];
   const results: CellResult[] = [];
   const workers = Array.from(
@@ -141,7 +143,7 @@
   return results;
 }
 
-function runWorker(pending: Cell[], results: CellResult[]): Promise<void> {
+function runWorker(pending: LoadCell[], results: CellResult[]): Promise<void> {
   return new Promise((resolve, reject) => {
     const worker = fork(fileURLToPath(import.meta.url), [WORKER_ARGUMENT], {
       execArgv: ["--import", "tsx"],
@@ -167,8 +169,8 @@
 
 if (process.argv[2] === WORKER_ARGUMENT) {
   process.on("message", (message) => {
-    const cell = message as Cell;
-    void runCell(cell).then((stats) =>
+    const cell = message as LoadCell;
+    void runLoadCell(cell).then((stats) =>
       process.send?.({ cell, stats: stats.serialize() })
     );
   });
--- a/bench/load_run.ts
+++ b/bench/load_run.ts
@@ -26,7 +26,7 @@
 } from "../src/core/scheduling/mod.ts";
 import { ManualTimerService } from "../src/core/time/mod.ts";
 import type { Inventory, Pool } from "../src/generated/inventory.ts";
-import { type Arrival, makeArrivals } from "./load_arrivals.ts";
+import { type LoadArrival, makeArrivals } from "./load_arrivals.ts";
 import { DOCUMENT_SHARE } from "./load_bound.ts";
 import type { Deployment } from "./load_deployments.ts";
 import { RunStats } from "./load_stats.ts";
@@ -54,10 +54,10 @@
   readonly reportLagMilliseconds?: number;
   readonly seconds?: number;
   readonly periodSeconds?: number;
-  readonly arrivals?: readonly Arrival[];
+  readonly arrivals?: readonly LoadArrival[];
   /** Called when a measured request ends. */
   readonly onRequestEnd?: (
-    arrival: Arrival,
+    arrival: LoadArrival,
     result: "onTime" | "late" | "refused",
   ) => void;
   /** Called after set-up, for fault injection. */
@@ -78,7 +78,7 @@
 const DEFAULT_SIDE_WAITING = 8;
 
 interface OpenRequest {
-  readonly arrival: Arrival;
+  readonly arrival: LoadArrival;
   readonly entry: Scheduler;
   readonly zone: string;
   readonly profile: RequestProfile;
@@ -182,7 +182,7 @@
     this.entries.push(entry);
   }
 
-  #scheduleArrivals(arrivals: readonly Arrival[], index: number): void {
+  #scheduleArrivals(arrivals: readonly LoadArrival[], index: number): void {
     const arrival = arrivals[index];
     if (arrival === undefined) return;
     this.timer.after(arrival.at - this.timer.now(), () => {
@@ -247,7 +247,7 @@
     };
   }
 
-  #submit(arrival: Arrival): void {
+  #submit(arrival: LoadArrival): void {
     const { workClass } = arrival.shape;
     const index = arrival.entry;
     const zone = this.#inventory.availabilityZones[index];
@@ -275,7 +275,7 @@
     if (request.done) deadlineTimer.cancel();
   }
 
-  #makeProfile(arrival: Arrival, zone: string): RequestProfile {
+  #makeProfile(arrival: LoadArrival, zone: string): RequestProfile {
     const { shape } = arrival;
     const id = `request-${this.#nextRequestNumber++}`;
     return {
--- a/bench/load_sweeps.ts
+++ b/bench/load_sweeps.ts
@@ -5,7 +5,7 @@
 import { parseArgs } from "node:util";
 import { DEPLOYMENTS } from "./load_deployments.ts";
 import { RunStats } from "./load_stats.ts";
-import { type Cell, type CellChanges, runCells } from "./load_cells.ts";
+import { type CellChanges, type LoadCell, runLoadCells } from "./load_cells.ts";
 
 interface Sweep {
   readonly name: string;
@@ -91,7 +91,7 @@
 ];
 
 async function printSweep(sweep: Sweep): Promise<void> {
-  const cells: Cell[] = sweep.settings.flatMap(([, changes]) =>
+  const cells: LoadCell[] = sweep.settings.flatMap(([, changes]) =>
     DEPLOYMENTS.flatMap(({ name }) =>
       LOADS.map((load) => ({
         deployment: name,
@@ -102,7 +102,7 @@
       }))
     )
   );
-  const results = await runCells(cells);
+  const results = await runLoadCells(cells);
   const columnHeaders = DEPLOYMENTS.flatMap(({ name }) =>
     LOADS.map((load) => `${name} ${load}`)
   );
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -9,7 +9,11 @@
 import process from "node:process";
 import { builtBinary } from "../test/support/built_binary.ts";
 import { PathProcesses } from "./path_processes.ts";
-import { type ProcessStats, readProcess, sleep } from "./process_stats.ts";
+import {
+  type ProcessStats,
+  readProcess,
+  realTimeSleep,
+} from "./process_stats.ts";
 import { StreamLoad } from "./stream_load.ts";
 
 const STREAM_COUNTS = [1, 100, 1_000];
@@ -83,7 +87,7 @@
   const before = readAll();
   load.tokenLatencies.length = 0;
   load.recordsLatencies = true;
-  await sleep(WINDOW_MILLISECONDS);
+  await realTimeSleep(WINDOW_MILLISECONDS);
   load.recordsLatencies = false;
   const after = readAll();
   const seconds = (performance.now() - start) / 1_000;
@@ -120,7 +124,7 @@
   const memory = readProcess(path.entryPid).residentBytes - memoryBefore;
   const sideMemory = readProcess(path.sidePid).residentBytes - sideMemoryBefore;
   proxied.close();
-  await sleep(1_000);
+  await realTimeSleep(1_000);
   return {
     streams: count,
     addedFirstTokenMilliseconds: rounded(
@@ -143,7 +147,7 @@
   await openStreams(load, FULL_LOAD_STREAMS);
   const stats = await measureWindow(path, load);
   load.close();
-  await sleep(1_000);
+  await realTimeSleep(1_000);
   const { tokensPerSecond, entryShare, sideShare, engineShare } = stats;
   return {
     offeredTokensPerSecond: FULL_LOAD_STREAMS * 200,
--- a/bench/path_processes.ts
+++ b/bench/path_processes.ts
@@ -7,8 +7,8 @@
 import { LogServiceStandIn } from "../test/stand_ins/log_service.ts";
 import { findFreePort } from "../test/support/free_port.ts";
 import { uuidv7 } from "../test/support/uuid.ts";
-import { MODEL, REGION, ZONE } from "./bench_region.ts";
-import { sleep } from "./process_stats.ts";
+import { BENCH_REGION, MODEL, ZONE } from "./bench_region.ts";
+import { realTimeSleep } from "./process_stats.ts";
 
 export interface PathOptions {
   /** Directory for CPU profiles of entry and side; none if absent. */
@@ -55,7 +55,7 @@
       String(engine),
     ]);
     const commonSettings = {
-      region: REGION,
+      region: BENCH_REGION,
       availabilityZone: ZONE,
       log: { level: "warn" },
     };
@@ -98,7 +98,7 @@
       const ended = new Promise((resolve) => child.once("exit", resolve));
       const exited = await Promise.race([
         ended,
-        sleep(STOP_TIMEOUT_MILLISECONDS),
+        realTimeSleep(STOP_TIMEOUT_MILLISECONDS),
       ]);
       if (exited === undefined) child.kill("SIGKILL");
     }
@@ -133,7 +133,7 @@
     const endpoint = { id: "engine-0", availabilityZone: ZONE, side };
     const content = {
       inventory: {
-        region: REGION,
+        region: BENCH_REGION,
         availabilityZones: [ZONE],
         pools: [{
           name: MODEL,
@@ -168,7 +168,7 @@
       sequence: 0,
       body,
     };
-    await fetch(`${logService}/streams/configuration.${REGION}/records`, {
+    await fetch(`${logService}/streams/configuration.${BENCH_REGION}/records`, {
       method: "POST",
       body: JSON.stringify({ records: [record] }),
     });
@@ -188,7 +188,7 @@
       }).catch(() => undefined);
       await response?.arrayBuffer();
       if (response?.status === 200) return;
-      await sleep(200);
+      await realTimeSleep(200);
     }
     throw new Error("Timed out before entry and side were ready");
   }
--- a/bench/process_stats.ts
+++ b/bench/process_stats.ts
@@ -49,7 +49,7 @@
 ): Promise<ProcessRates> {
   const start = performance.now();
   const before = readProcess(pid);
-  await sleep(milliseconds);
+  await realTimeSleep(milliseconds);
   const after = readProcess(pid);
   const seconds = (performance.now() - start) / 1000;
   return {
@@ -70,12 +70,12 @@
   const collect: () => void = runInNewContext("gc");
   for (let turn = 0; turn < 3; turn += 1) {
     collect();
-    await sleep(5);
+    await realTimeSleep(5);
   }
   return process.memoryUsage().heapUsed;
 }
 
-export function sleep(milliseconds: number): Promise<void> {
+export function realTimeSleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
--- a/bench/slopes_binary.ts
+++ b/bench/slopes_binary.ts
@@ -4,7 +4,11 @@
 import { ENDPOINTS_PER_POOL } from "./bench_region.ts";
 import { EntryHost } from "./entry_host.ts";
 import { EntryUnderTest } from "./entry_under_test.ts";
-import { measureProcess, type ProcessRates, sleep } from "./process_stats.ts";
+import {
+  measureProcess,
+  type ProcessRates,
+  realTimeSleep,
+} from "./process_stats.ts";
 import type { Series } from "./slope_fit.ts";
 
 const WINDOW_MILLISECONDS = 6_000;
@@ -49,7 +53,7 @@
   const runs = [16, 64, 128, 256].map(async (x) => {
     const entry = new EntryUnderTest();
     await entry.start(x);
-    await sleep(SETTLE_MILLISECONDS);
+    await realTimeSleep(SETTLE_MILLISECONDS);
     const rates = await measureProcess(
       entry.pid,
       LONG_POLL_WINDOW_MILLISECONDS,
@@ -64,12 +68,12 @@
   const measured: { x: number; rates: ProcessRates }[] = [];
   const entry = new EntryUnderTest();
   await entry.start(ENDPOINTS_PER_POOL);
-  await sleep(SETTLE_MILLISECONDS);
+  await realTimeSleep(SETTLE_MILLISECONDS);
   let open = 0;
   for (const x of [100, 200, 400, 800]) {
     await entry.openStreams(x - open);
     open = x;
-    await sleep(SETTLE_MILLISECONDS / 2);
+    await realTimeSleep(SETTLE_MILLISECONDS / 2);
     const rates = await measureProcess(entry.pid, WINDOW_MILLISECONDS);
     measured.push({ x, rates });
   }
@@ -81,7 +85,7 @@
   const measured: { x: number; rates: ProcessRates }[] = [];
   const entry = new EntryUnderTest();
   await entry.start(64);
-  await sleep(SETTLE_MILLISECONDS);
+  await realTimeSleep(SETTLE_MILLISECONDS);
   for (const x of [0, 30, 60, 120]) {
     const measuring = measureProcess(entry.pid, WINDOW_MILLISECONDS);
     const changes = Math.round(x * WINDOW_MILLISECONDS / 60_000);
@@ -90,7 +94,7 @@
       await entry.publish(change % 2 ? {} : { "engine-1": "draining" });
       const remainingMilliseconds = WINDOW_MILLISECONDS / changes -
         (performance.now() - started);
-      await sleep(Math.max(0, remainingMilliseconds));
+      await realTimeSleep(Math.max(0, remainingMilliseconds));
     }
     measured.push({ x, rates: await measuring });
   }
@@ -103,7 +107,7 @@
   const runs = [2, 4, 8, 16].map(async (x) => {
     const region = new EntryHost();
     const pid = await region.start(x);
-    await sleep(2 * SETTLE_MILLISECONDS);
+    await realTimeSleep(2 * SETTLE_MILLISECONDS);
     const rates = await measureProcess(pid, LONG_POLL_WINDOW_MILLISECONDS);
     await region.close();
     return { x, rates };
--- a/scripts/soak_platform.ts
+++ b/scripts/soak_platform.ts
@@ -10,7 +10,10 @@
 import process from "node:process";
 import { parseArgs } from "node:util";
 import { REGRESSION_SEEDS } from "../platform/test/soak/regression_seeds.ts";
-import { soak, type SoakResult } from "../platform/test/soak/soak.ts";
+import {
+  type PlatformSoakResult,
+  runPlatformSoak,
+} from "../platform/test/soak/soak.ts";
 import "./build_platform.ts";
 
 const { values } = parseArgs({
@@ -26,7 +29,11 @@
   },
 });
 
-function saveLogs(folder: string, seed: number, result: SoakResult): void {
+function saveLogs(
+  folder: string,
+  seed: number,
+  result: PlatformSoakResult,
+): void {
   mkdirSync(folder, { recursive: true });
   for (const [name, text] of result.logs) {
     writeFileSync(join(folder, `${seed}-${name}.log`), text);
@@ -58,7 +65,7 @@
 
 let failedRuns = 0;
 for (const { seed, seconds } of requestedRuns()) {
-  const result = await soak({
+  const result = await runPlatformSoak({
     seed,
     seconds,
     entries: Number(values.entries),
--- a/src/cli/side/command.ts
+++ b/src/cli/side/command.ts
@@ -1,7 +1,7 @@
 import process from "node:process";
 import type { CommandModule } from "yargs";
 
-/** `filbertshore side`: the sidecar process of an endpoint. */
+/** `filbertshore side`: the side process of an endpoint. */
 export const sideCommand: CommandModule<unknown, { settings: string }> = {
   command: "side",
   describe:
--- a/src/core/scheduling/outcomes_test.ts
+++ b/src/core/scheduling/outcomes_test.ts
@@ -1,10 +1,13 @@
 import { expect } from "chai";
 import { describe, it } from "mocha";
 import { CURRENT, LEAST_IN_FLIGHT } from "../../../bench/load_baselines.ts";
-import { type Arrival, makeArrivals } from "../../../bench/load_arrivals.ts";
+import {
+  type LoadArrival,
+  makeArrivals,
+} from "../../../bench/load_arrivals.ts";
 import { KOPERASI } from "../../../bench/load_deployments.ts";
 import type { RunStats } from "../../../bench/load_stats.ts";
-import { runCell, scaleFor } from "../../../bench/load_cells.ts";
+import { runLoadCell, scaleFor } from "../../../bench/load_cells.ts";
 import {
   LoadRun,
   type RunOptions,
@@ -29,7 +32,7 @@
   }).run();
 }
 
-function arrivalsAt(load: number): Arrival[] {
+function arrivalsAt(load: number): LoadArrival[] {
   const { capacities } = scaleFor(KOPERASI);
   return makeArrivals(KOPERASI, {
     seed: 5,
@@ -47,10 +50,10 @@
 function extraArrivals(
   className: string,
   options: { count: number; from: number; every: number; workspace: string },
-): Arrival[] {
+): LoadArrival[] {
   const model = arrivalsAt(0.5).find((one) =>
     one.shape.workClass.name === className
-  ) as Arrival;
+  ) as LoadArrival;
   return Array.from({ length: options.count }, (_, index) => ({
     ...model,
     at: options.from + index * options.every,
@@ -59,7 +62,7 @@
   }));
 }
 
-function mergeByTime(...lists: readonly Arrival[][]): Arrival[] {
+function mergeByTime(...lists: readonly LoadArrival[][]): LoadArrival[] {
   return lists.flat().sort((one, other) => one.at - other.at);
 }
 
@@ -229,7 +232,7 @@
     const goodput = async (variant: string) => {
       const changes = { seconds: SECONDS };
       const cell = { deployment: "koperasi", load: 1, seeds: [1], changes };
-      return (await runCell({ ...cell, variant })).total().goodput;
+      return (await runLoadCell({ ...cell, variant })).total().goodput;
     };
     expect(await goodput("first")).to.not.equal(await goodput("present"));
   });
--- a/test/matrix/fake_endpoints.ts
+++ b/test/matrix/fake_endpoints.ts
@@ -55,7 +55,7 @@
 }
 
 /** A model engine that records its events. */
-export class FakeEngine implements FakeEndpoint {
+export class FakeModelEngine implements FakeEndpoint {
   readonly kind = "engine";
   readonly #options: EngineOptions;
   readonly #generations = new Set<Generation>();
--- a/test/matrix/fake_links.ts
+++ b/test/matrix/fake_links.ts
@@ -25,7 +25,7 @@
 import type { AttemptHandle, SideCore } from "../../src/side/mod.ts";
 import type { EntryCore } from "../../src/entry/mod.ts";
 import type { FakeLog } from "../support/fake_log.ts";
-import type { FakeEngine, FakeService } from "./fake_endpoints.ts";
+import type { FakeModelEngine, FakeService } from "./fake_endpoints.ts";
 import {
   ENDPOINT_CLOSED,
   LINK_LOST,
@@ -161,7 +161,7 @@
   createEndpointLink(
     from: string,
     gate: ProcessGate,
-    endpoint: FakeEngine | FakeService,
+    endpoint: FakeModelEngine | FakeService,
   ): EndpointLink {
     const connection = new EndpointConnection(this.#options, {
       from,
@@ -377,7 +377,7 @@
 interface EndpointRoute {
   readonly from: string;
   readonly gate: ProcessGate;
-  readonly endpoint: FakeEngine | FakeService;
+  readonly endpoint: FakeModelEngine | FakeService;
 }
 
 /** The local connection between a side and its endpoint. */
@@ -395,7 +395,7 @@
     onToken: (text: string) => void,
   ): GenerationCall {
     const { from, gate } = this.#route;
-    const engine = this.#route.endpoint as FakeEngine;
+    const engine = this.#route.endpoint as FakeModelEngine;
     let call: GenerationCall | undefined;
     let cancelled = false;
     const finished = new Promise<Awaited<GenerationCall["finished"]>>(
@@ -436,12 +436,12 @@
     target: Parameters<EndpointLink["order"]>[0],
     fencing: number,
   ): ReturnType<EndpointLink["order"]> {
-    const engine = this.#route.endpoint as FakeEngine;
+    const engine = this.#route.endpoint as FakeModelEngine;
     return this.#request("order", () => engine.order(target, fencing));
   }
 
   observe(): ReturnType<EndpointLink["observe"]> {
-    const engine = this.#route.endpoint as FakeEngine;
+    const engine = this.#route.endpoint as FakeModelEngine;
     return this.#request("observe", () => engine.observe());
   }
 
--- a/test/matrix/fake_network.ts
+++ b/test/matrix/fake_network.ts
@@ -2,7 +2,7 @@
 import type { TimerService } from "../../src/core/time/mod.ts";
 
 /** A message between two processes, endpoints or the log. */
-export interface NetworkMessage {
+export interface FakeNetworkMessage {
   /** Name of the message's step in the fault table. */
   readonly step: string;
   readonly from: string;
@@ -24,7 +24,7 @@
   readonly timer: TimerService;
   readonly random: Random;
   /** Called for each message when it is sent; returns its fault. */
-  readonly intercept: (message: NetworkMessage) => MessageFault;
+  readonly intercept: (message: FakeNetworkMessage) => MessageFault;
 }
 
 const MIN_DELAY_MILLISECONDS = 1;
@@ -36,14 +36,14 @@
  */
 export class FakeNetwork {
   readonly #options: FakeNetworkOptions;
-  readonly #heldMessages = new Map<string, NetworkMessage[]>();
+  readonly #heldMessages = new Map<string, FakeNetworkMessage[]>();
 
   constructor(options: FakeNetworkOptions) {
     this.#options = options;
   }
 
   send(
-    message: NetworkMessage,
+    message: FakeNetworkMessage,
     channel: OrderedChannel = new OrderedChannel(),
   ): void {
     const fault = this.#options.intercept(message);
@@ -77,7 +77,7 @@
     return this.#heldMessages.has(directionKey(from, to));
   }
 
-  #deliver(message: NetworkMessage, delay: number): void {
+  #deliver(message: FakeNetworkMessage, delay: number): void {
     this.#options.timer.after(delay, () => {
       const held = this.#heldMessages.get(
         directionKey(message.from, message.to),
--- a/test/matrix/fake_region.ts
+++ b/test/matrix/fake_region.ts
@@ -17,7 +17,7 @@
 import { SideCore, type SideOptions } from "../../src/side/mod.ts";
 import type { LogRecord } from "../../src/generated/log_records.ts";
 import { FakeLog } from "../support/fake_log.ts";
-import { FakeEngine, FakeService, targetText } from "./fake_endpoints.ts";
+import { FakeModelEngine, FakeService, targetText } from "./fake_endpoints.ts";
 import {
   addressOf,
   FakeLinks,
@@ -29,13 +29,13 @@
 import { ProcessGate } from "./process_gate.ts";
 import {
   FakeNetwork,
+  type FakeNetworkMessage,
   type MessageFault,
-  type NetworkMessage,
 } from "./fake_network.ts";
 
 export const REGION = "klang-valley";
 export const ENTRIES = ["entry-0", "entry-1"];
-export const ENGINES = ["engine-0", "engine-1", "engine-2"];
+export const MATRIX_ENGINES = ["engine-0", "engine-1", "engine-2"];
 export const SERVICES = ["portal-0", "portal-1"];
 const ZONES: [string, ...string[]] = ["shah-alam", "petaling"];
 
@@ -43,7 +43,7 @@
   readonly seed: number;
   /** Called for each message when it is sent; returns its fault. */
   readonly intercept: (
-    message: NetworkMessage,
+    message: FakeNetworkMessage,
     region: FakeRegion,
   ) => MessageFault;
   readonly entry?: Partial<EntryOptions>;
@@ -108,7 +108,7 @@
   readonly #links: FakeLinks;
   readonly #entries = new Map<string, RunningProcess<EntryCore>>();
   readonly #sides = new Map<string, RunningProcess<SideCore>>();
-  readonly #endpoints = new Map<string, FakeEngine | FakeService>();
+  readonly #endpoints = new Map<string, FakeModelEngine | FakeService>();
   readonly #runCounts = new Map<string, number>();
   readonly #drainingEndpoints = new Set<string>();
   readonly #vmList: FakeVmList;
@@ -343,7 +343,7 @@
     const gate = new ProcessGate();
     const run = this.#nextRunNumber(name);
     const id = name.slice("side-".length);
-    const endpoint = this.#endpoints.get(id) as FakeEngine | FakeService;
+    const endpoint = this.#endpoints.get(id) as FakeModelEngine | FakeService;
     const core = new SideCore({
       name: identifier(name),
       incarnation: identifier(`${name} run ${run}`),
@@ -372,10 +372,10 @@
   #createEndpoints(): void {
     const { timer } = this;
     const observe = (event: HistoryEvent) => void this.history.push(event);
-    for (const id of ENGINES) {
+    for (const id of MATRIX_ENGINES) {
       const { checksFencing } = this.#variant;
       const options = { id, timer, observe, checksFencing };
-      this.#endpoints.set(id, new FakeEngine(options));
+      this.#endpoints.set(id, new FakeModelEngine(options));
     }
     for (const id of SERVICES) {
       this.#endpoints.set(id, new FakeService({ id, timer, observe }));
@@ -515,7 +515,7 @@
           resumesStreams: true,
           checksFencing: change.checksFencing,
         },
-        endpoints: buildEndpoints(ENGINES),
+        endpoints: buildEndpoints(MATRIX_ENGINES),
       }, {
         name: "member-portal",
         kind: "service",
--- a/test/matrix/fault_injector.ts
+++ b/test/matrix/fault_injector.ts
@@ -1,6 +1,6 @@
-import { ENGINES, type FakeRegion } from "./fake_region.ts";
+import { type FakeRegion, MATRIX_ENGINES } from "./fake_region.ts";
 import type { MatrixCell } from "./fault_table.ts";
-import type { MessageFault, NetworkMessage } from "./fake_network.ts";
+import type { FakeNetworkMessage, MessageFault } from "./fake_network.ts";
 
 /** Exceeds the region's message timeouts; less than a request's deadline. */
 const MESSAGE_DELAY_MILLISECONDS = 8_000;
@@ -15,7 +15,7 @@
   readonly #occurrence: number;
   #messageCount = 0;
   /** The message whose answer will be dropped. */
-  #requestOfLostAnswer: NetworkMessage | undefined;
+  #requestOfLostAnswer: FakeNetworkMessage | undefined;
   /** Whether the fault was injected; otherwise the run does not test it. */
   isInjected = false;
 
@@ -26,7 +26,7 @@
     this.#occurrence = occurrences[index];
   }
 
-  intercept(message: NetworkMessage, region: FakeRegion): MessageFault {
+  intercept(message: FakeNetworkMessage, region: FakeRegion): MessageFault {
     if (this.#isAnswerToLose(message)) return this.#loseAnswer();
     if (message.step !== this.#cell.step.name) return {};
     this.#messageCount += 1;
@@ -34,7 +34,7 @@
     return this.#inject(message, region);
   }
 
-  #isAnswerToLose(message: NetworkMessage): boolean {
+  #isAnswerToLose(message: FakeNetworkMessage): boolean {
     return this.#requestOfLostAnswer !== undefined &&
       message.step === `${this.#requestOfLostAnswer.step} answer` &&
       message.to === this.#requestOfLostAnswer.from;
@@ -46,7 +46,7 @@
     return { drops: true };
   }
 
-  #inject(message: NetworkMessage, region: FakeRegion): MessageFault {
+  #inject(message: FakeNetworkMessage, region: FakeRegion): MessageFault {
     const { from, to } = message;
     switch (this.#cell.fault) {
       case "lost":
@@ -93,7 +93,7 @@
   }
 
   #injectProcessFault(
-    message: NetworkMessage,
+    message: FakeNetworkMessage,
     region: FakeRegion,
   ): MessageFault {
     const { fault } = this.#cell;
@@ -133,15 +133,18 @@
  * An order reaches its engine within the side's `longestOrderMilliseconds` or
  * never; a side whose engine does not check fencing tokens depends on this bound.
  */
-function faultDelayOf({ step }: NetworkMessage): number {
+function faultDelayOf({ step }: FakeNetworkMessage): number {
   return step === "order"
     ? ORDER_DELAY_MILLISECONDS
     : MESSAGE_DELAY_MILLISECONDS;
 }
 
-function nearestEndpoint(message: NetworkMessage, region: FakeRegion): string {
+function nearestEndpoint(
+  message: FakeNetworkMessage,
+  region: FakeRegion,
+): string {
   return region.findEndpoint(message.from) ?? region.findEndpoint(message.to) ??
-    ENGINES[0];
+    MATRIX_ENGINES[0];
 }
 
 /** Publishes for two operators on the same base at the same time. */
--- a/test/soak/faults.ts
+++ b/test/soak/faults.ts
@@ -23,7 +23,7 @@
 const ENTRY_START_MILLISECONDS = 1_500;
 
 /** Injects one random fault at a time and recovers from it before the next. */
-export class FaultInjector {
+export class SoakFaultInjector {
   readonly #options: FaultOptions;
   /** Entries that the platform's load balancer would not route to. */
   readonly unhealthy = new Set<DeployedEntry>();
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,7 +1,7 @@
 import { seededRandom } from "../../src/core/random/mod.ts";
 import { SmallDeployment } from "../support/small_deployment.ts";
 import { type Bookings, bookUntil, streamUntil, Tally } from "./callers.ts";
-import { FaultInjector } from "./faults.ts";
+import { SoakFaultInjector } from "./faults.ts";
 
 export interface SoakOptions {
   readonly seed: number;
@@ -57,7 +57,7 @@
   const random = seededRandom(options.seed);
   const tally = new Tally();
   const bookings: Bookings = new Map();
-  const injector = new FaultInjector({
+  const injector = new SoakFaultInjector({
     deployment,
     random,
     onFault: (name) => tally.add(`fault: ${name}`),
--- a/test/stand_ins/plain_service.ts
+++ b/test/stand_ins/plain_service.ts
@@ -2,8 +2,8 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
   delay,
-  readBody,
   readJson,
+  readRequestBody,
   runAsProgram,
   sendJson,
   StandInServer,
@@ -77,7 +77,7 @@
         runs: Object.fromEntries(this.runs),
       });
     }
-    const body = await readBody(request);
+    const body = await readRequestBody(request);
     const key = String(request.headers["idempotency-key"] ?? "");
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
     this.#runCount += 1;
--- a/test/stand_ins/stand_in_server.ts
+++ b/test/stand_ins/stand_in_server.ts
@@ -58,7 +58,9 @@
 }
 
 /** Reads a complete body, without a size limit. */
-export async function readBody(request: IncomingMessage): Promise<string> {
+export async function readRequestBody(
+  request: IncomingMessage,
+): Promise<string> {
   let body = "";
   request.setEncoding("utf8");
   for await (const chunk of request) body += chunk;
@@ -68,7 +70,7 @@
 export async function readJson(
   request: IncomingMessage,
 ): Promise<Record<string, unknown>> {
-  const body = await readBody(request);
+  const body = await readRequestBody(request);
   return body === "" ? {} : JSON.parse(body);
 }
 
